--- a/ashdock/admission/connections.py
+++ b/ashdock/admission/connections.py
@@ -13,7 +13,9 @@
 class ConnectionPhase(Enum):
     WAITING = "waiting"  # for its next request, or its first
     ASKING = "asking"  # a request is coming in, or being answered
-    LEAVING = "leaving"  # told to close: its next request is answered, if there is one, and then it ends
+    LEAVING = (
+        "leaving"  # told to close: its next request is answered, if there is one, and then it ends
+    )
 
 
 class Arrival(NamedTuple):
@@ -36,9 +38,13 @@
         self.shares = shares
         self.idle_s = idle_s  # between requests
         self.slow_s = slow_s  # for one whole request to arrive and be answered
-        self.quiet_s = quiet_s or idle_s  # a worker's connection idle for longer has been left by it
+        self.quiet_s = (
+            quiet_s or idle_s
+        )  # a worker's connection idle for longer has been left by it
         # By use, those longest without a change of phase first.
-        self.open: dict[Use, OrderedDict[Hashable, _Connection]] = {use: OrderedDict() for use in Use}
+        self.open: dict[Use, OrderedDict[Hashable, _Connection]] = {
+            use: OrderedDict() for use in Use
+        }
         self.use: dict[Hashable, Use] = {}
         self.ended: Counter[tuple[Use, str]] = Counter()  # by use and why, since the start
 
@@ -51,7 +57,10 @@
     @property
     def short(self) -> bool:
         """Whether somebody's connections are ended for want of places."""
-        return self.count(Use.WORKER) >= self.shares.workers_most(self.count(Use.USER)) or len(self) >= self.shares.inbound
+        return (
+            self.count(Use.WORKER) >= self.shares.workers_most(self.count(Use.USER))
+            or len(self) >= self.shares.inbound
+        )
 
     # -- changes of state --------------------------------------------------------------------------------
 
@@ -140,7 +149,14 @@
         table = self.open[Use.WORKER]
         if len(table) <= self.shares.certain[Use.WORKER]:
             return None
-        return next((key for key, connection in table.items() if connection.phase is ConnectionPhase.WAITING), None)
+        return next(
+            (
+                key
+                for key, connection in table.items()
+                if connection.phase is ConnectionPhase.WAITING
+            ),
+            None,
+        )
 
     def _end(self, key: Hashable, why: str) -> None:
         self.ended[self.use[key], why] += 1
--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -55,49 +55,77 @@
 
     def is_over(self, now: float) -> None:
         if self.began is not None:
-            log.info("enough %s again after %.1f s; %d were told to come back", self.what.value, now - self.began, self.turned_away)
+            log.info(
+                "enough %s again after %.1f s; %d were told to come back",
+                self.what.value,
+                now - self.began,
+                self.turned_away,
+            )
             self.began = None
 
 
 class Admission:
     """One for a controller. Asked by the front for users' requests, by the server for connections."""
 
-    def __init__(self, shared: Shared, peers: int, weights: Mapping[str, float] | None = None) -> None:
-        self.rush = Rush([team.name for team in shared.teams], 2 * shared.workers.report_s, 2 * ACCEPT_WAITS_S, weights)
+    def __init__(
+        self, shared: Shared, peers: int, weights: Mapping[str, float] | None = None
+    ) -> None:
+        self.rush = Rush(
+            [team.name for team in shared.teams],
+            2 * shared.workers.report_s,
+            2 * ACCEPT_WAITS_S,
+            weights,
+        )
         self.turned_away: Counter[str] = Counter()  # submissions told to come back, by team
         self.shares = shares_of(shared.machine_limits.max_connections, peers)
         # A worker that has not reported for two and a half of its periods reports elsewhere, or not at all.
-        self.connections = Connections(self.shares, idle_s=60.0, slow_s=10.0, quiet_s=2.5 * shared.workers.report_s)
+        self.connections = Connections(
+            self.shares, idle_s=60.0, slow_s=10.0, quiet_s=2.5 * shared.workers.report_s
+        )
         self.memory = memory_of(shared.machine_limits.ram_mb, self.shares.inbound)
         self.bodies = 0  # bytes of what comes in and is answered
         self.processor = Processor(fades_s=shared.workers.report_s / 2)
         self.shortages = {what: _Shortage(what) for what in Short}
-        self.refused: Counter[tuple[str, Short]] = Counter()  # what was asked for, and what there was too little of
+        self.refused: Counter[tuple[str, Short]] = (
+            Counter()
+        )  # what was asked for, and what there was too little of
         self.calm_s = 2 * shared.workers.report_s
         self.told_ended = 0
         self.line_s = 0.0  # of submissions to be written, when last asked
 
-    def submission(self, behind_s: float, now: float, team: str = "", each_s: float = 0.0) -> Refusal | None:
+    def submission(
+        self, behind_s: float, now: float, team: str = "", each_s: float = 0.0
+    ) -> Refusal | None:
         """`behind_s`: how long what goes before one of that team takes to be written; `each_s`: how long one more of it does, at its share."""
         self.line_s = behind_s
         self.rush.comes(team, now)
         late_s = self.processor.late_s(now)
         # What is computed late has no line in which teams could have their turns: whoever brings more than its share goes first.
         if late_s > ACCEPT_WAITS_S / (8 if self.rush.hot(team) else 4):
-            return self._turn_away(team, Short.PROCESSOR, "this controller is behind", late_s, each_s, now)
+            return self._turn_away(
+                team, Short.PROCESSOR, "this controller is behind", late_s, each_s, now
+            )
         if behind_s > WRITTEN_S:
-            return self._turn_away(team, Short.WRITES, "too many submissions at once", behind_s, each_s, now)
+            return self._turn_away(
+                team, Short.WRITES, "too many submissions at once", behind_s, each_s, now
+            )
         return None
 
-    def _turn_away(self, team: str, of: Short, why: str, wait_s: float, each_s: float, now: float) -> Refusal:
+    def _turn_away(
+        self, team: str, of: Short, why: str, wait_s: float, each_s: float, now: float
+    ) -> Refusal:
         self.turned_away[team if team in self.rush.teams else ""] += 1
-        return self._refuse("submission", of, 429, why, self.rush.returns_in(team, wait_s, each_s, now), now)
+        return self._refuse(
+            "submission", of, 429, why, self.rush.returns_in(team, wait_s, each_s, now), now
+        )
 
     def question(self, now: float, team: str = "") -> Refusal | None:
         """Questions give way before submissions do: who asks will ask again in any case. About a hot team's jobs, first of all."""
         late_s = self.processor.late_s(now)
         if late_s > USER_WAITS_S / (8 if self.rush.hot(team) else 4):
-            return self._refuse("question", Short.PROCESSOR, 429, "this controller is behind", 1 + int(late_s), now)
+            return self._refuse(
+                "question", Short.PROCESSOR, 429, "this controller is behind", 1 + int(late_s), now
+            )
         return None
 
     def no_place(self, now: float) -> Refusal:
@@ -119,7 +147,9 @@
         """The answer to whom there is no memory for what it sends."""
         return self._refuse("request", Short.MEMORY, 503, "too much comes in at once", 1, now)
 
-    def _refuse(self, what: str, of: Short, status: int, why: str, retry_after: int, now: float) -> Refusal:
+    def _refuse(
+        self, what: str, of: Short, status: int, why: str, retry_after: int, now: float
+    ) -> Refusal:
         self.refused[what, of] += 1
         shortage = self.shortages[of]
         shortage.runs_short(now, self.picture)
--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -25,9 +25,14 @@
 # Of the limit, places that nobody else may take, and the least that makes sense. What is left of the limit after all of them is for
 # users before workers: a worker's connection can be opened anew for each report, a user's cannot without its user noticing.
 CERTAIN = {
-    Use.NEW: (1 / 16, 2), Use.USER: (1 / 4, 2), Use.PROBE: (1 / 64, 1), Use.WORKER: (1 / 4, 2),
-    Use.STATE: (1 / 16, 4), Use.CLOUD: (1 / 64, 2), Use.ORDERS: (1 / 8, 1),
-}  # fmt: skip
+    Use.NEW: (1 / 16, 2),
+    Use.USER: (1 / 4, 2),
+    Use.PROBE: (1 / 64, 1),
+    Use.WORKER: (1 / 4, 2),
+    Use.STATE: (1 / 16, 4),
+    Use.CLOUD: (1 / 64, 2),
+    Use.ORDERS: (1 / 8, 1),
+}
 SPARE = 1 / 32  # for the listening ends, what the interpreter holds open, and what is on its way
 LEAST_SPARE = 4
 LINKS = 4  # of the mesh to a peer: one out, one in, and as many once more while one that is dead has not been noticed
@@ -41,13 +46,21 @@
     inbound: int
 
     def users_most(self) -> int:
-        return max(self.inbound - sum(self.certain[use] for use in (Use.NEW, Use.PROBE, Use.WORKER)), self.certain[Use.USER])
+        return max(
+            self.inbound - sum(self.certain[use] for use in (Use.NEW, Use.PROBE, Use.WORKER)),
+            self.certain[Use.USER],
+        )
 
     def workers_most(self, users: int) -> int:
         """How many workers' connections may stay open while users have so many: what is certain, and half of what users do not
         need beyond that. The other half is for all who come back at once: after a freeze or a cut each worker connects anew while
         what it left has not been noticed, and 1,775 of 1,937 sockets were in use."""
-        rest = self.inbound - self.certain[Use.NEW] - self.certain[Use.PROBE] - max(users, self.certain[Use.USER])
+        rest = (
+            self.inbound
+            - self.certain[Use.NEW]
+            - self.certain[Use.PROBE]
+            - max(users, self.certain[Use.USER])
+        )
         return self.certain[Use.WORKER] + max(rest - self.certain[Use.WORKER], 0) // 2
 
 
@@ -55,7 +68,9 @@
     """Divide `limit` sockets of a controller with so many others."""
     certain = {use: max(int(limit * ratio), least) for use, (ratio, least) in CERTAIN.items()}
     certain[Use.MESH] = LINKS * (peers + 1)
-    ours = sum(certain[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS, Use.MESH)) + max(int(limit * SPARE), LEAST_SPARE)
+    ours = sum(certain[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS, Use.MESH)) + max(
+        int(limit * SPARE), LEAST_SPARE
+    )
     return Shares(limit, certain, max(limit - ours, 4))
 
 
@@ -67,7 +82,11 @@
 def least_connections(peers: int) -> int:
     """The smallest limit that leaves a place for each use besides what we need ourselves."""
     least = {use: number for use, (_, number) in CERTAIN.items()}
-    ours = sum(least[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS)) + LINKS * (peers + 1) + LEAST_SPARE
+    ours = (
+        sum(least[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS))
+        + LINKS * (peers + 1)
+        + LEAST_SPARE
+    )
     return ours + sum(least[use] for use in (Use.NEW, Use.USER, Use.PROBE, Use.WORKER))
 
 
--- a/ashdock/cli.py
+++ b/ashdock/cli.py
@@ -14,30 +14,52 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(prog="ashdock", description="A cluster scheduler with durable retries.")
+    top = argparse.ArgumentParser(
+        prog="ashdock", description="A cluster scheduler with durable retries."
+    )
     top.add_argument("--version", action="version", version=f"ashdock {__version__}")
     top.add_argument("--config", metavar="FILE", help="start a controller with this settings file")
     verbs = top.add_subparsers(dest="verb", metavar="COMMAND")
-    check = verbs.add_parser("check-config", help="check a settings file and the operators' file, and start nothing")
+    check = verbs.add_parser(
+        "check-config", help="check a settings file and the operators' file, and start nothing"
+    )
     check.add_argument("file")
-    check.add_argument("--operators", metavar="HCL", help="an operators' file elsewhere than deploy/ashdock.hcl")
-    submit = verbs.add_parser("submit", help="submit a job, described in JSON by a file or standard input (-)")
+    check.add_argument(
+        "--operators", metavar="HCL", help="an operators' file elsewhere than deploy/ashdock.hcl"
+    )
+    submit = verbs.add_parser(
+        "submit", help="submit a job, described in JSON by a file or standard input (-)"
+    )
     submit.add_argument("file")
     for name, text in (("status", "print a job's state"), ("withdraw", "cancel a job")):
         verb = verbs.add_parser(name, help=text)
         verb.add_argument("job")
     for name in ("submit", "status", "withdraw"):
         verb = verbs.choices[name]
-        verb.add_argument("--to", metavar="HOST:PORT", default=os.environ.get("ASHDOCK", "127.0.0.1:8080"),
-                          help="a controller's address (default: $ASHDOCK or %(default)s)")  # fmt: skip
-        verb.add_argument("--for", dest="patience", type=float, default=60.0, metavar="SECONDS",
-                          help="how long to go on trying (default: %(default)g)")  # fmt: skip
+        verb.add_argument(
+            "--to",
+            metavar="HOST:PORT",
+            default=os.environ.get("ASHDOCK", "127.0.0.1:8080"),
+            help="a controller's address (default: $ASHDOCK or %(default)s)",
+        )
+        verb.add_argument(
+            "--for",
+            dest="patience",
+            type=float,
+            default=60.0,
+            metavar="SECONDS",
+            help="how long to go on trying (default: %(default)g)",
+        )
     return top
 
 
 def set_up_logging() -> None:
     level = os.environ.get("LOG_LEVEL", "info").lower()
-    logging.basicConfig(level=LEVELS.get(level, logging.INFO), stream=sys.stderr, format="%(levelname)s %(name)s %(message)s")
+    logging.basicConfig(
+        level=LEVELS.get(level, logging.INFO),
+        stream=sys.stderr,
+        format="%(levelname)s %(name)s %(message)s",
+    )
     logging.getLogger("asyncio").setLevel(max(logging.WARNING, LEVELS.get(level, logging.INFO)))
 
 
@@ -57,7 +79,13 @@
     from ashdock.net import user  # not needed, nor paid for, by a controller
 
     try:
-        return user.run(options.verb, options.to, options.patience, getattr(options, "job", None), getattr(options, "file", None))
+        return user.run(
+            options.verb,
+            options.to,
+            options.patience,
+            getattr(options, "job", None),
+            getattr(options, "file", None),
+        )
     except SettingsError as why:
         print(f"ashdock: {why}", file=sys.stderr)
         return 2
@@ -74,9 +102,14 @@
     teams = ", ".join(team.name for team in settings.settings.teams)
     print(f"{file}: good: controller {settings.label} of {settings.settings.size}, teams {teams}")
     limits = settings.settings.machine_limits
-    print(f"this controller: {limits.core_share:g} of a core, {limits.ram_mb:g} MB, {limits.max_connections} connections")
+    print(
+        f"this controller: {limits.core_share:g} of a core, {limits.ram_mb:g} MB, {limits.max_connections} connections"
+    )
     state = settings.settings.state
-    print(f"state service: {_limits(state)}" + (f"; later no more than {_limits(state.smaller())}" if state.next else ""))
+    print(
+        f"state service: {_limits(state)}"
+        + (f"; later no more than {_limits(state.smaller())}" if state.next else "")
+    )
     return 0
 
 
@@ -93,7 +126,9 @@
 
     async def run() -> None:
         controller = Controller(settings)
-        later = asyncio.create_task(garbage.begin_later(controller.ready, settings.settings.workers.lease_s))
+        later = asyncio.create_task(
+            garbage.begin_later(controller.ready, settings.settings.workers.lease_s)
+        )
         try:
             await controller.run()
         finally:
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -78,18 +78,39 @@
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
         places = self.admission.shares.certain
-        self.state = StateClient(*address(settings.outside.state, "outside.state"), self.shared, self.bounds, places[Use.STATE], weights)
-        self.cloud = CloudClient(*address(settings.outside.cloud, "outside.cloud"), self.shared, places[Use.CLOUD])
-        self.worker_client = WorkerClient(self.workers.lease_s / 5, 10 * self.workers.report_s, places[Use.ORDERS])
+        self.state = StateClient(
+            *address(settings.outside.state, "outside.state"),
+            self.shared,
+            self.bounds,
+            places[Use.STATE],
+            weights,
+        )
+        self.cloud = CloudClient(
+            *address(settings.outside.cloud, "outside.cloud"), self.shared, places[Use.CLOUD]
+        )
+        self.worker_client = WorkerClient(
+            self.workers.lease_s / 5, 10 * self.workers.report_s, places[Use.ORDERS]
+        )
         peers = [(other.label, *address(other.endpoint, "others")) for other in settings.others]
-        self.mesh = Mesh(self.label, peers, self._on_frame, beat_s=self.ttl_s / 5, on_link=lambda label: self.word.vouched.linked(label))
+        self.mesh = Mesh(
+            self.label,
+            peers,
+            self._on_frame,
+            beat_s=self.ttl_s / 5,
+            on_link=lambda label: self.word.vouched.linked(label),
+        )
         self.word: OurWord = OurWord(self)
         self.machines = Replica(self.state, "machine/")
         self.parts = Replica(self.state, "part/")
         self.members = Replica(self.state, "member/")
         self.leaders = Replica(self.state, "leader")
         # Asked anew often enough that at the beginning of an outage we know how jobs stood a moment before.
-        self.jobs = Replica(self.state, "job/", keep=False, hold_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8))
+        self.jobs = Replica(
+            self.state,
+            "job/",
+            keep=False,
+            hold_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8),
+        )
         self.pace = Pace(self.mesh.beat_s)
         self.burden = Burden(self.mesh.beat_s, 2 * self.workers.lease_s)
         self.catalog: dict[str, MachineType] = {}
@@ -99,8 +120,13 @@
         self.incarnation = self.rng.getrandbits(48)
         seat = Seat("machines", "leader", self.label, self.incarnation)
         self.duty: Holder[Leader] = Holder(
-            self, seat, self.leaders, lambda seat: Leader(self, seat), settings.operators.duties.machines, 2 * self.workers.lease_s
-        )  # fmt: skip
+            self,
+            seat,
+            self.leaders,
+            lambda seat: Leader(self, seat),
+            settings.operators.duties.machines,
+            2 * self.workers.lease_s,
+        )
         self.terms = Terms()
         self.seats_stir = asyncio.Event()  # something has changed that the seats may follow from
         self.remote_pictures: dict[str, tuple[float, Picture]] = {}
@@ -111,10 +137,20 @@
         self.last_report = self.started = time.monotonic()
         self.rise = Rise(self.started)
         self.membership = Membership(self, self.workers.lease_s)
-        self.deputy = Deputy(self.workers, self.jobs, lambda job: self.front.is_withdrawn(job), self.word.vouched)
+        self.deputy = Deputy(
+            self.workers, self.jobs, lambda job: self.front.is_withdrawn(job), self.word.vouched
+        )
         self.front: Front = Front(self)
         admission = self.admission
-        self.server = Server(self.front.handle, admission.connections, use_of, self._no_place, admission, self._no_memory, admission.memory.buffer)
+        self.server = Server(
+            self.front.handle,
+            admission.connections,
+            use_of,
+            self._no_place,
+            admission,
+            self._no_memory,
+            admission.memory.buffer,
+        )
         self.background: set[asyncio.Task[Any]] = set()
 
     # -- what the parts of a controller ask of one another ------------------------------------------------
@@ -152,7 +188,9 @@
             del self.owners[owner.team.name]
 
     def metrics(self) -> Answer:
-        from ashdock.net import metrics  # with the first request for it: it costs start-up time and memory
+        from ashdock.net import (
+            metrics,
+        )  # with the first request for it: it costs start-up time and memory
 
         return Answer(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
 
@@ -168,9 +206,22 @@
         self.leaders.on_change(self._seat_changed)
         await self.server.start(*address(self.settings.bind, "bind"))
         await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
-        log.info("controller %s in %s listens on %s", self.label, self.settings.area, self.settings.bind)
-        loops = [self.membership.keep, self._ownership, self._gossip, self.kinds.learn, self.upgrade.look, self._pace, self._seats]
-        tasks = [asyncio.create_task(replica.run()) for replica in (self.machines, self.parts, self.members, self.leaders, self.jobs)]
+        log.info(
+            "controller %s in %s listens on %s", self.label, self.settings.area, self.settings.bind
+        )
+        loops = [
+            self.membership.keep,
+            self._ownership,
+            self._gossip,
+            self.kinds.learn,
+            self.upgrade.look,
+            self._pace,
+            self._seats,
+        ]
+        tasks = [
+            asyncio.create_task(replica.run())
+            for replica in (self.machines, self.parts, self.members, self.leaders, self.jobs)
+        ]
         tasks += [asyncio.create_task(self._forever(loop)) for loop in loops]
         try:
             await asyncio.gather(*tasks)
@@ -238,7 +289,11 @@
         silent = self.state.silent_for
         if silent < self.ttl_s / 2:
             return False
-        beats = [peer.beat for peer in self.mesh.peers.values() if peer.beat is not None and peer.heard_within(self.ttl_s)]
+        beats = [
+            peer.beat
+            for peer in self.mesh.peers.values()
+            if peer.beat is not None and peer.heard_within(self.ttl_s)
+        ]
         if not beats:
             return bool(self.mesh.peers) and silent > self.ttl_s
         return any(beat.state_age < self.ttl_s / 2 for beat in beats)
@@ -246,14 +301,21 @@
     def cut_off(self) -> bool:
         """Only the state service is left to us: no other controller is heard, and no worker. Others had better own our parts."""
         quiet = max(2 * self.workers.report_s, self.ttl_s)
-        if not self.mesh.peers or any(peer.heard_within(quiet) for peer in self.mesh.peers.values()):
+        if not self.mesh.peers or any(
+            peer.heard_within(quiet) for peer in self.mesh.peers.values()
+        ):
             return False
         return time.monotonic() - max(self.last_report, self.started) > quiet
 
     def ready(self) -> bool:
         # One that keeps ending is ready while it lives: without it too few were, and users found none (edge: 0.92 -> 0.84 in time).
         connected = self.may_serve() or not self.cut_off()
-        return bool(self.catalog) and self.parts.ready.is_set() and connected and not self.alone_without_state()
+        return (
+            bool(self.catalog)
+            and self.parts.ready.is_set()
+            and connected
+            and not self.alone_without_state()
+        )
 
     # -- membership and leadership -----------------------------------------------------------------------------
 
@@ -314,7 +376,11 @@
 
     def _parts(self) -> list[Part]:
         """The parts owned here that have been read."""
-        return [owner.part for owner in self.owners.values() if owner.phase is OwnerPhase.ACTIVE and owner.part]
+        return [
+            owner.part
+            for owner in self.owners.values()
+            if owner.phase is OwnerPhase.ACTIVE and owner.part
+        ]
 
     def owner_label(self, team: str) -> str | None:
         entry = self.parts.entries.get(f"part/{team}")
@@ -329,7 +395,11 @@
     async def _ownership(self) -> float:
         # The jobs too: a part read before their watch has begun would miss what is accepted in between.
         replicas = (self.parts, self.members, self.machines, self.jobs)
-        if not (self.catalog and self.upgrade.looked and all(replica.ready.is_set() for replica in replicas)):
+        if not (
+            self.catalog
+            and self.upgrade.looked
+            and all(replica.ready.is_set() for replica in replicas)
+        ):
             return self.tick_s / 4
         if self.hold is None or time.monotonic() > self.membership.until:
             return self.tick_s
@@ -347,7 +417,9 @@
         # Where all have ended together, the first one back used to take every part a moment before their owners were
         # back: just started, we leave those of others a little time.
         if self.others_may_return():
-            orphans = [team for team in orphans if self.owner_label(team.name) in (None, self.label)]
+            orphans = [
+                team for team in orphans if self.owner_label(team.name) in (None, self.label)
+            ]
         for team in orphans:
             heir = min(load, key=lambda label: (load[label], label))
             load[heir] += 1
@@ -361,7 +433,9 @@
                     ours.lost(f"claimed by {entry.value['owner']}")
                 continue
             # A part that names us is ours from before a restart: taken back at once.
-            if (entry and entry.value["owner"] == self.label and self.may_serve()) or heirs.get(team.name) == self.label:
+            if (entry and entry.value["owner"] == self.label and self.may_serve()) or heirs.get(
+                team.name
+            ) == self.label:
                 if self.state_fresh():
                     self.owners[team.name] = Owner(self, team, entry.stamp if entry else 0)
         return self.tick_s
@@ -417,8 +491,13 @@
         self._hand_on(now)
         self._share()
         beat = Beat(
-            self.incarnation, self.state.silent_for, now - self.last_report, self.ready(), self.leader is not None, *self.state.demand
-        )  # fmt: skip
+            self.incarnation,
+            self.state.silent_for,
+            now - self.last_report,
+            self.ready(),
+            self.leader is not None,
+            *self.state.demand,
+        )
         self.mesh.broadcast(beat)
         self.word.vouch(now)
         self.tell_claims()
@@ -435,17 +514,32 @@
 
     def _hand_on(self, now: float) -> None:
         """Short of the processor for long, with another controller that is not: a part goes there, as if the leader wished it."""
-        ours = {team: len(owner.part.machines) + len(owner.part.jobs) for team, owner in self.owners.items() if owner.part}
+        ours = {
+            team: len(owner.part.machines) + len(owner.part.jobs)
+            for team, owner in self.owners.items()
+            if owner.part
+        }
         fit = set(self.fit_members())
         others = {
-            label: Other(peer.pace.gap_s, sum(entry.value["owner"] == label for entry in self.parts.entries.values()), peer.beat.leader)
+            label: Other(
+                peer.pace.gap_s,
+                sum(entry.value["owner"] == label for entry in self.parts.entries.values()),
+                peer.beat.leader,
+            )
             for label, peer in self.mesh.peers.items()
-            if label in fit and peer.beat is not None and peer.beat.ready and peer.heard_within(self.ttl_s)
+            if label in fit
+            and peer.beat is not None
+            and peer.beat.ready
+            and peer.heard_within(self.ttl_s)
         }
         given = self.burden.hand_on(self.pace.gap_s, ours, self.leader is not None, others, now)
         if given is not None:
             team, label = given
-            log.info("part %s is handed on to controller %s: this one is short of its processor", team, label)
+            log.info(
+                "part %s is handed on to controller %s: this one is short of its processor",
+                team,
+                label,
+            )
             self._for_part(Give(team, label))
 
     def _tell_ahead(self) -> None:
@@ -512,14 +606,23 @@
     def leaving(self) -> list[tuple[str, str]]:
         """What is being vacated in all parts, as far as we were told of late."""
         now = time.monotonic()
-        out = [row for at, frame in self.remote_leaving.values() if now - at < self.mesh.beat_s * 2 for row in frame.machines]
+        out = [
+            row
+            for at, frame in self.remote_leaving.values()
+            if now - at < self.mesh.beat_s * 2
+            for row in frame.machines
+        ]
         for part in self._parts():
             out += part.telling.leaving()
         return out
 
     def pictures(self) -> dict[str, Picture]:
         now = time.monotonic()
-        out = {team: picture for team, (at, picture) in self.remote_pictures.items() if now - at < self.ttl_s}
+        out = {
+            team: picture
+            for team, (at, picture) in self.remote_pictures.items()
+            if now - at < self.ttl_s
+        }
         for part in self._parts():
             out[part.name] = part.telling.picture(self.now())
         return out
@@ -537,7 +640,12 @@
         if self.terms.admit(term):
             self._for_part(word)
         else:
-            log.info("a %s of term %d is refused: term %d is known", type(word).__name__, term, self.terms.highest)
+            log.info(
+                "a %s of term %d is refused: term %d is known",
+                type(word).__name__,
+                term,
+                self.terms.highest,
+            )
 
     def _for_part(self, frame: Word) -> None:
         owner = self.owners.get(frame.part)
--- a/ashdock/core/allotment.py
+++ b/ashdock/core/allotment.py
@@ -70,19 +70,29 @@
         self.now = 0.0
         self.moved_part_at = -1e9
         self.alive: list[str] = []
-        self.refused: dict[tuple[str, str, bool], tuple[float, float]] = {}  # until when, and the last pause
+        self.refused: dict[
+            tuple[str, str, bool], tuple[float, float]
+        ] = {}  # until when, and the last pause
         self.coming: dict[str, tuple[str, float]] = {}  # machine: team it was lent to, and when
         self.renting_now: list[Rent] = []
-        self.recalling: dict[str, tuple[str, float]] = {}  # machine asked of its part: for which team, and when
+        self.recalling: dict[
+            str, tuple[str, float]
+        ] = {}  # machine asked of its part: for which team, and when
         self.pool_since: dict[str, float] = {}
         self.sent_back: set[str] = set()  # to the pool, since nobody wanted them
-        self.owed_at: dict[tuple[str, str], float] = {}  # by whom and to whom: when it was last asked for
+        self.owed_at: dict[
+            tuple[str, str], float
+        ] = {}  # by whom and to whom: when it was last asked for
         self.barren = Barren()  # wants for which this round has nothing left
-        self.pers: dict[tuple[str, float, float, float], int] = {}  # this round's: how many of a need a machine of a type takes
+        self.pers: dict[
+            tuple[str, float, float, float], int
+        ] = {}  # this round's: how many of a need a machine of a type takes
         boots = [shape.boot_s for shape in catalog.values()]
         self.boot_s = max(boots, default=shared.workers.lease_s)
         self.settle_s = shared.workers.lease_s / 2
-        self.most_requests = max(2, int(shared.cloud.rps))  # under way at a time: about a second's worth
+        self.most_requests = max(
+            2, int(shared.cloud.rps)
+        )  # under way at a time: about a second's worth
 
     # -- what came of earlier choices -----------------------------------------------------------
 
@@ -108,7 +118,9 @@
 
     # -- choosing -------------------------------------------------------------------------------
 
-    def decide(self, machines: Iterable[Lent], pictures: dict[str, Picture], now: float) -> list[Decision]:
+    def decide(
+        self, machines: Iterable[Lent], pictures: dict[str, Picture], now: float
+    ) -> list[Decision]:
         lent = {machine.name: machine for machine in machines if not machine.doomed}
         if any(team.name not in pictures for team in self.shared.teams):
             # An owner unheard of may want all that stands empty: neither lend, rent nor return before it is heard.
@@ -130,27 +142,41 @@
         empty = Stock(
             # The cheap kind first, since it is the one to keep.
             ((float(not machine.spot), rank), 0, machine)
-            for rank, machines in ((0.0, pool.values()), (1.0, [machine for machine, _ in idle.values()]))
-            for machine in machines if machine.type in self.catalog
-        )  # fmt: skip
+            for rank, machines in (
+                (0.0, pool.values()),
+                (1.0, [machine for machine, _ in idle.values()]),
+            )
+            for machine in machines
+            if machine.type in self.catalog
+        )
         busy = Stock(
             ((item.loss_s, 0.0), item.priority, lent[item.machine])
             for picture in pictures.values()
             for item in picture.busy
-            if item.machine in lent and lent[item.machine].part == picture.team and item.machine not in self.recalling
+            if item.machine in lent
+            and lent[item.machine].part == picture.team
+            and item.machine not in self.recalling
             and lent[item.machine].type in self.catalog
-        )  # fmt: skip
+        )
         self.now = now
         out: list[Decision] = []
-        small = {team for team, picture in pictures.items() if picture.machines * 2 * len(pictures) < len(lent)}
+        small = {
+            team
+            for team, picture in pictures.items()
+            if picture.machines * 2 * len(pictures) < len(lent)
+        }
         wants = sorted(
             ((picture.team, want) for picture in pictures.values() for want in picture.wants),
             # Beyond guarantees, a team with less than half its equal part of the machines goes before like work of the rest:
             # behind others' overdue work a guest was never served at all.
             key=lambda item: (
-                item[1].idle, not item[1].guaranteed, -item[1].priority, not item[1].guaranteed and item[0] not in small, item[1].slack_s,
+                item[1].idle,
+                not item[1].guaranteed,
+                -item[1].priority,
+                not item[1].guaranteed and item[0] not in small,
+                item[1].slack_s,
             ),
-        )  # fmt: skip
+        )
         on_the_way = self._virtual(lent)
         rents: dict[tuple[str, str, str, bool], int] = {}
         unmet: list[tuple[str, Want, int]] = []
@@ -176,7 +202,15 @@
             # With enough requests on their way, the rest is asked for together once those are answered.
             while left > 0 and len(self.renting_now) < self.most_requests:
                 offer = self._offer(want, left, rents, now)
-                if offer is None and want.idle and not (pictures[team].machines or team in on_the_way or any(key[0] == team for key in rents)):
+                if (
+                    offer is None
+                    and want.idle
+                    and not (
+                        pictures[team].machines
+                        or team in on_the_way
+                        or any(key[0] == team for key in rents)
+                    )
+                ):
                     # The cheap kind is not to be had: one of the other, so that such work does not starve.
                     want = want._replace(idle=False, tasks=1)
                     left = 1
@@ -191,10 +225,17 @@
                 total += 1
                 left -= per
                 if left < 0:
-                    on_the_way.setdefault(team, Slots()).add_rest(shape, zone, spot, (want.cpus, want.gpus, want.memory), per + left)
+                    on_the_way.setdefault(team, Slots()).add_rest(
+                        shape, zone, spot, (want.cpus, want.gpus, want.memory), per + left
+                    )
             if left > 0:
                 unmet.append((team, want, left))
-        out += self._debts(unmet, {team: picture for team, picture in pictures.items() if team not in small}, lent, now)
+        out += self._debts(
+            unmet,
+            {team: picture for team, picture in pictures.items() if team not in small},
+            lent,
+            now,
+        )
         asked = self._requests(rents)
         out += asked
         self.renting_now += asked
@@ -226,8 +267,12 @@
         return [Rent(tuple(teams), *key) for key, teams in alike.items()]
 
     def _debts(
-        self, unmet: list[tuple[str, Want, int]], pictures: dict[str, Picture], lent: dict[str, Lent], now: float
-    ) -> list[Decision]:  # fmt: skip
+        self,
+        unmet: list[tuple[str, Want, int]],
+        pictures: dict[str, Picture],
+        lent: dict[str, Lent],
+        now: float,
+    ) -> list[Decision]:
         """Where no more is to be had, like work is served in the order of its waiting, whatever its team: a part
         whose own work has waited less passes on what comes free. Without this, the machines stayed where they
         were when the cloud ran out, and one team's gangs waited a minute while another's waited seconds."""
@@ -235,7 +280,9 @@
         kinds: dict[str, set[tuple[str, str, bool]]] = {}
         for machine in lent.values() if unmet else ():
             if machine.type in self.catalog:
-                kinds.setdefault(machine.part, set()).add((machine.type, machine.zone, machine.spot))
+                kinds.setdefault(machine.part, set()).add(
+                    (machine.type, machine.zone, machine.spot)
+                )
         for team, want, left in unmet:
             lender, most_slack = "", want.slack_s + self.boot_s / 2
             for part, picture in pictures.items():
@@ -249,15 +296,27 @@
                 if not like or any(other.guaranteed and not want.guaranteed for other in like):
                     continue
                 slack = min(other.slack_s for other in like)
-                if slack > most_slack and any(self._suits(want, *kind) for kind in kinds.get(part, ())):
+                if slack > most_slack and any(
+                    self._suits(want, *kind) for kind in kinds.get(part, ())
+                ):
                     lender, most_slack = part, slack
             if lender:
                 self.owed_at[lender, team] = now
-                per = max((capacity(shape, want.cpus, want.gpus, want.memory) for shape in self.catalog.values()), default=1)
-                out.append(Owed(lender, team, -(-left // max(per, 1)), want.types, want.zone, want.spot))
+                per = max(
+                    (
+                        capacity(shape, want.cpus, want.gpus, want.memory)
+                        for shape in self.catalog.values()
+                    ),
+                    default=1,
+                )
+                out.append(
+                    Owed(lender, team, -(-left // max(per, 1)), want.types, want.zone, want.spot)
+                )
         return out
 
-    def _forget_settled(self, lent: dict[str, Lent], pictures: dict[str, Picture], now: float) -> None:
+    def _forget_settled(
+        self, lent: dict[str, Lent], pictures: dict[str, Picture], now: float
+    ) -> None:
         patience = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
         for name, (team, since) in list(self.recalling.items()):
             if name in lent and lent[name].part == team:
@@ -277,10 +336,14 @@
         for name, (team, _) in [*self.coming.items(), *self.recalling.items()]:
             machine = lent.get(name)
             if machine and machine.type in self.catalog:
-                out.setdefault(team, Slots()).add(self.catalog[machine.type], machine.zone, machine.spot)
+                out.setdefault(team, Slots()).add(
+                    self.catalog[machine.type], machine.zone, machine.spot
+                )
         for rent in self.renting_now:
             for team, number in rent.teams:
-                out.setdefault(team, Slots()).add(self.catalog[rent.type], rent.zone, rent.spot, number)
+                out.setdefault(team, Slots()).add(
+                    self.catalog[rent.type], rent.zone, rent.spot, number
+                )
         return out
 
     def _use_virtual(self, rooms: Slots, want: Want) -> int:
@@ -299,22 +362,33 @@
             return False
         return want.spot or not spot
 
-    def _zones(self, team: str, want: Want, empty: Stock, busy: Stock, spare: dict[str, int]) -> dict[str, float]:
+    def _zones(
+        self, team: str, want: Want, empty: Stock, busy: Stock, spare: dict[str, int]
+    ) -> dict[str, float]:
         """How many more of a gang's tasks each zone would take: on what stands empty, can be recalled, or rented."""
         score: dict[str, float] = {}
 
         def add(kind: Kind, number: int, worth: float) -> None:
             if number:
-                score[kind.zone] = score.get(kind.zone, 0.0) + number * worth * self._per(kind.type, want)
+                score[kind.zone] = score.get(kind.zone, 0.0) + number * worth * self._per(
+                    kind.type, want
+                )
 
-        for shelf in empty.shelves_for(lambda kind: kind.part != team and self._suits(want, kind.type, kind.zone, kind.spot)):
+        for shelf in empty.shelves_for(
+            lambda kind: kind.part != team and self._suits(want, kind.type, kind.zone, kind.spot)
+        ):
             add(shelf.kind, empty.count(shelf, math.inf), 1.0)
-        for shelf in busy.shelves_for(lambda kind: self._suits(want, kind.type, kind.zone, kind.spot)):
+        for shelf in busy.shelves_for(
+            lambda kind: self._suits(want, kind.type, kind.zone, kind.spot)
+        ):
             add(shelf.kind, busy.count(shelf, self._most_loss(team, want, shelf.kind, spare)), 0.99)
         for shape in self.catalog.values():
             for zone in shape.yards:
                 kinds = (True, False) if want.spot else (False,)
-                if any(self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now for spot in kinds):
+                if any(
+                    self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
+                    for spot in kinds
+                ):
                     score[zone] = score.get(zone, 0.0) + 0.9 * max(want.tasks, want.whole)
         return score
 
@@ -342,15 +416,34 @@
         return boot_s * steps if steps > 0 and want.slack_s < boot_s else -1.0
 
     def _recall(
-        self, team: str, want: Want, left: int, busy: Stock, spare: dict[str, int], out: list[Decision], cached: bool = False
-    ) -> int:  # fmt: skip
+        self,
+        team: str,
+        want: Want,
+        left: int,
+        busy: Stock,
+        spare: dict[str, int],
+        out: list[Decision],
+        cached: bool = False,
+    ) -> int:
         """Sooner than a machine boots."""
         # What can be recalled only grows less within a round: wants alike in all that counts need not look again.
-        alike = ("recall", team, want.types, want.zone, want.spot, want.priority, want.guaranteed,
-                 want.slack_s < self.boot_s, want.image if cached else None)  # fmt: skip
+        alike = (
+            "recall",
+            team,
+            want.types,
+            want.zone,
+            want.spot,
+            want.priority,
+            want.guaranteed,
+            want.slack_s < self.boot_s,
+            want.image if cached else None,
+        )
         if left <= 0 or not busy or self.barren.holds(alike, ANY_NEED, 1):
             return left
-        shelves = busy.shelves_for(lambda kind: self._suits(want, kind.type, kind.zone, kind.spot), want.image if cached else None)
+        shelves = busy.shelves_for(
+            lambda kind: self._suits(want, kind.type, kind.zone, kind.spot),
+            want.image if cached else None,
+        )
         for machine in busy.take(shelves, lambda kind: self._most_loss(team, want, kind, spare)):
             out.append(Recalled(machine.part, team, [machine.name]))
             self.recalling[machine.name] = (team, self.now)
@@ -361,20 +454,43 @@
         self.barren.note(alike, ANY_NEED, 1)
         return left
 
-    def _lend(self, team: str, want: Want, left: int, empty: Stock, out: list[Decision], now: float, cached: bool = False) -> int:
+    def _lend(
+        self,
+        team: str,
+        want: Want,
+        left: int,
+        empty: Stock,
+        out: list[Decision],
+        now: float,
+        cached: bool = False,
+    ) -> int:
         """Machines that stand empty need no boot."""
-        alike = ("lend", team, want.types, want.zone, want.spot, want.idle, want.image if cached else None)
+        alike = (
+            "lend",
+            team,
+            want.types,
+            want.zone,
+            want.spot,
+            want.idle,
+            want.image if cached else None,
+        )
         need = (want.cpus, want.gpus, want.memory)
         if left <= 0 or not empty or self.barren.holds(alike, need, 1):
             return left
         only_cheap = want.idle and self._cheap(want)
 
         def suits(kind: Kind) -> bool:
-            if kind.part == team or (only_cheap and not kind.spot) or not self._suits(want, kind.type, kind.zone, kind.spot):
+            if (
+                kind.part == team
+                or (only_cheap and not kind.spot)
+                or not self._suits(want, kind.type, kind.zone, kind.spot)
+            ):
                 return False
             return self._per(kind.type, want) > 0
 
-        for machine in empty.take(empty.shelves_for(suits, want.image if cached else None), lambda kind: math.inf):
+        for machine in empty.take(
+            empty.shelves_for(suits, want.image if cached else None), lambda kind: math.inf
+        ):
             out.append(Move(machine.part, machine.name, team))
             self.coming[machine.name] = (team, now)
             left -= self._per(machine.type, want)
@@ -401,18 +517,26 @@
                 if want.zone and zone != want.zone:
                     continue
                 for spot in (True, False):
-                    if (spot and not self._cheap(want)) or (not spot and want.idle and self._cheap(want)):
+                    if (spot and not self._cheap(want)) or (
+                        not spot and want.idle and self._cheap(want)
+                    ):
                         continue
                     if self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
                         continue
                     price = (shape.low_price if spot else shape.price) / min(per, left)
-                    asked = sum(count for key, count in rents.items() if key[1:] == (shape.label, zone, spot))
+                    asked = sum(
+                        count
+                        for key, count in rents.items()
+                        if key[1:] == (shape.label, zone, spot)
+                    )
                     key = (price, float(-asked if want.together else asked), shape.boot_s)
                     if best is None or key < best[0]:
                         best = key, (shape, zone, spot)
         return best[1] if best else None
 
-    def balance(self, owners: dict[str, str], alive: list[str], pictures: dict[str, Picture], now: float) -> list[Decision]:
+    def balance(
+        self, owners: dict[str, str], alive: list[str], pictures: dict[str, Picture], now: float
+    ) -> list[Decision]:
         """Parts go from the controller with most work to the one with least, where that evens them out.
         Rarely, since a part's workers must find its new owner."""
         load = {team: picture.waiting + picture.machines + 1 for team, picture in pictures.items()}
@@ -439,7 +563,11 @@
         return [GivePart(team, least)]
 
     def _returns(
-        self, pool: dict[str, Lent], idle: dict[str, tuple[Lent, float]], wants: list[tuple[str, Want]], now: float
+        self,
+        pool: dict[str, Lent],
+        idle: dict[str, tuple[Lent, float]],
+        wants: list[tuple[str, Want]],
+        now: float,
     ) -> list[Decision]:
         out: list[Decision] = []
         wanted: dict[tuple[str, str, bool], bool] = {}
@@ -452,11 +580,20 @@
                 continue
             kind = (machine.type, machine.zone, machine.spot)
             if kind not in wanted:
-                wanted[kind] = any(self._suits(want, *kind) and (machine.spot or not (want.idle and self._cheap(want))) for _, want in wants)
+                wanted[kind] = any(
+                    self._suits(want, *kind)
+                    and (machine.spot or not (want.idle and self._cheap(want)))
+                    for _, want in wants
+                )
             if not wanted[kind]:
                 out.append(Move(machine.part, machine.name, ""))
                 self.sent_back.add(machine.name)
-        gone = [name for name in pool if now - self.pool_since.get(name, now) > (self.settle_s / 8 if name in self.sent_back else self.settle_s)]
+        gone = [
+            name
+            for name in pool
+            if now - self.pool_since.get(name, now)
+            > (self.settle_s / 8 if name in self.sent_back else self.settle_s)
+        ]
         if gone:
             out.append(Release(gone[:100]))
         return out
--- a/ashdock/core/bounds.py
+++ b/ashdock/core/bounds.py
@@ -41,8 +41,14 @@
             self.ops = max(FEWEST_OPS, min(self.ops, ops // 2))
         elif largest > SMALLEST:
             self.value_bytes = max(SMALLEST, min(self.value_bytes, largest * 3 // 4))
-        log.info("the state service refused a transaction of %d changes, the largest of %d bytes: no more than %d changes and %d "
-                 "bytes a value from here on", ops, largest, self.ops, self.value_bytes)  # fmt: skip
+        log.info(
+            "the state service refused a transaction of %d changes, the largest of %d bytes: no more than %d changes and %d "
+            "bytes a value from here on",
+            ops,
+            largest,
+            self.ops,
+            self.value_bytes,
+        )
 
     @property
     def width(self) -> int:
--- a/ashdock/core/estimates.py
+++ b/ashdock/core/estimates.py
@@ -9,12 +9,18 @@
 
 class Estimates:
     def __init__(self) -> None:
-        self.learnt: dict[str, tuple[float, int]] = {}  # class: run time by estimate, and from how many tasks
+        self.learnt: dict[
+            str, tuple[float, int]
+        ] = {}  # class: run time by estimate, and from how many tasks
 
     def learn(self, job: Job, placement: Placement, now: float) -> None:
         """Owners' estimates are often wrong, on some days mostly one way: a class's are corrected by what its tasks took."""
         spec = job.spec
-        if placement.running_at is None or spec.estimate_s <= 0 or (placement.attempt > 1 and spec.checkpoint_s > 0):
+        if (
+            placement.running_at is None
+            or spec.estimate_s <= 0
+            or (placement.attempt > 1 and spec.checkpoint_s > 0)
+        ):
             return
         ratio = min(4.0, max(0.25, (now - placement.running_at) / spec.estimate_s))
         weight = 1 / min(self.learnt.get(spec.job_class, (1.0, 0))[1] + 2, 20)
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -21,7 +21,9 @@
     ACTIVE = "active"
     CANCELLED = "cancelled"  # durably; its tasks are still to be confirmed gone
     OVER = "over"  # its last task is done; the outcome is being written
-    ORPHANED = "orphaned"  # a job that it needs is cancelled, durably; that it is too is being written
+    ORPHANED = (
+        "orphaned"  # a job that it needs is cancelled, durably; that it is too is being written
+    )
     FINAL = "final"  # the outcome is durable
 
 
@@ -37,7 +39,9 @@
         self.durable = 0
         self.attempts = 0  # the highest attempt number used
         self.placed = 0  # the latest change that starts wait for
-        self.live: dict[int, Placement] = {}  # the part of the job's: writing a chunk must not look at all of them
+        self.live: dict[
+            int, Placement
+        ] = {}  # the part of the job's: writing a chunk must not look at all of them
 
     def touch(self) -> int:
         self.gen += 1
@@ -53,14 +57,18 @@
 
 
 class Job:
-    def __init__(self, spec: Spec, submitted: float, stamp: int, chunk_tasks: int, plain_tasks: int = 0) -> None:
+    def __init__(
+        self, spec: Spec, submitted: float, stamp: int, chunk_tasks: int, plain_tasks: int = 0
+    ) -> None:
         self.spec = spec
         self.id = spec.id
         self.submitted = submitted
         self.since = submitted  # when it could first have started: what it needs was done
         self.waits = False  # for other jobs: none of its tasks may be placed
         self.carried: Carried = NOTHING  # from the jobs that need it
-        self.stamp = stamp  # of job/<id>, and of the copy beside the work: they are only written together
+        self.stamp = (
+            stamp  # of job/<id>, and of the copy beside the work: they are only written together
+        )
         self.phase = JobPhase.ACTIVE
         self.chunk_tasks = chunk_tasks
         # Chunks of this width are written as versions before did, which could not say how wide theirs were.
@@ -80,12 +88,18 @@
         self.cancelled_at: float | None = None
         self.breaking: str | None = None  # gang: why its attempt is being taken down
         self.broke: Failure | None = None  # gang: a failure of its own seen in this attempt
-        self.avoid: dict[str, float] = {}  # machine where it failed: until when this job had better not go there
+        self.avoid: dict[
+            str, float
+        ] = {}  # machine where it failed: until when this job had better not go there
         self.failed = 0  # the most failures of its own that any of its tasks carries
         self.preempted_at = -math.inf  # when work of its team was last stopped for it
         self.cleared = 0  # and on how many machines
-        self.started_at: float | None = None  # when a task of it was first seen running, by this owner
-        self.listener: dict[str, Job] = {}  # its part's jobs with something to write: it enters itself there
+        self.started_at: float | None = (
+            None  # when a task of it was first seen running, by this owner
+        )
+        self.listener: dict[
+            str, Job
+        ] = {}  # its part's jobs with something to write: it enters itself there
 
     def changed(self) -> None:
         self.listener[self.id] = self
@@ -225,7 +239,9 @@
     @property
     def pressing(self) -> bool:
         """Whether starts or an outcome wait for it to be written; other changes may wait for their turn."""
-        return self.phase is not JobPhase.ACTIVE or any(chunk.placed > chunk.durable for chunk in self.chunks.values())
+        return self.phase is not JobPhase.ACTIVE or any(
+            chunk.placed > chunk.durable for chunk in self.chunks.values()
+        )
 
     @property
     def complete(self) -> bool:
@@ -238,7 +254,9 @@
     @property
     def settled(self) -> bool:
         """Whether its outcome can be written: nothing of it is left anywhere."""
-        return self.phase is JobPhase.OVER or (self.phase in (JobPhase.CANCELLED, JobPhase.ORPHANED) and not self.live)
+        return self.phase is JobPhase.OVER or (
+            self.phase in (JobPhase.CANCELLED, JobPhase.ORPHANED) and not self.live
+        )
 
     @property
     def priority(self) -> int:
@@ -287,8 +305,10 @@
         for each task until the narrower chunk that takes it over is durable; only then is it deleted."""
         before, old = self.chunks, self.chunk_tasks
         self.wider |= {
-            self.tail(n): Wider(chunk.stamp, n * old, min((n + 1) * old, self.spec.tasks)) for n, chunk in before.items() if chunk.stamp
-        }  # fmt: skip
+            self.tail(n): Wider(chunk.stamp, n * old, min((n + 1) * old, self.spec.tasks))
+            for n, chunk in before.items()
+            if chunk.stamp
+        }
         self.chunks = {}
         self.chunk_tasks = width
         for n, chunk in before.items():
@@ -306,7 +326,10 @@
 
     def pieces(self, low: int, high: int) -> list[Chunk]:
         """The chunks of the present layout that hold any of these tasks."""
-        return [self.chunk(n) for n in range(low // self.chunk_tasks, (high - 1) // self.chunk_tasks + 1)]
+        return [
+            self.chunk(n)
+            for n in range(low // self.chunk_tasks, (high - 1) // self.chunk_tasks + 1)
+        ]
 
     @property
     def head_path(self) -> str:
@@ -340,7 +363,9 @@
     def load_chunks(self, found: Iterable[tuple[str, Any, int]], now: float) -> list[Placement]:
         """Take its chunks in, by the end of their keys. Where the job was going over to narrower ones both are there: for each
         task the narrowest has the word, and the rest of the way is gone from here."""
-        rows = sorted((*reversed(self.of_tail(tail)), tail, value, stamp) for tail, value, stamp in found)
+        rows = sorted(
+            (*reversed(self.of_tail(tail)), tail, value, stamp) for tail, value, stamp in found
+        )
         if not rows:
             return []
         self.chunk_tasks = rows[0][0]
@@ -384,13 +409,19 @@
         status = "done" if self.phase in (JobPhase.OVER, JobPhase.FINAL) else "queued"
         if self.phase in (JobPhase.CANCELLED, JobPhase.ORPHANED):
             status = "withdrawn"
-        return job_record(self.spec, self.submitted, status, self.reason, self.cancelled_at, self.ended_at)
+        return job_record(
+            self.spec, self.submitted, status, self.reason, self.cancelled_at, self.ended_at
+        )
 
 
 def job_record(
-    spec: Spec, submitted: float, status: str = "queued", reason: str | None = None, cancelled_at: float | None = None,
+    spec: Spec,
+    submitted: float,
+    status: str = "queued",
+    reason: str | None = None,
+    cancelled_at: float | None = None,
     done_at: float | None = None,
-) -> dict[str, Any]:  # fmt: skip
+) -> dict[str, Any]:
     record: dict[str, Any] = {"spec": spec, "at": submitted, "status": status}
     if reason:
         record["reason"] = reason
@@ -411,7 +442,9 @@
     """The record of a job that is over, without what nobody asks for any more if it is too large as it stands."""
     if len(msgspec.json.encode(record)) <= most:
         return record
-    spec = msgspec.structs.replace(spec_of_record(record), job_class="", image="", types=None, needs=msgspec.UNSET)
+    spec = msgspec.structs.replace(
+        spec_of_record(record), job_class="", image="", types=None, needs=msgspec.UNSET
+    )
     return {**record, "spec": spec}
 
 
--- a/ashdock/core/ledger.py
+++ b/ashdock/core/ledger.py
@@ -27,6 +27,7 @@
 
 MACHINES = 3  # one of so many changes in a transaction is for machines that come and go, where there are any
 
+
 class Txn:
     """A transaction being put together, and what to note once it is durable."""
 
@@ -39,7 +40,9 @@
         self.urgent = False  # whether anything in it cannot wait until there is more than enough of our share left
 
     def room(self, ops: int, size: int) -> bool:
-        return not self.writes or (len(self.writes) + ops <= self.ops and self.bytes + size <= 60 * 1024)
+        return not self.writes or (
+            len(self.writes) + ops <= self.ops and self.bytes + size <= 60 * 1024
+        )
 
     def put(self, path: str, value: Any, stamp: int) -> None:
         self.when[path] = stamp
@@ -76,7 +79,9 @@
 class Ledger:
     def __init__(self, part: Written) -> None:
         self.part = part
-        self.touched: dict[str, Job] = {}  # jobs with something to write: a transaction must not look at all of them
+        self.touched: dict[
+            str, Job
+        ] = {}  # jobs with something to write: a transaction must not look at all of them
         self.changing: dict[str, None] = {}  # machines whose record may have to be written
         self.leftover: list[tuple[str, int]] = []  # work of ended jobs, still to be deleted
 
@@ -86,7 +91,12 @@
         part = self.part
         # No more at a time than our share of a second: what comes after must not wait longer than that. As it is now, and not an equal
         # one: of a controller with half as much, one transaction took two seconds' worth, and users who came then were sent away.
-        txn = Txn(max(4, min(part.bounds.ops, int(min(part.bounds.write_rps / part.shared.size, a_second)))))
+        txn = Txn(
+            max(
+                4,
+                min(part.bounds.ops, int(min(part.bounds.write_rps / part.shared.size, a_second))),
+            )
+        )
         part.parks.fit(part.bounds.value_bytes)
         whole = txn.ops
         if self.changing:
@@ -109,11 +119,15 @@
                 stamp = part.parks.stamps[n] if n < len(part.parks.stamps) else 0
                 txn.put(part.parks.path(n), value, stamp)
                 txn.bytes += size
-                txn.marks.append(lambda revision, n=n, value=value: self._parks_written(n, value, revision))  # type: ignore[misc]
+                txn.marks.append(
+                    lambda revision, n=n, value=value: self._parks_written(n, value, revision)  # type: ignore[misc]
+                )
         txn.ops = whole
         for name in list(self.changing):
             machine = part.machines.get(name)
-            if machine is None or (machine.to is None and not machine.bump and not machine.doom_gen):
+            if machine is None or (
+                machine.to is None and not machine.bump and not machine.doom_gen
+            ):
                 del self.changing[name]
                 continue
             txn.urgent = True
@@ -142,15 +156,20 @@
         """An array of short tasks beyond any guarantee, still under way: others' writes go before its many."""
         spec = job.spec
         return (
-            job.active and spec.kind == "array" and math.isinf(job.due) and spec.tasks > self.part.chunk_tasks
+            job.active
+            and spec.kind == "array"
+            and math.isinf(job.due)
+            and spec.tasks > self.part.chunk_tasks
             and not guaranteed(self.part.team, spec.cpus, spec.gpus)
-        )  # fmt: skip
+        )
 
     @staticmethod
     def _unwritten(job: Job) -> bool:
         if job.settled or job.wider:
             return True
-        return job.reason_gen > job.reason_durable or any(chunk.gen > chunk.durable for chunk in job.chunks.values())
+        return job.reason_gen > job.reason_durable or any(
+            chunk.gen > chunk.durable for chunk in job.chunks.values()
+        )
 
     def _write_job(self, job: Job, txn: Txn) -> bool:
         """Whether it found room in the transaction."""
@@ -161,7 +180,9 @@
             # A gang is placed whole or not at all, so its chunks go together. Where one transaction does not take them all
             # they go one after the other, and no start before the last; a takeover in between takes the attempt down.
             size = sum(len(value) + 120 for _, value in dirty)
-            if (len(dirty) <= txn.ops or not self.part.bounds.agreed) and not txn.room(len(dirty), size):
+            if (len(dirty) <= txn.ops or not self.part.bounds.agreed) and not txn.room(
+                len(dirty), size
+            ):
                 return False
         for chunk, value in dirty:
             size = len(value) + 120
@@ -170,10 +191,15 @@
             txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.stamp)
             txn.when[job.job_path] = job.stamp
             txn.bytes += size
-            txn.marks.append(lambda revision, c=chunk, gen=chunk.gen: self._chunk_durable(job, c, gen, revision))  # type: ignore[misc]
+            txn.marks.append(
+                lambda revision, c=chunk, gen=chunk.gen: self._chunk_durable(job, c, gen, revision)  # type: ignore[misc]
+            )
         for tail, wide in list(job.wider.items()):
             # What narrower chunks have taken over. All of them are durable, or become so with this.
-            if all(chunk.gen <= chunk.durable or job.path(chunk.n) in txn.writes for chunk in job.pieces(wide.low, wide.high)):
+            if all(
+                chunk.gen <= chunk.durable or job.path(chunk.n) in txn.writes
+                for chunk in job.pieces(wide.low, wide.high)
+            ):
                 if not txn.room(1, 100):
                     return False
                 txn.put(job.work_path(tail), None, wide.stamp)
@@ -183,14 +209,18 @@
             record = job.record()
             size = 2 * len(msgspec.json.encode(record))
             if size > 2 * self.part.bounds.value_bytes:
-                job.reason_durable = job.reason_gen  # too large as it was submitted: told by its owner's log alone
+                job.reason_durable = (
+                    job.reason_gen
+                )  # too large as it was submitted: told by its owner's log alone
                 return True
             if not txn.room(2, size):
                 return False
             txn.put(job.job_path, record, job.stamp)
             txn.put(job.head_path, record, job.stamp)
             txn.bytes += size
-            txn.marks.append(lambda revision, gen=job.reason_gen: self._reason_durable(job, gen, revision))  # type: ignore[misc]
+            txn.marks.append(
+                lambda revision, gen=job.reason_gen: self._reason_durable(job, gen, revision)  # type: ignore[misc]
+            )
         return True
 
     def _dirty(self, job: Job, most: int) -> list[tuple[Chunk, bytes]]:
@@ -202,10 +232,27 @@
                 for chunk in (changed if job.spec.kind == "gang" else islice(changed, most))
             ]
             largest = max((len(value) for _, value in dirty), default=0)
-            if largest <= self.part.bounds.value_bytes or job.chunk_tasks == 1 or not self.part.bounds.agreed:
+            if (
+                largest <= self.part.bounds.value_bytes
+                or job.chunk_tasks == 1
+                or not self.part.bounds.agreed
+            ):
                 return dirty
-            job.narrow(max(1, min(job.chunk_tasks * self.part.bounds.value_bytes // largest, job.chunk_tasks * 3 // 4)))
-            log.info("job %s: a chunk of %d bytes is too large; from here on %d tasks to a chunk", job.id, largest, job.chunk_tasks)
+            job.narrow(
+                max(
+                    1,
+                    min(
+                        job.chunk_tasks * self.part.bounds.value_bytes // largest,
+                        job.chunk_tasks * 3 // 4,
+                    ),
+                )
+            )
+            log.info(
+                "job %s: a chunk of %d bytes is too large; from here on %d tasks to a chunk",
+                job.id,
+                largest,
+                job.chunk_tasks,
+            )
 
     def _write_outcome(self, job: Job, txn: Txn) -> bool:
         chunks = [(job.path(chunk.n), chunk.stamp) for chunk in job.chunks.values() if chunk.stamp]
@@ -226,11 +273,17 @@
 
     def _write_machine(self, machine: Machine, txn: Txn) -> None:
         moves = machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
-        bump = machine.bump and any(sent >= self.part.token(machine) for sent in machine.outstanding.values())
+        bump = machine.bump and any(
+            sent >= self.part.token(machine) for sent in machine.outstanding.values()
+        )
         if not (moves or bump or machine.doom_gen) or not txn.room(1, 300):
             return
         to = machine.to if moves and machine.to is not None else self.part.name
-        txn.put(f"machine/{machine.name}", trimmed(machine.value(to), self.part.bounds.value_bytes), machine.stamp)
+        txn.put(
+            f"machine/{machine.name}",
+            trimmed(machine.value(to), self.part.bounds.value_bytes),
+            machine.stamp,
+        )
         txn.bytes += 300
         txn.marks.append(lambda revision: self._machine_written(machine, to, revision))
 
@@ -249,7 +302,10 @@
         if together and any(other.placed > other.durable for other in job.chunks.values()):
             return  # no start of a gang before its last chunk is durable
         for placement in (job if together else chunk).live.values():
-            if placement.phase is Phase.INTENDED and placement.gen <= job.chunk_of(placement.task).durable:
+            if (
+                placement.phase is Phase.INTENDED
+                and placement.gen <= job.chunk_of(placement.task).durable
+            ):
                 placement.committed()
                 self.part.urgent[placement.machine] = None
 
@@ -267,7 +323,9 @@
             self.part.drop(placement, placement.placed_at)
         self.part.parks.drop(job.id)
         self.part.jobs.pop(job.id, None)
-        self.part.pipelines.settled(job.id, "done" if done else "withdrawn", job.ended_at, self.part.clock)
+        self.part.pipelines.settled(
+            job.id, "done" if done else "withdrawn", job.ended_at, self.part.clock
+        )
 
     def reread(self, path: str, value: Any, stamp: int, now: float) -> None:
         """A condition of ours failed though the part is still ours: take in what the key holds now.
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -20,14 +20,18 @@
 
 
 class Machine:
-    def __init__(self, name: str, value: dict[str, Any], stamp: int, shape: MachineType, now: float) -> None:
+    def __init__(
+        self, name: str, value: dict[str, Any], stamp: int, shape: MachineType, now: float
+    ) -> None:
         self.name = name
         self.type = value["t"]
         self.zone = value["z"]
         self.spot = bool(value["s"])
         self.address: str = value.get("a", "")
         self.rented: float = value.get("at", now)
-        self.dated = bool(value.get("r"))  # whether that is when it was rented, and not when it was found
+        self.dated = bool(
+            value.get("r")
+        )  # whether that is when it was rented, and not when it was found
         self.stamp = stamp
         self.shape = shape
         self.phase = MachinePhase.DOOMED if value.get("x") else MachinePhase.EXPECTED
@@ -44,7 +48,9 @@
         self.tally = 0
         self.warrant = 0
         self.idle_since: float | None = now
-        self.images: dict[str, float] = {}  # what its cache holds, as far as we can tell, the last used last: size
+        self.images: dict[
+            str, float
+        ] = {}  # what its cache holds, as far as we can tell, the last used last: size
         for image, size in reversed(images_of(value)):
             self.images[image] = size
         self.ended: set[tuple[str, int, int]] = set()  # reported as ended and not yet forgotten
@@ -67,7 +73,13 @@
         self.to: str | None = None  # asked to go to this part ("" the pool) once empty
 
     def value(self, part: str) -> dict[str, Any]:
-        value: dict[str, Any] = {"t": self.type, "z": self.zone, "s": self.spot, "a": self.address, "p": part}
+        value: dict[str, Any] = {
+            "t": self.type,
+            "z": self.zone,
+            "s": self.spot,
+            "a": self.address,
+            "p": part,
+        }
         value["at"] = round(self.rented, 3)
         if self.dated:
             value["r"] = 1
@@ -122,7 +134,9 @@
         self.memory -= memory
         self.idle_since = None
 
-    def give_back(self, placement: Placement, cpus: float, gpus: float, memory: float, now: float) -> None:
+    def give_back(
+        self, placement: Placement, cpus: float, gpus: float, memory: float, now: float
+    ) -> None:
         if self.live.pop(placement.key, None) is not None:
             self.version += 1
             self.cpus += cpus
@@ -141,7 +155,10 @@
 
     def coming(self, now: float) -> bool:
         """Whether work may wait for it to boot. One that is late beyond the usual is not waited for."""
-        return self.phase is MachinePhase.EXPECTED and now - max(self.rented, self.since - self.shape.boot_s) < 1.6 * self.shape.boot_s
+        return (
+            self.phase is MachinePhase.EXPECTED
+            and now - max(self.rented, self.since - self.shape.boot_s) < 1.6 * self.shape.boot_s
+        )
 
     @property
     def empty(self) -> bool:
@@ -162,7 +179,9 @@
 
 def images_of(value: dict[str, Any]) -> list[tuple[str, float]]:
     """From a machine's record, the last used first; versions before wrote only the names."""
-    return [(item, 0.0) if isinstance(item, str) else (item[0], item[1]) for item in value.get("i", ())]
+    return [
+        (item, 0.0) if isinstance(item, str) else (item[0], item[1]) for item in value.get("i", ())
+    ]
 
 
 def fits(free: Sequence[float], need: Sequence[float]) -> int:
--- a/ashdock/core/needs.py
+++ b/ashdock/core/needs.py
@@ -29,7 +29,9 @@
 class _Waiting:
     __slots__ = ("level", "open", "own", "since", "takes")
 
-    def __init__(self, needs: Iterable[str], own: Carried, takes: float, since: float, level: int) -> None:
+    def __init__(
+        self, needs: Iterable[str], own: Carried, takes: float, since: float, level: int
+    ) -> None:
         self.open = set(needs)  # those not known to be done
         self.own = own
         self.takes = takes  # from when it may start until it is done, as far as can be told
@@ -41,14 +43,22 @@
     def __init__(self) -> None:
         self.waiting: dict[str, _Waiting] = {}
         self.after: dict[str, dict[str, None]] = {}  # job: the waiting jobs that need it
-        self.carried: dict[str, Carried] = {}  # job that is needed: by all that need it, here or in other parts
-        self.told: dict[str, dict[str, Carried]] = {}  # the same by other parts' owners' word: job, then part
+        self.carried: dict[
+            str, Carried
+        ] = {}  # job that is needed: by all that need it, here or in other parts
+        self.told: dict[
+            str, dict[str, Carried]
+        ] = {}  # the same by other parts' owners' word: job, then part
         self.fresh: dict[str, None] = {}  # needed, and nobody has looked yet how it stands
-        self.changed: set[str] = set()  # jobs whose share is another than when this was last emptied
+        self.changed: set[str] = (
+            set()
+        )  # jobs whose share is another than when this was last emptied
 
     def add(self, job: str, needs: Iterable[str], own: Carried, takes: float, since: float) -> None:
         needs = tuple(needs)
-        level = 1 + max((self.waiting[need].level for need in needs if need in self.waiting), default=0)
+        level = 1 + max(
+            (self.waiting[need].level for need in needs if need in self.waiting), default=0
+        )
         self.waiting[job] = _Waiting(needs, own, takes, since, level)
         for need in needs:
             if need not in self.after:
@@ -108,7 +118,9 @@
     def hear(self, part: str, rows: Iterable[tuple[str, int, float]]) -> None:
         """What another part's jobs make of ours. Its owner says it anew with each beat."""
         says = {job: Carried(priority, by) for job, priority, by in rows}
-        changed = [job for job, said in self.told.items() if part in said and says.get(job) != said[part]]
+        changed = [
+            job for job, said in self.told.items() if part in said and says.get(job) != said[part]
+        ]
         for job in changed:
             del self.told[job][part]
             if not self.told[job]:
@@ -123,7 +135,11 @@
     def abroad(self, ours: Iterable[str]) -> list[tuple[str, int, float]]:
         """What to tell of jobs that are not of this part."""
         here = set(ours)
-        return [(job, *self.carried[job]) for job in self.after if job not in here and job in self.carried]
+        return [
+            (job, *self.carried[job])
+            for job in self.after
+            if job not in here and job in self.carried
+        ]
 
     def of(self, job: str) -> Carried:
         return self.carried.get(job, NOTHING)
--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -32,7 +32,9 @@
     failure: Failure
 
 
-def after_failure(retry: Retry, before: Failure | None, why: str, now: float, rng: random.Random) -> Next:
+def after_failure(
+    retry: Retry, before: Failure | None, why: str, now: float, rng: random.Random
+) -> Next:
     """The episode's next step. Only the job's own failures come here: capacity,
     preemption, lost machines, a full machine and missing mates spend neither count nor clock."""
     count, first, _, past = before or Failure(0, now, "")
@@ -67,7 +69,12 @@
     def add(self, job: str, tasks: list[list[int]], at: float, failure: Failure) -> None:
         for low, high in tasks:
             last = self.items[-1] if self.items else None
-            if last and last.job == job and last.high == low - 1 and (last.at, last.failure) == (at, failure):
+            if (
+                last
+                and last.job == job
+                and last.high == low - 1
+                and (last.at, last.failure) == (at, failure)
+            ):
                 self.items[-1] = last._replace(high=high)
             else:
                 self.items.append(Park(job, low, high, at, failure))
@@ -111,7 +118,11 @@
         values = self.values() if self.items else []
         out: list[tuple[int, list[Any] | None]] = []
         most = max(len(values), len(self.stamps))
-        for n in reversed(range(most)) if len(values) > sum(stamp > 0 for stamp in self.stamps) else range(most):
+        for n in (
+            reversed(range(most))
+            if len(values) > sum(stamp > 0 for stamp in self.stamps)
+            else range(most)
+        ):
             stamp = self.stamps[n] if n < len(self.stamps) else 0
             if n >= len(values):
                 if stamp:
@@ -129,7 +140,9 @@
 
     def load(self, n: int, value: list[Any], stamp: int) -> list[Park]:
         self.wrote(n, value, stamp)
-        out = [Park(job, low, high, at, Failure(*failure)) for job, low, high, at, *failure in value]
+        out = [
+            Park(job, low, high, at, Failure(*failure)) for job, low, high, at, *failure in value
+        ]
         known = set(self.items)
         out = [park for park in out if park not in known]  # a value was being spilled over
         self.items += out
--- a/ashdock/core/part.py
+++ b/ashdock/core/part.py
@@ -28,7 +28,17 @@
 from ashdock.core.worth import Worth
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
-from ashdock.wire.messages import FORGET, KILL, RUN, MachineType, Order, Report, Spec, split_task, task_name
+from ashdock.wire.messages import (
+    FORGET,
+    KILL,
+    RUN,
+    MachineType,
+    Order,
+    Report,
+    Spec,
+    split_task,
+    task_name,
+)
 
 log = logging.getLogger("ashdock.part")
 
@@ -37,9 +47,15 @@
 
 class Part:
     def __init__(
-        self, team: Team, stamp: int, shared: Shared, operators: Operators, catalog: dict[str, MachineType],
-        rng: random.Random, bounds: Bounds | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        team: Team,
+        stamp: int,
+        shared: Shared,
+        operators: Operators,
+        catalog: dict[str, MachineType],
+        rng: random.Random,
+        bounds: Bounds | None = None,
+    ) -> None:
         self.team = team
         self.name = team.name
         self.stamp = stamp  # of our claim: the fence in every write
@@ -54,7 +70,9 @@
         self.worth = Worth(team, shared, catalog)
         self.bounds = bounds or Bounds(shared.state)
         self.parks = parking.Parks(team.name, self.bounds.value_bytes)
-        self.chunk_tasks = chunk_size(shared.state.value_kb)  # as the versions before had it, whatever the limits come to be
+        self.chunk_tasks = chunk_size(
+            shared.state.value_kb
+        )  # as the versions before had it, whatever the limits come to be
         self.pipelines = Pipelines(self)
         self.strange: dict[str, set[str]] = {}  # job: machines where it runs without a placement
         self.wants: list[Want] = []
@@ -68,7 +86,9 @@
         self.taken = 0  # machines that were up for the owner before
         self.taken_at = -math.inf
         self.placed = 0  # tasks, since it is ours
-        self.unheard_s: float | None = None  # how long those that do not report are waited for, once that is known
+        self.unheard_s: float | None = (
+            None  # how long those that do not report are waited for, once that is known
+        )
         self.stale = True  # room or work has come up since the last pass
         self.ticked = -math.inf
         self.clock = -math.inf  # when somebody last told us the time
@@ -81,9 +101,12 @@
     # -- taking over --------------------------------------------------------------------------
 
     def load(
-        self, machines: Iterable[tuple[str, Any, int]], work: Iterable[tuple[str, Any, int]],
-        parks: Iterable[tuple[str, Any, int]], now: float,
-    ) -> None:  # fmt: skip
+        self,
+        machines: Iterable[tuple[str, Any, int]],
+        work: Iterable[tuple[str, Any, int]],
+        parks: Iterable[tuple[str, Any, int]],
+        now: float,
+    ) -> None:
         """Rebuild the picture from the state service, then re-arm the parks."""
         self.clock = now
         for name, value, stamp in machines:
@@ -103,7 +126,9 @@
             for placement in job.load_chunks(chunks.pop(job_id, []), now):
                 self._count(job, placement, now)
         for job_id, rest in chunks.items():
-            self.ledger.leftover += [(f"work/{self.name}/{job_id}/{tail}", stamp) for tail, _, stamp in rest]
+            self.ledger.leftover += [
+                (f"work/{self.name}/{job_id}/{tail}", stamp) for tail, _, stamp in rest
+            ]
         for path, value, stamp in parks:
             for park in self.parks.load(int(path.rsplit("/", 1)[1]), value, stamp):
                 parked = self.jobs.get(park.job)
@@ -132,7 +157,10 @@
                 self.finish(job, task, now)
         elif job.spec.kind == "gang" and job.live:
             # Its chunks may have been written one after the other: some of them hold this attempt, some the one before.
-            if len(job.live) < job.spec.tasks or len({placement.attempt for placement in job.live.values()}) > 1:
+            if (
+                len(job.live) < job.spec.tasks
+                or len({placement.attempt for placement in job.live.values()}) > 1
+            ):
                 self._break(job, "incomplete", now)
         if job.complete and job.active:
             self._over(job, now)
@@ -241,7 +269,9 @@
         """Its stop is confirmed though nobody asked for it; costs it neither count nor clock."""
         job = self.jobs[placement.job]
         if placement.phase is not Phase.STOPPING:
-            log.info("job %s task %d lost on %s: %s", job.id, placement.task, placement.machine, why)
+            log.info(
+                "job %s task %d lost on %s: %s", job.id, placement.task, placement.machine, why
+            )
         if job.spec.kind == "gang" and job.active and not job.breaking:
             self._break(job, why, now)
         if job.live.get(placement.task) is placement:
@@ -267,7 +297,9 @@
     def own_failure(self, machine: Machine, placement: Placement, why: str, now: float) -> None:
         job = self.jobs[placement.job]
         reason = f"{why} on {machine.name}"
-        log.info("job %s task %d try %d failed: %s", job.id, placement.task, placement.attempt, reason)
+        log.info(
+            "job %s task %d try %d failed: %s", job.id, placement.task, placement.attempt, reason
+        )
         job.avoid[machine.name] = now + self.retry.cap_s
         # A job that fails on one machine after another, and nowhere ends well, says nothing about any of them. Arrays
         # submitted with a mistake fail on dozens at once: two such jobs made sound machines suspect.
@@ -279,7 +311,11 @@
         if len(recent) >= 2 and machine.phase is MachinePhase.UP and self._may_suspect():
             machine.leave("suspect")
             self.note_machine(machine.name)
-            log.info("machine %s is suspect: %d jobs failed there; draining it", machine.name, len(recent))
+            log.info(
+                "machine %s is suspect: %d jobs failed there; draining it",
+                machine.name,
+                len(recent),
+            )
             self.drain(machine, now)
         failure = Failure(0, now, reason)
         if job.spec.kind == "gang":
@@ -303,7 +339,9 @@
         return suspects * 4 <= len(self.machines)
 
     def _after_failure(self, job: Job, tasks: list[int], failure: Failure, now: float) -> None:
-        step = parking.after_failure(self.retry, job.fails.get(tasks[0]), failure.why, now, self.rng)
+        step = parking.after_failure(
+            self.retry, job.fails.get(tasks[0]), failure.why, now, self.rng
+        )
         what = "the gang" if job.spec.kind == "gang" else f"task {tasks[0]}"
         if job.reason is None:
             # From the first failure on: who submitted it with a mistake is not to wait for the second.
@@ -317,10 +355,18 @@
             job.park(task, step.failure)
         self.parks.add(job.id, ranges_of(tasks), at, step.failure)
         if step.step == "past":
-            job.set_reason(f"{what} failed {step.failure.times} times, last: {failure.why}; still tried now and then")
+            job.set_reason(
+                f"{what} failed {step.failure.times} times, last: {failure.why}; still tried now and then"
+            )
             log.info("job %s gave up its bounded retries: %s", job.id, job.reason)
         else:
-            log.info("job %s %s parked for %.1f s after %d failures", job.id, what, step.delay, step.failure.times)
+            log.info(
+                "job %s %s parked for %.1f s after %d failures",
+                job.id,
+                what,
+                step.delay,
+                step.failure.times,
+            )
 
     # -- orders ---------------------------------------------------------------------------------
 
@@ -330,16 +376,26 @@
         for placement in machine.live.values():
             name = task_name(placement.job, placement.task)
             if placement.phase is Phase.STOPPING:
-                out.append(Order(verb=KILL, share=name, attempt=placement.attempt, leeway_s=placement.leeway))
-            elif placement.phase is Phase.COMMITTED or (placement.phase is Phase.ORDERED and not placement.seen):
+                out.append(
+                    Order(
+                        verb=KILL, share=name, attempt=placement.attempt, leeway_s=placement.leeway
+                    )
+                )
+            elif placement.phase is Phase.COMMITTED or (
+                placement.phase is Phase.ORDERED and not placement.seen
+            ):
                 out.append(Order(verb=RUN, share=name, attempt=placement.attempt))
                 if checkin:
                     placement.answered_with_start(checkin.tenure, checkin.tally)
         for (job_id, task), attempt in machine.strange.items():
-            out.append(Order(verb=KILL, share=task_name(job_id, task), attempt=attempt, leeway_s=0.0))
+            out.append(
+                Order(verb=KILL, share=task_name(job_id, task), attempt=attempt, leeway_s=0.0)
+            )
         if checkin or machine.to is not None:
             for job_id, task, attempt in sorted(machine.ended):
-                if (job_id, task, attempt) not in machine.outstanding and self._forgettable(job_id, task, attempt):
+                if (job_id, task, attempt) not in machine.outstanding and self._forgettable(
+                    job_id, task, attempt
+                ):
                     out.append(Order(verb=FORGET, share=task_name(job_id, task), attempt=attempt))
         return out[:ORDERS_AT_ONCE]
 
@@ -377,7 +433,9 @@
         """Whether its worker's session has to end: a start that was not answered may still arrive, its job was cancelled, and the token
         that would refuse it has not reached the worker. In an outage it cannot be raised, and a start held up for longer than
         `cancel_s` was carried out. Not renewed, the session that it names is over in time."""
-        limit = now - (self.workers.cancel_s - self.workers.lease_s - 2 * self.shared.skew_ms / 1000)
+        limit = now - (
+            self.workers.cancel_s - self.workers.lease_s - 2 * self.shared.skew_ms / 1000
+        )
         for job_id, _, _ in machine.outstanding:
             job = self.jobs.get(job_id)
             if job is not None and job.cancelled_at is not None and job.cancelled_at < limit:
@@ -409,8 +467,13 @@
 
     def drain(self, machine: Machine, now: float) -> None:
         for placement in list(machine.live.values()):
-            if placement.phase is not Phase.STOPPING and machine.live.get(placement.key) is placement:
-                self.preempt(self.jobs[placement.job], [placement.task], machine.why or "drained", now)
+            if (
+                placement.phase is not Phase.STOPPING
+                and machine.live.get(placement.key) is placement
+            ):
+                self.preempt(
+                    self.jobs[placement.job], [placement.task], machine.why or "drained", now
+                )
 
     def taken_back(self, machine: Machine, notice: float, now: float) -> None:
         if machine.recall_at is None:
@@ -423,7 +486,9 @@
             placement.recalled = True
             job = self.jobs[placement.job]
             # What cannot save in time had better go on: it may finish first.
-            if (job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice) or placement.status != "running":
+            if (
+                job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice
+            ) or placement.status != "running":
                 self.preempt(job, [placement.task], "machine taken back", now)
 
     def cancel(self, job_id: str, at: float, stamp: int, now: float) -> None:
@@ -437,7 +502,9 @@
         job.breaking = None
         self.pipelines.cancelled(job, now)
         if not job.done:
-            self._exonerate(job)  # most that fail until they are cancelled were submitted with a mistake
+            self._exonerate(
+                job
+            )  # most that fail until they are cancelled were submitted with a mistake
         self.ending[job_id] = job
         self.parks.drop(job_id)
         for placement in list(job.live.values()):
@@ -469,7 +536,11 @@
         if now - self.ticked < self.workers.report_s / 4:
             return
         self.ticked = now
-        silent = [m for m in self.machines.values() if m.last_at is not None and m.silent_for(now) > self.silent_s]
+        silent = [
+            m
+            for m in self.machines.values()
+            if m.last_at is not None and m.silent_for(now) > self.silent_s
+        ]
         up = sum(1 for m in self.machines.values() if m.last_at is not None)
         # Where most fall silent at once, the fault may be on our side: the part may yet move to a controller
         # that hears them. But not for ever, or two dead machines of two would hold their tasks for good.
@@ -485,9 +556,16 @@
             elif machine.phase is MachinePhase.EXPECTED:
                 # Some machines never come up, and are charged all the same. Counted from the rental: counted from
                 # when we came to know of it, each takeover kept such a machine for as long again.
-                if now - machine.rented > 2.5 * machine.shape.boot_s and now - machine.since > self.silent_s:
+                if (
+                    now - machine.rented > 2.5 * machine.shape.boot_s
+                    and now - machine.since > self.silent_s
+                ):
                     self._doom(machine, "never came up")
-            elif machine.recall_at is not None and now > machine.recall_at and machine.silent_for(now) > gap:
+            elif (
+                machine.recall_at is not None
+                and now > machine.recall_at
+                and machine.silent_for(now) > gap
+            ):
                 self._doom(machine, "taken back")
             elif machine.why == "suspect" and not machine.live:
                 self._doom(machine, "suspect")
@@ -514,7 +592,9 @@
                 return self.silent_s
             # Decided once: the others come back one by one, and the last must not be given up because the rest are there.
             held = away * 4 > self.taken
-            self.unheard_s = self.silent_s + (max(self.silent_s, self.workers.cancel_s - self.workers.lease_s) if held else 0.0)
+            self.unheard_s = self.silent_s + (
+                max(self.silent_s, self.workers.cancel_s - self.workers.lease_s) if held else 0.0
+            )
         return self.unheard_s
 
     def _end_cancelled(self, job: Job, now: float) -> None:
@@ -536,4 +616,3 @@
     def zone_of(self, machine: str) -> str:
         known = self.machines.get(machine)
         return known.zone if known else "?"
-
--- a/ashdock/core/passes.py
+++ b/ashdock/core/passes.py
@@ -23,7 +23,9 @@
 log = logging.getLogger("ashdock.part")
 
 FETCHES_AHEAD = 4  # how many fetches longer a job may have waited that is overtaken by one whose image is at hand
-MOST_WANTS = 100  # told to the leader at a time, the first in rank: once those are served the next are told
+MOST_WANTS = (
+    100  # told to the leader at a time, the first in rank: once those are served the next are told
+)
 
 
 class Placed(Protocol):
@@ -59,8 +61,12 @@
         self.open: list[Machine] = []
         self.coming = placing.Slots()
         self.barren = placing.Barren()
-        self.found: dict[tuple[object, ...], list[Machine]] = {}  # machines with room for a need, as of when it was last asked for
-        self.images: dict[str, dict[str, int]] = {}  # by image and zone: machines with room that hold it
+        self.found: dict[
+            tuple[object, ...], list[Machine]
+        ] = {}  # machines with room for a need, as of when it was last asked for
+        self.images: dict[
+            str, dict[str, int]
+        ] = {}  # by image and zone: machines with room that hold it
         for machine in machines:
             if machine.phase is MachinePhase.UP:
                 if machine.cpus > 1e-6 and machine.memory > 1e-6 and machine.usable:
@@ -77,9 +83,12 @@
         need = (spec.cpus, spec.gpus, spec.memory_gb)
         key = (need, tuple(spec.types or ()), spec.zone, spec.spot)
         found = self.found[key] = [
-            machine for machine in self.found.get(key, self.open)
-            if machine.name not in reserved and placing.permits(spec, machine.type, machine.zone, machine.spot) and machine.fits(*need)
-        ]  # fmt: skip
+            machine
+            for machine in self.found.get(key, self.open)
+            if machine.name not in reserved
+            and placing.permits(spec, machine.type, machine.zone, machine.spot)
+            and machine.fits(*need)
+        ]
         return found
 
     def holders(self, spec: Spec, number: int) -> bool:
@@ -101,9 +110,13 @@
         out = [
             job
             for job in self.part.jobs.values()
-            if job.active and job.ready and not job.waits and not job.breaking and job.id not in self.part.strange
+            if job.active
+            and job.ready
+            and not job.waits
+            and not job.breaking
+            and job.id not in self.part.strange
             and (job.spec.kind != "gang" or job.ready == job.spec.tasks)
-        ]  # fmt: skip
+        ]
         out.sort(key=lambda job: self._rank(job, now, look))
         lifted = self.part.classes.lifted(out, self._can_run(out), now)
         if lifted:
@@ -112,8 +125,14 @@
 
     def _can_run(self, jobs: list[Job]) -> Iterator[str]:
         """Those for which the part has a machine of a kind that they allow, be it full. Not looked for before somebody asks."""
-        kinds = {(machine.type, machine.zone, machine.spot) for machine in self.part.machines.values() if machine.usable}
-        yield from (job.id for job in jobs if any(placing.permits(job.spec, *kind) for kind in kinds))
+        kinds = {
+            (machine.type, machine.zone, machine.spot)
+            for machine in self.part.machines.values()
+            if machine.usable
+        }
+        yield from (
+            job.id for job in jobs if any(placing.permits(job.spec, *kind) for kind in kinds)
+        )
 
     def slack(self, job: Job, now: float) -> float:
         """Seconds until the job had better be running."""
@@ -128,11 +147,18 @@
         other's tasks that save nothing, for places that came free a few seconds later (hunted day: 3425 tasks lost)."""
         if job.priority <= job.spec.priority:
             return True
-        boot_s = max((shape.boot_s for shape in self.part.catalog.values()), default=self.part.workers.lease_s)
+        boot_s = max(
+            (shape.boot_s for shape in self.part.catalog.values()),
+            default=self.part.workers.lease_s,
+        )
         return (job.submitted - job.due) / 2 < self.slack(job, now) < boot_s
 
     def aim_s(self, spec: Spec) -> float:
-        aims = [o.within_s for o in self.part.shared.objectives if o.kind == "wait" and o.job_class == spec.job_class]
+        aims = [
+            o.within_s
+            for o in self.part.shared.objectives
+            if o.kind == "wait" and o.job_class == spec.job_class
+        ]
         aims += [o.within_s for o in self.part.shared.objectives if o.kind == "guarantee"]
         return min((aim for aim in aims if aim is not None), default=self.part.workers.lease_s)
 
@@ -145,20 +171,34 @@
         if job.doubtful:
             return (-job.priority, 9.0, job.since)
         if spec.kind == "array" and math.isinf(job.due):
-            return (-job.priority, *self.part.worth.rank(job, self.estimates.run_s(spec), now), job.since)
+            return (
+                -job.priority,
+                *self.part.worth.rank(job, self.estimates.run_s(spec), now),
+                job.since,
+            )
         if math.isinf(job.due):
             ahead = 0.0
             if look is not None and look.holders(spec, spec.tasks if spec.kind == "gang" else 1):
-                ahead = FETCHES_AHEAD * placing.image_s(spec, next(iter(self.part.catalog.values())))
+                ahead = FETCHES_AHEAD * placing.image_s(
+                    spec, next(iter(self.part.catalog.values()))
+                )
             turn, size = self._turn(job, now)
             return (-job.priority, turn, size, job.since - now - ahead)
         deadline_s = max(job.due - job.submitted, 1e-3)
         late = now + self.estimates.run_s(spec) * (1 - self.grace) - job.submitted
-        times = sorted(o.times for o in self.part.shared.objectives if o.kind == "deadline" and o.job_class == spec.job_class and o.times)
+        times = sorted(
+            o.times
+            for o in self.part.shared.objectives
+            if o.kind == "deadline" and o.job_class == spec.job_class and o.times
+        )
         rank = float(sum(1 for factor in times or [1.0] if late > deadline_s * factor))
         if late > deadline_s * 4:
             rank = 0.0
-        return (-job.priority, rank, (spec.tasks - job.done) * self.estimates.run_s(spec) * max(spec.gpus, 1.0))
+        return (
+            -job.priority,
+            rank,
+            (spec.tasks - job.done) * self.estimates.run_s(spec) * max(spec.gpus, 1.0),
+        )
 
     def _turn(self, job: Job, now: float) -> tuple[float, float]:
         """When not all can start in time, the most do if the small go first while they are in time for the first
@@ -175,7 +215,11 @@
 
     def _wait_aims(self, job_class: str) -> list[float]:
         if job_class not in self.aims:
-            within = [o.within_s for o in self.part.shared.objectives if o.kind == "wait" and o.job_class == job_class]
+            within = [
+                o.within_s
+                for o in self.part.shared.objectives
+                if o.kind == "wait" and o.job_class == job_class
+            ]
             self.aims[job_class] = sorted(aim for aim in within if aim)
         return self.aims[job_class]
 
@@ -206,7 +250,11 @@
         lower: dict[int, list[tuple[Machine, list[Placement]]]] = {}
         for job, missing, zone in short:
             # Nothing of lower priority runs, mostly: then there is nothing to look at.
-            if job.priority > lowest and now - job.preempted_at >= self.part.workers.lease_s and self.pressed(job, now):
+            if (
+                job.priority > lowest
+                and now - job.preempted_at >= self.part.workers.lease_s
+                and self.pressed(job, now)
+            ):
                 if job.priority not in lower:
                     lower[job.priority] = self._lower_work(job.priority)
                 self._make_room(job, missing, zone, lower[job.priority], now)
@@ -227,7 +275,9 @@
         need = (spec.cpus, spec.gpus, spec.memory_gb)
         anywhere = (tuple(spec.types or ()), spec.zone, spec.spot)
         together = (*anywhere, spec.one_zone, spec.spread)
-        if look.barren.holds(anywhere, need, 1) or (spec.kind == "gang" and look.barren.holds(together, need, spec.tasks)):
+        if look.barren.holds(anywhere, need, 1) or (
+            spec.kind == "gang" and look.barren.holds(together, need, spec.tasks)
+        ):
             return permitted
         options = placing.choices(job, look.roomy(spec, self.part.reserved), now)
         picked = placing.select(job, options, permitted, self.part.zone_of)
@@ -239,8 +289,19 @@
             tasks = job.ready_tasks(len(picked))
             attempt = job.attempt_for(0)
             for task, machine in zip(tasks, picked, strict=True):
-                self.part.place(job, task, machine, attempt if spec.kind == "gang" else job.attempt_for(task), now)
-            log.info("job %s: %d tasks placed on %s", job.id, len(picked), ",".join(sorted({m.name for m in picked})))
+                self.part.place(
+                    job,
+                    task,
+                    machine,
+                    attempt if spec.kind == "gang" else job.attempt_for(task),
+                    now,
+                )
+            log.info(
+                "job %s: %d tasks placed on %s",
+                job.id,
+                len(picked),
+                ",".join(sorted({m.name for m in picked})),
+            )
         return permitted - len(picked)
 
     def _lower_work(self, priority: int) -> list[tuple[Machine, list[Placement]]]:
@@ -254,14 +315,23 @@
                 out.append((machine, lower))
         return out
 
-    def _make_room(self, job: Job, missing: int, zone: str, candidates: list[tuple[Machine, list[Placement]]], now: float) -> None:
+    def _make_room(
+        self,
+        job: Job,
+        missing: int,
+        zone: str,
+        candidates: list[tuple[Machine, list[Placement]]],
+        now: float,
+    ) -> None:
         """Stop work of lower priority of this team for it, once per lease at most for any one job."""
         spec = job.spec
         victims: list[tuple[float, Machine]] = []
         for machine, lower in candidates:
             if not placing.permits(spec, machine.type, machine.zone, machine.spot):
                 continue
-            if (spec.one_zone and zone and machine.zone != zone) or any(p.phase is Phase.STOPPING for p in lower):
+            if (spec.one_zone and zone and machine.zone != zone) or any(
+                p.phase is Phase.STOPPING for p in lower
+            ):
                 continue
             cpus = machine.cpus + sum(self.part.jobs[p.job].spec.cpus for p in lower)
             gpus = machine.gpus + sum(self.part.jobs[p.job].spec.gpus for p in lower)
@@ -269,7 +339,10 @@
             if cpus + 1e-6 < spec.cpus or gpus + 1e-6 < spec.gpus or memory + 1e-6 < spec.memory_gb:
                 continue
             # While one of its machines fetches, all of a gang's wait.
-            cost = sum(loss(self.part.jobs, p, now) for p in lower) + placing.fetch_s(spec, machine) * (spec.gpus or spec.cpus) * missing
+            cost = (
+                sum(loss(self.part.jobs, p, now) for p in lower)
+                + placing.fetch_s(spec, machine) * (spec.gpus or spec.cpus) * missing
+            )
             victims.append((cost, machine))
         if spec.one_zone and spec.tasks > 1 and not zone:
             by_zone = [victim[1].zone for victim in victims]
@@ -282,7 +355,11 @@
             log.info("job %s takes the place of lower work on %s", job.id, machine.name)
             for placement in list(machine.live.values()):
                 other = self.part.jobs.get(placement.job)
-                if other and other.priority < job.priority and machine.live.get(placement.key) is placement:
+                if (
+                    other
+                    and other.priority < job.priority
+                    and machine.live.get(placement.key) is placement
+                ):
                     self.part.preempt(other, [placement.task], f"made room for {job.id}", now)
 
     def _keep_for_gang(self, job: Job, look: _Pass) -> tuple[str, int]:
@@ -319,22 +396,36 @@
         out: list[Want] = []
         for job, missing, zone in short:
             spec = job.spec
-            if not guaranteed(self.part.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing):
+            if not guaranteed(
+                self.part.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
+            ):
                 missing = min(missing, self.part.worth.pays(job, self.estimates.run_s(spec)))
             cpus += spec.cpus * missing
             gpus += spec.gpus * missing
 
-            def suits(label: str, where: str, spot: bool, spec: Spec = spec, zone: str = zone) -> bool:
+            def suits(
+                label: str, where: str, spot: bool, spec: Spec = spec, zone: str = zone
+            ) -> bool:
                 return zone in ("", where) and placing.permits(spec, label, where, spot)
 
             missing -= look.coming.take(suits, (spec.cpus, spec.gpus, spec.memory_gb), missing)
             if missing > 0 and len(out) < MOST_WANTS:
                 out.append(
                     Want(
-                        spec.cpus, spec.gpus, spec.memory_gb, tuple(spec.types or ()), spec.zone or zone, spec.spot,
-                        spec.one_zone and spec.tasks > 1, missing, job.priority, guaranteed(self.part.team, cpus, gpus),
-                        self.slack(job, now), spec.image, spec.tasks if spec.one_zone and not spec.zone and zone else 0,
+                        spec.cpus,
+                        spec.gpus,
+                        spec.memory_gb,
+                        tuple(spec.types or ()),
+                        spec.zone or zone,
+                        spec.spot,
+                        spec.one_zone and spec.tasks > 1,
+                        missing,
+                        job.priority,
+                        guaranteed(self.part.team, cpus, gpus),
+                        self.slack(job, now),
+                        spec.image,
+                        spec.tasks if spec.one_zone and not spec.zone and zone else 0,
                         math.isinf(job.due) and not self.part.worth.promised(spec),
                     )
-                )  # fmt: skip
+                )
         return out
--- a/ashdock/core/pipelines.py
+++ b/ashdock/core/pipelines.py
@@ -36,7 +36,9 @@
     def __init__(self, part: Waited) -> None:
         self.part = part
         self.needs = Needs()
-        self.unread: dict[str, None] = {}  # jobs that ours wait for, of which it is not known yet how they stand
+        self.unread: dict[
+            str, None
+        ] = {}  # jobs that ours wait for, of which it is not known yet how they stand
 
     def add(self, job: Job) -> None:
         """It may not start before all that it needs is durably done."""
@@ -54,7 +56,9 @@
 
     def _takes(self, spec: Spec) -> float:
         """How long from when it may start until it is done, where it finds room at once."""
-        fetch = max((placing.image_s(spec, shape) for shape in self.part.catalog.values()), default=0.0)
+        fetch = max(
+            (placing.image_s(spec, shape) for shape in self.part.catalog.values()), default=0.0
+        )
         return fetch + self.part.estimates.run_s(spec) + 2 * self.part.workers.report_s
 
     def look(self, now: float) -> None:
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -39,7 +39,11 @@
 def cost(spec: Spec, machine: Machine) -> float:
     """Delay until the task runs there, with packing as the tie-breaker: full machines
     are filled first, so that empty ones can be returned or take gangs."""
-    free = machine.gpus / machine.shape.accelerators if machine.shape.accelerators else machine.cpus / machine.shape.cpus
+    free = (
+        machine.gpus / machine.shape.accelerators
+        if machine.shape.accelerators
+        else machine.cpus / machine.shape.cpus
+    )
     # Work that may use the cheap kind leaves the dear one to work that may not, or to be returned.
     dear = machine.shape.boot_s / 4 if spec.spot and not machine.spot else 0.0
     return fetch_s(spec, machine) + free * machine.shape.boot_s / 16 + dear
@@ -68,7 +72,9 @@
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
-def select(job: Job, options: list[Choice], want: int, zone_of: Callable[[str], str]) -> list[Machine]:
+def select(
+    job: Job, options: list[Choice], want: int, zone_of: Callable[[str], str]
+) -> list[Machine]:
     """Machines for up to `want` more tasks of the job, one entry a task; for a gang all or none."""
     if not options:
         return []
@@ -82,7 +88,9 @@
         zones = list(used) or sorted({choice.machine.zone for choice in options})
         best: tuple[tuple[float, float], list[Machine]] | None = None
         for zone in zones:
-            picked, price = _fill([c for c in options if c.machine.zone == zone], used, want, zone_cap(spec))
+            picked, price = _fill(
+                [c for c in options if c.machine.zone == zone], used, want, zone_cap(spec)
+            )
             if not picked or (spec.kind == "gang" and len(picked) < want):
                 continue
             key = (-float(len(picked)), price)
@@ -95,7 +103,9 @@
     return picked
 
 
-def _fill(options: list[Choice], used: dict[str, int], want: int, cap: int) -> tuple[list[Machine], float]:
+def _fill(
+    options: list[Choice], used: dict[str, int], want: int, cap: int
+) -> tuple[list[Machine], float]:
     used = dict(used)
     picked: list[Machine] = []
     worst = 0.0
--- a/ashdock/core/quota.py
+++ b/ashdock/core/quota.py
@@ -26,7 +26,9 @@
 
     def room(self, spec: Spec) -> int:
         """How many more tasks of this kind the limit permits."""
-        return within(self.team.cpus_max - self.cpus, self.team.gpus_max - self.gpus, self.team, spec)
+        return within(
+            self.team.cpus_max - self.cpus, self.team.gpus_max - self.gpus, self.team, spec
+        )
 
 
 def within(cpus: float, gpus: float, team: Team, spec: Spec) -> int:
--- a/ashdock/core/reports.py
+++ b/ashdock/core/reports.py
@@ -68,7 +68,9 @@
         if machine.tenure and report.tenure > machine.tenure:
             self._session_over(machine, report, now)
         machine.tenure, machine.tally = report.tenure, report.tally
-        machine.outstanding = {key: sent for key, sent in machine.outstanding.items() if sent >= report.warrant}
+        machine.outstanding = {
+            key: sent for key, sent in machine.outstanding.items() if sent >= report.warrant
+        }
         if report.recall_s is not None:
             self.part.taken_back(machine, report.recall_s, now)
         self._match(machine, report, now, checkin and report.warrant >= token)
@@ -85,7 +87,11 @@
         machine.ended.clear()
         machine.outstanding.clear()  # they name the old session
         for placement in list(machine.live.values()):
-            if placement.taken_over or placement.tenure is None or placement.key not in machine.live:
+            if (
+                placement.taken_over
+                or placement.tenure is None
+                or placement.key not in machine.live
+            ):
                 continue
             if placement.tenure < report.tenure:
                 self.part.lost(placement, "worker lost its controllers", now)
@@ -142,8 +148,15 @@
         if job.started_at is None:
             job.started_at = now
             waited = placement.placed_at - job.since
-            log.info("job %s (%s) runs %.1f s after it %s: %.1f s for room, %.1f s on the way", job.id, job.spec.job_class, now - job.since,
-                     "could start" if job.spec.needs else "was accepted", waited, now - placement.placed_at)  # fmt: skip
+            log.info(
+                "job %s (%s) runs %.1f s after it %s: %.1f s for room, %.1f s on the way",
+                job.id,
+                job.spec.job_class,
+                now - job.since,
+                "could start" if job.spec.needs else "was accepted",
+                waited,
+                now - placement.placed_at,
+            )
 
     def _absent(self, placement: Placement, report: Report) -> bool:
         """Whether a report under our token that lacks the task proves that it is not, and will not be, there."""
@@ -178,5 +191,7 @@
             if cause == "no_room":
                 machine.no_room_until = now + self.part.workers.report_s
             if cause == "error":
-                job.broke = job.broke or (Failure(0, now, f"error on {machine.name}") if job.spec.kind == "gang" else None)
+                job.broke = job.broke or (
+                    Failure(0, now, f"error on {machine.name}") if job.spec.kind == "gang" else None
+                )
             self.part.lost(placement, cause, now)
--- a/ashdock/core/spans.py
+++ b/ashdock/core/spans.py
@@ -24,5 +24,7 @@
         out, total = [], 0
         for step, count in enumerate(self.counts):
             total += count
-            out.append((str(self.first_s * 2**step) if step < self.bounds else "+Inf", float(total)))
+            out.append(
+                (str(self.first_s * 2**step) if step < self.bounds else "+Inf", float(total))
+            )
         return out
--- a/ashdock/core/stock.py
+++ b/ashdock/core/stock.py
@@ -73,7 +73,9 @@
             shelf.add((key, machine.name))
             self.machines[machine.name] = (key, shelf.kind, machine)
         self.shelves = list(shelves.values())
-        self.holding: dict[str, dict[int, Shelf]] | None = None  # by image, and by the identity of the class
+        self.holding: dict[str, dict[int, Shelf]] | None = (
+            None  # by image, and by the identity of the class
+        )
 
     def __bool__(self) -> bool:
         return len(self.taken) < len(self.machines)
@@ -93,7 +95,11 @@
 
     def shelves_for(self, suits: Callable[[Kind], bool], image: str | None = None) -> list[Shelf]:
         """Those that suit; with an image, of machines that hold it."""
-        return [shelf.sort() for shelf in (self.shelves if image is None else self._with_image(image)) if suits(shelf.kind)]
+        return [
+            shelf.sort()
+            for shelf in (self.shelves if image is None else self._with_image(image))
+            if suits(shelf.kind)
+        ]
 
     def count(self, shelf: Shelf, most: float) -> int:
         """How many of a shelf of all machines are left whose key begins with `most` or less."""
@@ -101,12 +107,18 @@
         def first(row: tuple[Key, str]) -> float:
             return row[0][0]
 
-        return bisect_right(shelf.rows, most, key=first) - sum(key[0] <= most for key in self.gone.get(shelf.kind, ()))
+        return bisect_right(shelf.rows, most, key=first) - sum(
+            key[0] <= most for key in self.gone.get(shelf.kind, ())
+        )
 
     def take(self, shelves: list[Shelf], most: Callable[[Kind], float]) -> Iterator[Lent]:
         """What goes first of all these, one after the other, as long as its key begins with no more than `most` says of its class
         by then. Each is taken before it is given out."""
-        heads = [(shelf.rows[shelf.at], number) for number, shelf in enumerate(shelves) if self._advance(shelf)]
+        heads = [
+            (shelf.rows[shelf.at], number)
+            for number, shelf in enumerate(shelves)
+            if self._advance(shelf)
+        ]
         heapify(heads)
         while heads:
             (key, name), number = heappop(heads)
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -36,11 +36,28 @@
 
 class Placement:
     __slots__ = (
-        "attempt", "gen", "held_at", "job", "leeway", "machine", "ordered", "phase", "placed_at", "recalled", "running_at",
-        "seen", "status", "taken_over", "task", "tenure", "why",
-    )  # fmt: skip
-
-    def __init__(self, job: str, task: int, attempt: int, machine: str, gen: int, now: float) -> None:
+        "attempt",
+        "gen",
+        "held_at",
+        "job",
+        "leeway",
+        "machine",
+        "ordered",
+        "phase",
+        "placed_at",
+        "recalled",
+        "running_at",
+        "seen",
+        "status",
+        "taken_over",
+        "task",
+        "tenure",
+        "why",
+    )
+
+    def __init__(
+        self, job: str, task: int, attempt: int, machine: str, gen: int, now: float
+    ) -> None:
         self.job = job
         self.task = task
         self.attempt = attempt
@@ -48,7 +65,9 @@
         self.gen = gen  # the chunk must be durable up to here before a start is sent
         self.placed_at = now
         self.phase = Phase.INTENDED
-        self.ordered: tuple[int, int] | None = None  # tenure and tally of the report whose answer carried the start
+        self.ordered: tuple[int, int] | None = (
+            None  # tenure and tally of the report whose answer carried the start
+        )
         self.seen = False
         self.taken_over = False  # an earlier owner placed it, and may have ordered its start in a session that we do not know of
         self.tenure: int | None = None  # the worker's session in which we last ordered or saw it
--- a/ashdock/core/telling.py
+++ b/ashdock/core/telling.py
@@ -36,7 +36,9 @@
     guaranteed: bool
     slack_s: float  # until it had better run
     image: str = ""
-    whole: int = 0  # gang in one zone of the owner's choosing: all its tasks, should another zone do better
+    whole: int = (
+        0  # gang in one zone of the owner's choosing: all its tasks, should another zone do better
+    )
     idle: bool = False  # nothing was promised: no guarantee, no deadline, no aim
 
 
@@ -114,14 +116,24 @@
         self.part = part
         self.owed: dict[str, tuple[Owed, float]] = {}  # by team, and until when
         self.rows: dict[str, _Row] = {}
-        self.arrived: deque[tuple[float, int, Spec]] = deque()  # of late: when, how many machines' worth, and what
+        self.arrived: deque[tuple[float, int, Spec]] = (
+            deque()
+        )  # of late: when, how many machines' worth, and what
 
     def came(self, job: Job, now: float) -> None:
         """A new job, and not one read at a takeover: what has come of late tells what is to be expected."""
         if not job.waits and job.spec.kind != "service":
-            self.part.classes.came(job.id, job.job_class, self.part.name, job.spec.tasks, job.since, job.due)
+            self.part.classes.came(
+                job.id, job.job_class, self.part.name, job.spec.tasks, job.since, job.due
+            )
         if job.spec.deadline_s is None and job.spec.kind != "service" and not job.waits:
-            per = max((capacity(shape, job.spec.cpus, job.spec.gpus, job.spec.memory_gb) for shape in self.part.catalog.values()), default=1)
+            per = max(
+                (
+                    capacity(shape, job.spec.cpus, job.spec.gpus, job.spec.memory_gb)
+                    for shape in self.part.catalog.values()
+                ),
+                default=1,
+            )
             self.arrived.append((now, -(-job.spec.tasks // max(per, 1)), job.spec))
             self._lately(now)  # here too: where no machine ever stands empty, nobody else looks
 
@@ -134,7 +146,10 @@
 
     def _lately(self, now: float) -> None:
         """Forget what came longer ago than is looked back on."""
-        boot_s = max((shape.boot_s for shape in self.part.catalog.values()), default=self.part.workers.lease_s)
+        boot_s = max(
+            (shape.boot_s for shape in self.part.catalog.values()),
+            default=self.part.workers.lease_s,
+        )
         while self.arrived and now - self.arrived[0][0] > BOOTS_BACK * boot_s:
             self.arrived.popleft()
 
@@ -147,7 +162,10 @@
             cpus, gpus = cpus + machine.shape.cpus, gpus + machine.shape.accelerators
             if len(out) >= keep or not guaranteed(self.part.team, cpus, gpus):
                 break
-            if any(placing.permits(spec, machine.type, machine.zone, machine.spot) for _, _, spec in self.arrived):
+            if any(
+                placing.permits(spec, machine.type, machine.zone, machine.spot)
+                for _, _, spec in self.arrived
+            ):
                 out.add(machine.name)
         return out
 
@@ -156,29 +174,60 @@
         # wants of that pass, it was lent back to where it came from; so two parts of one controller handed their machines
         # to each other for a minute, and nothing ran.
         empty = [
-            m for m in self.part.machines.values()
-            if m.empty and m.idle_since is not None and m.usable and m.name not in self.part.reserved and m.stamp <= self.part.looked
-        ]  # fmt: skip
+            m
+            for m in self.part.machines.values()
+            if m.empty
+            and m.idle_since is not None
+            and m.usable
+            and m.name not in self.part.reserved
+            and m.stamp <= self.part.looked
+        ]
         kept = self._at_hand(empty, now)
         idle = [(m.name, now - (m.idle_since or now)) for m in empty if m.name not in kept]
-        busy = [self._row(m, now) for m in self.part.machines.values() if m.live and m.usable and m.name not in self.part.reserved]
+        busy = [
+            self._row(m, now)
+            for m in self.part.machines.values()
+            if m.live and m.usable and m.name not in self.part.reserved
+        ]
         if len(self.rows) > 2 * len(self.part.machines) + 16:
             self.rows = {name: row for name, row in self.rows.items() if name in self.part.machines}
         waiting = sum(job.ready for job in self.part.jobs.values() if job.active and not job.waits)
-        return Picture(self.part.name, self.part.looked, self.part.wants, idle, busy, len(self.part.machines), waiting, self._beyond(busy))
+        return Picture(
+            self.part.name,
+            self.part.looked,
+            self.part.wants,
+            idle,
+            busy,
+            len(self.part.machines),
+            waiting,
+            self._beyond(busy),
+        )
 
     def leaving(self) -> list[tuple[str, str]]:
         """The machines that are being vacated, and for which part ("" is the pool)."""
-        return [(m.name, m.to) for m in self.part.machines.values() if m.to is not None and m.phase is MachinePhase.LEAVING]
+        return [
+            (m.name, m.to)
+            for m in self.part.machines.values()
+            if m.to is not None and m.phase is MachinePhase.LEAVING
+        ]
 
     def _row(self, machine: Machine, now: float) -> Busy:
         """A machine at work. What stopping it costs changes with what runs there, or slowly: it is worked out anew for each report, not
         for each picture. Of a large part, pictures cost more than passes."""
         known = self.rows.get(machine.name)
-        if known is None or known.machine is not machine or known.version != machine.version or now >= known.until:
-            priority = max(self.part.jobs[placement.job].priority for placement in machine.live.values())
+        if (
+            known is None
+            or known.machine is not machine
+            or known.version != machine.version
+            or now >= known.until
+        ):
+            priority = max(
+                self.part.jobs[placement.job].priority for placement in machine.live.values()
+            )
             busy = Busy(machine.name, priority, machine_loss(self.part.jobs, machine, now))
-            known = self.rows[machine.name] = _Row(machine, machine.version, now + self.part.workers.report_s, busy)
+            known = self.rows[machine.name] = _Row(
+                machine, machine.version, now + self.part.workers.report_s, busy
+            )
         return known.busy
 
     def _beyond(self, busy: list[Busy]) -> int:
@@ -190,7 +239,9 @@
             machine = self.part.machines[item.machine]
             cpus -= machine.shape.cpus - machine.cpus
             gpus -= machine.shape.accelerators - machine.gpus
-            if guaranteed(self.part.team, cpus + 1e-3, gpus + 1e-3) and not self._at_least(cpus, gpus):
+            if guaranteed(self.part.team, cpus + 1e-3, gpus + 1e-3) and not self._at_least(
+                cpus, gpus
+            ):
                 break
             beyond += 1
         return beyond
@@ -198,7 +249,10 @@
     def _at_least(self, cpus: float, gpus: float) -> bool:
         """Whether so much still fills the guarantee."""
         team = self.part.team
-        return not ((team.gpus > 0 and gpus < team.gpus - 1e-6) or (team.cpus > 0 and cpus < team.cpus - 1e-6))
+        return not (
+            (team.gpus > 0 and gpus < team.gpus - 1e-6)
+            or (team.cpus > 0 and cpus < team.cpus - 1e-6)
+        )
 
     def yield_machine(self, name: str, to: str, now: float) -> None:
         """The leader wants it elsewhere. It goes if empty, by a write under our fence."""
@@ -230,7 +284,11 @@
             for to, (order, until) in list(self.owed.items()):
                 if now > until or order.number <= 0:
                     del self.owed[to]
-                elif (not order.types or machine.type in order.types) and order.zone in ("", machine.zone) and (order.spot or not machine.spot):
+                elif (
+                    (not order.types or machine.type in order.types)
+                    and order.zone in ("", machine.zone)
+                    and (order.spot or not machine.spot)
+                ):
                     machine.to = to
                     machine.leave(f"passed on to {to}")
                     self.part.note_machine(machine.name)
--- a/ashdock/core/worth.py
+++ b/ashdock/core/worth.py
@@ -20,14 +20,25 @@
 
     def promised(self, spec: Spec) -> bool:
         """Whether anybody was told when it would run. What was promised nothing uses what is cheap or idle."""
-        if self.team.cpus > 0 or self.team.gpus > 0 or spec.deadline_s is not None or spec.kind == "service":
+        if (
+            self.team.cpus > 0
+            or self.team.gpus > 0
+            or spec.deadline_s is not None
+            or spec.kind == "service"
+        ):
             return True
         return any(o.job_class == spec.job_class for o in self.shared.objectives)
 
     def span(self, spec: Spec) -> float:
         """In what time an array without a deadline had better be through: half its aim, or a few boots."""
-        span = SPREAD_BOOTS * max((shape.boot_s for shape in self.catalog.values()), default=self.shared.workers.lease_s)
-        aims = [o.within_s for o in self.shared.objectives if o.kind == "finished" and o.job_class == spec.job_class and o.within_s]
+        span = SPREAD_BOOTS * max(
+            (shape.boot_s for shape in self.catalog.values()), default=self.shared.workers.lease_s
+        )
+        aims = [
+            o.within_s
+            for o in self.shared.objectives
+            if o.kind == "finished" and o.job_class == spec.job_class and o.within_s
+        ]
         return max([span, *(aim / 2 for aim in aims)])
 
     def pays(self, job: Job, run_s: float) -> int:
@@ -37,7 +48,9 @@
         if spec.kind != "array" or not math.isinf(job.due):
             return job.ready
         each = run_s + 2 * self.shared.workers.report_s  # until the next one runs in its place
-        return max(0, math.ceil((job.ready + len(job.live)) * each / self.span(spec)) - len(job.live))
+        return max(
+            0, math.ceil((job.ready + len(job.live)) * each / self.span(spec)) - len(job.live)
+        )
 
     def rank(self, job: Job, run_s: float, now: float) -> tuple[float, float]:
         """Of arrays without a deadline, what was promised something goes first, and the least work first, for the same reason as
--- a/ashdock/duties/holder.py
+++ b/ashdock/duties/holder.py
@@ -55,8 +55,14 @@
 
 class Holder(Generic[Held]):
     def __init__(
-        self, house: HolderHouse, seat: Seat, replica: Replica, begin: Callable[[Seat], Held], allowed: Collection[str], settle_s: float
-    ) -> None:  # fmt: skip
+        self,
+        house: HolderHouse,
+        seat: Seat,
+        replica: Replica,
+        begin: Callable[[Seat], Held],
+        allowed: Collection[str],
+        settle_s: float,
+    ) -> None:
         """`settle_s`: a seat is handed on for the sake of load at most once in that time, and given up trying after that."""
         self.house = house
         self.seat = seat
@@ -98,7 +104,9 @@
         if self.house.hold is not None:
             seat.renewed(self.house.hold_began, self.house.ttl_s, now)
         if seat.held and (entry is None or entry.stamp > seat.term):
-            self.lose("its lease is over" if entry is None else f"{entry.value.get('label')} has it")
+            self.lose(
+                "its lease is over" if entry is None else f"{entry.value.get('label')} has it"
+            )
         seat.look(now)
 
     def doubt(self) -> None:
@@ -124,7 +132,9 @@
             return
         if not house.may_serve():
             if entry is not None:
-                await self._drop(entry.stamp)  # for others, and they need not wait for the lease of our last life
+                await self._drop(
+                    entry.stamp
+                )  # for others, and they need not wait for the lease of our last life
             return
         if stands is Stands.FREE and not self._turn():
             return
@@ -142,12 +152,20 @@
         hold = house.hold
         # A key that names this very process is taken by a write like any other: it may be that of a lease that is over, of which the watch
         # has not told yet, or a write of ours that was applied after we had given up on it.
-        why = "nobody did" if entry is None else f"handed on by {entry.value['by']}" if entry.value.get("by") else "it was ours before"
+        why = (
+            "nobody did"
+            if entry is None
+            else f"handed on by {entry.value['by']}"
+            if entry.value.get("by")
+            else "it was ours before"
+        )
         gap_since = self.free_since if entry is None else None
         value = {"label": seat.label, "incarnation": seat.incarnation}
         seat.taking()
         try:
-            term = await house.state.txn({seat.path: entry.stamp if entry else 0}, {seat.path: value}, hold=hold)
+            term = await house.state.txn(
+                {seat.path: entry.stamp if entry else 0}, {seat.path: value}, hold=hold
+            )
         except Conflict:
             seat.refused()
             return
@@ -175,7 +193,12 @@
         if not house.may_serve():
             await self._hand(self._next())
             return
-        if seat.phase is Phase.HOLDING and now - seat.taken_at > self.settle_s and house.names_next() and self._next() is not None:
+        if (
+            seat.phase is Phase.HOLDING
+            and now - seat.taken_at > self.settle_s
+            and house.names_next()
+            and self._next() is not None
+        ):
             self.handing_since = now
             seat.handing()
         if seat.phase is Phase.HANDING:
@@ -201,7 +224,9 @@
             return
         value: dict[str, Any] = {"label": to, "incarnation": 0, "by": seat.label}
         try:
-            stamp = await self.house.state.txn({seat.path: seat.term}, {seat.path: value}, hold=self.house.hold)
+            stamp = await self.house.state.txn(
+                {seat.path: seat.term}, {seat.path: value}, hold=self.house.hold
+            )
         except Conflict:
             return  # the watch will tell who has it
         self.lose(f"handed on to {to}")
--- a/ashdock/duties/seat.py
+++ b/ashdock/duties/seat.py
@@ -19,7 +19,9 @@
     SETTLING = "settling"  # ours: what earlier terms left under way is being taken in
     HOLDING = "holding"
     DOUBTFUL = "doubtful"  # our lease may have ended: nothing is done until it has been renewed
-    HANDING = "handing"  # nothing new is begun; once what is under way is over the next one is named
+    HANDING = (
+        "handing"  # nothing new is begun; once what is under way is over the next one is named
+    )
 
 
 class Stands(Enum):
@@ -52,7 +54,12 @@
     def may(self, now: float, term: int, takes_s: float = 0.0) -> bool:
         """Whether an effect of that term that takes so long may begin. Asked again after each await: whoever stood still meanwhile, or
         was starved of its processor, finds its lease over by its own clock."""
-        return self.term == term and self.held and self.phase is not Phase.DOUBTFUL and now + takes_s < self.until
+        return (
+            self.term == term
+            and self.held
+            and self.phase is not Phase.DOUBTFUL
+            and now + takes_s < self.until
+        )
 
     def may_choose(self, now: float, term: int) -> bool:
         """Whether something new may be begun: not before what earlier terms began is known, nor once the seat is being handed on."""
--- a/ashdock/duties/spread.py
+++ b/ashdock/duties/spread.py
@@ -15,7 +15,9 @@
     return [label for label in names if not allowed or label in allowed] or names
 
 
-def better(label: str, fit: Collection[str], allowed: Collection[str], load: Mapping[str, int]) -> str | None:
+def better(
+    label: str, fit: Collection[str], allowed: Collection[str], load: Mapping[str, int]
+) -> str | None:
     """Whom the holder had better hand its seat to, if to anybody: out of a place that operators do not allow; or from the one with the
     most to do to one that has no more than half of that. Less is not worth a change of hands."""
     names = ranked(fit, allowed, load)
--- a/ashdock/fairness/burden.py
+++ b/ashdock/fairness/burden.py
@@ -42,7 +42,14 @@
         self.patience_s = patience_s
         self.since: float | None = None  # behind since
 
-    def hand_on(self, gap_s: float, ours: Mapping[str, int], leads: bool, others: Mapping[str, Other], now: float) -> tuple[str, str] | None:
+    def hand_on(
+        self,
+        gap_s: float,
+        ours: Mapping[str, int],
+        leads: bool,
+        others: Mapping[str, Other],
+        now: float,
+    ) -> tuple[str, str] | None:
         """The part to hand on and the controller that is to have it. `ours`: the work of each part here.
 
         Leading counts as a part. Only to who then has no more than we have left: else it would come back. The lightest goes: the others'
@@ -54,7 +61,11 @@
             self.since = now
         if now - self.since < self.patience_s or not ours:
             return None
-        able = {label: other.parts + other.leads for label, other in others.items() if other.gap_s * BETTER <= gap_s}
+        able = {
+            label: other.parts + other.leads
+            for label, other in others.items()
+            if other.gap_s * BETTER <= gap_s
+        }
         label = min(sorted(able), key=lambda label: able[label], default="")
         if not label or able[label] + 1 > len(ours) + leads - 1:
             return None
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -14,9 +14,13 @@
 from ashdock.fairness.served import HALF, Row, Served
 from ashdock.settings import Objective
 
-RISES = HALF * 5 / 4  # a class served less than this rises: before it is a half, of which the users say that it is too little,
+RISES = (
+    HALF * 5 / 4
+)  # a class served less than this rises: before it is a half, of which the users say that it is too little,
 RESTS = HALF * 3 / 2  # until it is served so well
-BETTER = HALF / 4  # by how much another of its priority has to be served better: where all are late alike, rising helps nobody
+BETTER = (
+    HALF / 4
+)  # by how much another of its priority has to be served better: where all are late alike, rising helps nobody
 FEW = 4  # fewer jobs that are due tell nothing
 
 
@@ -45,20 +49,28 @@
         self.aims: dict[str, float] = {}  # by class: the most lenient for a start
         for objective in objectives:
             if objective.kind == "wait" and objective.job_class and objective.within_s:
-                self.aims[objective.job_class] = max(self.aims.get(objective.job_class, 0.0), objective.within_s)
+                self.aims[objective.job_class] = max(
+                    self.aims.get(objective.job_class, 0.0), objective.within_s
+                )
         # What is over counts half after twice the longest aim: a rush is forgotten, but not before its last job was due.
         self.fades_s = 2 * max(self.aims.values(), default=60.0)
         self.looks_s = looks_s
         self.looked_at = -math.inf
         self.faded_at = -math.inf
         self.served = Served()
-        self.recent: dict[str, tuple[float, float]] = {}  # by class: of jobs that are over, how many were due, and served
+        self.recent: dict[
+            str, tuple[float, float]
+        ] = {}  # by class: of jobs that are over, how many were due, and served
         self.shares: dict[str, float] = {}
         self.rising: set[str] = set()
 
-    def came(self, job: str, job_class: str, team: str, tasks: int, since: float, due_at: float) -> None:
+    def came(
+        self, job: str, job_class: str, team: str, tasks: int, since: float, due_at: float
+    ) -> None:
         """Accepted, and free to start."""
-        self.served.made(job, job_class, team, tasks, since, self.aims.get(job_class, math.inf), due_at)
+        self.served.made(
+            job, job_class, team, tasks, since, self.aims.get(job_class, math.inf), due_at
+        )
         self.served.accepted(job)
 
     def done(self, job: str, now: float) -> None:
@@ -75,7 +87,11 @@
         self.looked_at = now
         fade = 0.5 ** ((now - self.faded_at) / self.fades_s)
         self.faded_at = now
-        self.recent = {name: (due * fade, served * fade) for name, (due, served) in self.recent.items() if due * fade > 0.1}
+        self.recent = {
+            name: (due * fade, served * fade)
+            for name, (due, served) in self.recent.items()
+            if due * fade > 0.1
+        }
         rows: dict[str, Row] = {}
         for known in self.served.open.values():
             rows[known.job_class] = rows.get(known.job_class, Row()).plus(known.row(now))
@@ -85,7 +101,11 @@
             row = rows.get(name, Row())
             if due + row.due >= FEW:
                 self.shares[name] = (served + row.served) / (due + row.due)
-        self.rising = {name for name, share in self.shares.items() if share < (RESTS if name in self.rising else RISES)}
+        self.rising = {
+            name
+            for name, share in self.shares.items()
+            if share < (RESTS if name in self.rising else RISES)
+        }
         return self.shares
 
     def lifted(self, waiting: Sequence[Ready], can_run: Iterable[str], now: float) -> set[str]:
@@ -104,6 +124,8 @@
                 continue
             others = [shares.get(name, 1.0) for name in like[job.priority] if name != job.job_class]
             key = job.priority, job.job_class
-            if max(others, default=0.0) >= shares[job.job_class] + BETTER and (key not in first or job.since < first[key].since):
+            if max(others, default=0.0) >= shares[job.job_class] + BETTER and (
+                key not in first or job.since < first[key].since
+            ):
                 first[key] = job
         return {job.id for job in first.values()}
--- a/ashdock/fairness/line.py
+++ b/ashdock/fairness/line.py
@@ -27,7 +27,9 @@
         self.weights = weights or {}
         self.clock = 0.0
         self.queues: dict[str, deque[Waiting[Item]]] = {}
-        self.served_to: dict[str, float] = {}  # by whom, up to when on the virtual clock what he asked for is accounted for
+        self.served_to: dict[
+            str, float
+        ] = {}  # by whom, up to when on the virtual clock what he asked for is accounted for
 
     def __len__(self) -> int:
         return sum(map(len, self.queues.values()))
@@ -57,7 +59,11 @@
         self.clock = max(self.clock, waiting.start)
         if not queue:
             del self.queues[waiting.whose]
-            self.served_to = {whose: to for whose, to in self.served_to.items() if to > self.clock or whose in self.queues}
+            self.served_to = {
+                whose: to
+                for whose, to in self.served_to.items()
+                if to > self.clock or whose in self.queues
+            }
         if not self.queues:
             self.served_to.clear()
 
--- a/ashdock/fairness/rush.py
+++ b/ashdock/fairness/rush.py
@@ -11,8 +11,16 @@
 class Rush:
     """What came of late from each team, fading; and for each that is told to come back, the moments given out so far."""
 
-    def __init__(self, teams: Iterable[str], fades_s: float, most_s: float, weights: Mapping[str, float] | None = None) -> None:
-        self.teams = frozenset(teams)  # what names another has no table of its own here: anybody may send any name
+    def __init__(
+        self,
+        teams: Iterable[str],
+        fades_s: float,
+        most_s: float,
+        weights: Mapping[str, float] | None = None,
+    ) -> None:
+        self.teams = frozenset(
+            teams
+        )  # what names another has no table of its own here: anybody may send any name
         self.weights = weights or {}
         self.fades_s = fades_s  # in which what came loses half its weight
         self.most_s = most_s
@@ -22,15 +30,23 @@
 
     def comes(self, team: str, now: float) -> None:
         faded = 0.5 ** (max(now - self.at, 0.0) / self.fades_s)
-        self.came = {name: amount * faded for name, amount in self.came.items() if amount * faded > 0.01}
+        self.came = {
+            name: amount * faded for name, amount in self.came.items() if amount * faded > 0.01
+        }
         self.at = max(self.at, now)
         if team in self.teams:
             self.came[team] = self.came.get(team, 0.0) + 1.0
 
     def hot(self, team: str) -> bool:
         """Whether it brings more than its share, by weight, of what came of late. Where there is only one team nobody is hot."""
-        share = self.weights.get(team, 1.0) / sum(self.weights.get(name, 1.0) for name in self.teams) if team in self.teams else 0.0
-        return len(self.teams) > 1 and self.came.get(team, 0.0) > SURPLUS * share * sum(self.came.values())
+        share = (
+            self.weights.get(team, 1.0) / sum(self.weights.get(name, 1.0) for name in self.teams)
+            if team in self.teams
+            else 0.0
+        )
+        return len(self.teams) > 1 and self.came.get(team, 0.0) > SURPLUS * share * sum(
+            self.came.values()
+        )
 
     def returns_in(self, team: str, wait_s: float, each_s: float, now: float) -> int:
         """Whole seconds, at least one. Each who is told to come back is given a moment of its own, `each_s` after the one before it, as fast as
--- a/ashdock/fairness/served.py
+++ b/ashdock/fairness/served.py
@@ -43,9 +43,13 @@
 
     def plus(self, other: Row) -> Row:
         return Row(
-            self.made + other.made, self.accepted + other.accepted, self.started + other.started, self.done + other.done,
-            self.due + other.due, self.served + other.served,
-        )  # fmt: skip
+            self.made + other.made,
+            self.accepted + other.accepted,
+            self.started + other.started,
+            self.done + other.done,
+            self.due + other.due,
+            self.served + other.served,
+        )
 
 
 @dataclass(slots=True)
@@ -66,20 +70,40 @@
         by_aim = now >= self.made_at + self.aim_s or self.begun >= self.tasks
         by_deadline = done or now >= self.due_at
         no_aim = math.isinf(self.aim_s) and math.isinf(self.due_at)
-        due = (by_aim and not math.isinf(self.aim_s)) or (by_deadline and (no_aim or not math.isinf(self.due_at)))
+        due = (by_aim and not math.isinf(self.aim_s)) or (
+            by_deadline and (no_aim or not math.isinf(self.due_at))
+        )
         started = min(self.in_time / self.tasks, 1.0)
         served = max(started, 1.0 if done and now <= self.due_at else 0.0)
-        return Row(1, int(self.accepted), int(self.begun >= self.tasks), int(done), int(due), served if due else 0.0)
+        return Row(
+            1,
+            int(self.accepted),
+            int(self.begun >= self.tasks),
+            int(done),
+            int(due),
+            served if due else 0.0,
+        )
 
 
 @dataclass
 class Served:
     open: dict[str, _Open] = field(default_factory=dict)
     over: dict[tuple[str, str], Row] = field(default_factory=dict)  # by class and team
-    widths: dict[tuple[str, int], Row] = field(default_factory=dict)  # by class and width, of what is over
+    widths: dict[tuple[str, int], Row] = field(
+        default_factory=dict
+    )  # by class and width, of what is over
     waits: dict[str, Spans] = field(default_factory=dict)  # by class, of each task's start
 
-    def made(self, job: str, job_class: str, team: str, tasks: int, at: float, aim_s: float = math.inf, due_at: float = math.inf) -> None:
+    def made(
+        self,
+        job: str,
+        job_class: str,
+        team: str,
+        tasks: int,
+        at: float,
+        aim_s: float = math.inf,
+        due_at: float = math.inf,
+    ) -> None:
         """Submitted. Times are seconds of one clock. A job that is known already stays as it is."""
         self.open.setdefault(job, _Open(job_class, team, max(tasks, 1), at, aim_s, due_at))
 
@@ -120,7 +144,13 @@
 
     def largest(self, now: float) -> dict[str, Row]:
         """Of each class the jobs of the greatest width that has come."""
-        every = [*self.widths.items(), *(((known.job_class, width_of(known.tasks)), known.row(now)) for known in self.open.values())]
+        every = [
+            *self.widths.items(),
+            *(
+                ((known.job_class, width_of(known.tasks)), known.row(now))
+                for known in self.open.values()
+            ),
+        ]
         widest: dict[str, int] = {}
         for (job_class, width), _ in every:
             widest[job_class] = max(width, widest.get(job_class, 0))
@@ -143,7 +173,10 @@
 
     def worst(self, now: float) -> tuple[float, str]:
         """The smallest share, and whose it is."""
-        return min(((row.share, f"{kind} {name}") for (kind, name), row in self.rows(now).items()), default=(1.0, "nobody"))
+        return min(
+            ((row.share, f"{kind} {name}") for (kind, name), row in self.rows(now).items()),
+            default=(1.0, "nobody"),
+        )
 
     def histogram(self, job_class: str) -> list[tuple[str, float]]:
         """Bounds in seconds and how many starts waited no longer."""
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -139,16 +139,26 @@
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
         self.answered: dict[str, float] = {}  # worker: when an owner here last answered it
-        self.deputised: set[str] = set()  # workers whose leases were kept for an owner that is gone, as the log has told
+        self.deputised: set[str] = (
+            set()
+        )  # workers whose leases were kept for an owner that is gone, as the log has told
 
     async def handle(self, request: Request) -> Answer:
         path = request.target.partition("?")[0]
         if path == "/checkin":
-            return await self.checkin(request.body) if request.method == "POST" else error(405, "POST only")
+            return (
+                await self.checkin(request.body)
+                if request.method == "POST"
+                else error(405, "POST only")
+            )
         if path == "/ready":
             return Answer(200, b"{}") if self.house.ready() else error(503, "not ready", 1)
         if path == "/v2/runs":
-            return await self.submit(request.body) if request.method == "POST" else error(405, "POST only")
+            return (
+                await self.submit(request.body)
+                if request.method == "POST"
+                else error(405, "POST only")
+            )
         if path == "/metrics":
             return self.house.metrics()
         match = JOB.match(path)
@@ -156,7 +166,9 @@
             return error(404, "no such page")
         job_id, withdraw = match.groups()
         if withdraw:
-            return await self.withdraw(job_id) if request.method == "POST" else error(405, "POST only")
+            return (
+                await self.withdraw(job_id) if request.method == "POST" else error(405, "POST only")
+            )
         return await self.status(job_id) if request.method == "GET" else error(405, "GET only")
 
     # -- submissions ---------------------------------------------------------------------------------------------
@@ -177,7 +189,10 @@
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
         writes = house.state.writes
         refusal_now = house.admission.submission(
-            writes.behind_s(Turn.USER, spec.team), time.monotonic(), spec.team, writes.each_s(2, Turn.USER, spec.team)
+            writes.behind_s(Turn.USER, spec.team),
+            time.monotonic(),
+            spec.team,
+            writes.each_s(2, Turn.USER, spec.team),
         )
         if refusal_now:
             return refused(refusal_now)
@@ -188,10 +203,14 @@
         if never:
             refusal = error(422, never)
         elif len(messages.encode(record)) + RECORD_GROWS > house.bounds.declared_bytes:
-            refusal = error(422, "the job names more machine types, or jobs that it needs, than can be stored")
+            refusal = error(
+                422, "the job names more machine types, or jobs that it needs, than can be stored"
+            )
         elif spec.needs and not house.bounds.agreed:
             # A controller of the version before may own the part, now or soon, and would start the job at once.
-            refusal = error(503, "jobs that need others are taken once every controller has the new version", 1)
+            refusal = error(
+                503, "jobs that need others are taken once every controller has the new version", 1
+            )
         try:
             if refusal is None and spec.needs:
                 refusal = await self._bounded(self._needs_refused(spec))
@@ -204,7 +223,9 @@
         path = f"job/{spec.id}"
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
-            stamp = await self._bounded(house.state.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team))
+            stamp = await self._bounded(
+                house.state.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team)
+            )
         except Conflict:
             try:
                 entry = await self._read(spec.id)
@@ -215,7 +236,14 @@
             return Answer(200, self._state(spec.id, entry))
         except Unavailable:
             return error(503, "the state service does not answer", self._retry_after())
-        log.info("job %s of %s accepted: %s of %d, priority %d", spec.id, spec.team, spec.kind, spec.tasks, spec.priority)
+        log.info(
+            "job %s of %s accepted: %s of %d, priority %d",
+            spec.id,
+            spec.team,
+            spec.kind,
+            spec.tasks,
+            spec.priority,
+        )
         house.jobs_seen(path, record, stamp)
         return Answer(201, messages.encode({"id": spec.id, "status": "queued"}))
 
@@ -274,7 +302,9 @@
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         remembered = self.questions.known.get(job_id)
-        behind = self.house.admission.question(time.monotonic(), remembered.team if remembered else "")
+        behind = self.house.admission.question(
+            time.monotonic(), remembered.team if remembered else ""
+        )
         if behind:
             return refused(behind)
         try:
@@ -283,7 +313,9 @@
             return error(429, "too many questions at once", self._retry_after())
         except Unavailable:
             return error(503, "the state service does not answer", self._retry_after())
-        final = self.finals.get(job_id)  # it may have ended meanwhile, and its user have been told elsewhere
+        final = self.finals.get(
+            job_id
+        )  # it may have ended meanwhile, and its user have been told elsewhere
         if final:
             return Answer(200, self._final(job_id, final))
         if known is None:
@@ -305,13 +337,24 @@
                 if entry.value["status"] != "queued":
                     self.saw(job_id, entry.value, entry.stamp)
                     continue
-                record = {**entry.value, "status": "withdrawn", "cancelled_at": round(house.now(), 3)}
+                record = {
+                    **entry.value,
+                    "status": "withdrawn",
+                    "cancelled_at": round(house.now(), 3),
+                }
                 record = fitting(record, house.bounds.value_bytes)
                 path = entry.path
                 team = spec_of_record(record).team
                 head = f"work/{team}/{job_id}/job"
                 # Durable first. Every start names the job's stamp, so none can be committed after this.
-                stamp = await self._bounded(house.state.txn({path: entry.stamp}, {path: record, head: record}, turn=Turn.USER, whose=team))
+                stamp = await self._bounded(
+                    house.state.txn(
+                        {path: entry.stamp},
+                        {path: record, head: record},
+                        turn=Turn.USER,
+                        whose=team,
+                    )
+                )
                 log.info("job %s withdrawn", job_id)
                 house.jobs_seen(path, record, stamp)
             except Conflict:
@@ -341,7 +384,9 @@
         future = self.reads.get(job_id)
         if future is None:
             future = asyncio.ensure_future(self._read_now(job_id))
-            future.add_done_callback(lambda done: done.cancelled() or done.exception())  # its readers may have given up
+            future.add_done_callback(
+                lambda done: done.cancelled() or done.exception()
+            )  # its readers may have given up
             self.reads[job_id] = future
         return await asyncio.shield(future)
 
@@ -356,11 +401,17 @@
         self.questions.learn(job_id, value, stamp)
         if value["status"] in ("done", "withdrawn"):
             spec = value["spec"]
-            team, tasks = (spec["team"], spec["tasks"]) if isinstance(spec, dict) else (spec.team, spec.tasks)
+            team, tasks = (
+                (spec["team"], spec["tasks"]) if isinstance(spec, dict) else (spec.team, spec.tasks)
+            )
             told = job_id in self.finals
-            self._over(job_id, Final(value["status"], tasks, value.get("reason"), value.get("done_at")))
+            self._over(
+                job_id, Final(value["status"], tasks, value.get("reason"), value.get("done_at"))
+            )
             if value["status"] == "withdrawn" and not told:
-                self.house.tell_withdrawn(job_id, team, stamp, value.get("cancelled_at", self.house.now()))
+                self.house.tell_withdrawn(
+                    job_id, team, stamp, value.get("cancelled_at", self.house.now())
+                )
 
     def heard_withdrawn(self, job_id: str, team: str, stamp: int, at: float) -> bool:
         """Another controller knows it to be withdrawn; whether that is new to us. We tell it on before a user hears it from us: one who
@@ -395,23 +446,35 @@
         return (final.status, final.done_at) if final else None
 
     def _final(self, job_id: str, final: Final) -> bytes:
-        return messages.status_answer(job_id, final.status, final.tasks if final.status == "done" else 0, 0, final.reason)
+        return messages.status_answer(
+            job_id, final.status, final.tasks if final.status == "done" else 0, 0, final.reason
+        )
 
     def _state(self, job_id: str, entry: Entry) -> bytes:
         self.saw(job_id, entry.value, entry.stamp)
         final = self.finals.get(job_id)
-        return self._final(job_id, final) if final else self._unfinished(job_id, known_of(entry.value, entry.stamp))
+        return (
+            self._final(job_id, final)
+            if final
+            else self._unfinished(job_id, known_of(entry.value, entry.stamp))
+        )
 
     def _unfinished(self, job_id: str, known: Known) -> bytes:
         done, running = self.house.counts(known.team, job_id)
         reason = known.reason or (self._waits(known.needs) if not done and not running else None)
-        return messages.status_answer(job_id, "running" if running else "queued", done, running, reason)
+        return messages.status_answer(
+            job_id, "running" if running else "queued", done, running, reason
+        )
 
     def _waits(self, needs: tuple[str, ...]) -> str | None:
         """What a job still waits for. What we do not remember is looked up for the next who asks."""
         left = [need for need in needs if need not in self.finals]
         for need in left:
-            if need not in self.questions.known and need not in self.looking and len(self.looking) < NEEDS_AT_ONCE:
+            if (
+                need not in self.questions.known
+                and need not in self.looking
+                and len(self.looking) < NEEDS_AT_ONCE
+            ):
                 self.looking.add(need)
                 self.house.spawn(self._look_up(need))
         left = [need for need in left if need in self.questions.known]
@@ -455,7 +518,9 @@
         label = house.owner_label(team)
         if label is None or label == house.label or relayed:
             # An owner that may not renew must not do so as its own deputy.
-            return (self._deputise(report) if owner is None and not relayed else None) or error(503, "not the owner")
+            return (self._deputise(report) if owner is None and not relayed else None) or error(
+                503, "not the owner"
+            )
         return await self._elsewhere(report, body, label, team)
 
     def _ownerless(self, report: messages.Report, known: bool) -> Answer:
@@ -479,14 +544,19 @@
         if self.house.state_fresh() or not self.house.deputy.may_renew(report, now):
             return None
         if report.berth not in self.deputised:
-            log.info("keeping the lease of %s, whose owner is gone, while the state service does not answer", report.berth)
+            log.info(
+                "keeping the lease of %s, whose owner is gone, while the state service does not answer",
+                report.berth,
+            )
             if len(self.deputised) > 5000:
                 self.deputised.clear()
             self.deputised.add(report.berth)
         self.answered[report.berth] = now
         return Answer(200, messages.encode(messages.Orders(report.warrant, [])))
 
-    async def _elsewhere(self, report: messages.Report, body: bytes, label: str, team: str) -> Answer:
+    async def _elsewhere(
+        self, report: messages.Report, body: bytes, label: str, team: str
+    ) -> Answer:
         """Send a worker to its owner; if it is back here soon, it can't reach the owner, so pass its report on."""
         house = self.house
         now = time.monotonic()
@@ -495,7 +565,12 @@
         # What we remember holds for one claim. An owner that ended twice within a lease had all its workers here twice: taken for
         # unable to reach it, hundreds were relayed for, and each of their reports was computed by two controllers.
         sent, since = self.redirected.get(report.berth), self.relaying.get(report.berth)
-        came_back = sent is not None and sent.label == label and sent.token == token and 0.6 < now - sent.at < lease * 0.75
+        came_back = (
+            sent is not None
+            and sent.label == label
+            and sent.token == token
+            and 0.6 < now - sent.at < lease * 0.75
+        )
         if since is not None and since.token != token:
             since = None
         # One that knows the token of the owner in office has been there, and would not be here had it been answered.
--- a/ashdock/kinds.py
+++ b/ashdock/kinds.py
@@ -52,6 +52,9 @@
     def values(self) -> dict[str, Any]:
         """One value, as long as the state service takes it; beyond that as many as they need."""
         shapes = msgspec.to_builtins(self.house.catalog)
-        if not self.house.bounds.agreed or len(msgspec.json.encode(shapes)) <= self.house.bounds.value_bytes:
+        if (
+            not self.house.bounds.agreed
+            or len(msgspec.json.encode(shapes)) <= self.house.bounds.value_bytes
+        ):
             return {"catalog": shapes}
         return {f"catalog/{label}": {label: shape} for label, shape in shapes.items()}
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -30,7 +30,9 @@
 
 def rent_of(value: dict[str, Any]) -> Rent:
     """What a charter's record says."""
-    teams = value.get("teams") or [[value["team"], value["n"]]]  # the second form is that of versions before
+    teams = value.get("teams") or [
+        [value["team"], value["n"]]
+    ]  # the second form is that of versions before
     return Rent(tuple((team, number) for team, number in teams), value["t"], value["z"], value["s"])
 
 
@@ -89,14 +91,26 @@
         self.seat = seat
         self.stamp = seat.term
         self.allotment = Allotment(house.shared, house.operators.renting, house.catalog)
-        self.strays: dict[str, tuple[Report, float]] = {}  # reported and not recorded, and since when
-        self.pooled: dict[str, tuple[Report, float]] = {}  # recorded and lent to nobody: its last word, and when
-        self.lent: dict[str, tuple[int, Lent]] = {}  # each record as the allotment sees it, by its stamp
-        self.released: dict[str, float] = {}  # gone, though the cloud's lagging list may still name them
+        self.strays: dict[
+            str, tuple[Report, float]
+        ] = {}  # reported and not recorded, and since when
+        self.pooled: dict[
+            str, tuple[Report, float]
+        ] = {}  # recorded and lent to nobody: its last word, and when
+        self.lent: dict[
+            str, tuple[int, Lent]
+        ] = {}  # each record as the allotment sees it, by its stamp
+        self.released: dict[
+            str, float
+        ] = {}  # gone, though the cloud's lagging list may still name them
         self.renting_names: set[str] = set()
-        self.again: dict[str, tuple[dict[str, Any], int]] = {}  # charters broken off while our lease was in doubt
+        self.again: dict[
+            str, tuple[dict[str, Any], int]
+        ] = {}  # charters broken off while our lease was in doubt
         self.undeleted: dict[str, int] = {}  # charters carried out, and their stamps
-        self.charters_before = house.charters  # a reign of ours that an outage ended may have left some
+        self.charters_before = (
+            house.charters
+        )  # a reign of ours that an outage ended may have left some
         self.listed: dict[str, float] = {}  # machine: when the cloud first listed it
         self.marking: set[str] = set()  # machines that are being given up
         self.lending: set[str] = set()  # machines whose loan is being written
@@ -105,7 +119,10 @@
         self.lag_s = house.shared.cloud.list_lag_s  # of the cloud's list, as far as it shows
         self.over = False
         self.jobs: set[asyncio.Task[None]] = set()
-        self.tasks = [asyncio.create_task(self._guard(loop)) for loop in (self._settle, self._choose, self._clean, self._look)]
+        self.tasks = [
+            asyncio.create_task(self._guard(loop))
+            for loop in (self._settle, self._choose, self._clean, self._look)
+        ]
 
     # -- what of it is ours to do -------------------------------------------------------------------------
 
@@ -167,16 +184,26 @@
         before, self.lent = self.lent, {}
         for path, entry in self.house.machines.entries.items():
             known = before.get(path)
-            self.lent[path] = known if known is not None and known[0] == entry.stamp else (entry.stamp, self._lent_of(entry))
+            self.lent[path] = (
+                known
+                if known is not None and known[0] == entry.stamp
+                else (entry.stamp, self._lent_of(entry))
+            )
         return strays + [lent for _, lent in self.lent.values()]
 
     @staticmethod
     def _lent_of(entry: Entry) -> Lent:
         value = entry.value
         return Lent(
-            entry.path.split("/", 1)[1], value["p"], value["t"], value["z"], value["s"], entry.stamp, value.get("x", ""),
+            entry.path.split("/", 1)[1],
+            value["p"],
+            value["t"],
+            value["z"],
+            value["s"],
+            entry.stamp,
+            value.get("x", ""),
             frozenset(image for image, _ in images_of(value)),
-        )  # fmt: skip
+        )
 
     async def _choose(self) -> float:
         house = self.house
@@ -191,7 +218,9 @@
         owners = {team.name: house.owner_label(team.name) or "" for team in house.shared.teams}
         decisions = self.allotment.decide(self._lent(), pictures, now)
         lend: dict[str, str] = {}
-        for decision in decisions + self.allotment.balance(owners, house.fit_members(), pictures, now):
+        for decision in decisions + self.allotment.balance(
+            owners, house.fit_members(), pictures, now
+        ):
             match decision:
                 case Rent():
                     self._spawn(self._rent(decision))
@@ -201,10 +230,20 @@
                     else:
                         lend[machine] = to
                 case Recalled():
-                    log.info("team %s is to give %s to %s", decision.part, ",".join(decision.machines), decision.to)
+                    log.info(
+                        "team %s is to give %s to %s",
+                        decision.part,
+                        ",".join(decision.machines),
+                        decision.to,
+                    )
                     house.to_owner(decision.part, decision, self.stamp)
                 case Owed():
-                    log.info("team %s is to pass on %d to %s as they come free", decision.part, decision.number, decision.to)
+                    log.info(
+                        "team %s is to pass on %d to %s as they come free",
+                        decision.part,
+                        decision.number,
+                        decision.to,
+                    )
                     house.to_owner(decision.part, decision, self.stamp)
                 case GivePart(part, to):
                     log.info("part %s is to go to controller %s", part, to)
@@ -235,11 +274,19 @@
     async def _write_some(self, records: dict[str, tuple[int, dict[str, Any] | None]]) -> list[str]:
         state = self.house.state
         most = self.house.bounds.value_bytes
-        left = {name: (stamp, value and trimmed(value, most)) for name, (stamp, value) in records.items()}
+        left = {
+            name: (stamp, value and trimmed(value, most))
+            for name, (stamp, value) in records.items()
+        }
         while left:
             try:
-                when = {self.seat.path: self.stamp, **{f"machine/{name}": stamp for name, (stamp, _) in left.items()}}
-                revision = await state.txn(when, {f"machine/{name}": value for name, (_, value) in left.items()})
+                when = {
+                    self.seat.path: self.stamp,
+                    **{f"machine/{name}": stamp for name, (stamp, _) in left.items()},
+                }
+                revision = await state.txn(
+                    when, {f"machine/{name}": value for name, (_, value) in left.items()}
+                )
             except Conflict as why:
                 if self.seat.path in why.failed:
                     raise NotHeld from None
@@ -273,8 +320,13 @@
                 records[name] = (entry.stamp, {**entry.value, "p": to} | self._word_of(name))
             elif entry is None and name in self.strays:
                 report, _ = self.strays.pop(name)
-                value = self._value(report.hull, report.yard, report.loaners, report.address, to, self.house.now())
-                records[name] = (0, {**value, "n": report.tenure})  # known to be up, and in which session
+                value = self._value(
+                    report.hull, report.yard, report.loaners, report.address, to, self.house.now()
+                )
+                records[name] = (
+                    0,
+                    {**value, "n": report.tenure},
+                )  # known to be up, and in which session
         try:
             for name in await self._write_all(records):
                 log.info("machine %s goes from the pool to %s", name, lend[name])
@@ -322,7 +374,12 @@
         # Unique for good: no other process has led with this stamp, and in ours the number only grows.
         name = f"{house.label}.{self.stamp}.{house.charters}"
         path = f"charter/{name}"
-        value = {"teams": [list(team) for team in rent.teams], "t": rent.type, "z": rent.zone, "s": rent.spot}
+        value = {
+            "teams": [list(team) for team in rent.teams],
+            "t": rent.type,
+            "z": rent.zone,
+            "s": rent.spot,
+        }
         self.renting_names.add(name)
         try:
             if not self._may():
@@ -335,7 +392,9 @@
             return
         await self._carry_out(name, value, stamp, ours=rent)
 
-    async def _carry_out(self, name: str, value: dict[str, Any], stamp: int, ours: Rent | None) -> None:
+    async def _carry_out(
+        self, name: str, value: dict[str, Any], stamp: int, ours: Rent | None
+    ) -> None:
         """`ours`: counted as on its way until it is known what came of it."""
         house = self.house
         names: list[str] | None = None
@@ -344,7 +403,9 @@
         try:
             for _ in range(5):
                 try:
-                    names = await house.cloud.rent(name, rent.type, rent.zone, rent.spot, rent.number, self._guard_call)
+                    names = await house.cloud.rent(
+                        name, rent.type, rent.zone, rent.spot, rent.number, self._guard_call
+                    )
                     break
                 except NoCapacity:
                     refused = True
@@ -353,8 +414,16 @@
                     # The name makes a repeated request harmless: it rents nothing twice.
                     log.debug("charter %s: %s", name, why)
                     await asyncio.sleep(house.workers.lease_s / 10)
-            log.info("charter %s: %s of %s %s in %s for %s: %s", name, rent.number, "spot" if rent.spot else "ordinary", rent.type,
-                     rent.zone, ",".join(team for team, _ in rent.teams), names or ("no capacity" if refused else "no answer"))  # fmt: skip
+            log.info(
+                "charter %s: %s of %s %s in %s for %s: %s",
+                name,
+                rent.number,
+                "spot" if rent.spot else "ordinary",
+                rent.type,
+                rent.zone,
+                ",".join(team for team, _ in rent.teams),
+                names or ("no capacity" if refused else "no answer"),
+            )
             now = house.now()
             if ours and names is not None:
                 self.allotment.rented(ours, names, now)
@@ -378,8 +447,10 @@
         for name, stamp in walk(self.undeleted):
             try:
                 await self.house.state.txn(
-                    {f"charter/{name}": stamp, self.seat.path: self.stamp}, {f"charter/{name}": None}, turn=Turn.PATIENT
-                )  # fmt: skip
+                    {f"charter/{name}": stamp, self.seat.path: self.stamp},
+                    {f"charter/{name}": None},
+                    turn=Turn.PATIENT,
+                )
             except Conflict as why:
                 if self.seat.path in why.failed:
                     raise NotHeld from None
@@ -391,9 +462,12 @@
     async def _record(self, rent: Rent, names: list[str], now: float) -> None:
         """One that was quicker than our note of it is recorded already, and in the pool or lent."""
         left = {
-            name: (0, self._value(rent.type, rent.zone, rent.spot, "", team, now) | {"r": 1})  # its rental's time is known
+            name: (
+                0,
+                self._value(rent.type, rent.zone, rent.spot, "", team, now) | {"r": 1},
+            )  # its rental's time is known
             for name, team in rent.allotted(names)
-        }  # fmt: skip
+        }
         for _ in range(3):
             try:
                 await self._write_all(left)  # type: ignore[arg-type]
@@ -416,9 +490,15 @@
         # Our own may have been written, carried out and removed since this was read: repeated, the cloud names machines again that
         # may have been released meanwhile, and each would be recorded once more.
         left = {e.path.split("/", 1)[1]: (e.value, e.stamp) for e in entries}
-        left = {name: charter for name, charter in left.items() if not self._ours(name)} | self.again
+        left = {
+            name: charter for name, charter in left.items() if not self._ours(name)
+        } | self.again
         self.again.clear()
-        left = {name: charter for name, charter in left.items() if name not in self.undeleted and name not in self.renting_names}
+        left = {
+            name: charter
+            for name, charter in left.items()
+            if name not in self.undeleted and name not in self.renting_names
+        }
         rents = {name: rent_of(value) for name, (value, _) in left.items()}
         known = {name: rent for name, rent in rents.items() if rent.type in self.house.catalog}
         self.allotment.renting_now += known.values()
@@ -433,7 +513,11 @@
     async def _clean(self) -> float:
         """Release what was given up. The answer proves that the machine and all on it are gone."""
         house = self.house
-        doomed = [(e.path.split("/", 1)[1], e.stamp) for e in house.machines.entries.values() if e.value.get("x")]
+        doomed = [
+            (e.path.split("/", 1)[1], e.stamp)
+            for e in house.machines.entries.values()
+            if e.value.get("x")
+        ]
         if doomed and house.state_fresh():
             doomed = doomed[: min(100, house.bounds.ops)]
             self.releasing = True
@@ -453,7 +537,12 @@
         now = self.house.now()
         if known:
             self.pooled[report.berth] = (report, now)
-        elif report.berth not in self.lending and len(self.strays) < 2000 and report.hull in self.house.catalog and not self._late(report.berth, now):
+        elif (
+            report.berth not in self.lending
+            and len(self.strays) < 2000
+            and report.hull in self.house.catalog
+            and not self._late(report.berth, now)
+        ):
             _, since = self.strays.get(report.berth, (None, now))
             self.strays[report.berth] = (report, since)
 
@@ -462,7 +551,9 @@
         return now - self.released.get(name, -1e9) < 4 * self.lag_s + self.house.workers.lease_s
 
     @staticmethod
-    def _value(kind: str, zone: str, spot: bool, where: str, part: str, now: float) -> dict[str, Any]:
+    def _value(
+        kind: str, zone: str, spot: bool, where: str, part: str, now: float
+    ) -> dict[str, Any]:
         return {"t": kind, "z": zone, "s": spot, "a": where, "p": part, "at": round(now, 3)}
 
     async def _adopt_strays(self) -> None:
@@ -498,8 +589,16 @@
         self._guard_call()
         hosts = await house.cloud.hosts()
         now = house.now()
-        rented = {e.path.split("/", 1)[1]: e.value["at"] for e in house.machines.entries.values() if e.value.get("r")}
-        self.lag_s = max(self.lag_s * 0.9, lag_of([(host.id, host.age_s) for host in hosts], rented, now), house.shared.cloud.list_lag_s)
+        rented = {
+            e.path.split("/", 1)[1]: e.value["at"]
+            for e in house.machines.entries.values()
+            if e.value.get("r")
+        }
+        self.lag_s = max(
+            self.lag_s * 0.9,
+            lag_of([(host.id, host.age_s) for host in hosts], rented, now),
+            house.shared.cloud.list_lag_s,
+        )
         sure_s = 3 * self.lag_s
         for name in gone_from(self.listed, [host.id for host in hosts], now, sure_s):
             # Taken without notice. Its release is the proof; without it, its tasks would wait out its silence.
@@ -521,7 +620,9 @@
                 if not self.renting_names and now - since > 2 * self.lag_s:
                     await self._adopt(host.id, host.hull, host.yard, host.loaners, host.address)
         self.unrecorded = unrecorded
-        self.pooled = {name: word for name, word in self.pooled.items() if self._entry(name) is not None}
+        self.pooled = {
+            name: word for name, word in self.pooled.items() if self._entry(name) is not None
+        }
         for name, at in list(self.released.items()):
             if now - at > 20 * self.lag_s + 60:
                 del self.released[name]
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -43,7 +43,9 @@
     def __init__(self, house: MemberHouse, lease_s: float) -> None:
         self.house = house
         self.hold: int | None = None
-        self.began = self.until = 0.0  # when its last good renewal was sent, and how long it lasts at least; by the steady clock
+        self.began = self.until = (
+            0.0  # when its last good renewal was sent, and how long it lasts at least; by the steady clock
+        )
         self.fit = True  # as our entry says
         self.lives = Lives(house.ttl_s, lease_s)
 
@@ -81,11 +83,19 @@
         house = self.house
         state = house.state
         path, life = f"member/{house.label}", f"life/{house.label}"
-        hold, entry, (lives, _) = await asyncio.gather(state.hold(int(house.ttl_s * 1000)), state.get(path), state.under("life/"))
+        hold, entry, (lives, _) = await asyncio.gather(
+            state.hold(int(house.ttl_s * 1000)), state.get(path), state.under("life/")
+        )
         kept = next((other for other in lives if other.path == life), None)
-        record = self.lives.begun(kept and kept.value, [other.value for other in lives if other.path != life], house.now())
+        record = self.lives.begun(
+            kept and kept.value, [other.value for other in lives if other.path != life], house.now()
+        )
         if not self.lives.steady:
-            log.info("this controller has ended %d times of late: parts and lead are for others for %.1f s", record.ends, self.lives.probation_s())
+            log.info(
+                "this controller has ended %d times of late: parts and lead are for others for %.1f s",
+                record.ends,
+                self.lives.probation_s(),
+            )
         fit = self._sound()
         when = {path: entry.stamp if entry else 0}
         writes: dict[str, Any] = {path: self._entry(fit)}
@@ -110,7 +120,12 @@
         entry = house.members.entries.get(path)
         if entry is None:
             return
-        log.info("this controller %s", "may own parts and lead again" if fit else "hears nobody but the state service: parts and lead are for others")
+        log.info(
+            "this controller %s",
+            "may own parts and lead again"
+            if fit
+            else "hears nobody but the state service: parts and lead are for others",
+        )
         value = self._entry(fit)
         stamp = await house.state.txn({path: entry.stamp}, {path: value}, hold=self.hold)
         house.members.wrote(path, value, stamp)
@@ -119,7 +134,10 @@
     def fit_members(self) -> list[str]:
         """Who may own parts and lead: those that say they are fit. Where none does, all: each taking itself for the only one, they
         claimed every part from one another."""
-        names = {path.split("/", 1)[1]: entry.value.get("fit", True) for path, entry in self.house.members.entries.items()}
+        names = {
+            path.split("/", 1)[1]: entry.value.get("fit", True)
+            for path, entry in self.house.members.entries.items()
+        }
         return sorted(name for name, fit in names.items() if fit) or sorted(names)
 
     def may_serve(self) -> bool:
--- a/ashdock/net/budget.py
+++ b/ashdock/net/budget.py
@@ -35,15 +35,25 @@
 class Budget:
     """A bucket that holds `burst_s` seconds' worth, granted in turn, and within a line by team. What can wait leaves a reserve."""
 
-    def __init__(self, per_s: float, burst_s: float = 1.0, reserve: float = 0.3, weights: Mapping[str, float] | None = None) -> None:
+    def __init__(
+        self,
+        per_s: float,
+        burst_s: float = 1.0,
+        reserve: float = 0.3,
+        weights: Mapping[str, float] | None = None,
+    ) -> None:
         self.per_s = per_s
         self.burst_s = burst_s
         self.reserve = reserve
         self.left = self.most
         self.used = 0.0  # granted of late, fading by the second
         self.at = time.monotonic()
-        self.lines: dict[Turn, FairLine[asyncio.Future[None]]] = {turn: FairLine(weights) for turn in Turn}
-        self.passed = dict.fromkeys(Turn, 0.0)  # how much has gone past those of a line since its last turn
+        self.lines: dict[Turn, FairLine[asyncio.Future[None]]] = {
+            turn: FairLine(weights) for turn in Turn
+        }
+        self.passed = dict.fromkeys(
+            Turn, 0.0
+        )  # how much has gone past those of a line since its last turn
         self.pump: asyncio.Task[None] | None = None
 
     @property
@@ -101,13 +111,19 @@
             first = self.lines[turn].first()
             amount, future = first.amount, first.item
             if not future.done():  # else whoever asked has given up
-                pause = self.take(amount, Turn.WORK if self._overdue(turn) and turn is Turn.PATIENT else turn)
+                pause = self.take(
+                    amount, Turn.WORK if self._overdue(turn) and turn is Turn.PATIENT else turn
+                )
                 if pause > 0:
-                    await asyncio.sleep(min(pause, 0.1))  # the share may grow, or a better one come, meanwhile
+                    await asyncio.sleep(
+                        min(pause, 0.1)
+                    )  # the share may grow, or a better one come, meanwhile
                     continue
                 future.set_result(None)
                 for other, line in self.lines.items():
-                    self.passed[other] = self.passed[other] + amount if line and other > turn else 0.0
+                    self.passed[other] = (
+                        self.passed[other] + amount if line and other > turn else 0.0
+                    )
             self.lines[turn].leave(first)
 
     def _waiting(self, turn: Turn) -> float:
@@ -122,7 +138,11 @@
         if whose is None:
             queued = sum(self._waiting(line) for line in self.lines if line <= turn)
         else:
-            queued = sum(waiting.amount for waiting in self.lines[turn].ahead_of(whose) if not waiting.item.done())
+            queued = sum(
+                waiting.amount
+                for waiting in self.lines[turn].ahead_of(whose)
+                if not waiting.item.done()
+            )
         return max(0.0, (queued - self.left) / self.per_s)
 
     def each_s(self, amount: float, turn: Turn, whose: str) -> float:
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -40,8 +40,13 @@
         self.timeout = shared.workers.lease_s / 2
 
     async def _call(
-        self, method: str, target: str, body: bytes = b"", turn: Turn = Turn.WORK, guard: Callable[[], None] | None = None
-    ) -> tuple[int, bytes]:  # fmt: skip
+        self,
+        method: str,
+        target: str,
+        body: bytes = b"",
+        turn: Turn = Turn.WORK,
+        guard: Callable[[], None] | None = None,
+    ) -> tuple[int, bytes]:
         """`guard` raises if the call is no longer ours to make: asked last, since a turn may be long in coming."""
         await self.budget.wait(1, turn)
         if guard is not None:
@@ -64,9 +69,17 @@
             raise CloudTrouble(str(why), False) from None
 
     async def rent(
-        self, charter: str, kind: str, zone: str, spot: bool, count: int, guard: Callable[[], None] | None = None
-    ) -> list[str]:  # fmt: skip
-        body = msgspec.json.encode({"charter": charter, "hull": kind, "yard": zone, "loaners": spot, "how_many": count})
+        self,
+        charter: str,
+        kind: str,
+        zone: str,
+        spot: bool,
+        count: int,
+        guard: Callable[[], None] | None = None,
+    ) -> list[str]:
+        body = msgspec.json.encode(
+            {"charter": charter, "hull": kind, "yard": zone, "loaners": spot, "how_many": count}
+        )
         status, answer = await self._call("POST", "/hosts", body, guard=guard)
         if status == 503:
             raise NoCapacity
@@ -78,7 +91,9 @@
             raise CloudTrouble(str(why), True) from None
 
     async def release(self, names: list[str], guard: Callable[[], None] | None = None) -> None:
-        status, answer = await self._call("POST", "/hosts/release", msgspec.json.encode({"berths": names}), guard=guard)
+        status, answer = await self._call(
+            "POST", "/hosts/release", msgspec.json.encode({"berths": names}), guard=guard
+        )
         if status != 200:
             raise CloudTrouble(f"status {status}: {answer[:200]!r}", False)
 
@@ -86,7 +101,9 @@
         out: list[Host] = []
         after = ""
         while True:
-            status, answer = await self._call("GET", f"/hosts?from={quote(after)}&most=500", turn=Turn.PATIENT)
+            status, answer = await self._call(
+                "GET", f"/hosts?from={quote(after)}&most=500", turn=Turn.PATIENT
+            )
             if status != 200:
                 raise CloudTrouble(f"status {status}", False)
             try:
--- a/ashdock/net/heads.py
+++ b/ashdock/net/heads.py
@@ -16,7 +16,12 @@
 MOST = 512  # bytes of a head that is remembered
 KEPT = 1024  # heads of each kind
 END = b"\r\n\r\n"
-PLAIN = (b"transfer-encoding", b"connection", b"expect", b"upgrade")  # a head with one of these is not remembered
+PLAIN = (
+    b"transfer-encoding",
+    b"connection",
+    b"expect",
+    b"upgrade",
+)  # a head with one of these is not remembered
 
 
 Head = TypeVar("Head")
@@ -52,7 +57,11 @@
     if not isinstance(event, h11.Request) or connection.trailing_data[0]:
         return None
     length = _length(event)
-    return None if length is None else RequestHead(event.method, event.target.decode("ascii"), max(length, 0))
+    return (
+        None
+        if length is None
+        else RequestHead(event.method, event.target.decode("ascii"), max(length, 0))
+    )
 
 
 @lru_cache(maxsize=KEPT)
@@ -65,7 +74,11 @@
         event = connection.next_event()
     except h11.RemoteProtocolError:
         return None
-    if not isinstance(event, h11.Response) or connection.trailing_data[0] or event.status_code in (204, 304):
+    if (
+        not isinstance(event, h11.Response)
+        or connection.trailing_data[0]
+        or event.status_code in (204, 304)
+    ):
         return None
     length = _length(event)
     return None if length is None or length < 0 else ResponseHead(event.status_code, length)
@@ -93,7 +106,10 @@
     if json:
         headers.append((b"content-type", b"application/json"))
     headers.append((b"content-length", b"0"))
-    head = h11.Connection(h11.CLIENT).send(h11.Request(method=method, target=target, headers=headers)) or b""
+    head = (
+        h11.Connection(h11.CLIENT).send(h11.Request(method=method, target=target, headers=headers))
+        or b""
+    )
     return head.removesuffix(b"0" + END)
 
 
@@ -103,7 +119,9 @@
 
 
 @lru_cache(maxsize=64)
-def _answering(status: int, reason: bytes, content_type: bytes, retry_after: int | None, close: bool) -> bytes:
+def _answering(
+    status: int, reason: bytes, content_type: bytes, retry_after: int | None, close: bool
+) -> bytes:
     headers = [(b"content-type", content_type)]
     if retry_after is not None:
         headers.append((b"retry-after", str(retry_after).encode()))
@@ -118,6 +136,13 @@
     return head.removesuffix(b"0" + END)
 
 
-def answering(status: int, reason: bytes, content_type: bytes, retry_after: int | None, close: bool, length: int) -> bytes:
+def answering(
+    status: int,
+    reason: bytes,
+    content_type: bytes,
+    retry_after: int | None,
+    close: bool,
+    length: int,
+) -> bytes:
     """The head of an answer whose body has that length."""
     return b"%b%d\r\n\r\n" % (_answering(status, reason, content_type, retry_after, close), length)
