--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -62,14 +62,30 @@
 
 Handler = Callable[[Request], Awaitable[Answer]]
 
-REASONS = {200: b"OK", 201: b"Created", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           421: b"Misdirected Request", 422: b"Unprocessable Content", 429: b"Too Many Requests",
-           500: b"Internal Server Error", 503: b"Service Unavailable"}  # fmt: skip
+REASONS = {
+    200: b"OK",
+    201: b"Created",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    421: b"Misdirected Request",
+    422: b"Unprocessable Content",
+    429: b"Too Many Requests",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+}
 
 
 def message(answer: Answer, close: bool, body: bool = True) -> bytes:
     """An answer as it is sent. Without its `body` for HEAD."""
-    head = heads.answering(answer.status, REASONS.get(answer.status, b""), answer.content_type, answer.retry_after, close, len(answer.body))
+    head = heads.answering(
+        answer.status,
+        REASONS.get(answer.status, b""),
+        answer.content_type,
+        answer.retry_after,
+        close,
+        len(answer.body),
+    )
     return head + answer.body if body else head
 
 
@@ -94,9 +110,15 @@
     """
 
     def __init__(
-        self, handler: Handler, connections: Connections, use_of: Callable[[str], Use] = all_alike, refused: Callable[[], Answer] = no_place,
-        bodies: Bodies | None = None, full: Callable[[], Answer] = no_place, buffer: int = MOST_BODY,
-    ) -> None:  # fmt: skip
+        self,
+        handler: Handler,
+        connections: Connections,
+        use_of: Callable[[str], Use] = all_alike,
+        refused: Callable[[], Answer] = no_place,
+        bodies: Bodies | None = None,
+        full: Callable[[], Answer] = no_place,
+        buffer: int = MOST_BODY,
+    ) -> None:
         self.bodies, self.full, self.buffer = bodies, full, buffer
         self.held: dict[asyncio.StreamWriter, int] = {}  # bytes of its request's body
         self.handler = handler
@@ -108,7 +130,9 @@
         self.sweeper: asyncio.Task[None] | None = None
 
     async def start(self, host: str, port: int) -> None:
-        self.server = await asyncio.start_server(self._serve, host, port, backlog=128, limit=self.buffer)
+        self.server = await asyncio.start_server(
+            self._serve, host, port, backlog=128, limit=self.buffer
+        )
         self.sweeper = asyncio.create_task(self._sweep())
 
     async def stop(self) -> None:
@@ -164,20 +188,26 @@
         if size and self.bodies is not None:
             self.bodies.body_done(size)
 
-    async def _event(self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> h11.Event:
+    async def _event(
+        self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> h11.Event:
         while True:
             event = connection.next_event()
             if event is not h11.NEED_DATA:
                 return event  # type: ignore[return-value]
             if connection.they_are_waiting_for_100_continue:
-                writer.write(connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
+                writer.write(
+                    connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
+                )
             data = await reader.read(MOST_BODY)
             if not data and connection.their_state is h11.IDLE:
                 raise EOFError
             connection.receive_data(data)
             self.connections.asks(writer, time.monotonic())
 
-    async def _one(self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes | None:
+    async def _one(
+        self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bytes | None:
         """Answer one request, of which `ahead` came with the one before. What came after it, or None when the connection is over."""
         if not ahead:
             ahead = await reader.read(MOST_BODY)
@@ -186,7 +216,11 @@
             self.connections.asks(writer, time.monotonic())
         try:
             known = heads.request_of(ahead)
-            received = await (self._by_length(*known, reader, writer) if known else self._by_events(ahead, reader, writer))
+            received = await (
+                self._by_length(*known, reader, writer)
+                if known
+                else self._by_events(ahead, reader, writer)
+            )
         except TooLarge:
             await self._last(writer, Answer(400, b'{"error":"the body exceeds 64 KiB"}'))
             return None
@@ -212,7 +246,13 @@
         writer.write(message(answer, close=True))
         await writer.drain()
 
-    async def _by_length(self, head: heads.RequestHead, body: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Received:
+    async def _by_length(
+        self,
+        head: heads.RequestHead,
+        body: bytes,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> Received:
         """The request with a head that is known, whose body begins with what has come."""
         if head.length > MOST_BODY:
             raise TooLarge
@@ -223,9 +263,15 @@
                 raise h11.RemoteProtocolError("the body is cut short")
             self.connections.asks(writer, time.monotonic())
             body += data
-        return Received(Request(head.method.decode("ascii"), head.target, body[: head.length]), True, body[head.length :])
-
-    async def _by_events(self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Received | None:
+        return Received(
+            Request(head.method.decode("ascii"), head.target, body[: head.length]),
+            True,
+            body[head.length :],
+        )
+
+    async def _by_events(
+        self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> Received | None:
         """Any other request. Each has a parser of its own, and only reading goes through it."""
         connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
         connection.receive_data(ahead)
@@ -257,7 +303,9 @@
 
     def _refuse(self, writer: asyncio.StreamWriter, why: str) -> None:
         log.debug("refused a message: %s", why)
-        writer.write(message(Answer(400, b'{"error":"not HTTP/1.1 as understood here"}'), close=True))
+        writer.write(
+            message(Answer(400, b'{"error":"not HTTP/1.1 as understood here"}'), close=True)
+        )
 
 
 class NoAnswer(Exception):
@@ -283,7 +331,9 @@
     What finds none free waits for one, within its own timeout; `first` does not wait, for what a lease hangs on.
     """
 
-    def __init__(self, host: str, port: int, keep: int = 8, idle_s: float = 30.0, most: int = 0) -> None:
+    def __init__(
+        self, host: str, port: int, keep: int = 8, idle_s: float = 30.0, most: int = 0
+    ) -> None:
         self.host = host
         self.port = port
         self.keep = keep
@@ -297,7 +347,9 @@
     def sockets(self) -> int:
         return self.under_way + len(self.free)
 
-    async def request(self, method: str, target: str, body: bytes, timeout: float, first: bool = False) -> tuple[int, bytes]:
+    async def request(
+        self, method: str, target: str, body: bytes, timeout: float, first: bool = False
+    ) -> tuple[int, bytes]:
         sent = [False]
         self.last_used = time.monotonic()
         try:
@@ -316,18 +368,26 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return _Link(reader, writer)
 
-    async def _request(self, method: str, target: str, body: bytes, sent: list[bool]) -> tuple[int, bytes]:
+    async def _request(
+        self, method: str, target: str, body: bytes, sent: list[bool]
+    ) -> tuple[int, bytes]:
         self.under_way += 1
         try:
             return await self._over_a_link(method, target, body, sent)
         finally:
             self.under_way -= 1
 
-    async def _over_a_link(self, method: str, target: str, body: bytes, sent: list[bool]) -> tuple[int, bytes]:
+    async def _over_a_link(
+        self, method: str, target: str, body: bytes, sent: list[bool]
+    ) -> tuple[int, bytes]:
         link: _Link | None = None
         while self.free and link is None:
             link = self.free.pop()
-            if link.reader.at_eof() or link.writer.is_closing() or time.monotonic() - link.used > self.idle_s:
+            if (
+                link.reader.at_eof()
+                or link.writer.is_closing()
+                or time.monotonic() - link.used > self.idle_s
+            ):
                 link.writer.transport.abort()
                 link = None
         if link is None:
@@ -387,7 +447,11 @@
                 break
             elif event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 raise EOFError("closed before an answer")
-        return status, b"".join(chunks), connection.our_state is h11.DONE and connection.their_state is h11.DONE
+        return (
+            status,
+            b"".join(chunks),
+            connection.our_state is h11.DONE and connection.their_state is h11.DONE,
+        )
 
     def close(self) -> None:
         while self.free:
--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -32,13 +32,19 @@
 
 class Mesh:
     def __init__(
-        self, label: str, peers: list[tuple[str, str, int]], on_frame: Callable[[str, Frame], None], beat_s: float,
+        self,
+        label: str,
+        peers: list[tuple[str, str, int]],
+        on_frame: Callable[[str, Frame], None],
+        beat_s: float,
         on_link: Callable[[str], None] = lambda label: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.label = label
         self.peers = {name: Peer(name, host, port, beat_s) for name, host, port in peers}
         self.on_frame = on_frame
-        self.on_link = on_link  # another link of a controller to us has taken the place of the one before
+        self.on_link = (
+            on_link  # another link of a controller to us has taken the place of the one before
+        )
         self.beat_s = beat_s
         self.server: asyncio.Server | None = None
         self.tasks: list[asyncio.Task[None]] = []
@@ -75,7 +81,14 @@
 
     def other_than(self, label: str, seconds: float) -> str | None:
         """Another controller that is heard."""
-        return next((name for name, peer in sorted(self.peers.items()) if name != label and peer.heard_within(seconds)), None)
+        return next(
+            (
+                name
+                for name, peer in sorted(self.peers.items())
+                if name != label and peer.heard_within(seconds)
+            ),
+            None,
+        )
 
     def broadcast(self, frame: Frame) -> None:
         for label in self.peers:
@@ -85,7 +98,11 @@
         """To all who have a link now, in order and without a gap: one on which it cannot go out is given up, so that its end shows there."""
         for label, peer in self.peers.items():
             if not self.send(label, frame) and peer.writer is not None:
-                log.info("the link to %s is given up: a %s could not be sent", label, type(frame).__name__)
+                log.info(
+                    "the link to %s is given up: a %s could not be sent",
+                    label,
+                    type(frame).__name__,
+                )
                 peer.writer.transport.abort()
 
     async def _dial(self, peer: Peer) -> None:
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -80,20 +80,37 @@
         plain = {
             "ashdock_ready": ("1 while this controller takes requests", float(house.ready())),
             "ashdock_leads": ("1 while this controller leads", float(house.leader is not None)),
-            "ashdock_all_upgraded": ("1 once every controller is known to be of the new version", float(house.upgrade.agreed)),
-            "ashdock_fit": ("1 while parts and lead may be this controller's", float(house.membership.fit)),
-            "ashdock_ends_of_late": ("ends of this controller's processes in quick succession", float(house.membership.lives.record.ends)),
-            "ashdock_state_age_seconds": ("since the state service last answered", house.state.silent_for),
+            "ashdock_all_upgraded": (
+                "1 once every controller is known to be of the new version",
+                float(house.upgrade.agreed),
+            ),
+            "ashdock_fit": (
+                "1 while parts and lead may be this controller's",
+                float(house.membership.fit),
+            ),
+            "ashdock_ends_of_late": (
+                "ends of this controller's processes in quick succession",
+                float(house.membership.lives.record.ends),
+            ),
+            "ashdock_state_age_seconds": (
+                "since the state service last answered",
+                house.state.silent_for,
+            ),
             "ashdock_cancellations_known_age_seconds": (
-                "since when cancellations confirmed elsewhere may be unknown here", house.cancellations_age()
+                "since when cancellations confirmed elsewhere may be unknown here",
+                house.cancellations_age(),
             ),
             "ashdock_user_connections": ("open connections", float(len(house.server.open))),
         }
         for name, (text, value) in plain.items():
             yield GaugeMetricFamily(name, text, value=value)
-        jobs = GaugeMetricFamily("ashdock_jobs", "unfinished jobs of the parts owned here", labels=["team", "phase"])
+        jobs = GaugeMetricFamily(
+            "ashdock_jobs", "unfinished jobs of the parts owned here", labels=["team", "phase"]
+        )
         tasks = GaugeMetricFamily("ashdock_tasks", "their tasks", labels=["team", "state"])
-        machines = GaugeMetricFamily("ashdock_machines", "machines lent to the parts owned here", labels=["team", "phase"])
+        machines = GaugeMetricFamily(
+            "ashdock_machines", "machines lent to the parts owned here", labels=["team", "phase"]
+        )
         tokens = GaugeMetricFamily("ashdock_part_token", "stamp of the claim", labels=["team"])
         for team, owner in house.owners.items():
             part = owner.part
@@ -102,12 +119,22 @@
             tokens.add_metric([team], float(part.stamp))
             for phase, count in Counter(job.phase.value for job in part.jobs.values()).items():
                 jobs.add_metric([team, phase], count)
-            for machine_phase, count in Counter(machine.phase.value for machine in part.machines.values()).items():
+            for machine_phase, count in Counter(
+                machine.phase.value for machine in part.machines.values()
+            ).items():
                 machines.add_metric([team, machine_phase], count)
             tasks.add_metric([team, "placed"], sum(len(job.live) for job in part.jobs.values()))
-            tasks.add_metric([team, "ready"], sum(job.ready for job in part.jobs.values() if job.active and not job.waits))
-            tasks.add_metric([team, "waiting"], sum(job.ready for job in part.jobs.values() if job.active and job.waits))
-            tasks.add_metric([team, "parked"], sum(park.high - park.low + 1 for park in part.parks.items))
+            tasks.add_metric(
+                [team, "ready"],
+                sum(job.ready for job in part.jobs.values() if job.active and not job.waits),
+            )
+            tasks.add_metric(
+                [team, "waiting"],
+                sum(job.ready for job in part.jobs.values() if job.active and job.waits),
+            )
+            tasks.add_metric(
+                [team, "parked"], sum(park.high - park.low + 1 for park in part.parks.items)
+            )
         yield from (jobs, tasks, machines, tokens)
         yield from self._admission()
         yield from self._recovery()
@@ -117,25 +144,55 @@
     def _duties(self) -> Iterable[Metric]:
         """Of the duties that only one controller may do, as this one has had them."""
         duty, terms = self.house.duty, self.house.terms
-        state = GaugeMetricFamily("ashdock_duty_state", "1 for the state in which this controller is", labels=["duty", "state"])
+        state = GaugeMetricFamily(
+            "ashdock_duty_state",
+            "1 for the state in which this controller is",
+            labels=["duty", "state"],
+        )
         state.add_metric([duty.seat.duty, duty.seat.phase.value], 1.0)
         term = GaugeMetricFamily("ashdock_duty_term", "the highest that is known", labels=["duty"])
         term.add_metric([duty.seat.duty], float(terms.highest))
-        refused = CounterMetricFamily("ashdock_duty_words_refused", "of holders that were replaced", labels=["duty"])
+        refused = CounterMetricFamily(
+            "ashdock_duty_words_refused", "of holders that were replaced", labels=["duty"]
+        )
         refused.add_metric([duty.seat.duty], terms.refused)
-        held = HistogramMetricFamily("ashdock_duty_held_seconds", "how long this controller held it, each time", labels=["duty"])
+        held = HistogramMetricFamily(
+            "ashdock_duty_held_seconds",
+            "how long this controller held it, each time",
+            labels=["duty"],
+        )
         held.add_metric([duty.seat.duty], duty.held_s.rows(), duty.held_s.sum_s)
-        gap = HistogramMetricFamily("ashdock_duty_gap_seconds", "how long nobody held it before this controller did", labels=["duty"])
+        gap = HistogramMetricFamily(
+            "ashdock_duty_gap_seconds",
+            "how long nobody held it before this controller did",
+            labels=["duty"],
+        )
         gap.add_metric([duty.seat.duty], duty.gap_s.rows(), duty.gap_s.sum_s)
         yield from (state, term, refused, held, gap)
 
     def _fairness(self) -> Iterable[Metric]:
         """Of jobs that came since a part is owned here: how each class is served, how long its starts waited, and who was sent away."""
-        share = GaugeMetricFamily("ashdock_served_share", "of jobs that are due, served (docs/fairness.md)", labels=["team", "class"])
+        share = GaugeMetricFamily(
+            "ashdock_served_share",
+            "of jobs that are due, served (docs/fairness.md)",
+            labels=["team", "class"],
+        )
         due = GaugeMetricFamily("ashdock_served_due", "jobs that are due", labels=["team", "class"])
-        largest = GaugeMetricFamily("ashdock_served_largest_share", "of a class's largest jobs that are due, served", labels=["team", "class"])
-        rises = GaugeMetricFamily("ashdock_class_rises", "1 while a class goes first of its priority, one job a pass", labels=["team", "class"])
-        waits = HistogramMetricFamily("ashdock_start_wait_seconds", "from when a task could start until it ran", labels=["team", "class"])
+        largest = GaugeMetricFamily(
+            "ashdock_served_largest_share",
+            "of a class's largest jobs that are due, served",
+            labels=["team", "class"],
+        )
+        rises = GaugeMetricFamily(
+            "ashdock_class_rises",
+            "1 while a class goes first of its priority, one job a pass",
+            labels=["team", "class"],
+        )
+        waits = HistogramMetricFamily(
+            "ashdock_start_wait_seconds",
+            "from when a task could start until it ran",
+            labels=["team", "class"],
+        )
         for team, owner in self.house.owners.items():
             if owner.part is None:
                 continue
@@ -149,8 +206,12 @@
                     largest.add_metric([team, name], row.share)
             for name, spans in classes.served.waits.items():
                 waits.add_metric([team, name], classes.served.histogram(name), spans.sum_s)
-        away = CounterMetricFamily("ashdock_submissions_turned_away", "told to come back, by team", labels=["team"])
-        hot = GaugeMetricFamily("ashdock_team_hot", "1 while a team submits more than its share here", labels=["team"])
+        away = CounterMetricFamily(
+            "ashdock_submissions_turned_away", "told to come back, by team", labels=["team"]
+        )
+        hot = GaugeMetricFamily(
+            "ashdock_team_hot", "1 while a team submits more than its share here", labels=["team"]
+        )
         admission = self.house.admission
         for team in admission.rush.teams:
             away.add_metric([team], admission.turned_away[team])
@@ -158,10 +219,18 @@
         yield from (share, due, largest, rises, waits, away, hot)
 
     def _recovery(self) -> Iterable[Metric]:
-        rise = GaugeMetricFamily("ashdock_start_seconds", "in each state since the start of the process", labels=["state"])
+        rise = GaugeMetricFamily(
+            "ashdock_start_seconds",
+            "in each state since the start of the process",
+            labels=["state"],
+        )
         for state, seconds in self.house.rise.took.items():
             rise.add_metric([state], seconds)
-        took = GaugeMetricFamily("ashdock_takeover_seconds", "in each state of the takeover of a part", labels=["team", "state"])
+        took = GaugeMetricFamily(
+            "ashdock_takeover_seconds",
+            "in each state of the takeover of a part",
+            labels=["team", "state"],
+        )
         for team, owner in self.house.owners.items():
             for state, seconds in owner.takeover.took.items():
                 took.add_metric([team, state], seconds)
@@ -173,31 +242,53 @@
         admission, connections, now = house.admission, house.admission.connections, time.monotonic()
         held = {use: connections.count(use) for use in (Use.NEW, Use.USER, Use.PROBE, Use.WORKER)}
         held |= {
-            Use.MESH: len(house.mesh.links) + sum(peer.writer is not None for peer in house.mesh.peers.values()),
-            Use.STATE: house.state.sockets, Use.CLOUD: house.cloud.client.sockets,
+            Use.MESH: len(house.mesh.links)
+            + sum(peer.writer is not None for peer in house.mesh.peers.values()),
+            Use.STATE: house.state.sockets,
+            Use.CLOUD: house.cloud.client.sockets,
             Use.ORDERS: house.worker_client.sockets,
-        }  # fmt: skip
-        most = {**admission.shares.certain, Use.USER: admission.shares.users_most(), Use.WORKER: admission.shares.workers_most(held[Use.USER])}
+        }
+        most = {
+            **admission.shares.certain,
+            Use.USER: admission.shares.users_most(),
+            Use.WORKER: admission.shares.workers_most(held[Use.USER]),
+        }
         sockets = GaugeMetricFamily("ashdock_sockets", "sockets held, by what for", labels=["use"])
-        shares = GaugeMetricFamily("ashdock_sockets_share", "how many it may hold at this moment", labels=["use"])
+        shares = GaugeMetricFamily(
+            "ashdock_sockets_share", "how many it may hold at this moment", labels=["use"]
+        )
         for use, number in held.items():
             sockets.add_metric([use.value], number)
             shares.add_metric([use.value], most[use])
-        ended = CounterMetricFamily("ashdock_connections_ended", "connections that we ended, and why", labels=["use", "why"])
+        ended = CounterMetricFamily(
+            "ashdock_connections_ended", "connections that we ended, and why", labels=["use", "why"]
+        )
         for (use, why), number in connections.ended.items():
             ended.add_metric([use.value, why], number)
-        refused = CounterMetricFamily("ashdock_refused", "told to come back, and for want of what", labels=["asked", "short_of"])
+        refused = CounterMetricFamily(
+            "ashdock_refused",
+            "told to come back, and for want of what",
+            labels=["asked", "short_of"],
+        )
         for (asked, of), number in admission.refused.items():
             refused.add_metric([asked, of.value], number)
         refused.add_metric(["order", "sockets"], house.worker_client.refused)
         short = GaugeMetricFamily("ashdock_short", "1 while something runs short", labels=["of"])
         for of, shortage in admission.shortages.items():
             short.add_metric([of.value], float(shortage.began is not None))
-        behind = GaugeMetricFamily("ashdock_writes_behind_seconds", "how long what waits to be written will take", labels=["turn"])
+        behind = GaugeMetricFamily(
+            "ashdock_writes_behind_seconds",
+            "how long what waits to be written will take",
+            labels=["turn"],
+        )
         for turn in Turn:
             behind.add_metric([turn.name.lower()], house.state.writes.behind_s(turn))
         yield from (sockets, shares, ended, refused, short, behind)
-        yield GaugeMetricFamily("ashdock_processor_late_seconds", "how late timers fire, of late", value=admission.processor.late_s(now))
+        yield GaugeMetricFamily(
+            "ashdock_processor_late_seconds",
+            "how late timers fire, of late",
+            value=admission.processor.late_s(now),
+        )
 
 
 def page(house: Seen) -> bytes:
--- a/ashdock/net/state.py
+++ b/ashdock/net/state.py
@@ -107,11 +107,19 @@
 
 class StateClient:
     def __init__(
-        self, host: str, port: int, shared: Shared, bounds: Bounds, most: int = 0, weights: Mapping[str, float] | None = None
-    ) -> None:  # fmt: skip
+        self,
+        host: str,
+        port: int,
+        shared: Shared,
+        bounds: Bounds,
+        most: int = 0,
+        weights: Mapping[str, float] | None = None,
+    ) -> None:
         """`weights`: of the teams, in each line for what the service takes a second."""
         self.bounds = bounds
-        self.client = Client(host, port, keep=12, most=max(most - 8, 4) if most else 0)  # less the watches
+        self.client = Client(
+            host, port, keep=12, most=max(most - 8, 4) if most else 0
+        )  # less the watches
         self.watcher = Client(host, port, keep=8)
         self.size = shared.size
         # A tenth is left for what is in flight while the shares are told anew.
@@ -140,8 +148,15 @@
     def share_with(self, others: list[Demand | None]) -> None:
         """Whoever leads, or owns the larger part, has more to write than the rest: shares follow demand."""
         ours = self.demand
-        self.requests.per_s = shares(self.all.requests, self.size, ours.requests, [other and other.requests for other in others])
-        self.writes.per_s = shares(self.all.writes, self.size, ours.writes, [other and other.writes for other in others])
+        self.requests.per_s = shares(
+            self.all.requests,
+            self.size,
+            ours.requests,
+            [other and other.requests for other in others],
+        )
+        self.writes.per_s = shares(
+            self.all.writes, self.size, ours.writes, [other and other.writes for other in others]
+        )
 
     @property
     def silent_for(self) -> float:
@@ -152,12 +167,20 @@
         return self.client.sockets + self.watcher.sockets
 
     async def _call(
-        self, method: str, target: str, body: bytes = b"", timeout: float | None = None, watch: bool = False, first: bool = False
+        self,
+        method: str,
+        target: str,
+        body: bytes = b"",
+        timeout: float | None = None,
+        watch: bool = False,
+        first: bool = False,
     ) -> tuple[int, bytes]:
         started = time.monotonic()
         try:
             client = self.watcher if watch else self.client
-            status, answer = await client.request(method, target, body, timeout or self.timeout, first=first)
+            status, answer = await client.request(
+                method, target, body, timeout or self.timeout, first=first
+            )
         except NoAnswer as why:
             self._bad(str(why))
             raise Unavailable(str(why), why.sent) from None
@@ -169,7 +192,10 @@
         if not watch:
             self.ok_at = max(self.ok_at, started)
             if self.bad_since is not None:
-                log.info("the state service answers again after %.1f s", time.monotonic() - self.bad_since)
+                log.info(
+                    "the state service answers again after %.1f s",
+                    time.monotonic() - self.bad_since,
+                )
                 self.bad_since = None
         return status, answer
 
@@ -214,17 +240,27 @@
             after = page.entries[-1].path
 
     async def txn(
-        self, when: dict[str, int], writes: dict[str, Any], hold: int | None = None, turn: Turn = Turn.WORK, whose: str = "",
+        self,
+        when: dict[str, int],
+        writes: dict[str, Any],
+        hold: int | None = None,
+        turn: Turn = Turn.WORK,
+        whose: str = "",
         stays: Collection[str] = (),
-    ) -> int:  # fmt: skip
+    ) -> int:
         """Apply the writes (None deletes) if every stamp holds. With a `hold` they end with it, but for those that are to stay. The
         revision, or Conflict or Unavailable."""
         if writes:  # one that only compares must not wait behind others' writes
             await self.writes.wait(len(writes), turn, whose)
         await self.requests.wait(1, turn, whose)
-        body: dict[str, Any] = {"when": [{"path": path, "stamp": stamp} for path, stamp in when.items()]}
+        body: dict[str, Any] = {
+            "when": [{"path": path, "stamp": stamp} for path, stamp in when.items()]
+        }
         if writes:
-            body["writes"] = [self._write(path, value, None if path in stays else hold) for path, value in writes.items()]
+            body["writes"] = [
+                self._write(path, value, None if path in stays else hold)
+                for path, value in writes.items()
+            ]
         try:
             status, answer = await self._call("POST", "/txn", msgspec.json.encode(body))
         except Limited:
@@ -238,7 +274,10 @@
         if status == 400 and b"no such lease" in answer:
             raise HoldLost
         if status == 400:
-            self.bounds.refused(len(writes), max((len(msgspec.json.encode(value)) for value in writes.values()), default=0))
+            self.bounds.refused(
+                len(writes),
+                max((len(msgspec.json.encode(value)) for value in writes.values()), default=0),
+            )
             raise Refused(f"status {status}: {answer[:200]!r}")
         raise Unavailable(f"status {status}: {answer[:200]!r}")
 
@@ -253,7 +292,9 @@
 
     async def hold(self, ttl_ms: int) -> int:
         await self.requests.wait(1, Turn.USER)
-        status, answer = await self._call("POST", "/holds", msgspec.json.encode({"ttl_ms": ttl_ms}), first=True)
+        status, answer = await self._call(
+            "POST", "/holds", msgspec.json.encode({"ttl_ms": ttl_ms}), first=True
+        )
         if status != 200:
             raise Unavailable(f"status {status}")
         return int(self._decode(_permit, answer).permit)
@@ -281,13 +322,17 @@
 class Replica:
     """A prefix kept in memory by watching it. Behind the store by a few milliseconds, or by an outage."""
 
-    def __init__(self, state: StateClient, under: str, keep: bool = True, hold_ms: int = 20_000) -> None:
+    def __init__(
+        self, state: StateClient, under: str, keep: bool = True, hold_ms: int = 20_000
+    ) -> None:
         self.state = state
         self.keep = keep  # if not, only changes from now on are passed on, and nothing is held
         self.under = under
         self.hold_ms = hold_ms
         self.entries: dict[str, Entry] = {}
-        self.deleted: dict[str, int] = {}  # by ourselves, at what revision, until the watch has come so far
+        self.deleted: dict[
+            str, int
+        ] = {}  # by ourselves, at what revision, until the watch has come so far
         self.ledger = 0
         self.ready = asyncio.Event()
         self.news: list[Any] = []  # called with (path, value or None, stamp)
@@ -333,7 +378,9 @@
                 self.ledger = max(self.ledger, ledger)
                 self.known_at = asked
                 if self.deleted:
-                    self.deleted = {path: stamp for path, stamp in self.deleted.items() if stamp > self.ledger}
+                    self.deleted = {
+                        path: stamp for path, stamp in self.deleted.items() if stamp > self.ledger
+                    }
                 pause = 0.05
                 if news:
                     # Each watch opened is a request: where changes come by the dozen a second, they are taken by the bunch.
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -26,7 +26,9 @@
     def sockets(self) -> int:
         return sum(client.sockets for client in self.clients.values())
 
-    async def orders(self, where: str, token: int, tenure: int, orders: list[Order]) -> tuple[int, Report | None]:
+    async def orders(
+        self, where: str, token: int, tenure: int, orders: list[Order]
+    ) -> tuple[int, Report | None]:
         """The status and the worker's report. NoAnswer tells whether the orders may still arrive."""
         client = self._client(where)
         body = msgspec.json.encode(DirectOrders(warrant=token, tenure=tenure, orders=orders))
@@ -42,7 +44,9 @@
             if len(self.clients) >= self.most:
                 self._make_place()
             try:
-                client = self.clients[where] = Client(*address(where, "worker"), keep=1, idle_s=self.idle_s)
+                client = self.clients[where] = Client(
+                    *address(where, "worker"), keep=1, idle_s=self.idle_s
+                )
             except SettingsError as why:
                 raise NoAnswer(str(why), sent=False) from None
         self.clients.move_to_end(where)
--- a/ashdock/owner.py
+++ b/ashdock/owner.py
@@ -94,7 +94,9 @@
         self.wake = asyncio.Event()
         self.ready = asyncio.Event()
         self.give_to: str | None = None  # the leader wants another controller to have the part
-        self.read_at = -math.inf  # by the steady clock: each cancellation confirmed until then was read with the part
+        self.read_at = (
+            -math.inf
+        )  # by the steady clock: each cancellation confirmed until then was read with the part
         self.renews = True  # as the log has told
         self.early: list[Callable[[Part], None]] = []  # changes seen while the part was being read
         self.sends: set[asyncio.Task[None]] = set()
@@ -111,9 +113,14 @@
         self.phase = OwnerPhase.LOADING
         self.takeover.claimed(self.house.now())
         self.part = Part(
-            self.team, stamp, self.house.shared, self.house.operators, self.house.catalog,
-            random.Random(self.house.rng.random()), self.house.bounds,
-        )  # fmt: skip
+            self.team,
+            stamp,
+            self.house.shared,
+            self.house.operators,
+            self.house.catalog,
+            random.Random(self.house.rng.random()),
+            self.house.bounds,
+        )
 
     def _loaded(self) -> None:
         self.phase = OwnerPhase.ACTIVE
@@ -125,8 +132,12 @@
         self.ready.set()
         log.info(
             "part %s is ours with token %d: %d jobs, %d machines, %d parks",
-            self.team.name, self.part.stamp, len(self.part.jobs), len(self.part.machines), len(self.part.parks.items),
-        )  # fmt: skip
+            self.team.name,
+            self.part.stamp,
+            len(self.part.jobs),
+            len(self.part.machines),
+            len(self.part.parks.items),
+        )
 
     def lost(self, why: str) -> None:
         if self.phase is OwnerPhase.LOST:
@@ -148,13 +159,21 @@
 
     def waits_for(self, job_id: str) -> bool:
         """Whether the outcome of a job is of any use here. While the part is being read that is not known."""
-        return self.part is None or self.phase is not OwnerPhase.ACTIVE or job_id in self.part.pipelines.needs.after
+        return (
+            self.part is None
+            or self.phase is not OwnerPhase.ACTIVE
+            or job_id in self.part.pipelines.needs.after
+        )
 
     def _may_renew(self) -> bool:
         may = self.house.may_renew(self.read_at)
         if may is not self.renews:
             self.renews = may
-            log.info("part %s: workers are %s", self.team.name, "renewed again" if may else "not renewed: cancellations may be unknown here")
+            log.info(
+                "part %s: workers are %s",
+                self.team.name,
+                "renewed again" if may else "not renewed: cancellations may be unknown here",
+            )
         return may
 
     async def report(self, report: Report) -> Orders | None:
@@ -218,7 +237,11 @@
         )
         # Another may have claimed it meanwhile: one that let go here used to come back to life as nobody's owner.
         held(self.phase is OwnerPhase.LOADING, "given up while it was being read")
-        mine = [(entry.path.split("/", 1)[1], entry.value, entry.stamp) for entry in machines if entry.value["p"] == name]
+        mine = [
+            (entry.path.split("/", 1)[1], entry.value, entry.stamp)
+            for entry in machines
+            if entry.value["p"] == name
+        ]
         part.load(mine, list(work), list(parks), self.house.now())
         for job in part.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
@@ -281,7 +304,9 @@
     async def _give(self, part: Part, to: str) -> None:
         """Name the next owner in the part's key, between two of our own transactions. It claims on seeing that."""
         self.give_to = None
-        if to not in self.house.fit_members() or any(machine.sending for machine in part.machines.values()):
+        if to not in self.house.fit_members() or any(
+            machine.sending for machine in part.machines.values()
+        ):
             return
         path = f"part/{part.name}"
         value = {"owner": to}
@@ -300,7 +325,12 @@
             if txn is None or self.phase is not OwnerPhase.ACTIVE:
                 return
             try:
-                revision = await state.txn(txn.when, txn.writes, turn=Turn.WORK if txn.urgent else Turn.PATIENT, whose=part.name)
+                revision = await state.txn(
+                    txn.when,
+                    txn.writes,
+                    turn=Turn.WORK if txn.urgent else Turn.PATIENT,
+                    whose=part.name,
+                )
             except Conflict as why:
                 if not await self._reread(part, why.failed):
                     return
@@ -366,10 +396,16 @@
         # Under the token that the starts are noted with. It may rise before this runs; sent under the higher one, a start that
         # arrives late would be taken though it counted as harmless.
         try:
-            status, report = await self.house.worker_client.orders(machine.address, token, machine.tenure, orders)
+            status, report = await self.house.worker_client.orders(
+                machine.address, token, machine.tenure, orders
+            )
             # Anything else was not said by the worker, which may still carry them out.
             (part.direct_answered if status in SAID else part.direct_unanswered)(machine, orders)
-            if report is not None and report.berth == machine.name and self.phase is OwnerPhase.ACTIVE:
+            if (
+                report is not None
+                and report.berth == machine.name
+                and self.phase is OwnerPhase.ACTIVE
+            ):
                 part.reports.on_report(report, self.house.now(), checkin=False)
             if status != 200:
                 log.debug("machine %s did not take orders: %d", machine.name, status)
--- a/ashdock/questions.py
+++ b/ashdock/questions.py
@@ -33,7 +33,9 @@
 def known_of(value: dict[str, Any], stamp: int) -> Known:
     spec = value["spec"]
     if isinstance(spec, dict):
-        return Known(stamp, spec["team"], value.get("reason"), spec["kind"], tuple(spec.get("needs") or ()))
+        return Known(
+            stamp, spec["team"], value.get("reason"), spec["kind"], tuple(spec.get("needs") or ())
+        )
     return Known(stamp, spec.team, value.get("reason"), spec.kind, tuple(spec.needs or ()))
 
 
@@ -49,7 +51,9 @@
         self.most_known = most
         self.seen = seen  # told of each record read: (job id, record, stamp)
         self.known: OrderedDict[str, Known] = OrderedDict()
-        self.waiting: dict[str, asyncio.Future[Known | None]] = {}  # asked, and not yet being compared
+        self.waiting: dict[
+            str, asyncio.Future[Known | None]
+        ] = {}  # asked, and not yet being compared
         self.next_at = 0.0
         self.calls = asyncio.Semaphore(UNDER_WAY)
         self.reads = asyncio.Semaphore(UNDER_WAY)
@@ -87,7 +91,9 @@
             if len(self.waiting) >= self.most * max(1.0, self.patience_s / self.pause_s):
                 raise Busy
             future = asyncio.get_running_loop().create_future()
-            future.add_done_callback(lambda done: done.cancelled() or done.exception())  # who asked may have given up
+            future.add_done_callback(
+                lambda done: done.cancelled() or done.exception()
+            )  # who asked may have given up
             self.waiting[job_id] = future
             if self.pump is None or self.pump.done():
                 self.pump = asyncio.create_task(self._pump())
@@ -110,7 +116,9 @@
         try:
             while bunch:
                 held = {job_id: self.known.get(job_id) for job_id in bunch}
-                when = {f"job/{job_id}": known.stamp if known else 0 for job_id, known in held.items()}
+                when = {
+                    f"job/{job_id}": known.stamp if known else 0 for job_id, known in held.items()
+                }
                 try:
                     await self.state.txn(when, {}, turn=Turn.USER)
                 except Conflict as why:
@@ -119,7 +127,9 @@
                     if not differ:
                         raise Unavailable("a comparison failed and did not say where") from None
                     for job_id in differ:
-                        if self.known.get(job_id) == held[job_id]:  # else the watch has brought it meanwhile
+                        if (
+                            self.known.get(job_id) == held[job_id]
+                        ):  # else the watch has brought it meanwhile
                             self._spawn(self._read(job_id, bunch.pop(job_id)))
                     continue
                 for job_id, future in bunch.items():
--- a/ashdock/recovery.py
+++ b/ashdock/recovery.py
@@ -103,5 +103,8 @@
             self.state = Taking.RECOVERED
             log.info(
                 "part %s places again %.2f s after we set out to claim it (%s), %d machines taken over",
-                self.team, now - self.began, self.words(), self.machines,
-            )  # fmt: skip
+                self.team,
+                now - self.began,
+                self.words(),
+                self.machines,
+            )
--- a/ashdock/restarts/deputy.py
+++ b/ashdock/restarts/deputy.py
@@ -30,7 +30,9 @@
 class Deputy:
     """Times are of the steady clock, in seconds."""
 
-    def __init__(self, workers: Workers, jobs: Watched, withdrawn: Callable[[str], bool], vouched: Vouched) -> None:
+    def __init__(
+        self, workers: Workers, jobs: Watched, withdrawn: Callable[[str], bool], vouched: Vouched
+    ) -> None:
         self.workers = workers
         self.jobs = jobs
         self.withdrawn = withdrawn
@@ -39,6 +41,8 @@
     def may_renew(self, report: Report, now: float) -> bool:
         """Whether a worker's lease may be kept by us, who do not own it."""
         # By the state service's word alone: what others vouch for says nothing of a start that the owner which is gone had sent.
-        if now - self.jobs.whole_since < self.workers.cancel_s or not self.vouched.within(self.jobs.known_at, now):
+        if now - self.jobs.whole_since < self.workers.cancel_s or not self.vouched.within(
+            self.jobs.known_at, now
+        ):
             return False
         return not any(self.withdrawn(split_task(item.share)[0]) for item in report.shares)
--- a/ashdock/restarts/lives.py
+++ b/ashdock/restarts/lives.py
@@ -19,7 +19,9 @@
 from msgspec import Struct
 
 ENDS_BORNE = 2  # in quick succession: a roll, or an accident and what followed from it
-CALM_LEASES = 2  # workers' leases for which a process has to live until one of its ends is forgotten
+CALM_LEASES = (
+    2  # workers' leases for which a process has to live until one of its ends is forgotten
+)
 BOUND_LEASES = 2  # workers' leases that a probation lasts at most
 
 
@@ -65,7 +67,9 @@
                 lived_s = max(now - before.at, 0.0)
                 self.record.ends = max(before.ends - int(lived_s / self.calm_s), 0) + 1
             self.record.at = round(now, 3)
-            alone = not any(record.ends and now - record.at < self.calm_s for record in map(_record_of, others))
+            alone = not any(
+                record.ends and now - record.at < self.calm_s for record in map(_record_of, others)
+            )
             self.until = now + (self.probation_s() if alone else 0.0)
             self.state = Life.PROBATION if self.until > now else Life.STEADY
         return self.record
--- a/ashdock/settings.py
+++ b/ashdock/settings.py
@@ -76,9 +76,11 @@
         """What is within both the limits in force and those to come."""
         later = self.next or NextLimits()
         return StateLimits(
-            min(self.rps, later.rps or self.rps), min(self.write_rps, later.write_rps or self.write_rps),
-            min(self.value_kb, later.value_kb or self.value_kb), min(self.txn_ops, later.txn_ops or self.txn_ops),
-        )  # fmt: skip
+            min(self.rps, later.rps or self.rps),
+            min(self.write_rps, later.write_rps or self.write_rps),
+            min(self.value_kb, later.value_kb or self.value_kb),
+            min(self.txn_ops, later.txn_ops or self.txn_ops),
+        )
 
 
 class CloudLimits(Struct):
@@ -192,7 +194,10 @@
     workers = shared.get("workers") if isinstance(shared, dict) else None
     lease_s = workers.get("lease_s") if isinstance(workers, dict) else None
     others = raw.get("others")
-    leasts = {"ram_mb": START_MB, "max_connections": float(least_connections(len(others) if isinstance(others, list) else 0))}
+    leasts = {
+        "ram_mb": START_MB,
+        "max_connections": float(least_connections(len(others) if isinstance(others, list) else 0)),
+    }
     if isinstance(lease_s, int | float) and lease_s > 0:
         leasts["core_share"] = min(START_CORE_S / lease_s, 1.0)
     for name, least in leasts.items():
@@ -201,7 +206,9 @@
             continue
         number = isinstance(value, int | float) and not isinstance(value, bool)
         if not number or not value >= least:
-            raise SettingsError(f"{path}: settings.machine_limits.{name}: expected at least {least:g}, found {value!r}")
+            raise SettingsError(
+                f"{path}: settings.machine_limits.{name}: expected at least {least:g}, found {value!r}"
+            )
 
 
 def load(path: str, operators_file: Path = OPERATORS_FILE) -> Settings:
@@ -230,15 +237,24 @@
         raise SettingsError(f"{path}: settings.teams: expected names without spaces or slashes")
     workers = settings.settings.workers
     if workers.cancel_s <= workers.lease_s:
-        raise SettingsError(f"{path}: settings.workers.cancel_s: expected more than lease_s ({workers.lease_s:g})")
+        raise SettingsError(
+            f"{path}: settings.workers.cancel_s: expected more than lease_s ({workers.lease_s:g})"
+        )
     if operators_file.exists():
         settings.operators = load_operators(operators_file)
         unknown = sorted(set(settings.operators.fairness.weights) - set(names))
         if unknown:
-            raise SettingsError(f"{operators_file}: fairness.weights: expected names of teams, found {unknown[0]!r}")
-        strangers = sorted(set(settings.operators.duties.machines) - {settings.label, *(other.label for other in settings.others)})
+            raise SettingsError(
+                f"{operators_file}: fairness.weights: expected names of teams, found {unknown[0]!r}"
+            )
+        strangers = sorted(
+            set(settings.operators.duties.machines)
+            - {settings.label, *(other.label for other in settings.others)}
+        )
         if strangers:
-            raise SettingsError(f"{operators_file}: duties.machines: expected labels of controllers, found {strangers[0]!r}")
+            raise SettingsError(
+                f"{operators_file}: duties.machines: expected labels of controllers, found {strangers[0]!r}"
+            )
     return settings
 
 
@@ -267,7 +283,11 @@
         if len(blocks) != 1:
             raise SettingsError(f"{path}: {key}: expected one block")
         block = blocks[0]
-        flat[key] = {k: v for k, v in block.items() if not k.startswith("__")} if isinstance(block, dict) else block
+        flat[key] = (
+            {k: v for k, v in block.items() if not k.startswith("__")}
+            if isinstance(block, dict)
+            else block
+        )
     _finite(flat, str(path))
     operators: Operators = _convert(_unquoted(flat), Operators, str(path))
     return operators
--- a/ashdock/upgrade.py
+++ b/ashdock/upgrade.py
@@ -71,7 +71,9 @@
             return None
         ours = f"{UNDER}node/{house.label}"
         if ours not in found or found[ours].value["forms"] < FORMS:
-            await state.txn({ours: found[ours].stamp if ours in found else 0}, {ours: {"forms": FORMS}})
+            await state.txn(
+                {ours: found[ours].stamp if ours in found else 0}, {ours: {"forms": FORMS}}
+            )
             log.info("announced that this controller is of the new version")
             return 0.0
         names = sorted({house.label, *(other.label for other in house.others)})
@@ -80,11 +82,18 @@
         if common > self.forms:
             # What all of them know, be it less than we do: two versions after the one in production may meet as well.
             when = {entry.path: entry.stamp for entry in announced.values() if entry}
-            await state.txn({**when, MARK: found[MARK].stamp if MARK in found else 0}, {MARK: {"forms": common, "of": names}})
+            await state.txn(
+                {**when, MARK: found[MARK].stamp if MARK in found else 0},
+                {MARK: {"forms": common, "of": names}},
+            )
             self._agree(common, "as all have announced it")
             if common >= FORMS:
                 return None
-        missing = [name for name, entry in announced.items() if entry is None or entry.value["forms"] < FORMS]
+        missing = [
+            name
+            for name, entry in announced.items()
+            if entry is None or entry.value["forms"] < FORMS
+        ]
         if missing != self.missing:
             log.info("not yet of the new version: %s", ", ".join(missing))
             self.missing = missing
--- a/ashdock/vouching/vouched.py
+++ b/ashdock/vouching/vouched.py
@@ -22,7 +22,9 @@
 
 from ashdock.settings import Workers
 
-DRIFT = 0.002  # of cancel_s: two steady clocks that are off by 0.05% each, with as much again to spare
+DRIFT = (
+    0.002  # of cancel_s: two steady clocks that are off by 0.05% each, with as much again to spare
+)
 LINKS_KEPT = 8  # stretches of each controller's word that are remembered; one that is forgotten only lowers the bound
 
 
--- a/ashdock/vouching/word.py
+++ b/ashdock/vouching/word.py
@@ -39,7 +39,9 @@
     def __init__(self, house: WordHouse) -> None:
         self.house = house
         self.vouched = Vouched(house.workers, house.mesh.peers, house.rng.getrandbits(48))
-        self.numbers: dict[str, int] = {}  # of the others: the last that each sent us, to be sent back
+        self.numbers: dict[
+            str, int
+        ] = {}  # of the others: the last that each sent us, to be sent back
 
     def tell(self, job_id: str, team: str, stamp: int, at: float) -> None:
         if self.house.upgrade.vouched:
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -21,13 +21,17 @@
 U32 = struct.Struct("!I")
 U64 = struct.Struct("!Q")
 F64 = struct.Struct("!d")
-WANT = struct.Struct("!dddIB??dBI?")  # cpus gpus memory tasks priority spot together slack guaranteed whole idle
+WANT = struct.Struct(
+    "!dddIB??dBI?"
+)  # cpus gpus memory tasks priority spot together slack guaranteed whole idle
 OWED = struct.Struct("!I?")  # number, spot
 BUSY = struct.Struct("!Bd")  # priority, loss
 CANCELLED = struct.Struct("!Qd")  # stamp, time of day
 VOUCH = struct.Struct("!QQ")
 AHEAD = struct.Struct("!bd")  # priority, when it had better be done
-BEAT = struct.Struct("!Qdd??dd")  # incarnation, age of the state's last answer, of the last worker's; ready, leader; demand
+BEAT = struct.Struct(
+    "!Qdd??dd"
+)  # incarnation, age of the state's last answer, of the last worker's; ready, leader; demand
 
 
 class BadFrame(Exception):
@@ -141,7 +145,24 @@
     back: int
 
 
-Frame = Hello | Beat | Picture | Yield | Recalled | Relay | Relayed | Counts | Give | Owed | Claims | Ahead | Termed | Leaving | Cancelled | Vouch
+Frame = (
+    Hello
+    | Beat
+    | Picture
+    | Yield
+    | Recalled
+    | Relay
+    | Relayed
+    | Counts
+    | Give
+    | Owed
+    | Claims
+    | Ahead
+    | Termed
+    | Leaving
+    | Cancelled
+    | Vouch
+)
 WORDS = (FrameKind.YIELD, FrameKind.RECALL, FrameKind.GIVE, FrameKind.OWED)
 
 
@@ -214,26 +235,39 @@
             return FrameKind.YIELD, _text(part) + _text(machine) + _text(to)
         case Recalled():
             names = b"".join(map(_text, frame.machines))
-            return FrameKind.RECALL, _text(frame.part) + _text(frame.to) + U32.pack(len(frame.machines)) + names
+            return FrameKind.RECALL, _text(frame.part) + _text(frame.to) + U32.pack(
+                len(frame.machines)
+            ) + names
         case Relay(number, body):
             return FrameKind.RELAY, U32.pack(number) + _blob(body)
         case Relayed(number, status, body):
             return FrameKind.RELAYED, U32.pack(number) + U16.pack(status) + _blob(body)
         case Counts(jobs):
-            rows = b"".join(_text(job) + U32.pack(done) + U32.pack(running) for job, done, running in jobs)
+            rows = b"".join(
+                _text(job) + U32.pack(done) + U32.pack(running) for job, done, running in jobs
+            )
             return FrameKind.COUNTS, U32.pack(len(jobs)) + rows
         case Give(part, to):
             return FrameKind.GIVE, _text(part) + _text(to)
         case Owed(part, to, number, types, zone, spot):
             names = U16.pack(len(types)) + b"".join(map(_text, types))
-            return FrameKind.OWED, _text(part) + _text(to) + OWED.pack(number, spot) + names + _text(zone)
+            return FrameKind.OWED, _text(part) + _text(to) + OWED.pack(
+                number, spot
+            ) + names + _text(zone)
         case Claims(parts):
-            return FrameKind.CLAIMS, U32.pack(len(parts)) + b"".join(_text(part) + U64.pack(stamp) for part, stamp in parts)
+            return FrameKind.CLAIMS, U32.pack(len(parts)) + b"".join(
+                _text(part) + U64.pack(stamp) for part, stamp in parts
+            )
         case Ahead(part, jobs):
-            rows = b"".join(_text(job) + AHEAD.pack(priority, finish_by) for job, priority, finish_by in jobs)
+            rows = b"".join(
+                _text(job) + AHEAD.pack(priority, finish_by) for job, priority, finish_by in jobs
+            )
             return FrameKind.AHEAD, _text(part) + U32.pack(len(jobs)) + rows
         case Cancelled(jobs):
-            rows = b"".join(_text(job) + _text(team) + CANCELLED.pack(stamp, at) for job, team, stamp, at in jobs)
+            rows = b"".join(
+                _text(job) + _text(team) + CANCELLED.pack(stamp, at)
+                for job, team, stamp, at in jobs
+            )
             return FrameKind.CANCELLED, U32.pack(len(jobs)) + rows
         case Vouch(number, back):
             return FrameKind.VOUCH, VOUCH.pack(number, back)
@@ -247,16 +281,35 @@
 
 
 def _pack_picture(picture: Picture) -> bytes:
-    out = [_text(picture.team), U64.pack(picture.seen), U32.pack(picture.machines), U32.pack(picture.waiting)]
+    out = [
+        _text(picture.team),
+        U64.pack(picture.seen),
+        U32.pack(picture.machines),
+        U32.pack(picture.waiting),
+    ]
     out += [U32.pack(picture.spare_beyond), U32.pack(len(picture.wants))]
     for want in picture.wants:
         out.append(
             WANT.pack(
-                want.cpus, want.gpus, want.memory, want.tasks, want.priority, want.spot, want.together, want.slack_s,
-                want.guaranteed, want.whole, want.idle,
+                want.cpus,
+                want.gpus,
+                want.memory,
+                want.tasks,
+                want.priority,
+                want.spot,
+                want.together,
+                want.slack_s,
+                want.guaranteed,
+                want.whole,
+                want.idle,
             )
-        )  # fmt: skip
-        out += [U16.pack(len(want.types)), *map(_text, want.types), _text(want.zone), _text(want.image)]
+        )
+        out += [
+            U16.pack(len(want.types)),
+            *map(_text, want.types),
+            _text(want.zone),
+            _text(want.image),
+        ]
     out.append(U32.pack(len(picture.idle)))
     for name, idle_s in picture.idle:
         out += [_text(name), F64.pack(idle_s)]
@@ -272,10 +325,29 @@
     machines, waiting, beyond = (reader.take(U32)[0] for _ in range(3))
     wants = []
     for _ in range(reader.many()):
-        cpus, gpus, memory, tasks, priority, spot, together, slack, promised, whole, idle = reader.take(WANT)
+        cpus, gpus, memory, tasks, priority, spot, together, slack, promised, whole, idle = (
+            reader.take(WANT)
+        )
         types = tuple(reader.text() for _ in range(reader.take(U16)[0]))
         zone, image = reader.text(), reader.text()
-        wants.append(Want(cpus, gpus, memory, types, zone, spot, together, tasks, priority, bool(promised), slack, image, whole, idle))
+        wants.append(
+            Want(
+                cpus,
+                gpus,
+                memory,
+                types,
+                zone,
+                spot,
+                together,
+                tasks,
+                priority,
+                bool(promised),
+                slack,
+                image,
+                whole,
+                idle,
+            )
+        )
     empty = [(reader.text(), float(reader.take(F64)[0])) for _ in range(reader.many())]
     busy = [Busy(reader.text(), *reader.take(BUSY)) for _ in range(reader.many())]
     return Picture(team, seen, wants, empty, busy, machines, waiting, beyond)
@@ -305,13 +377,17 @@
     elif kind == FrameKind.YIELD:
         frame = Yield(reader.text(), reader.text(), reader.text())
     elif kind == FrameKind.RECALL:
-        frame = Recalled(reader.text(), reader.text(), [reader.text() for _ in range(reader.many())])
+        frame = Recalled(
+            reader.text(), reader.text(), [reader.text() for _ in range(reader.many())]
+        )
     elif kind == FrameKind.RELAY:
         frame = Relay(reader.take(U32)[0], reader.blob())
     elif kind == FrameKind.RELAYED:
         frame = Relayed(reader.take(U32)[0], reader.take(U16)[0], reader.blob())
     elif kind == FrameKind.COUNTS:
-        rows = [(reader.text(), reader.take(U32)[0], reader.take(U32)[0]) for _ in range(reader.many())]
+        rows = [
+            (reader.text(), reader.take(U32)[0], reader.take(U32)[0]) for _ in range(reader.many())
+        ]
         frame = Counts(rows)
     elif kind == FrameKind.GIVE:
         frame = Give(reader.text(), reader.text())
@@ -326,9 +402,13 @@
         part = reader.text()
         frame = Ahead(part, [(reader.text(), *reader.take(AHEAD)) for _ in range(reader.many())])
     elif kind == FrameKind.LEAVING:
-        frame = Leaving(reader.text(), [(reader.text(), reader.text()) for _ in range(reader.many())])
+        frame = Leaving(
+            reader.text(), [(reader.text(), reader.text()) for _ in range(reader.many())]
+        )
     elif kind == FrameKind.CANCELLED:
-        frame = Cancelled([(reader.text(), reader.text(), *reader.take(CANCELLED)) for _ in range(reader.many())])
+        frame = Cancelled(
+            [(reader.text(), reader.text(), *reader.take(CANCELLED)) for _ in range(reader.many())]
+        )
     elif kind == FrameKind.VOUCH:
         frame = Vouch(*reader.take(VOUCH))
     elif kind == FrameKind.TERMED:
--- a/ashdock/wire/messages.py
+++ b/ashdock/wire/messages.py
@@ -71,12 +71,28 @@
 
 def spec_of(run: Run) -> Spec:
     return Spec(
-        id=run.id, job_class=run.workload, team=run.owner, kind=KINDS[run.shape], priority=PRIORITIES[run.urgency],
-        tasks=run.shares, cpus=run.cpus, gpus=run.accelerators, memory_gb=run.ram_gb, image=run.bundle,
-        image_gb=run.size_gb, one_zone=run.same_place, spread=run.spread, spot=run.loaners, estimate_s=run.expect_s,
-        checkpoint_s=run.snapshot_s, save_s=run.flush_s, types=run.hulls, zone=run.yard, deadline_s=run.due_s,
+        id=run.id,
+        job_class=run.workload,
+        team=run.owner,
+        kind=KINDS[run.shape],
+        priority=PRIORITIES[run.urgency],
+        tasks=run.shares,
+        cpus=run.cpus,
+        gpus=run.accelerators,
+        memory_gb=run.ram_gb,
+        image=run.bundle,
+        image_gb=run.size_gb,
+        one_zone=run.same_place,
+        spread=run.spread,
+        spot=run.loaners,
+        estimate_s=run.expect_s,
+        checkpoint_s=run.snapshot_s,
+        save_s=run.flush_s,
+        types=run.hulls,
+        zone=run.yard,
+        deadline_s=run.due_s,
         needs=list(dict.fromkeys(run.awaits)) if run.awaits else UNSET,
-    )  # fmt: skip
+    )
 
 
 class Held(Struct):
@@ -192,7 +208,9 @@
     return (job, int(task)) if task.isdigit() and len(task) <= 6 else (name, -1)
 
 
-def status_answer(job: str, status: str, done: int = 0, running: int = 0, reason: str | None = None) -> bytes:
+def status_answer(
+    job: str, status: str, done: int = 0, running: int = 0, reason: str | None = None
+) -> bytes:
     answer: dict[str, Any] = {"id": job, "status": status, "done": done, "running": running}
     if reason:
         answer["reason"] = reason
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -29,7 +29,9 @@
             continue
         words = [word.strip() for word in line.split(" | ")]
         if len(words) != 3 or not all(words) or "::" not in words[0]:
-            raise ValueError(f"{FILE}, line {number}: expected `file::test | cause | issue`, found {line!r}")
+            raise ValueError(
+                f"{FILE}, line {number}: expected `file::test | cause | issue`, found {line!r}"
+            )
         if words[0] in {known.test for known in out}:
             raise ValueError(f"{FILE}, line {number}: {words[0]} is named twice")
         out.append(KnownRed(*words))
@@ -54,7 +56,9 @@
         out = []
         for known in self.known:
             file = known.test.partition("::")[0]
-            if known.test not in found and (not (Path(self.config.rootpath) / file).exists() or (file in files and not some)):
+            if known.test not in found and (
+                not (Path(self.config.rootpath) / file).exists() or (file in files and not some)
+            ):
                 out.append(known)
         return out
 
@@ -64,7 +68,11 @@
         for known in self.known:
             if known.test in by_id:
                 # Strict: one that passes fails the run.
-                by_id[known.test].add_marker(pytest.mark.xfail(reason=f"known red: {known.cause} ({known.issue})", strict=True))
+                by_id[known.test].add_marker(
+                    pytest.mark.xfail(
+                        reason=f"known red: {known.cause} ({known.issue})", strict=True
+                    )
+                )
         if not hasattr(self.config, "workerinput"):
             self.missing = self._missing(set(by_id))
             if self.missing:
@@ -75,7 +83,9 @@
 
     @pytest.hookimpl(trylast=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        if getattr(self.config.option, "dist", "no") != "no" and not hasattr(self.config, "workerinput"):
+        if getattr(self.config.option, "dist", "no") != "no" and not hasattr(
+            self.config, "workerinput"
+        ):
             self.missing = self._missing(self.ran)
             if self.missing:
                 session.exitstatus = pytest.ExitCode.USAGE_ERROR
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -49,27 +49,93 @@
     core: float = 0.324
 
 
-GANG = {"shape": "ensemble", "sizes": [1, 2, 4, 8], "weights": [3.0, 2.0, 2.0, 1.0], "accelerators": 4.0, "cpus": 28.0, "snapshot_s": 30.0, "flush_s": 4.0,
-        "same_place": True, "images": 8, "size_gb": 6.0}  # fmt: skip
-ARRAY = {"shape": "sweep", "sizes": [5, 20, 40, 100], "weights": [2.0, 3.0, 2.0, 0.5], "accelerators": 1.0, "cpus": 6.0, "images": 18, "size_gb": 4.0}
+GANG = {
+    "shape": "ensemble",
+    "sizes": [1, 2, 4, 8],
+    "weights": [3.0, 2.0, 2.0, 1.0],
+    "accelerators": 4.0,
+    "cpus": 28.0,
+    "snapshot_s": 30.0,
+    "flush_s": 4.0,
+    "same_place": True,
+    "images": 8,
+    "size_gb": 6.0,
+}
+ARRAY = {
+    "shape": "sweep",
+    "sizes": [5, 20, 40, 100],
+    "weights": [2.0, 3.0, 2.0, 0.5],
+    "accelerators": 1.0,
+    "cpus": 6.0,
+    "images": 18,
+    "size_gb": 4.0,
+}
 
 SHAPES = {
-    "small": Shape(260, 1.0, 10.0, 40.0, [("desk", 350, 1000), ("retail", 350, 1000)],
-                   [("train", 0.1, GANG | {"expect_s": 150.0, "urgency": "high"}), ("tag", 0.3, ARRAY | {"expect_s": 70.0, "due_s": 160.0})], 80.0, 110.0),
-    "wide": Shape(740, 3.0, 19.0, 39.0, [("ops", 800, 2000), ("data", 1200, 4000), ("crew", 700, 2500)],
-                  [("slot", 0.5, GANG | {"expect_s": 100.0}), ("note", 0.33, ARRAY | {"expect_s": 80.0, "due_s": 250.0, "urgency": "best_effort"}),
-                   ("urgent", 0.33, GANG | {"sizes": [1, 2, 4], "weights": [3.0, 2.0, 2.0], "expect_s": 120.0, "urgency": "high"})], 60.0, 194.0),
-}  # fmt: skip
+    "small": Shape(
+        260,
+        1.0,
+        10.0,
+        40.0,
+        [("desk", 350, 1000), ("retail", 350, 1000)],
+        [
+            ("train", 0.1, GANG | {"expect_s": 150.0, "urgency": "high"}),
+            ("tag", 0.3, ARRAY | {"expect_s": 70.0, "due_s": 160.0}),
+        ],
+        80.0,
+        110.0,
+    ),
+    "wide": Shape(
+        740,
+        3.0,
+        19.0,
+        39.0,
+        [("ops", 800, 2000), ("data", 1200, 4000), ("crew", 700, 2500)],
+        [
+            ("slot", 0.5, GANG | {"expect_s": 100.0}),
+            ("note", 0.33, ARRAY | {"expect_s": 80.0, "due_s": 250.0, "urgency": "best_effort"}),
+            (
+                "urgent",
+                0.33,
+                GANG
+                | {
+                    "sizes": [1, 2, 4],
+                    "weights": [3.0, 2.0, 2.0],
+                    "expect_s": 120.0,
+                    "urgency": "high",
+                },
+            ),
+        ],
+        60.0,
+        194.0,
+    ),
+}
 
 
 def shared_of(shape: Shape, times: float) -> Shared:
     shared = whole.shared()
-    shared.teams = [Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in shape.teams]
+    shared.teams = [
+        Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in shape.teams
+    ]
     workers = shared.workers
-    workers.report_s, workers.lease_s, workers.cancel_s, workers.gang_peer_s, workers.gang_wait_s = shape.report_s, shape.lease_s, shape.cancel_s, 8.0, 30.0
-    shared.state.rps, shared.state.write_rps, shared.state.value_kb = 2.5 * shape.writes, shape.writes, 8.0
+    (
+        workers.report_s,
+        workers.lease_s,
+        workers.cancel_s,
+        workers.gang_peer_s,
+        workers.gang_wait_s,
+    ) = shape.report_s, shape.lease_s, shape.cancel_s, 8.0, 30.0
+    shared.state.rps, shared.state.write_rps, shared.state.value_kb = (
+        2.5 * shape.writes,
+        shape.writes,
+        8.0,
+    )
     shared.cloud.rps, shared.cloud.list_lag_s = 4.0, 4.0
-    shared.machine_limits.core_share, shared.machine_limits.ram_mb, shared.machine_limits.max_connections = shape.core, shape.ram_mb, 1000
+    (
+        shared.machine_limits.core_share,
+        shared.machine_limits.ram_mb,
+        shared.machine_limits.max_connections,
+    ) = shape.core, shape.ram_mb, 1000
     return shared
 
 
@@ -77,28 +143,84 @@
 
 # By file, or file:function where one file serves two. The first that fits.
 ACTIVITIES: list[tuple[str, str]] = [
-    ("net/http.py:_over_a_link", "HTTP out"), ("net/http.py:request", "HTTP out"), ("net/http.py:_request", "HTTP out"),
-    ("net/http.py:_connect", "HTTP out"), ("net/http.py", "HTTP in"), ("admission/", "HTTP in"), ("net/worker.py", "orders"), ("net/cloud.py", "leader's choices"),
-    ("net/metrics.py", "metrics"), ("net/mesh.py", "mesh"), ("wire/frames.py", "mesh"), ("vouching/", "mesh"), ("wire/messages.py", "JSON"),
-    ("net/state.py", "watch and state"), ("net/budget.py", "watch and state"), ("fairness/line.py", "watch and state"),
-    ("core/reports.py", "reports"), ("front.py:checkin", "reports"), ("front.py:_elsewhere", "reports"), ("front.py:_ownerless", "reports"),
-    ("front.py:_deputise", "reports"), ("restarts/", "reports"), ("relays.py", "reports"), ("core/machine.py", "reports"), ("core/part.py:orders", "reports"),
-    ("core/passes.py", "passes"), ("core/placement.py", "passes"), ("core/stock.py", "passes"), ("core/needs.py", "passes"), ("core/pipelines.py", "passes"),
-    ("core/worth.py", "passes"), ("core/quota.py", "passes"), ("core/estimates.py", "passes"), ("fairness/classes.py", "passes"), ("fairness/served.py", "passes"),
-    ("core/allotment.py", "leader's choices"), ("leader.py", "leader's choices"), ("duties/", "leader's choices"), ("fairness/", "leader's choices"),
-    ("core/losses.py", "leader's choices"), ("kinds.py", "leader's choices"), ("core/telling.py", "pictures"), ("controller.py:_gossip", "mesh"),
-    ("controller.py:_on_frame", "mesh"), ("controller.py:_told", "mesh"), ("controller.py:_tell", "mesh"), ("controller.py:_share", "watch and state"),
-    ("core/ledger.py", "writing"), ("core/bounds.py", "writing"), ("core/job.py", "writing"), ("core/task.py", "writing"), ("core/park.py", "writing"),
-    ("core/part.py", "writing"), ("owner.py", "writing"), ("questions.py", "questions"), ("front.py", "submissions and questions"),
-    ("membership.py", "membership"), ("upgrade.py", "membership"), ("recovery.py", "membership"), ("controller.py", "membership"),
-    ("again.py", "leader's choices"), ("core/spans.py", "metrics"), ("settings.py", "JSON"),
-]  # fmt: skip
+    ("net/http.py:_over_a_link", "HTTP out"),
+    ("net/http.py:request", "HTTP out"),
+    ("net/http.py:_request", "HTTP out"),
+    ("net/http.py:_connect", "HTTP out"),
+    ("net/http.py", "HTTP in"),
+    ("admission/", "HTTP in"),
+    ("net/worker.py", "orders"),
+    ("net/cloud.py", "leader's choices"),
+    ("net/metrics.py", "metrics"),
+    ("net/mesh.py", "mesh"),
+    ("wire/frames.py", "mesh"),
+    ("vouching/", "mesh"),
+    ("wire/messages.py", "JSON"),
+    ("net/state.py", "watch and state"),
+    ("net/budget.py", "watch and state"),
+    ("fairness/line.py", "watch and state"),
+    ("core/reports.py", "reports"),
+    ("front.py:checkin", "reports"),
+    ("front.py:_elsewhere", "reports"),
+    ("front.py:_ownerless", "reports"),
+    ("front.py:_deputise", "reports"),
+    ("restarts/", "reports"),
+    ("relays.py", "reports"),
+    ("core/machine.py", "reports"),
+    ("core/part.py:orders", "reports"),
+    ("core/passes.py", "passes"),
+    ("core/placement.py", "passes"),
+    ("core/stock.py", "passes"),
+    ("core/needs.py", "passes"),
+    ("core/pipelines.py", "passes"),
+    ("core/worth.py", "passes"),
+    ("core/quota.py", "passes"),
+    ("core/estimates.py", "passes"),
+    ("fairness/classes.py", "passes"),
+    ("fairness/served.py", "passes"),
+    ("core/allotment.py", "leader's choices"),
+    ("leader.py", "leader's choices"),
+    ("duties/", "leader's choices"),
+    ("fairness/", "leader's choices"),
+    ("core/losses.py", "leader's choices"),
+    ("kinds.py", "leader's choices"),
+    ("core/telling.py", "pictures"),
+    ("controller.py:_gossip", "mesh"),
+    ("controller.py:_on_frame", "mesh"),
+    ("controller.py:_told", "mesh"),
+    ("controller.py:_tell", "mesh"),
+    ("controller.py:_share", "watch and state"),
+    ("core/ledger.py", "writing"),
+    ("core/bounds.py", "writing"),
+    ("core/job.py", "writing"),
+    ("core/task.py", "writing"),
+    ("core/park.py", "writing"),
+    ("core/part.py", "writing"),
+    ("owner.py", "writing"),
+    ("questions.py", "questions"),
+    ("front.py", "submissions and questions"),
+    ("membership.py", "membership"),
+    ("upgrade.py", "membership"),
+    ("recovery.py", "membership"),
+    ("controller.py", "membership"),
+    ("again.py", "leader's choices"),
+    ("core/spans.py", "metrics"),
+    ("settings.py", "JSON"),
+]
 # What is counted once for each of its kind, by file:function.
 UNITS = {
-    "HTTP in": "net/http.py:_one", "HTTP out": "net/http.py:_over_a_link", "reports": "core/reports.py:on_report", "passes": "core/passes.py:schedule",
-    "writing": "core/ledger.py:next_txn", "questions": "questions.py:ask", "mesh": "controller.py:_on_frame", "leader's choices": "leader.py:_choose",
-    "watch and state": "net/state.py:txn", "submissions and questions": "front.py:submit", "pictures": "core/telling.py:picture",
-}  # fmt: skip
+    "HTTP in": "net/http.py:_one",
+    "HTTP out": "net/http.py:_over_a_link",
+    "reports": "core/reports.py:on_report",
+    "passes": "core/passes.py:schedule",
+    "writing": "core/ledger.py:next_txn",
+    "questions": "questions.py:ask",
+    "mesh": "controller.py:_on_frame",
+    "leader's choices": "leader.py:_choose",
+    "watch and state": "net/state.py:txn",
+    "submissions and questions": "front.py:submit",
+    "pictures": "core/telling.py:picture",
+}
 OUTSIDE = "stand-ins"  # not the controller's
 Func = tuple[str, int, str]
 
@@ -135,7 +257,9 @@
 
 
 def budget_of(profile: cProfile.Profile) -> Budget:
-    stats: dict[Func, tuple[int, int, float, float, dict[Func, tuple[int, int, float, float]]]] = pstats.Stats(profile).stats  # type: ignore[attr-defined]
+    stats: dict[Func, tuple[int, int, float, float, dict[Func, tuple[int, int, float, float]]]] = (
+        pstats.Stats(profile).stats
+    )  # type: ignore[attr-defined]
     shares: dict[Func, dict[str, float]] = {}
 
     def share_of(func: Func, above: frozenset[Func]) -> dict[str, float]:
@@ -146,10 +270,18 @@
         if own is not None:
             shares[func] = {own: 1.0}
             return shares[func]
-        callers = {caller: row[3] for caller, row in stats[func][4].items() if caller not in above and caller != func and caller in stats}
+        callers = {
+            caller: row[3]
+            for caller, row in stats[func][4].items()
+            if caller not in above and caller != func and caller in stats
+        }
         total = sum(callers.values())
         if not total:
-            return {"event loop" if "/asyncio/" in func[0] or "_asyncio" in func[2] or "send" in func[2] else "other": 1.0}
+            return {
+                "event loop"
+                if "/asyncio/" in func[0] or "_asyncio" in func[2] or "send" in func[2]
+                else "other": 1.0
+            }
         out: Counter[str] = Counter()
         for caller, seconds in callers.items():
             for activity, share in share_of(caller, above | {func}).items():
@@ -189,7 +321,10 @@
 
     async def takeover(self) -> None:
         """The owner of the largest part ends for good, and another that leads takes it."""
-        held = {n: max((len(o.part.machines) for o in c.owners.values() if o.part), default=0) for n, c in self.fleet.controllers.items()}
+        held = {
+            n: max((len(o.part.machines) for o in c.owners.values() if o.part), default=0)
+            for n, c in self.fleet.controllers.items()
+        }
         n = max(held, key=lambda one: (held[one], self.fleet.controllers[one].leader is None))
         self.net.kill(f"10.0.0.{n}")
         self.fleet.controllers.pop(n)
@@ -208,7 +343,9 @@
             while True:
                 await asyncio.sleep(rng.expovariate(40.0))
                 jobs = sorted(self.fleet.rules.jobs)
-                self.users.spawn(self.users.ask({}, "GET", f"/v2/runs/{rng.choice(jobs)}", b"", 2.0))
+                self.users.spawn(
+                    self.users.ask({}, "GET", f"/v2/runs/{rng.choice(jobs)}", b"", 2.0)
+                )
 
         self.users.spawn(ask())
 
@@ -233,7 +370,15 @@
             self.times[self.meter.running[0]] += 1
 
 
-def play(shape: Shape, course: str, times: float, seconds: float, simulate: Callable[..., Any], users_of: Callable[..., Any], meter: Any) -> dict[str, Any]:
+def play(
+    shape: Shape,
+    course: str,
+    times: float,
+    seconds: float,
+    simulate: Callable[..., Any],
+    users_of: Callable[..., Any],
+    meter: Any,
+) -> dict[str, Any]:
     """What each controller used in so many seconds of a course, and the budget of each by its role."""
     out: dict[str, Any] = {}
 
@@ -256,13 +401,19 @@
         past = users.now() - began
         for n, controller in sorted(fleet.controllers.items()):
             host = f"10.0.0.{n}"
-            held = sum(len(owner.part.machines) for owner in controller.owners.values() if owner.part)
+            held = sum(
+                len(owner.part.machines) for owner in controller.owners.values() if owner.part
+            )
             role = f"{'leads, ' if controller.leader else ''}owns {held} machines"
             out[f"n{n}: {role}"] = {
-                "cores": (meter.spent[host] - before.get(host, 0.0)) / past, "seconds": past, "budget": budget_of(meter.profiles.pop(host)),
-                "memory": memory_of(controller), "memory_before": memory[n],
-                "collections": collections.times[host] / past, "collecting": collections.seconds[host] / past,
-            }  # fmt: skip
+                "cores": (meter.spent[host] - before.get(host, 0.0)) / past,
+                "seconds": past,
+                "budget": budget_of(meter.profiles.pop(host)),
+                "memory": memory_of(controller),
+                "memory_before": memory[n],
+                "collections": collections.times[host] / past,
+                "collecting": collections.seconds[host] / past,
+            }
 
     simulate(main, 11, meter)
     return out
@@ -273,13 +424,28 @@
     parts = [owner.part for owner in controller.owners.values() if owner.part is not None]
     front = controller.front
     tables: dict[str, list[Any]] = {
-        "replicas": [replica.entries for replica in (controller.machines, controller.parts, controller.members, controller.leaders)],
-        "jobs that ended": [front.finals], "jobs that are open": [front.questions.known, *(part.jobs for part in parts)],
-        "machines": [part.machines for part in parts], "parks": [part.parks for part in parts],
-        "of workers": [front.redirected, front.relaying, front.answered], "what others told": [controller.remote_pictures, controller.remote_counts],
-        "leader": [controller.leader.strays, controller.leader.listed, controller.leader.released] if controller.leader else [],
-    }  # fmt: skip
-    return {name: int(asizeof.asizeof(*rows)) if rows else 0 for name, rows in tables.items()} | {"connections": len(controller.admission.connections)}
+        "replicas": [
+            replica.entries
+            for replica in (
+                controller.machines,
+                controller.parts,
+                controller.members,
+                controller.leaders,
+            )
+        ],
+        "jobs that ended": [front.finals],
+        "jobs that are open": [front.questions.known, *(part.jobs for part in parts)],
+        "machines": [part.machines for part in parts],
+        "parks": [part.parks for part in parts],
+        "of workers": [front.redirected, front.relaying, front.answered],
+        "what others told": [controller.remote_pictures, controller.remote_counts],
+        "leader": [controller.leader.strays, controller.leader.listed, controller.leader.released]
+        if controller.leader
+        else [],
+    }
+    return {name: int(asizeof.asizeof(*rows)) if rows else 0 for name, rows in tables.items()} | {
+        "connections": len(controller.admission.connections)
+    }
 
 
 START = """
@@ -298,7 +464,9 @@
     """Of what a controller imports before it serves: the least of some runs' seconds, modules, and KiB of memory before and after."""
     rows = []
     for _ in range(runs):
-        said = subprocess.run([sys.executable, "-c", START], cwd=ROOT, capture_output=True, text=True, check=True).stdout
+        said = subprocess.run(
+            [sys.executable, "-c", START], cwd=ROOT, capture_output=True, text=True, check=True
+        ).stdout
         rows.append([float(word) for word in said.split()])
     seconds, modules, empty, full = (min(column) for column in zip(*rows, strict=True))
     return {"import_s": seconds, "modules": modules, "empty_kib": empty, "imported_kib": full}
@@ -307,33 +475,72 @@
 def table(name: str, row: dict[str, Any], core: float) -> str:
     budget: Budget = row["budget"]
     whole_s = sum(budget.seconds.values()) - budget.seconds[OUTSIDE]
-    lines = [f"{name}: {row['cores']:.3f} cores of {core:g}, {budget.known:.1%} put down to an activity"]
-    lines.append(f"  {'activity':<27}{'share':>7}{'calls a s':>11}{'units a s':>11}{'calls each':>12}")
+    lines = [
+        f"{name}: {row['cores']:.3f} cores of {core:g}, {budget.known:.1%} put down to an activity"
+    ]
+    lines.append(
+        f"  {'activity':<27}{'share':>7}{'calls a s':>11}{'units a s':>11}{'calls each':>12}"
+    )
     for activity, seconds in budget.seconds.most_common():
         if activity == OUTSIDE or seconds < whole_s / 1000:
             continue
         units, calls = budget.units[activity], budget.calls[activity]
         each = f"{calls / units:>12.0f}" if units else f"{'':>12}"
-        lines.append(f"  {activity:<27}{seconds / whole_s:>7.1%}{calls / row['seconds']:>11.0f}{units / row['seconds']:>11.1f}{each}")
-    lines.append(f"  garbage collections (in the above): {row['collections']:.1f} a second, {row['collecting'] / max(row['cores'], 1e-9):.1%} of the time")
+        lines.append(
+            f"  {activity:<27}{seconds / whole_s:>7.1%}{calls / row['seconds']:>11.0f}{units / row['seconds']:>11.1f}{each}"
+        )
+    lines.append(
+        f"  garbage collections (in the above): {row['collections']:.1f} a second, {row['collecting'] / max(row['cores'], 1e-9):.1%} of the time"
+    )
     grown = {kind: (row["memory_before"][kind], now) for kind, now in row["memory"].items() if now}
-    lines.append("  KiB: " + ", ".join(f"{kind} {b >> 10} -> {n >> 10}" if kind != "connections" else f"{n} connections" for kind, (b, n) in grown.items()))
+    lines.append(
+        "  KiB: "
+        + ", ".join(
+            f"{kind} {b >> 10} -> {n >> 10}" if kind != "connections" else f"{n} connections"
+            for kind, (b, n) in grown.items()
+        )
+    )
     return "\n".join(lines)
 
 
-def report(shapes: list[str], courses: list[str], times: float, seconds: float, save: str | None, tools: tuple[Any, Any, Any]) -> None:
+def report(
+    shapes: list[str],
+    courses: list[str],
+    times: float,
+    seconds: float,
+    save: str | None,
+    tools: tuple[Any, Any, Any],
+) -> None:
     simulate, users_of, meter_of = tools
     start = start_cost()
-    print(f"imports: {start['import_s']:.3f} s, {start['modules']:.0f} modules, {start['imported_kib'] / 1024:.1f} MiB ({start['empty_kib'] / 1024:.1f} without)")
+    print(
+        f"imports: {start['import_s']:.3f} s, {start['modules']:.0f} modules, {start['imported_kib'] / 1024:.1f} MiB ({start['empty_kib'] / 1024:.1f} without)"
+    )
     kept: dict[str, Any] = {"start": start}
     for shape in shapes:
         for course in courses:
             began = time.perf_counter()
-            rows = play(SHAPES[shape], course, times, seconds, simulate, users_of, meter_of(SHAPES[shape].core))
-            print(f"\n{shape}, {course}, {times:g} times ({time.perf_counter() - began:.0f} s of real time)")
+            rows = play(
+                SHAPES[shape],
+                course,
+                times,
+                seconds,
+                simulate,
+                users_of,
+                meter_of(SHAPES[shape].core),
+            )
+            print(
+                f"\n{shape}, {course}, {times:g} times ({time.perf_counter() - began:.0f} s of real time)"
+            )
             for name, row in rows.items():
                 print(table(name, row, SHAPES[shape].core), flush=True)
-                kept[f"{shape} {course} {name}"] = row | {"budget": {"seconds": row["budget"].seconds, "calls": row["budget"].calls, "units": row["budget"].units}}
+                kept[f"{shape} {course} {name}"] = row | {
+                    "budget": {
+                        "seconds": row["budget"].seconds,
+                        "calls": row["budget"].calls,
+                        "units": row["budget"].units,
+                    }
+                }
     print(f"this tool itself: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB")
     if save:
         Path(save).write_text(json.dumps(kept))
--- a/tests/courses.py
+++ b/tests/courses.py
@@ -53,7 +53,10 @@
 
 def busiest(fleet: Fleet) -> int | None:
     """The controller whose parts hold most machines."""
-    held = {n: sum(len(owner.part.machines) for owner in c.owners.values() if owner.part) for n, c in fleet.controllers.items()}
+    held = {
+        n: sum(len(owner.part.machines) for owner in c.owners.values() if owner.part)
+        for n, c in fleet.controllers.items()
+    }
     return max(held, key=lambda n: (held[n], n), default=None)
 
 
@@ -80,7 +83,9 @@
 class Gaps:
     """How long it took from what became of a holder until the next one's claim, and until the first effect of that one's term."""
 
-    def __init__(self, net: Net, fleet: Fleet, restart_s: float, freeze: Callable[[str, float], None]) -> None:
+    def __init__(
+        self, net: Net, fleet: Fleet, restart_s: float, freeze: Callable[[str, float], None]
+    ) -> None:
         self.net, self.fleet, self.restart_s, self.freeze = net, fleet, restart_s, freeze
         self.rows: list[tuple[str, float | None, float | None]] = []
         self.began: float | None = None
@@ -96,7 +101,10 @@
             return
         seat = next((write["value"] for write in writes if write.get("set") == "leader"), None)
         if seat is not None and not seat["incarnation"]:
-            self.began, self.claimed = self._now(), None  # the next one is named: until here its holder was at work
+            self.began, self.claimed = (
+                self._now(),
+                None,
+            )  # the next one is named: until here its holder was at work
         elif seat is not None:
             self.claimed = self._now() - self.began
             self.effect = None
@@ -162,14 +170,24 @@
             if self.cancelled is not None:
                 words.append(f"cancelled = {self.cancelled}")
             if self.run_s is not None:
-                words.append(f"run_s = {{ median = {self.run_s}, p95 = {1.5 * self.run_s}, max = {2 * self.run_s} }}")
+                words.append(
+                    f"run_s = {{ median = {self.run_s}, p95 = {1.5 * self.run_s}, max = {2 * self.run_s} }}"
+                )
             if self.rate is not None and row["kind"] == "array":
-                words.append(f"arrivals = {{ rate = {self.rate} }}, tasks = {{ median = 1.5, p95 = 2.5, max = 3.0 }}")
+                words.append(
+                    f"arrivals = {{ rate = {self.rate} }}, tasks = {{ median = 1.5, p95 = 2.5, max = 3.0 }}"
+                )
             rows.append(f"  {{ {', '.join(words)} }},\n")
         return f"jobs = [\n{''.join(rows)}]\n" if any(value is not None for value in self) else ""
 
 
-def days_of(site: Path, out: Path, names: list[str], seeds: list[int], traffic: Traffic = Traffic()) -> list[Path]:  # noqa: B008
+def days_of(
+    site: Path,
+    out: Path,
+    names: list[str],
+    seeds: list[int],
+    traffic: Traffic = Traffic(),  # noqa: B008
+) -> list[Path]:
     """The days written for a site, whose zones are those of its machines."""
     try:
         told = tomllib.loads(site.read_text(encoding="utf-8"))
@@ -182,7 +200,9 @@
     for name in names:
         source = DAYS / f"{name}.toml"
         if not source.exists():
-            wrong(f"--day: expected one of {', '.join(sorted(day.stem for day in DAYS.glob('*.toml')))}; found {name!r}")
+            wrong(
+                f"--day: expected one of {', '.join(sorted(day.stem for day in DAYS.glob('*.toml')))}; found {name!r}"
+            )
         for seed in seeds or [None]:
             path = out / (f"{name}.toml" if seed is None else f"{name}-{seed}.toml")
             try:
@@ -194,7 +214,9 @@
 
 
 def main() -> None:
-    top = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    top = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     top.add_argument("site", type=Path)
     top.add_argument("--out", type=Path, required=True)
     top.add_argument("--day", action="append")
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -33,7 +33,11 @@
         trouble = rng.randrange(7)
         if trouble == 0 and not service.state.down:
             service.state.down = True
-            spawn(service.net, "users", _later(rng.uniform(2, 9), lambda: setattr(service.state, "down", False)))
+            spawn(
+                service.net,
+                "users",
+                _later(rng.uniform(2, 9), lambda: setattr(service.state, "down", False)),
+            )
         elif trouble == 1:
             n = rng.randrange(3)
             service.net.cut(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
@@ -45,7 +49,11 @@
             service.world.workers[rng.choice(sorted(service.world.workers))].die()
         elif trouble == 4:
             # Some lose their leases, and come back in a session that no record tells of.
-            workers = [worker.host for _, worker in sorted(service.world.workers.items()) if rng.random() < 0.6]
+            workers = [
+                worker.host
+                for _, worker in sorted(service.world.workers.items())
+                if rng.random() < 0.6
+            ]
             for n in range(3):
                 service.net.cut(f"10.0.0.{n}", *workers)
             spawn(service.net, "users", _later(rng.uniform(5, 9), service.net.heal))
@@ -71,14 +79,35 @@
         await service.start()
         await asyncio.sleep(1)
         runs = [
-            job(1, shares=6, expect_s=15.0), job(2, owner="blue", shape="ensemble", shares=2, accelerators=4.0, snapshot_s=3.0, flush_s=1.0),
-            job(3, shape="ensemble", shares=3, accelerators=2.0, urgency="high", snapshot_s=3.0, flush_s=1.0), job(4, owner="blue", shares=5),
-            job(5, shares=2, fails=2), job(6, shape="daemon", shares=2),
-        ]  # fmt: skip
+            job(1, shares=6, expect_s=15.0),
+            job(
+                2,
+                owner="blue",
+                shape="ensemble",
+                shares=2,
+                accelerators=4.0,
+                snapshot_s=3.0,
+                flush_s=1.0,
+            ),
+            job(
+                3,
+                shape="ensemble",
+                shares=3,
+                accelerators=2.0,
+                urgency="high",
+                snapshot_s=3.0,
+                flush_s=1.0,
+            ),
+            job(4, owner="blue", shares=5),
+            job(5, shares=2, fails=2),
+            job(6, shape="daemon", shares=2),
+        ]
         spawn(net, "users", ends(service, rng))
         statuses = await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(rng.uniform(5, COURSE_S))
-        withdrawn = await service.withdraw("req-000006") if statuses[5] in (200, 201) else "withdrawn"
+        withdrawn = (
+            await service.withdraw("req-000006") if statuses[5] in (200, 201) else "withdrawn"
+        )
         await asyncio.sleep(COURSE_S / 2)
         left = await service.until_final([run["id"] for run in runs], WITHIN_S)
         service.rules.end()
@@ -105,7 +134,9 @@
 
 
 def main() -> None:
-    top = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    top = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     top.add_argument("--seeds", type=int, default=300)
     top.add_argument("--from", type=int, default=0, dest="first")
     options = top.parse_args()
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -42,7 +42,9 @@
             self.change.clear()
             await asyncio.sleep(0.5)
             try:
-                async with asyncio.timeout(self.world.report_s * (0.75 + 0.5 * self.world.rng.random()) - 0.5):
+                async with asyncio.timeout(
+                    self.world.report_s * (0.75 + 0.5 * self.world.rng.random()) - 0.5
+                ):
                     await self.change.wait()
             except TimeoutError:
                 pass
@@ -62,7 +64,9 @@
             self.change.set()
         loop.call_at(self.renewed + self.world.lease_s + 1e-3, self._expired)
 
-    async def _work(self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]) -> None:
+    async def _work(
+        self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]
+    ) -> None:
         job, number = share.rsplit("/", 1)
         if run["bundle"] not in self.images:
             await asyncio.sleep(run["size_gb"] / 0.6)
@@ -90,7 +94,11 @@
         task["status"] = "running"
         self.change.set()
         await asyncio.sleep(run["expect_s"])
-        if (share, attempt) in self.shares and self.shares[share, attempt] is task and task["status"] == "running":
+        if (
+            (share, attempt) in self.shares
+            and self.shares[share, attempt] is task
+            and task["status"] == "running"
+        ):
             self._exit(share, attempt, "done")
 
     def _gone(self, share: str, attempt: int, done: bool = False) -> None:
@@ -129,10 +137,14 @@
         self.net = net
         self.shared = shared
         self.rng = random.Random(net.rng.random())
-        self.rules = Rules(shared.workers.cancel_s, {team.name: team.gpus_max for team in shared.teams})
+        self.rules = Rules(
+            shared.workers.cancel_s, {team.name: team.gpus_max for team in shared.teams}
+        )
         self.state = State(net)
         nodes = {f"n{n}": f"10.0.0.{n}" for n in range(3)}
-        self.world = FleetWorld(net, self.rules, nodes, ZONES, machines, shared.workers.lease_s, shared.workers.report_s)
+        self.world = FleetWorld(
+            net, self.rules, nodes, ZONES, machines, shared.workers.lease_s, shared.workers.report_s
+        )
         self.machines = machines
         self.controllers: dict[int, Controller] = {}
 
@@ -142,7 +154,14 @@
 
     def longest(self) -> float:
         """The longest that any worker went without a good answer."""
-        return max((worker.waited for worker in self.world.workers.values() if isinstance(worker, FleetWorker)), default=0.0)
+        return max(
+            (
+                worker.waited
+                for worker in self.world.workers.values()
+                if isinstance(worker, FleetWorker)
+            ),
+            default=0.0,
+        )
 
     async def start(self) -> None:
         spawn(self.net, STATE, self.state.start())
@@ -156,7 +175,14 @@
     def boot(self, n: int) -> None:
         others = [Other(f"n{k}", f"10.0.0.{k}:8081", ZONES[k]) for k in range(3) if k != n]
         told = Settings(
-            f"n{n}", ZONES[n], f"10.0.0.{n}:8080", f"10.0.0.{n}:8081", Outside(f"{CLOUD}:8443", f"{STATE}:2379"), self.shared, others, Operators()
+            f"n{n}",
+            ZONES[n],
+            f"10.0.0.{n}:8080",
+            f"10.0.0.{n}:8081",
+            Outside(f"{CLOUD}:8443", f"{STATE}:2379"),
+            self.shared,
+            others,
+            Operators(),
         )
         self.controllers[n] = controller = Controller(told, random.Random(self.rng.random()))
         spawn(self.net, f"10.0.0.{n}", controller.run())
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -27,10 +27,26 @@
 WITHIN_S = 240.0  # all jobs are over so long after the last trouble
 CANCEL_S = 20.0
 CALM: dict[str, Any] = {
-    "down": False, "slow": 0.0, "apply_late": 0.0, "lose_answers": 0.0, "late_reports": 0.0, "held_orders": None, "lag": 0.0, "kept_share": 0.0, "boot_s": 6.0,
-}  # fmt: skip
+    "down": False,
+    "slow": 0.0,
+    "apply_late": 0.0,
+    "lose_answers": 0.0,
+    "late_reports": 0.0,
+    "held_orders": None,
+    "lag": 0.0,
+    "kept_share": 0.0,
+    "boot_s": 6.0,
+}
 Trouble = Callable[[Service, random.Random, float], Awaitable[None]]
-SPANS = (0.4, 1.2, 3.0, 7.0, 15.0, 28.0, 28.0)  # how long a trouble lasts: also longer than `cancel_s`
+SPANS = (
+    0.4,
+    1.2,
+    3.0,
+    7.0,
+    15.0,
+    28.0,
+    28.0,
+)  # how long a trouble lasts: also longer than `cancel_s`
 
 
 def some(service: Service, rng: random.Random, share: float) -> list[Worker]:
@@ -86,9 +102,15 @@
 async def zone_cut(service: Service, rng: random.Random, for_s: float) -> None:
     """A zone with its workers and its controller hears and is heard by nobody outside."""
     zone = rng.randrange(3)
-    hosts = {f"10.0.0.{n}": n == zone for n in range(3)} | {w.host: w.zone == ZONES[zone] for w in service.world.workers.values()}
+    hosts = {f"10.0.0.{n}": n == zone for n in range(3)} | {
+        w.host: w.zone == ZONES[zone] for w in service.world.workers.values()
+    }
     out = [host for host, inside in hosts.items() if not inside] + [STATE, CLOUD, "users"]
-    await _cut(service, for_s, [frozenset((host, other)) for host, inside in hosts.items() if inside for other in out])
+    await _cut(
+        service,
+        for_s,
+        [frozenset((host, other)) for host, inside in hosts.items() if inside for other in out],
+    )
 
 
 async def late_timers(service: Service, rng: random.Random, for_s: float) -> None:
@@ -104,7 +126,9 @@
 async def leaders_change(service: Service, rng: random.Random, for_s: float) -> None:
     """Whoever leads ends, ten times."""
     for _ in range(10):
-        leader = next((n for n, c in sorted(service.controllers.items()) if c.leader is not None), None)
+        leader = next(
+            (n for n, c in sorted(service.controllers.items()) if c.leader is not None), None
+        )
         if leader is not None:
             service.crash(leader, rng.choice((0.05, 0.3, 2.5)))
         await asyncio.sleep(max(for_s / 10, 1.0))
@@ -119,7 +143,15 @@
 async def apart(service: Service, rng: random.Random, for_s: float) -> None:
     """A controller loses the state service and the other controllers, not its workers or users."""
     host = owner_of(service, rng)
-    await _cut(service, for_s, [frozenset((host, other)) for other in (STATE, *(f"10.0.0.{n}" for n in range(3))) if other != host])
+    await _cut(
+        service,
+        for_s,
+        [
+            frozenset((host, other))
+            for other in (STATE, *(f"10.0.0.{n}" for n in range(3)))
+            if other != host
+        ],
+    )
 
 
 async def unheard(service: Service, rng: random.Random, for_s: float) -> None:
@@ -130,7 +162,11 @@
 async def out_of_reach(service: Service, rng: random.Random, for_s: float) -> None:
     """Some machines reach none of the controllers, or not the one that owns them."""
     hosts = [f"10.0.0.{n}" for n in range(3)] if rng.random() < 0.5 else [owner_of(service, rng)]
-    await _cut(service, for_s, [frozenset((host, worker.host)) for worker in some(service, rng, 0.6) for host in hosts])
+    await _cut(
+        service,
+        for_s,
+        [frozenset((host, worker.host)) for worker in some(service, rng, 0.6) for host in hosts],
+    )
 
 
 async def one_ends(service: Service, rng: random.Random, for_s: float) -> None:
@@ -161,11 +197,30 @@
     """What a write to the state service is for, as the table of writes in docs/meetings.md has it."""
     root, *rest = (write.get("set") or write["delete"]).split("/")
     if root == "job":
-        return {"queued": "acceptance", "withdrawn": "cancellation", "done": "outcome"}[write["value"]["status"]]
-    return {"part": "claim", "leader": "seat", "work": "head" if rest[-1:] == ["job"] else "placement"}.get(root, root)
-
-
-KINDS = ("acceptance", "cancellation", "outcome", "claim", "placement", "park", "machine", "charter", "seat", "member", "life", "catalog")
+        return {"queued": "acceptance", "withdrawn": "cancellation", "done": "outcome"}[
+            write["value"]["status"]
+        ]
+    return {
+        "part": "claim",
+        "leader": "seat",
+        "work": "head" if rest[-1:] == ["job"] else "placement",
+    }.get(root, root)
+
+
+KINDS = (
+    "acceptance",
+    "cancellation",
+    "outcome",
+    "claim",
+    "placement",
+    "park",
+    "machine",
+    "charter",
+    "seat",
+    "member",
+    "life",
+    "catalog",
+)
 
 
 def of_writes(what: str, kinds: tuple[str, ...] = KINDS) -> Trouble:
@@ -173,7 +228,9 @@
 
     async def trouble(service: Service, rng: random.Random, for_s: float) -> None:
         kind = rng.choice(kinds)
-        service.state.lost = lambda writes: what if any(kind_of(write) == kind for write in writes) and rng.random() < 0.7 else ""
+        service.state.lost = lambda writes: (
+            what if any(kind_of(write) == kind for write in writes) and rng.random() < 0.7 else ""
+        )
         await asyncio.sleep(for_s)
         service.state.lost = None
 
@@ -185,18 +242,50 @@
         service.world.workers[rng.choice(sorted(service.world.workers))].die()
 
 
-TROUBLES: dict[str, Trouble] = {trouble.__name__: trouble for trouble in (
-    refused, apart, unheard, out_of_reach, one_ends, all_end, handed_back, dies, hang, zone_cut, leaders_change, late_timers,
-    users.close_looks, users.cancel_now, users.cancel_and_hang, users.cancel_at_end, users.odd_requests, users.one_task_jobs, users.more_than_room,
-)} | {
-    "answer_lost_of_a_kind": of_writes("answer"), "late_of_a_kind": of_writes("late"), "deaf": machines_are("deaf"), "mute": machines_are("mute"), "slow_links": while_set("net", "slow", 0.05, 0.3),
-    "reports_for_next": while_set("world", "kept_share", 0.3, 1.0), "quick_boots": while_set("world", "boot_s", 1.0),
-    "outage": while_set("state", "down", True), "slow_state": while_set("state", "slow", 0.1, 0.4, 1.0),
-    "late_writes": while_set("state", "apply_late", 0.05, 0.2), "answers_lost": while_set("state", "lose_answers", 0.05, 0.2),
-    "late_reports": while_set("world", "late_reports", 0.1, 0.5), "cloud_down": while_set("world", "down", True),
-    "held_orders": while_set("world", "held_orders", *((share, 0.0, most) for share in (0.3, 1.0) for most in (3.0, 8.0, 30.0))),
+TROUBLES: dict[str, Trouble] = {
+    trouble.__name__: trouble
+    for trouble in (
+        refused,
+        apart,
+        unheard,
+        out_of_reach,
+        one_ends,
+        all_end,
+        handed_back,
+        dies,
+        hang,
+        zone_cut,
+        leaders_change,
+        late_timers,
+        users.close_looks,
+        users.cancel_now,
+        users.cancel_and_hang,
+        users.cancel_at_end,
+        users.odd_requests,
+        users.one_task_jobs,
+        users.more_than_room,
+    )
+} | {
+    "answer_lost_of_a_kind": of_writes("answer"),
+    "late_of_a_kind": of_writes("late"),
+    "deaf": machines_are("deaf"),
+    "mute": machines_are("mute"),
+    "slow_links": while_set("net", "slow", 0.05, 0.3),
+    "reports_for_next": while_set("world", "kept_share", 0.3, 1.0),
+    "quick_boots": while_set("world", "boot_s", 1.0),
+    "outage": while_set("state", "down", True),
+    "slow_state": while_set("state", "slow", 0.1, 0.4, 1.0),
+    "late_writes": while_set("state", "apply_late", 0.05, 0.2),
+    "answers_lost": while_set("state", "lose_answers", 0.05, 0.2),
+    "late_reports": while_set("world", "late_reports", 0.1, 0.5),
+    "cloud_down": while_set("world", "down", True),
+    "held_orders": while_set(
+        "world",
+        "held_orders",
+        *((share, 0.0, most) for share in (0.3, 1.0) for most in (3.0, 8.0, 30.0)),
+    ),
     "list_lags": while_set("world", "lag", 4.0, 10.0),
-}  # fmt: skip
+}
 
 
 class Met(NamedTuple):
@@ -209,13 +298,42 @@
 
 # As the page has them, the second a moment after the first. Sixty days drawn without these did not bring about what is known to have
 # broken: a refusal, a cancellation and a long outage within a second of each other.
-PAIRS = [("refused", "outage"), ("apart", "one_ends"), ("late_writes", "all_end"), ("deaf", "one_ends"), ("late_reports", "handed_back"),
-         ("held_orders", "outage"), ("slow_state", "refused"), ("out_of_reach", "one_ends"), ("refused", "refused"),
-         ("close_looks", "answer_lost_of_a_kind"), ("late_of_a_kind", "handed_back"), ("late_of_a_kind", "one_ends"), ("close_looks", "handed_back"), ("cancel_at_end", "slow_state"), ("cancel_and_hang", "outage"),
-         ("refused", "cancel_and_hang"), ("cancel_now", "handed_back"), ("cancel_now", "one_ends"), ("reports_for_next", "one_ends"),
-         ("reports_for_next", "handed_back"), ("mute", "one_ends"), ("mute", "cancel_and_hang"), ("zone_cut", "cancel_now"), ("leaders_change", "outage"),
-         ("one_task_jobs", "outage"), ("one_task_jobs", "one_ends"), ("quick_boots", "late_writes"), ("more_than_room", "slow_links"),
-         ("more_than_room", "dies"), ("odd_requests", "answers_lost"), ("late_timers", "outage"), ("late_timers", "refused"), ("late_timers", "one_ends"), ("late_timers", "cancel_now")]  # fmt: skip
+PAIRS = [
+    ("refused", "outage"),
+    ("apart", "one_ends"),
+    ("late_writes", "all_end"),
+    ("deaf", "one_ends"),
+    ("late_reports", "handed_back"),
+    ("held_orders", "outage"),
+    ("slow_state", "refused"),
+    ("out_of_reach", "one_ends"),
+    ("refused", "refused"),
+    ("close_looks", "answer_lost_of_a_kind"),
+    ("late_of_a_kind", "handed_back"),
+    ("late_of_a_kind", "one_ends"),
+    ("close_looks", "handed_back"),
+    ("cancel_at_end", "slow_state"),
+    ("cancel_and_hang", "outage"),
+    ("refused", "cancel_and_hang"),
+    ("cancel_now", "handed_back"),
+    ("cancel_now", "one_ends"),
+    ("reports_for_next", "one_ends"),
+    ("reports_for_next", "handed_back"),
+    ("mute", "one_ends"),
+    ("mute", "cancel_and_hang"),
+    ("zone_cut", "cancel_now"),
+    ("leaders_change", "outage"),
+    ("one_task_jobs", "outage"),
+    ("one_task_jobs", "one_ends"),
+    ("quick_boots", "late_writes"),
+    ("more_than_room", "slow_links"),
+    ("more_than_room", "dies"),
+    ("odd_requests", "answers_lost"),
+    ("late_timers", "outage"),
+    ("late_timers", "refused"),
+    ("late_timers", "one_ends"),
+    ("late_timers", "cancel_now"),
+]
 
 
 def drawn(rng: random.Random) -> list[Met]:
@@ -224,10 +342,15 @@
     while at < COURSE_S:
         if rng.random() < 0.5:
             first, second = rng.choice(PAIRS)
-            out += [Met(at, first, rng.choice(SPANS)), Met(at + rng.uniform(0.1, 1.5), second, rng.choice(SPANS))]
+            out += [
+                Met(at, first, rng.choice(SPANS)),
+                Met(at + rng.uniform(0.1, 1.5), second, rng.choice(SPANS)),
+            ]
         else:
             for name in rng.sample(sorted(TROUBLES), rng.choice((2, 3))):
-                out.append(Met(at + rng.choice((0.2, 1.0, 4.0)) * rng.random(), name, rng.choice(SPANS)))
+                out.append(
+                    Met(at + rng.choice((0.2, 1.0, 4.0)) * rng.random(), name, rng.choice(SPANS))
+                )
         at += rng.uniform(8, 20)
     return sorted(out)
 
@@ -235,24 +358,59 @@
 def jobs() -> list[dict[str, object]]:
     """Long ones and short ones; of some, tasks that end far apart."""
     return [
-        job(1, shares=3, spans={0: 2.0, 1: 20.0, 2: 45.0}), job(2, owner="blue", shares=2, spans={0: 3.0, 1: 30.0}),
-        job(3, shape="ensemble", shares=2, accelerators=2.0, urgency="high", snapshot_s=3.0, flush_s=1.0, expect_s=25.0),
-        job(4, owner="blue", shape="ensemble", shares=2, accelerators=4.0, snapshot_s=3.0, flush_s=1.0), job(5, shares=4, fails=2),
-        *(job(6 + k, owner="red" if k % 2 else "blue", shape="daemon" if k < 6 else "sweep", shares=1, expect_s=300.0) for k in range(10)),
-    ]  # fmt: skip
+        job(1, shares=3, spans={0: 2.0, 1: 20.0, 2: 45.0}),
+        job(2, owner="blue", shares=2, spans={0: 3.0, 1: 30.0}),
+        job(
+            3,
+            shape="ensemble",
+            shares=2,
+            accelerators=2.0,
+            urgency="high",
+            snapshot_s=3.0,
+            flush_s=1.0,
+            expect_s=25.0,
+        ),
+        job(
+            4,
+            owner="blue",
+            shape="ensemble",
+            shares=2,
+            accelerators=4.0,
+            snapshot_s=3.0,
+            flush_s=1.0,
+        ),
+        job(5, shares=4, fails=2),
+        *(
+            job(
+                6 + k,
+                owner="red" if k % 2 else "blue",
+                shape="daemon" if k < 6 else "sweep",
+                shares=1,
+                expect_s=300.0,
+            )
+            for k in range(10)
+        ),
+    ]
 
 
 CANCELLED = range(6, 16)
 
 
-def day(seed: int, patch: pytest.MonkeyPatch, only: set[str] | None = None) -> tuple[list[tuple[str, str]], list[str]]:
+def day(
+    seed: int, patch: pytest.MonkeyPatch, only: set[str] | None = None
+) -> tuple[list[tuple[str, str]], list[str]]:
     """What broke on the day of that seed, and the jobs that were not over in time."""
     rng = random.Random(seed)
     return course([one for one in drawn(rng) if only is None or one.name in only], rng, seed, patch)
 
 
 def course(
-    met: list[Met], rng: random.Random, seed: int, patch: pytest.MonkeyPatch, leads: int | None = None, more: dict[str, Trouble] | None = None
+    met: list[Met],
+    rng: random.Random,
+    seed: int,
+    patch: pytest.MonkeyPatch,
+    leads: int | None = None,
+    more: dict[str, Trouble] | None = None,
 ) -> tuple[list[tuple[str, str]], list[str]]:
     """The same of a day with these troubles. `leads`: so many controllers after the one that owns blue's part leads."""
     troubles_by_name = TROUBLES | (more or {})
@@ -288,8 +446,14 @@
         troubles = [spawn(net, "users", trouble(one, random.Random(rng.random()))) for one in met]
         spawn(net, "users", ask(random.Random(rng.random())))
         # Just before and after troubles begin, where nobody may hear of it.
-        times = [rng.choice(met).at_s + rng.uniform(-0.2, 1.2) if met else rng.uniform(10, COURSE_S) for _ in CANCELLED]
-        cancels = [spawn(net, "users", cancel(number, at_s)) for number, at_s in zip(CANCELLED, times, strict=True)]
+        times = [
+            rng.choice(met).at_s + rng.uniform(-0.2, 1.2) if met else rng.uniform(10, COURSE_S)
+            for _ in CANCELLED
+        ]
+        cancels = [
+            spawn(net, "users", cancel(number, at_s))
+            for number, at_s in zip(CANCELLED, times, strict=True)
+        ]
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.gather(*troubles)
         await asyncio.sleep(max(began + COURSE_S - service.now(), 0.0))
@@ -298,7 +462,9 @@
         # One that was never told gave up; it is cancelled anew, or nothing of the day would end.
         rules = service.rules
         for one in sorted(rules.accepted):
-            if one not in rules.told and (one in rules.asked_to_cancel or rules.jobs[one]["shape"] == "daemon"):
+            if one not in rules.told and (
+                one in rules.asked_to_cancel or rules.jobs[one]["shape"] == "daemon"
+            ):
                 await service.withdraw(one)
         left = await service.until_final(sorted(rules.accepted), WITHIN_S)
         await asyncio.sleep(CANCEL_S)
@@ -311,17 +477,26 @@
 
 
 def main() -> None:
-    top = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    top = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     top.add_argument("--seeds", type=int, default=500)
     top.add_argument("--from", type=int, default=0, dest="first")
     top.add_argument("--only", help="troubles, divided by commas")
     options = top.parse_args()
     only = set(options.only.split(",")) if options.only else None
     if options.seeds <= 0 or options.first < 0:
-        wrong(f"--seeds, --from: expected above 0, and 0 or more, found {options.seeds}, {options.first}")
+        wrong(
+            f"--seeds, --from: expected above 0, and 0 or more, found {options.seeds}, {options.first}"
+        )
     if only and only - TROUBLES.keys():
-        wrong(f"--only: expected some of {', '.join(sorted(TROUBLES))}; found {', '.join(sorted(only - TROUBLES.keys()))}")
-    played(range(options.first, options.first + options.seeds), lambda seed, patch: day(seed, patch, only))
+        wrong(
+            f"--only: expected some of {', '.join(sorted(TROUBLES))}; found {', '.join(sorted(only - TROUBLES.keys()))}"
+        )
+    played(
+        range(options.first, options.first + options.seeds),
+        lambda seed, patch: day(seed, patch, only),
+    )
 
 
 if __name__ == "__main__":
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -7,7 +7,9 @@
 from typing import Any, NamedTuple
 
 FORGOTTEN_S = 75.0
-IDLE_S = 90.0  # no job waits so long while a machine that fits has room and its team is under its limit
+IDLE_S = (
+    90.0  # no job waits so long while a machine that fits has room and its team is under its limit
+)
 BEGIN_S = 240.0  # the largest jobs too begin within it
 UNCONDITIONAL = ("catalog",)  # the same from whoever writes it
 HALF = 0.5  # of a class, a team or a class's largest jobs: less than that served is a failed day
@@ -33,7 +35,11 @@
 
 def fits(run: dict[str, Any], room: Room) -> int:
     """How many tasks of a job a machine's free room takes."""
-    asked = ((run["cpus"], room.cpus), (run["accelerators"], room.accelerators), (run["ram_gb"], room.ram_gb))
+    asked = (
+        (run["cpus"], room.cpus),
+        (run["accelerators"], room.accelerators),
+        (run["ram_gb"], room.ram_gb),
+    )
     return min(int(free / want + 1e-6) for want, free in asked if want > 0)
 
 
@@ -48,18 +54,28 @@
     accepted: set[str] = field(default_factory=set)
     told: dict[str, str] = field(default_factory=dict)  # final states that users were told
     told_at: dict[str, float] = field(default_factory=dict)  # when first
-    known_at: dict[str, float] = field(default_factory=dict)  # when a user was first told that it is known
-    late_starts: list[tuple[str, float]] = field(default_factory=list)  # after a confirmed cancellation, and how long after
-    began_at: dict[str, float] = field(default_factory=dict)  # when all of its tasks had started at least once
+    known_at: dict[str, float] = field(
+        default_factory=dict
+    )  # when a user was first told that it is known
+    late_starts: list[tuple[str, float]] = field(
+        default_factory=list
+    )  # after a confirmed cancellation, and how long after
+    began_at: dict[str, float] = field(
+        default_factory=dict
+    )  # when all of its tasks had started at least once
     begun: dict[str, set[int]] = field(default_factory=dict)
-    idle_since: dict[str, float] = field(default_factory=dict)  # since when it has waited beside room that fits
+    idle_since: dict[str, float] = field(
+        default_factory=dict
+    )  # since when it has waited beside room that fits
     room: Callable[[], Iterable[Room]] | None = None  # machines that could take work at this moment
     on_done: Callable[[str], None] | None = None  # called when a job's last task has ended well
     asked_to_cancel: set[str] = field(default_factory=set)
     cancelled_at: dict[str, float] = field(default_factory=dict)
     accepted_at: dict[str, float] = field(default_factory=dict)
     calm_since: float | None = None  # when the last trouble was over
-    answered_at: dict[str, float] = field(default_factory=dict)  # when a question about it was last answered
+    answered_at: dict[str, float] = field(
+        default_factory=dict
+    )  # when a question about it was last answered
     starts: int = 0
     bad: set[str] = field(default_factory=set)  # submissions that are never to be stored
     served: Any = None  # an ashdock.fairness.served.Served, where that is counted
@@ -80,7 +96,9 @@
         if run is None:
             return
         if self.on.get((job, task)):
-            self._break("ran_twice", f"{job}/{task} on {place.machine} and {self.on[job, task][0].machine}")
+            self._break(
+                "ran_twice", f"{job}/{task} on {place.machine} and {self.on[job, task][0].machine}"
+            )
         others = [p for number in self._asks(run) for p in self.on.get((job, number), ())]
         if run.get("hulls") is not None and place.type not in run["hulls"]:
             self._break("wrong_place", f"{job}/{task}: type {place.type}")
@@ -121,7 +139,9 @@
             self.on[job, task] = left
         if job in self.jobs:
             run = self.jobs[job]
-            self.used[run["owner"]] = self.used.get(run["owner"], 0.0) - run["accelerators"] * (len(places) - len(left))
+            self.used[run["owner"]] = self.used.get(run["owner"], 0.0) - run["accelerators"] * (
+                len(places) - len(left)
+            )
         if done and (job, task) not in self.done:
             self.done.add((job, task))
             if self.on_done is not None and job in self.jobs and self._is_done(job):
@@ -132,7 +152,9 @@
 
     def tick(self, now: float) -> None:
         for job, at in self.cancelled_at.items():
-            if now > at + self.cancel_s and any(places for (j, _), places in self.on.items() if j == job):
+            if now > at + self.cancel_s and any(
+                places for (j, _), places in self.on.items() if j == job
+            ):
                 self._break("ran_cancelled", f"{job} still runs")
         if self.room is not None and self.calm_since is not None:
             self._look_for_idle(now)
@@ -147,14 +169,18 @@
             root, *rest = path.split("/")
             names = [] if root in UNCONDITIONAL else [path]
             if root == "work" and rest[-1] == "job" and path not in when:
-                names = [f"job/{rest[1]}"]  # the two are always written together, so their stamps agree
+                names = [
+                    f"job/{rest[1]}"
+                ]  # the two are always written together, so their stamps agree
             if root == "park" or (root == "work" and rest[-1] != "job"):
                 names.append(f"part/{rest[0]}")
             if root == "work" and rest[-1] != "job" and "set" in write:
                 names.append(f"job/{rest[1]}")
             if root == "charter":
                 names.append("leader")
-            if root == "machine" and not any(name == "leader" or name.startswith("part/") for name in when):
+            if root == "machine" and not any(
+                name == "leader" or name.startswith("part/") for name in when
+            ):
                 names.append("leader or a part")
             for name in names:
                 if name not in when:
@@ -165,7 +191,11 @@
     def _look_for_idle(self, now: float) -> None:
         rooms = list(self.room()) if self.room else []
         for job in self.accepted:
-            if job in self.told or job in self.asked_to_cancel or not self._could_start(self.jobs[job], rooms):
+            if (
+                job in self.told
+                or job in self.asked_to_cancel
+                or not self._could_start(self.jobs[job], rooms)
+            ):
                 self.idle_since.pop(job, None)
             elif now - self.idle_since.setdefault(job, now) > IDLE_S:
                 self._break("idle", f"{job} has waited {IDLE_S:g} s beside room that fits")
@@ -174,30 +204,60 @@
     def _could_start(self, run: dict[str, Any], rooms: list[Room]) -> bool:
         """Whether a task of it (of an ensemble: all) waits and would find room."""
         job = run["id"]
-        if any((need, task) not in self.done for need in run.get("awaits") or () for task in range(self.jobs[need]["shares"])):
+        if any(
+            (need, task) not in self.done
+            for need in run.get("awaits") or ()
+            for task in range(self.jobs[need]["shares"])
+        ):
             return False
-        waiting = [task for task in range(run["shares"]) if (job, task) not in self.done and not self.on.get((job, task))]
+        waiting = [
+            task
+            for task in range(run["shares"])
+            if (job, task) not in self.done and not self.on.get((job, task))
+        ]
         if not waiting:
             return False
         together = run["shape"] == "ensemble"
         if together and len(waiting) < run["shares"]:
             return False  # some of it are still being stopped
         wanted = len(waiting) if together else 1
-        if self.used.get(run["owner"], 0.0) + wanted * run["accelerators"] > self.limits[run["owner"]] + 1e-6:
+        if (
+            self.used.get(run["owner"], 0.0) + wanted * run["accelerators"]
+            > self.limits[run["owner"]] + 1e-6
+        ):
             return False
         by_zone: dict[str, int] = {}
         for room in rooms:
             place = room.place
-            if (run["hulls"] is None or place.type in run["hulls"]) and run["yard"] in (None, place.zone) and (run["loaners"] or not place.spot):
+            if (
+                (run["hulls"] is None or place.type in run["hulls"])
+                and run["yard"] in (None, place.zone)
+                and (run["loaners"] or not place.spot)
+            ):
                 by_zone[place.zone] = by_zone.get(place.zone, 0) + fits(run, room)
         if run["spread"]:
             most = (run["shares"] + 1) // 2
-            here = {zone: sum(p.zone == zone for task in range(run["shares"]) for p in self.on.get((job, task), ())) for zone in by_zone}
-            by_zone = {zone: max(0, min(number, most - here[zone])) for zone, number in by_zone.items()}
+            here = {
+                zone: sum(
+                    p.zone == zone
+                    for task in range(run["shares"])
+                    for p in self.on.get((job, task), ())
+                )
+                for zone in by_zone
+            }
+            by_zone = {
+                zone: max(0, min(number, most - here[zone])) for zone, number in by_zone.items()
+            }
         if run["same_place"] and not together:
             taken = {p.zone for task in range(run["shares"]) for p in self.on.get((job, task), ())}
-            by_zone = {zone: number for zone, number in by_zone.items() if not taken or zone in taken}
-        return max(by_zone.values(), default=0) >= wanted if run["same_place"] else sum(by_zone.values()) >= wanted
+            by_zone = {
+                zone: number for zone, number in by_zone.items() if not taken or zone in taken
+            }
+        return (
+            max(by_zone.values(), default=0) >= wanted
+            if run["same_place"]
+            else sum(by_zone.values()) >= wanted
+        )
 
     # -- who was served ------------------------------------------------------------------------------------
 
@@ -205,7 +265,11 @@
         """By class, team and the largest jobs of each class: the share of what was accepted, and not called off, that began in time.
         What may still begin in time counts for nothing yet."""
         widest: dict[str, int] = {}
-        due = [run for job, run in self.jobs.items() if job in self.accepted and job not in self.asked_to_cancel]
+        due = [
+            run
+            for job, run in self.jobs.items()
+            if job in self.accepted and job not in self.asked_to_cancel
+        ]
         for run in due:
             widest[run["workload"]] = max(widest.get(run["workload"], 0), run["shares"])
         counts: dict[tuple[str, str], list[int]] = {}
@@ -226,7 +290,11 @@
         however others fare."""
         if answered:
             self.answered_at[job] = now
-        elif self.calm_since is not None and job in self.accepted and now - max(self.calm_since, self.answered_at.get(job, 0.0)) > FORGOTTEN_S:
+        elif (
+            self.calm_since is not None
+            and job in self.accepted
+            and now - max(self.calm_since, self.answered_at.get(job, 0.0)) > FORGOTTEN_S
+        ):
             self._break("forgotten", f"{job}: no question was answered for {FORGOTTEN_S} s")
 
     def accounted(self, keys: dict[str, Any]) -> None:
@@ -238,7 +306,10 @@
             record = keys.get(f"job/{job}")
             if record is None:
                 self._break("forgotten", f"{job}: no record")
-            elif record["status"] == "queued" and f"work/{self.jobs[job]['owner']}/{job}/job" not in keys:
+            elif (
+                record["status"] == "queued"
+                and f"work/{self.jobs[job]['owner']}/{job}/job" not in keys
+            ):
                 self._break("forgotten", f"{job}: nobody would run it")
 
     def refused(self, job: str, status: int, expected: int) -> None:
@@ -247,7 +318,15 @@
         if status != expected:
             self._break("took_bad", f"{job}: {status}, not {expected}")
 
-    def answered(self, job: str, status: int, state: str | None, submission: bool = False, now: float = 0.0, asked: float | None = None) -> None:
+    def answered(
+        self,
+        job: str,
+        status: int,
+        state: str | None,
+        submission: bool = False,
+        now: float = 0.0,
+        asked: float | None = None,
+    ) -> None:
         """An answer that came at `now`. What was asked before a user was told something newer may have been answered before it too."""
         asked = now if asked is None else asked
         if status in (200, 201):
@@ -259,7 +338,11 @@
                 self.accepted_at.setdefault(job, now)
             self.known_at.setdefault(job, now)
             before = self.told.get(job)
-            if before is not None and state != before and (state in ("done", "withdrawn") or asked >= self.told_at[job]):
+            if (
+                before is not None
+                and state != before
+                and (state in ("done", "withdrawn") or asked >= self.told_at[job])
+            ):
                 self._break("went_back", f"{job}: {before} then {state}")
             if state == "withdrawn" and not self._may_be_withdrawn(job):
                 self._break("went_back", f"{job}: nobody cancelled it")
@@ -275,7 +358,11 @@
                 self.cancelled_at.setdefault(job, now)
             if job in self.told:
                 self.told_at.setdefault(job, now)
-        elif job in self.known_at and asked >= self.known_at[job] and (status == 404 or (submission and status in (400, 422))):
+        elif (
+            job in self.known_at
+            and asked >= self.known_at[job]
+            and (status == 404 or (submission and status in (400, 422)))
+        ):
             self._break("forgotten", f"{job}: {status}")
 
     def _before(self, job: str) -> set[str]:
@@ -293,7 +380,11 @@
 
     def _orphan_since(self, job: str) -> float | None:
         """When its user was told that one before it is cancelled, or of the job itself if that came later."""
-        told = [self.cancelled_at[need] for need in self._before(job) - {job} if need in self.cancelled_at and need in self.asked_to_cancel]
+        told = [
+            self.cancelled_at[need]
+            for need in self._before(job) - {job}
+            if need in self.cancelled_at and need in self.asked_to_cancel
+        ]
         return max(min(told), self.accepted_at.get(job, 0.0)) if told else None
 
     def end(self, now: float | None = None) -> None:
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -53,16 +53,69 @@
 MACHINES = 662
 TEAMS = [("ops", 800, 2000), ("data", 1200, 4000), ("crew", 700, 2500)]
 KINDS: list[tuple[str, float, dict[str, Any]]] = [
-    ("slot", 0.4188, {"shape": "ensemble", "sizes": [1, 2, 4, 8], "weights": [3.0, 2.4, 1.92, 1.54], "accelerators": 4.0, "cpus": 28.0,
-                      "same_place": True, "expect_s": 100.0, "snapshot_s": 45.0, "flush_s": 4.0, "images": 5, "size_gb": 4.0}),
-    ("note", 0.2783, {"shape": "sweep", "sizes": [5, 10, 20, 40], "weights": [1.0, 2.0, 2.0, 1.0], "accelerators": 1.0, "cpus": 6.0,
-                      "urgency": "best_effort", "expect_s": 80.0, "due_s": 250.0, "images": 20, "size_gb": 6.0, "loaners": True}),
-    ("urgent", 0.2558, {"shape": "ensemble", "sizes": [1, 2, 4], "weights": [3.0, 2.4, 1.92], "accelerators": 4.0, "cpus": 28.0,
-                        "urgency": "high", "expect_s": 120.0, "snapshot_s": 20.0, "flush_s": 3.0, "images": 18, "size_gb": 4.0}),
-]  # fmt: skip
+    (
+        "slot",
+        0.4188,
+        {
+            "shape": "ensemble",
+            "sizes": [1, 2, 4, 8],
+            "weights": [3.0, 2.4, 1.92, 1.54],
+            "accelerators": 4.0,
+            "cpus": 28.0,
+            "same_place": True,
+            "expect_s": 100.0,
+            "snapshot_s": 45.0,
+            "flush_s": 4.0,
+            "images": 5,
+            "size_gb": 4.0,
+        },
+    ),
+    (
+        "note",
+        0.2783,
+        {
+            "shape": "sweep",
+            "sizes": [5, 10, 20, 40],
+            "weights": [1.0, 2.0, 2.0, 1.0],
+            "accelerators": 1.0,
+            "cpus": 6.0,
+            "urgency": "best_effort",
+            "expect_s": 80.0,
+            "due_s": 250.0,
+            "images": 20,
+            "size_gb": 6.0,
+            "loaners": True,
+        },
+    ),
+    (
+        "urgent",
+        0.2558,
+        {
+            "shape": "ensemble",
+            "sizes": [1, 2, 4],
+            "weights": [3.0, 2.4, 1.92],
+            "accelerators": 4.0,
+            "cpus": 28.0,
+            "urgency": "high",
+            "expect_s": 120.0,
+            "snapshot_s": 20.0,
+            "flush_s": 3.0,
+            "images": 18,
+            "size_gb": 4.0,
+        },
+    ),
+]
 REPORT_S, LEASE_S, CANCEL_S = 3.0, 19.0, 39.0
-AIMS = {"slot": [70.0, 180.0], "note": [120.0], "urgent": [15.0, 60.0]}  # by class: in what times its tasks are to start
-HOT, HOT_ZONE, HOT_TIMES = "ops", "a", 2.51  # more than it brings otherwise, of all arrivals: then it brings 80%
+AIMS = {
+    "slot": [70.0, 180.0],
+    "note": [120.0],
+    "urgent": [15.0, 60.0],
+}  # by class: in what times its tasks are to start
+HOT, HOT_ZONE, HOT_TIMES = (
+    "ops",
+    "a",
+    2.51,
+)  # more than it brings otherwise, of all arrivals: then it brings 80%
 BURST, BURST_TIMES, BURST_S = "note", 7.0, 120.0
 COURSE_S = 210.0  # from the filling on: longer than the longest aim
 
@@ -74,7 +127,9 @@
         self.share = share
         self.spent: Counter[str] = Counter()
         self.busy: dict[str, float] = {}
-        self.lines: defaultdict[str, deque[asyncio.Future[None]]] = defaultdict(deque)  # steps that wait for the one before
+        self.lines: defaultdict[str, deque[asyncio.Future[None]]] = defaultdict(
+            deque
+        )  # steps that wait for the one before
         self.waking: set[str] = set()
         self.running: tuple[str, float] | None = None
         self.slow: dict[str, float] = {}  # how many times slower a host computes
@@ -137,7 +192,9 @@
                 took = time.thread_time() - began
                 self.running = None
                 self.spent[host] += took
-                self.busy[host] = max(self.busy.get(host, 0.0), loop.time()) + took / self.share_of(host)
+                self.busy[host] = max(self.busy.get(host, 0.0), loop.time()) + took / self.share_of(
+                    host
+                )
                 self._wake_next(host, loop)
             try:
                 act, with_ = job.send, (yield step)
@@ -154,7 +211,9 @@
         with contextlib.suppress(RuntimeError):
             parent = asyncio.current_task(loop_)
         host = net.booting or HOST.get(parent)
-        task: asyncio.Task[Any] = asyncio.Task(meter.run(job, host) if host and host.startswith("10.0.0.") else job, loop=loop_, **more)
+        task: asyncio.Task[Any] = asyncio.Task(
+            meter.run(job, host) if host and host.startswith("10.0.0.") else job, loop=loop_, **more
+        )
         if host is not None:
             HOST[task] = host
             net.remember(host, task)
@@ -186,7 +245,9 @@
 class Users:
     """Each submits a job as soon as it has it, over a load balancer that knows who is ready, and asks every 5 s until it is done."""
 
-    def __init__(self, fleet: Fleet, times: float, seed: int = 7, shape: cost.Shape | None = None) -> None:
+    def __init__(
+        self, fleet: Fleet, times: float, seed: int = 7, shape: cost.Shape | None = None
+    ) -> None:
         self.fleet = fleet
         self.times = times
         self.kinds = shape.kinds if shape else KINDS
@@ -221,7 +282,9 @@
                     self.ready[n] = False
             await asyncio.sleep(1.0)
 
-    async def ask(self, user: dict[str, Any], method: str, target: str, body: bytes, timeout: float) -> int | None:
+    async def ask(
+        self, user: dict[str, Any], method: str, target: str, body: bytes, timeout: float
+    ) -> int | None:
         client = user.get("client")
         for _ in range(3):
             if client is None:
@@ -259,13 +322,23 @@
         began, counts = self.now(), self.counts
         if counts:
             due_at = began + run["due_s"] if run["due_s"] else math.inf
-            self.served.made(run["id"], run["workload"], run["owner"], run["shares"], began, max(AIMS[run["workload"]]), due_at)
+            self.served.made(
+                run["id"],
+                run["workload"],
+                run["owner"],
+                run["shares"],
+                began,
+                max(AIMS[run["workload"]]),
+                due_at,
+            )
         body = json.dumps(run).encode()
         status = None
         while status not in (200, 201):
             status = await self.ask(user, "POST", "/v2/runs", body, 5.0)
             if status is not None:
-                self.fleet.rules.answered(run["id"], status, "queued", submission=True, now=self.now())
+                self.fleet.rules.answered(
+                    run["id"], status, "queued", submission=True, now=self.now()
+                )
             if status not in (200, 201):
                 if self.now() - began > 60:
                     self.errors["given up"] += 1
@@ -283,18 +356,33 @@
         self.served.done(run["id"], self.now())
         self.leave(user)
 
-    def job(self, kind: str, form: dict[str, Any], rng: random.Random, hot: bool = False) -> dict[str, Any]:
+    def job(
+        self, kind: str, form: dict[str, Any], rng: random.Random, hot: bool = False
+    ) -> dict[str, Any]:
         self.number += 1
         form = dict(form)
         sizes, weights, images = form.pop("sizes"), form.pop("weights"), form.pop("images")
         run_s = form["expect_s"] * (0.5 + rng.random())
         owner = HOT if hot else rng.choices(self.teams, [1.1, 1.6, 1.0][: len(self.teams)])[0]
         return whole.job(
-            self.number, workload=kind, owner=owner, bundle=f"{kind}-{rng.randrange(images)}", shares=rng.choices(sizes, weights)[0],
-            **{**form, "expect_s": round(run_s, 1), "ram_gb": 40.0}, yard=HOT_ZONE if hot and rng.random() < 0.7 else None,
-        )  # fmt: skip
-
-    async def arrive(self, kind: str, rate: float, form: dict[str, Any], hot: bool = False, stream: str = "", for_s: float = 1e9) -> None:
+            self.number,
+            workload=kind,
+            owner=owner,
+            bundle=f"{kind}-{rng.randrange(images)}",
+            shares=rng.choices(sizes, weights)[0],
+            **{**form, "expect_s": round(run_s, 1), "ram_gb": 40.0},
+            yard=HOT_ZONE if hot and rng.random() < 0.7 else None,
+        )
+
+    async def arrive(
+        self,
+        kind: str,
+        rate: float,
+        form: dict[str, Any],
+        hot: bool = False,
+        stream: str = "",
+        for_s: float = 1e9,
+    ) -> None:
         """Of a stream of its own: what else arrives changes nothing of it."""
         rng = random.Random(f"{self.seed} {kind} {stream}")
         until = self.now() + for_s
@@ -320,12 +408,25 @@
 
 def shared_at(times: float, sockets: int, core: float) -> Any:
     shared = whole.shared()
-    shared.teams = [Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in TEAMS]
+    shared.teams = [
+        Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in TEAMS
+    ]
     workers = shared.workers
-    workers.report_s, workers.lease_s, workers.cancel_s, workers.gang_peer_s, workers.gang_wait_s = REPORT_S, LEASE_S, CANCEL_S, 4.0, 50.0
+    (
+        workers.report_s,
+        workers.lease_s,
+        workers.cancel_s,
+        workers.gang_peer_s,
+        workers.gang_wait_s,
+    ) = REPORT_S, LEASE_S, CANCEL_S, 4.0, 50.0
     shared.state.rps, shared.state.write_rps, shared.state.value_kb = 150.0, 60.0, 32.0
-    shared.objectives = [Objective("wait", 0.9, kind, within) for kind, aims in AIMS.items() for within in aims]
-    shared.objectives += [Objective("deadline", 0.98, "note", times=1.0), Objective("guarantee", 0.88, within_s=10.0)]
+    shared.objectives = [
+        Objective("wait", 0.9, kind, within) for kind, aims in AIMS.items() for within in aims
+    ]
+    shared.objectives += [
+        Objective("deadline", 0.98, "note", times=1.0),
+        Objective("guarantee", 0.88, within_s=10.0),
+    ]
     shared.cloud.rps, shared.cloud.list_lag_s = 2.0, 3.0
     shared.machine_limits.max_connections, shared.machine_limits.core_share = sockets, core
     return shared
@@ -333,8 +434,18 @@
 
 def held(controller: Any) -> int:
     """Bytes in the tables that grow with the fleet."""
-    tables: list[Any] = [controller.machines.entries, controller.parts.entries, controller.front.finals, controller.front.questions.known]
-    tables += [controller.front.redirected, controller.front.answered, controller.remote_pictures, controller.remote_counts]
+    tables: list[Any] = [
+        controller.machines.entries,
+        controller.parts.entries,
+        controller.front.finals,
+        controller.front.questions.known,
+    ]
+    tables += [
+        controller.front.redirected,
+        controller.front.answered,
+        controller.remote_pictures,
+        controller.remote_counts,
+    ]
     for owner in controller.owners.values():
         if owner.part is not None:
             tables += [owner.part.machines, owner.part.jobs, owner.part.parks]
@@ -359,9 +470,16 @@
 
 
 def measure(
-    times: float, sockets: int, seconds: float, core: float, course: str = "", seed: int = 11, profile: bool = False,
-    ends: list[courses.End] | None = None, restart_s: float = 0.3,
-) -> dict[str, Any]:  # fmt: skip
+    times: float,
+    sockets: int,
+    seconds: float,
+    core: float,
+    course: str = "",
+    seed: int = 11,
+    profile: bool = False,
+    ends: list[courses.End] | None = None,
+    restart_s: float = 0.3,
+) -> dict[str, Any]:
     """One fleet, each controller with that share of a core. `alone`: two controllers end for good once the fleet is full."""
     meter = Meter(core)
     out: dict[str, Any] = {"times": times, "machines": int(MACHINES * times)}
@@ -385,7 +503,13 @@
             users.heat()
         if ends:
             users.spawn(courses.end_and_restart(net, fleet, ends, restart_s))
-        gaps = courses.Gaps(net, fleet, restart_s, lambda host, s: meter.busy.update({host: users.now() + s})) if course == "duties" else None
+        gaps = (
+            courses.Gaps(
+                net, fleet, restart_s, lambda host, s: meter.busy.update({host: users.now() + s})
+            )
+            if course == "duties"
+            else None
+        )
         if gaps:
             users.spawn(gaps.run())
         if course == "hot-rough":
@@ -399,63 +523,147 @@
         def count(writes: list[dict[str, Any]]) -> None:
             for write in writes:
                 path = (write.get("set") or write["delete"]).split("/")
-                kinds[("" if "set" in write else "delete ") + path[0] + (" head" if path[-1] == "job" else "")] += 1
+                kinds[
+                    ("" if "set" in write else "delete ")
+                    + path[0]
+                    + (" head" if path[-1] == "job" else "")
+                ] += 1
 
         fleet.state.hook = count
         for step in range(int(seconds / 5)):
             await asyncio.sleep(5)
-            print(f"  {times:g} times: {users.now():.0f} s, {fleet.rules.starts} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
-                  f"{time.perf_counter() - wall:.0f} s of real time, step {step}", flush=True)  # fmt: skip
+            print(
+                f"  {times:g} times: {users.now():.0f} s, {fleet.rules.starts} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
+                f"{time.perf_counter() - wall:.0f} s of real time, step {step}",
+                flush=True,
+            )
         past = users.now() - at
-        cores = [(meter.spent[host] - before.get(host, 0.0)) / past for host in sorted(meter.spent) if host.startswith("10.0.0.")]
+        cores = [
+            (meter.spent[host] - before.get(host, 0.0)) / past
+            for host in sorted(meter.spent)
+            if host.startswith("10.0.0.")
+        ]
         alive = list(fleet.controllers.values())
         rows = users.served.rows(users.now())
         out.update(
-            gaps=gaps.rows if gaps else [], machines_rented=sum(map(len, fleet.world.charters.values())),
-            jobs=len([j for j in fleet.rules.jobs if any((j, t) not in fleet.rules.done for t in range(fleet.rules.jobs[j]["shares"]))]),
-            core_mean=sum(cores) / len(cores), core_most=max(cores), mb=max(held(c) for c in alive) / 2**20,
-            requests=(fleet.state.requests - requests) / past, writes=(fleet.state.counted - counted) / past,
-            served={" ".join(name): [*row, round(row.share, 3)] for name, row in sorted(rows.items())}, worst=users.served.worst(users.now()),
-            jain=round(jain(row.share for (kind, _), row in rows.items() if kind == "team"), 4), starts=(fleet.rules.starts - starts) / past,
-            written={kind: round(number / past, 2) for kind, number in kinds.most_common()}, killed=fleet.killed, broken=fleet.rules.broken[:5],
-            submissions=users.took.get_total_count(), p50_ms=users.took.get_value_at_percentile(50),
-            p99_ms=users.took.get_value_at_percentile(99), within_1s=share_within(users.took, 1000),
-            asked_p99_ms=users.asked.get_value_at_percentile(99), errors=dict(users.errors),
-            sockets=max(net.most.get(f"10.0.0.{n}", 0) for n in range(3)), refused=net.refused,
-            late_s=max((c.admission.processor.late_s(users.now()) for c in alive if hasattr(c, "admission")), default=0.0),
-            longest_s=fleet.longest(), real_s=time.perf_counter() - wall,
-            takeovers={team: [owner.takeover.machines, len(owner.part.jobs) if owner.part else 0, owner.takeover.words()]
-                       for c in alive for team, owner in c.owners.items() if hasattr(owner, "takeover")},
-        )  # fmt: skip
+            gaps=gaps.rows if gaps else [],
+            machines_rented=sum(map(len, fleet.world.charters.values())),
+            jobs=len(
+                [
+                    j
+                    for j in fleet.rules.jobs
+                    if any(
+                        (j, t) not in fleet.rules.done for t in range(fleet.rules.jobs[j]["shares"])
+                    )
+                ]
+            ),
+            core_mean=sum(cores) / len(cores),
+            core_most=max(cores),
+            mb=max(held(c) for c in alive) / 2**20,
+            requests=(fleet.state.requests - requests) / past,
+            writes=(fleet.state.counted - counted) / past,
+            served={
+                " ".join(name): [*row, round(row.share, 3)] for name, row in sorted(rows.items())
+            },
+            worst=users.served.worst(users.now()),
+            jain=round(jain(row.share for (kind, _), row in rows.items() if kind == "team"), 4),
+            starts=(fleet.rules.starts - starts) / past,
+            written={kind: round(number / past, 2) for kind, number in kinds.most_common()},
+            killed=fleet.killed,
+            broken=fleet.rules.broken[:5],
+            submissions=users.took.get_total_count(),
+            p50_ms=users.took.get_value_at_percentile(50),
+            p99_ms=users.took.get_value_at_percentile(99),
+            within_1s=share_within(users.took, 1000),
+            asked_p99_ms=users.asked.get_value_at_percentile(99),
+            errors=dict(users.errors),
+            sockets=max(net.most.get(f"10.0.0.{n}", 0) for n in range(3)),
+            refused=net.refused,
+            late_s=max(
+                (
+                    c.admission.processor.late_s(users.now())
+                    for c in alive
+                    if hasattr(c, "admission")
+                ),
+                default=0.0,
+            ),
+            longest_s=fleet.longest(),
+            real_s=time.perf_counter() - wall,
+            takeovers={
+                team: [
+                    owner.takeover.machines,
+                    len(owner.part.jobs) if owner.part else 0,
+                    owner.takeover.words(),
+                ]
+                for c in alive
+                for team, owner in c.owners.items()
+                if hasattr(owner, "takeover")
+            },
+        )
 
     simulate(main, seed, meter)
     if meter.profile:
-        pstats.Stats(meter.profile).sort_stats("tottime").print_stats(25).sort_stats("cumulative").print_stats("ashdock", 40)
+        pstats.Stats(meter.profile).sort_stats("tottime").print_stats(25).sort_stats(
+            "cumulative"
+        ).print_stats("ashdock", 40)
     return out
 
 
 def whole_of(fleet: Fleet) -> str:
     """What each team uses, of how many machines it holds."""
-    held = {team: len(owner.part.machines) for c in fleet.controllers.values() for team, owner in c.owners.items() if owner.part}
-    return " ".join(f"{team} {fleet.rules.used.get(team, 0.0):.0f} of {held.get(team, 0)}" for team, _, _ in TEAMS) + f" of {len(fleet.world.workers)}"
+    held = {
+        team: len(owner.part.machines)
+        for c in fleet.controllers.values()
+        for team, owner in c.owners.items()
+        if owner.part
+    }
+    return (
+        " ".join(
+            f"{team} {fleet.rules.used.get(team, 0.0):.0f} of {held.get(team, 0)}"
+            for team, _, _ in TEAMS
+        )
+        + f" of {len(fleet.world.workers)}"
+    )
 
 
 def share_within(histogram: HdrHistogram, ms: int) -> float:
     total = histogram.get_total_count()
-    return sum(i.count_added_in_this_iter_step for i in histogram.get_recorded_iterator() if i.value_iterated_to <= ms) / total if total else 1.0
+    return (
+        sum(
+            i.count_added_in_this_iter_step
+            for i in histogram.get_recorded_iterator()
+            if i.value_iterated_to <= ms
+        )
+        / total
+        if total
+        else 1.0
+    )
 
 
 COLUMNS = [
-    ("machines", "machines", "{}"), ("jobs", "unfinished jobs", "{}"), ("starts", "starts a second", "{:.1f}"), ("core_mean", "cores, mean of three", "{:.3f}"),
-    ("core_most", "cores, busiest", "{:.3f}"), ("mb", "MB in tables", "{:.1f}"), ("requests", "state requests a second", "{:.0f}"),
-    ("writes", "writes a second", "{:.0f}"), ("sockets", "sockets at most", "{}"), ("within_1s", "submissions in 1 s", "{:.3f}"), ("killed", "killed by lease", "{}"),
-]  # fmt: skip
+    ("machines", "machines", "{}"),
+    ("jobs", "unfinished jobs", "{}"),
+    ("starts", "starts a second", "{:.1f}"),
+    ("core_mean", "cores, mean of three", "{:.3f}"),
+    ("core_most", "cores, busiest", "{:.3f}"),
+    ("mb", "MB in tables", "{:.1f}"),
+    ("requests", "state requests a second", "{:.0f}"),
+    ("writes", "writes a second", "{:.0f}"),
+    ("sockets", "sockets at most", "{}"),
+    ("within_1s", "submissions in 1 s", "{:.3f}"),
+    ("killed", "killed by lease", "{}"),
+]
 
 
 def table(rows: list[dict[str, Any]]) -> str:
     head = "| times | " + " | ".join(words for _, words, _ in COLUMNS) + " |"
     lines = [head, "|" + " --- |" * (len(COLUMNS) + 1)]
-    lines += [f"| {row['times']:g} | " + " | ".join(form.format(row[key]) for key, _, form in COLUMNS) + " |" for row in rows]
+    lines += [
+        f"| {row['times']:g} | "
+        + " | ".join(form.format(row[key]) for key, _, form in COLUMNS)
+        + " |"
+        for row in rows
+    ]
     return "\n".join(lines)
 
 
@@ -466,12 +674,26 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(1, 2, figsize=(9, 3.6))
-    for axis, key, words in ((axes[0], "core_most", "cores, busiest controller"), (axes[1], "mb", "MB in its tables")):
+    for axis, key, words in (
+        (axes[0], "core_most", "cores, busiest controller"),
+        (axes[1], "mb", "MB in its tables"),
+    ):
         for label, data, style in (("before", before, "o--"), ("now", rows, "o-")):
             if data:
-                axis.plot([row["machines"] for row in data], [row[key] for row in data], style, label=label)
+                axis.plot(
+                    [row["machines"] for row in data],
+                    [row[key] for row in data],
+                    style,
+                    label=label,
+                )
         first = rows[0]
-        axis.plot([row["machines"] for row in rows], [first[key] * row["machines"] / first["machines"] for row in rows], ":", color="grey", label="as the fleet")
+        axis.plot(
+            [row["machines"] for row in rows],
+            [first[key] * row["machines"] / first["machines"] for row in rows],
+            ":",
+            color="grey",
+            label="as the fleet",
+        )
         axis.set_xlabel("machines")
         axis.set_ylabel(words)
         axis.legend()
@@ -480,31 +702,75 @@
 
 
 def main() -> None:
-    top = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    top.add_argument("what", choices=["grow", "full", "alone", "calm", "hot", "hot-rough", "wide", "duties", "cost"])
+    top = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    top.add_argument(
+        "what",
+        choices=["grow", "full", "alone", "calm", "hot", "hot-rough", "wide", "duties", "cost"],
+    )
     top.add_argument("--times", type=float, nargs="+", default=[1, 2, 4, 8])
     top.add_argument("--sockets", type=int, default=1200)
     top.add_argument("--seconds", type=float, help="simulated, after 75 s to fill the fleet")
     top.add_argument("--seed", type=int, default=11)
     top.add_argument("--core", type=float, default=0.504, help="each controller's share of a core")
-    top.add_argument("--restart", type=float, default=0.3, help="seconds until an ended controller is back (wide)")
-    top.add_argument("--ends", default="5,8,12,30:all,33:all,60", help="seconds after the fleet is full (wide)")
+    top.add_argument(
+        "--restart",
+        type=float,
+        default=0.3,
+        help="seconds until an ended controller is back (wide)",
+    )
+    top.add_argument(
+        "--ends", default="5,8,12,30:all,33:all,60", help="seconds after the fleet is full (wide)"
+    )
     top.add_argument("--plot")
-    top.add_argument("--profile", action="store_true", help="print where the controllers' processor time goes")
+    top.add_argument(
+        "--profile", action="store_true", help="print where the controllers' processor time goes"
+    )
     top.add_argument("--save")
     top.add_argument("--before")
-    top.add_argument("--shape", action="append", default=[], help=f"of {', '.join(cost.SHAPES)} (cost); none: all")
-    top.add_argument("--course", action="append", default=[], help=f"of {', '.join(cost.COURSES)} (cost); none: all")
+    top.add_argument(
+        "--shape",
+        action="append",
+        default=[],
+        help=f"of {', '.join(cost.SHAPES)} (cost); none: all",
+    )
+    top.add_argument(
+        "--course",
+        action="append",
+        default=[],
+        help=f"of {', '.join(cost.COURSES)} (cost); none: all",
+    )
     options = top.parse_args()
-    if min(options.times) <= 0 or options.restart <= 0 or (options.seconds is not None and options.seconds <= 0):
+    if (
+        min(options.times) <= 0
+        or options.restart <= 0
+        or (options.seconds is not None and options.seconds <= 0)
+    ):
         courses.wrong("--times, --restart, --seconds: expected numbers above 0")
-    for flag, given, known in (("--shape", options.shape, cost.SHAPES), ("--course", options.course, cost.COURSES)):
+    for flag, given, known in (
+        ("--shape", options.shape, cost.SHAPES),
+        ("--course", options.course, cost.COURSES),
+    ):
         if set(given) - set(known):
-            courses.wrong(f"{flag}: expected some of {', '.join(known)}; found {', '.join(sorted(set(given) - set(known)))}")
+            courses.wrong(
+                f"{flag}: expected some of {', '.join(known)}; found {', '.join(sorted(set(given) - set(known)))}"
+            )
     if options.what == "cost":
         times = options.times[0] if len(options.times) == 1 else 1.0
-        tools = simulate, lambda fleet, times, shape: Users(fleet, times, options.seed, shape), Meter
-        cost.report(options.shape or list(cost.SHAPES), options.course or cost.COURSES, times, options.seconds or 30.0, options.save, tools)
+        tools = (
+            simulate,
+            lambda fleet, times, shape: Users(fleet, times, options.seed, shape),
+            Meter,
+        )
+        cost.report(
+            options.shape or list(cost.SHAPES),
+            options.course or cost.COURSES,
+            times,
+            options.seconds or 30.0,
+            options.save,
+            tools,
+        )
         return
     try:
         ends = courses.ends_of(options.ends) if options.what == "wide" else []
@@ -515,21 +781,45 @@
         # Sockets enough: what is asked is what computing and remembering cost.
         rows = []
         for times in options.times:
-            rows.append(measure(times, 100_000, seconds, options.core, seed=options.seed, profile=options.profile))
+            rows.append(
+                measure(
+                    times,
+                    100_000,
+                    seconds,
+                    options.core,
+                    seed=options.seed,
+                    profile=options.profile,
+                )
+            )
             if options.save:
                 Path(options.save).write_text(json.dumps(rows))
         print(table(rows))
         if options.plot:
-            plot(rows, json.loads(Path(options.before).read_text()) if options.before else [], options.plot)
+            plot(
+                rows,
+                json.loads(Path(options.before).read_text()) if options.before else [],
+                options.plot,
+            )
         return
     seconds = options.seconds or (60.0 if options.what in ("full", "alone") else COURSE_S)
     times = options.times[0] if len(options.times) == 1 else 4
-    row = measure(times, options.sockets, seconds, options.core, options.what, options.seed, options.profile, ends, options.restart)
+    row = measure(
+        times,
+        options.sockets,
+        seconds,
+        options.core,
+        options.what,
+        options.seed,
+        options.profile,
+        ends,
+        options.restart,
+    )
     print(json.dumps(row, indent=1))
     if options.save:
         Path(options.save).write_text(json.dumps(row))
     if row["worst"][0] < HALF or row["broken"]:
         sys.exit(1)
 
+
 if __name__ == "__main__":
     main()
--- a/tests/seats.py
+++ b/tests/seats.py
@@ -49,17 +49,32 @@
 
 
 class Model:
-    def __init__(self, controllers: int, takes: int, crashes: int, kind: str, without: str = "") -> None:
-        self.controllers, self.takes, self.crashes, self.kind, self.without = controllers, takes, crashes, kind, without
+    def __init__(
+        self, controllers: int, takes: int, crashes: int, kind: str, without: str = ""
+    ) -> None:
+        self.controllers, self.takes, self.crashes, self.kind, self.without = (
+            controllers,
+            takes,
+            crashes,
+            kind,
+            without,
+        )
 
     def start(self) -> State:
-        return State(None, -1, 0, 0, tuple(Process(1, 0) for _ in range(self.controllers)), (), 0, 0)
+        return State(
+            None, -1, 0, 0, tuple(Process(1, 0) for _ in range(self.controllers)), (), 0, 0
+        )
 
     @staticmethod
     def _put(state: State, n: int, seat: Seat | None = None, **more: object) -> State:
         process = state.processes[n]
         if seat is not None:
-            process = process._replace(phase=seat.phase, term=seat.term, until=max(seat.until, 0.0), settled=seat.settled_term)
+            process = process._replace(
+                phase=seat.phase,
+                term=seat.term,
+                until=max(seat.until, 0.0),
+                settled=seat.settled_term,
+            )
         process = process._replace(**more)
         return state._replace(processes=(*state.processes[:n], process, *state.processes[n + 1 :]))
 
@@ -67,7 +82,12 @@
     def _seat(state: State, n: int) -> Seat:
         process = state.processes[n]
         seat = Seat("machines", "leader", str(n), process.incarnation)
-        seat.phase, seat.term, seat.until, seat.settled_term = process.phase, process.term, process.until, process.settled
+        seat.phase, seat.term, seat.until, seat.settled_term = (
+            process.phase,
+            process.term,
+            process.until,
+            process.settled,
+        )
         return seat
 
     def steps(self, state: State) -> Iterator[tuple[str, State, str]]:
@@ -78,15 +98,22 @@
             if process.believes:
                 yield from self._duty(state, n, process)
         for at, effect in enumerate(state.late):
-            yield from self._arrives(state._replace(late=state.late[:at] + state.late[at + 1 :]), effect)
+            yield from self._arrives(
+                state._replace(late=state.late[:at] + state.late[at + 1 :]), effect
+            )
 
     def _tick(self, state: State) -> State:
-        processes = tuple(p._replace(lease=max(p.lease - 1, 0), until=max(p.until - 1, 0.0)) for p in state.processes)
+        processes = tuple(
+            p._replace(lease=max(p.lease - 1, 0), until=max(p.until - 1, 0.0))
+            for p in state.processes
+        )
         orphan = max(state.orphan - 1, 0)
         lasts = orphan if state.on < 0 else processes[state.on].lease
         return state._replace(processes=processes, orphan=orphan, key=state.key if lasts else None)
 
-    def _membership(self, state: State, n: int, process: Process) -> Iterator[tuple[str, State, str]]:
+    def _membership(
+        self, state: State, n: int, process: Process
+    ) -> Iterator[tuple[str, State, str]]:
         seat = self._seat(state, n)
         if not process.believes:
             yield f"{n} joins", self._put(state, n, lease=LEASE, believes=True), ""
@@ -105,17 +132,34 @@
         if state.crashes < self.crashes:
             orphaned = state._replace(on=-1, orphan=process.lease) if state.on == n else state
             born = Process(process.incarnation + 1, 0, seen=state.key)
-            yield f"{n} ends and is back", self._put(orphaned._replace(crashes=state.crashes + 1), n, **born._asdict()), ""
+            yield (
+                f"{n} ends and is back",
+                self._put(orphaned._replace(crashes=state.crashes + 1), n, **born._asdict()),
+                "",
+            )
 
     def _duty(self, state: State, n: int, process: Process) -> Iterator[tuple[str, State, str]]:
         seat = self._seat(state, n)
-        stands = seat.stands(None if process.seen is None else {"label": str(process.seen[0]), "incarnation": process.seen[1]})
-        if seat.phase is Phase.OPEN and stands in (Stands.FREE, Stands.FOR_US) and process.lease and state.last < self.takes:
+        stands = seat.stands(
+            None
+            if process.seen is None
+            else {"label": str(process.seen[0]), "incarnation": process.seen[1]}
+        )
+        if (
+            seat.phase is Phase.OPEN
+            and stands in (Stands.FREE, Stands.FOR_US)
+            and process.lease
+            and state.last < self.takes
+        ):
             stamp = process.seen[2] if process.seen else 0
             if self.without == "stamp" or stamp == (state.key[2] if state.key else 0):
                 key = (n, process.incarnation, state.last + 1)
                 seat.taken(key[2], process.lease - LEASE, LEASE, 0)
-                yield f"{n} takes it", self._put(state._replace(key=key, on=n, last=key[2]), n, seat, seen=key), ""
+                yield (
+                    f"{n} takes it",
+                    self._put(state._replace(key=key, on=n, last=key[2]), n, seat, seen=key),
+                    "",
+                )
             return
         if not seat.held:
             return
@@ -124,38 +168,79 @@
         seat.look(0)
         ours = state.key == (n, process.incarnation, process.term)
         if seat.may(0, process.term):
-            yield f"{n} calls the cloud", state, "" if ours else f"{n} called the cloud in term {process.term}, and the key says {state.key}"
+            yield (
+                f"{n} calls the cloud",
+                state,
+                ""
+                if ours
+                else f"{n} called the cloud in term {process.term}, and the key says {state.key}",
+            )
         chooses = seat.may_choose(0, process.term) or (
-            seat.may(0, process.term) and (self.without == "settling" or (self.without == "handing" and seat.phase is Phase.HANDING))
+            seat.may(0, process.term)
+            and (
+                self.without == "settling"
+                or (self.without == "handing" and seat.phase is Phase.HANDING)
+            )
         )
         effect = Effect(self.kind, process.term)
         if chooses and effect not in state.late and len(state.late) < 1 + (self.kind == "word"):
-            told = "" if process.settled == process.term else f"{n} chose before it knew what was under way"
+            told = (
+                ""
+                if process.settled == process.term
+                else f"{n} chose before it knew what was under way"
+            )
             if process.phase is Phase.HANDING:
                 told = f"{n} began something new while handing on"
-            yield f"{n} sends a {self.kind}", state._replace(late=tuple(sorted((*state.late, effect)))), told
+            yield (
+                f"{n} sends a {self.kind}",
+                state._replace(late=tuple(sorted((*state.late, effect)))),
+                told,
+            )
         if seat.phase is Phase.SETTLING and seat.may(0, seat.term):
             seat.settled(seat.term)
             yield f"{n} has settled", self._put(state, n, seat), ""
         elif seat.phase is Phase.HOLDING and seat.may(0, seat.term):
             seat.handing()
             yield f"{n} is about to hand on", self._put(state, n, seat), ""
-        elif seat.phase is Phase.HANDING and ours and state.last < self.takes and seat.may(0, seat.term):
+        elif (
+            seat.phase is Phase.HANDING
+            and ours
+            and state.last < self.takes
+            and seat.may(0, seat.term)
+        ):
             key = ((n + 1) % self.controllers, 0, state.last + 1)
             seat.lost(0)
-            yield f"{n} names the next", self._put(state._replace(key=key, last=key[2]), n, seat, seen=key), ""
+            yield (
+                f"{n} names the next",
+                self._put(state._replace(key=key, last=key[2]), n, seat, seen=key),
+                "",
+            )
 
     def _arrives(self, state: State, effect: Effect) -> Iterator[tuple[str, State, str]]:
         if effect.kind == "write":
             current = state.key[2] if state.key else 0
             applied = self.without == "condition" or effect.term == current
-            yield "a write arrives", state, f"a write of term {effect.term} was applied in term {current}" if applied and effect.term != current else ""
+            yield (
+                "a write arrives",
+                state,
+                f"a write of term {effect.term} was applied in term {current}"
+                if applied and effect.term != current
+                else "",
+            )
             return
         terms = Terms()
         terms.highest = state.heard
         admitted = self.without == "words" or terms.admit(effect.term)
-        broken = f"a word of term {effect.term} was followed after one of {state.heard}" if admitted and effect.term < state.heard else ""
-        yield "a word arrives", state._replace(heard=max(state.heard, effect.term) if admitted else state.heard), broken
+        broken = (
+            f"a word of term {effect.term} was followed after one of {state.heard}"
+            if admitted and effect.term < state.heard
+            else ""
+        )
+        yield (
+            "a word arrives",
+            state._replace(heard=max(state.heard, effect.term) if admitted else state.heard),
+            broken,
+        )
 
 
 def search(model: Model, most: int = 1_000_000) -> tuple[int, str, list[str]]:
@@ -192,5 +277,8 @@
             if broken:
                 return broken
             # Joins and renewals keep it going; what comes late, comes late.
-            state = rng.choices([after for _, after, _ in steps], [3.0 if "join" in what or "renew" in what else 1.0 for what, _, _ in steps])[0]
+            state = rng.choices(
+                [after for _, after, _ in steps],
+                [3.0 if "join" in what or "renew" in what else 1.0 for what, _, _ in steps],
+            )[0]
     return ""
--- a/tests/simtime.py
+++ b/tests/simtime.py
@@ -13,7 +13,9 @@
 WALL = 1_700_000_000.0
 TIMERS = ("_set_result_unless_cancelled", "_on_timeout")  # of a sleep and of a timeout
 BACKLOG = 128  # connections that wait to be accepted
-CALLER: ContextVar[str] = ContextVar("caller", default="?")  # the host that the connection being served comes from
+CALLER: ContextVar[str] = ContextVar(
+    "caller", default="?"
+)  # the host that the connection being served comes from
 
 
 class _NoSelect(selectors.DefaultSelector):
@@ -42,7 +44,9 @@
     def time(self) -> float:
         return self.clock
 
-    def call_at(self, when: float, callback: Callable[..., Any], *args: Any, context: Any = None) -> asyncio.TimerHandle:
+    def call_at(
+        self, when: float, callback: Callable[..., Any], *args: Any, context: Any = None
+    ) -> asyncio.TimerHandle:
         if self.net is not None and self.net.late and callback.__name__ in TIMERS:
             host = HOST.get(asyncio.current_task(self))
             if host in self.net.late:
@@ -76,7 +80,9 @@
         self.closed = False
         self.transport = _Transport(self)
         self.last = 0.0
-        self.held = False  # a socket of its process; one that has not been accepted yet waits in the kernel
+        self.held = (
+            False  # a socket of its process; one that has not been accepted yet waits in the kernel
+        )
 
     def hold(self) -> None:
         self.held = True
@@ -146,7 +152,9 @@
         self.servers: dict[str, tuple[str, Callable[..., Awaitable[None]]]] = {}
         self.ends: dict[str, list[End]] = {}
         self.cuts: set[frozenset[str]] = set()
-        self.tasks: dict[str, dict[asyncio.Task[Any], None]] = {}  # in order, so that each run is alike
+        self.tasks: dict[
+            str, dict[asyncio.Task[Any], None]
+        ] = {}  # in order, so that each run is alike
         self.sockets: dict[str, int] = {}  # host: how many it holds
         self.most: dict[str, int] = {}  # and at the most has held
         self.limits: dict[str, int] = {}  # host: beyond which new connections fail
@@ -154,7 +162,9 @@
         self.refused = 0
         self.late: dict[str, float] = {}  # host: how late its timers fire, at most
         self.slow = 0.0  # seconds more that each packet takes, at most
-        self.booting = ""  # the host that a task is being made for, if not for the one that makes it
+        self.booting = (
+            ""  # the host that a task is being made for, if not for the one that makes it
+        )
 
     def delay(self, a: str, b: str) -> float:
         return 0.001 + self.rng.random() * (0.002 + self.slow)
@@ -176,7 +186,9 @@
         await asyncio.sleep(self.delay(here, host))
         if where not in self.servers:
             raise ConnectionRefusedError
-        full = any(self.sockets.get(end, 0) >= self.limits.get(end, 1 << 30) for end in (here, host))
+        full = any(
+            self.sockets.get(end, 0) >= self.limits.get(end, 1 << 30) for end in (here, host)
+        )
         if full or self.waiting.get(host, 0) >= BACKLOG:
             self.refused += 1
             raise ConnectionRefusedError
@@ -200,14 +212,18 @@
             CALLER.set(far.there)
             await serve(far.reader, far)
 
-    async def start_server(self, serve: Callable[..., Awaitable[None]], host: str, port: int, **_: Any) -> _SimServer:
+    async def start_server(
+        self, serve: Callable[..., Awaitable[None]], host: str, port: int, **_: Any
+    ) -> _SimServer:
         where = f"{host}:{port}"
         self.servers[where] = (host, serve)
         return _SimServer(self, where)
 
     def remember(self, host: str, task: asyncio.Task[Any]) -> None:
         self.tasks.setdefault(host, {})[task] = None
-        task.add_done_callback(lambda done: (self.tasks.get(host, {}).pop(done, None), HOST.pop(done, None)))
+        task.add_done_callback(
+            lambda done: (self.tasks.get(host, {}).pop(done, None), HOST.pop(done, None))
+        )
 
     def kill(self, host: str) -> None:
         """End a process without warning: its connections are reset, nothing of it goes on."""
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -30,23 +30,33 @@
         self.holds: dict[int, tuple[float, float]] = {}  # ends at, ttl
         self.permits = 0
         self.down = False
-        self.refusing: set[str] = set()  # hosts that it refuses alone: their watches wait, their leases run out
+        self.refusing: set[str] = (
+            set()
+        )  # hosts that it refuses alone: their watches wait, their leases run out
         self.slow = 0.0  # seconds more that it takes to answer
         self.lose_answers = 0.0  # share of transactions whose answer never comes
         self.apply_late = 0.0  # share of transactions applied only seconds later, unanswered
         self.rng = random.Random(net.rng.random())
         self.wake = asyncio.Condition()
         self.blind = False  # watches of jobs see nothing, and then have fallen too far behind
-        self.limits: tuple[float, int] | None = None  # bytes of a value and changes of a transaction that it takes
+        self.limits: tuple[float, int] | None = (
+            None  # bytes of a value and changes of a transaction that it takes
+        )
         self.write_rps: float | None = None
         self.tokens, self.filled = 0.0, 0.0
         self.refused: dict[int, int] = {}  # by status
         self.counted = 0  # puts and deletes
         self.requests = 0
         self.hook: Any = None  # called with each transaction's writes before they are applied
-        self.fenced: Any = None  # called with the paths that a transaction which is applied names, and its writes
-        self.lost: Callable[[list[dict[str, Any]]], str] | None = None  # "answer" or "late" for writes whose answer alone is lost, or that are late
-        self.applied: Callable[[str, Any], None] | None = None  # called with each path that was written, and its value
+        self.fenced: Any = (
+            None  # called with the paths that a transaction which is applied names, and its writes
+        )
+        self.lost: Callable[[list[dict[str, Any]]], str] | None = (
+            None  # "answer" or "late" for writes whose answer alone is lost, or that are late
+        )
+        self.applied: Callable[[str, Any], None] | None = (
+            None  # called with each path that was written, and its value
+        )
 
     async def start(self) -> None:
         self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
@@ -74,7 +84,9 @@
         for write in writes:
             if "set" in write:
                 self.keys[write["set"]] = (write["value"], self.ledger, write.get("permit"))
-                self.changes.append({"set": write["set"], "value": write["value"], "stamp": self.ledger})
+                self.changes.append(
+                    {"set": write["set"], "value": write["value"], "stamp": self.ledger}
+                )
             elif self.keys.pop(write["delete"], None):
                 self.changes.append({"delete": write["delete"], "stamp": self.ledger})
             if self.applied:
@@ -97,10 +109,19 @@
         if path.startswith("/holds"):
             return self._hold(request, path)
         if path == "/store":
-            found = sorted(key for key in self.keys if key.startswith(words["under"]) and key > words.get("from", ""))
+            found = sorted(
+                key
+                for key in self.keys
+                if key.startswith(words["under"]) and key > words.get("from", "")
+            )
             most = int(words.get("most", 1000))
-            entries = [{"path": key, "value": self.keys[key][0], "stamp": self.keys[key][1]} for key in found[:most]]
-            return reply(200, {"entries": entries, "truncated": len(found) > most, "ledger": self.ledger})
+            entries = [
+                {"path": key, "value": self.keys[key][0], "stamp": self.keys[key][1]}
+                for key in found[:most]
+            ]
+            return reply(
+                200, {"entries": entries, "truncated": len(found) > most, "ledger": self.ledger}
+            )
         key = unquote(path.removeprefix("/store/"))
         if key not in self.keys:
             return reply(404, {"ledger": self.ledger})
@@ -122,7 +143,11 @@
         """The status of a transaction beyond the limits, as they are at this moment and without notice; 0 within them."""
         if self.limits:
             most, ops = self.limits
-            if len(writes) > ops or any(len(json.dumps(w["value"], separators=(",", ":"))) > most for w in writes if "set" in w):
+            if len(writes) > ops or any(
+                len(json.dumps(w["value"], separators=(",", ":"))) > most
+                for w in writes
+                if "set" in w
+            ):
                 return 400
         if self.write_rps and writes:
             now = asyncio.get_running_loop().time()
@@ -141,7 +166,11 @@
         writes = body.get("writes", [])
         if any("permit" in write and write["permit"] not in self.holds for write in writes):
             return reply(400, {"error": "no such lease"})
-        failed = [c["path"] for c in body.get("when", []) if self.keys.get(c["path"], (0, 0, 0))[1] != c["stamp"]]
+        failed = [
+            c["path"]
+            for c in body.get("when", [])
+            if self.keys.get(c["path"], (0, 0, 0))[1] != c["stamp"]
+        ]
         if failed:
             return reply(409, {"failed": failed, "ledger": self.ledger})
         trouble = self._beyond(writes)
@@ -195,7 +224,9 @@
 class Worker:
     """One machine's worker. Faults: `hang`, `error_share`; and whatever the network does."""
 
-    def __init__(self, world: World, name: str, kind: str, zone: str, spot: bool, number: int) -> None:
+    def __init__(
+        self, world: World, name: str, kind: str, zone: str, spot: bool, number: int
+    ) -> None:
         self.world = world
         self.name = name
         self.kind = kind
@@ -268,15 +299,29 @@
         self.tally += 1
         out = []
         for (share, attempt), task in self.shares.items():
-            out.append({"share": share, "try": attempt, "status": task["status"], **task.get("more", {})})
+            out.append(
+                {"share": share, "try": attempt, "status": task["status"], **task.get("more", {})}
+            )
         recall = None if self.recall_at is None else max(0.0, self.recall_at - self.now())
-        return {"berth": self.name, "address": self.address, "hull": self.kind, "yard": self.zone, "loaners": self.spot,
-                "tenure": self.tenure, "tally": self.tally, "warrant": self.token, "recall_s": recall, "shares": out}  # fmt: skip
+        return {
+            "berth": self.name,
+            "address": self.address,
+            "hull": self.kind,
+            "yard": self.zone,
+            "loaners": self.spot,
+            "tenure": self.tenure,
+            "tally": self.tally,
+            "warrant": self.token,
+            "recall_s": recall,
+            "shares": out,
+        }
 
     async def _report(self, node: str) -> float | str:
         """0 to stay, a pause before the next node, or the node to go to."""
         sent, tenure = self.now(), self.tenure
-        client = self.clients.setdefault(node, Client(self.world.nodes[node], 8080, keep=self.world.keep))
+        client = self.clients.setdefault(
+            node, Client(self.world.nodes[node], 8080, keep=self.world.keep)
+        )
         for other in [name for name in self.clients if name != node]:
             self.clients.pop(other).close()
         told = json.dumps(self.message()).encode()
@@ -315,27 +360,47 @@
         self.awake.clear()
         await asyncio.sleep(min(for_s, 2.0))
         if not self.awake.is_set():  # the mates of its gangs notice
-            self.world.lost_mates |= {(share.rsplit("/", 1)[0], attempt) for (share, attempt), task in self.shares.items() if task["status"] == "running"}
+            self.world.lost_mates |= {
+                (share.rsplit("/", 1)[0], attempt)
+                for (share, attempt), task in self.shares.items()
+                if task["status"] == "running"
+            }
         await asyncio.sleep(max(for_s - 2.0, 0.0))
         self.awake.set()
 
     def room(self) -> Room:
         """What is free on it."""
-        runs = [self.world.rules.jobs[share.rsplit("/", 1)[0]] for (share, _), task in self.shares.items() if task["status"] != "ended"]
-        return Room(self.place(0), *(whole - sum(run[what] for run in runs) for what, whole in (("cpus", 32), ("accelerators", 4), ("ram_gb", 192))))
+        runs = [
+            self.world.rules.jobs[share.rsplit("/", 1)[0]]
+            for (share, _), task in self.shares.items()
+            if task["status"] != "ended"
+        ]
+        return Room(
+            self.place(0),
+            *(
+                whole - sum(run[what] for run in runs)
+                for what, whole in (("cpus", 32), ("accelerators", 4), ("ram_gb", 192))
+            ),
+        )
 
     async def _again(self, node: str, told: bytes, after_s: float | None = None) -> None:
         """A copy of a report arrives long after newer ones; nobody hears the answer."""
-        await asyncio.sleep(2 + 1.5 * self.world.lease_s * self.world.rng.random() if after_s is None else after_s)
+        await asyncio.sleep(
+            2 + 1.5 * self.world.lease_s * self.world.rng.random() if after_s is None else after_s
+        )
         try:
-            await Client(self.world.nodes[node], 8080, keep=0).request("POST", "/checkin", told, 4.0)
+            await Client(self.world.nodes[node], 8080, keep=0).request(
+                "POST", "/checkin", told, 4.0
+            )
         except NoAnswer:
             pass
 
     async def handle(self, request: Request) -> Answer:
         held = self.world.held_orders
         if held and request.target == "/orders" and self.world.rng.random() < held[0]:
-            await asyncio.sleep(self.world.rng.uniform(*held[1:]))  # carried out then, if token and session still match
+            await asyncio.sleep(
+                self.world.rng.uniform(*held[1:])
+            )  # carried out then, if token and session still match
         if self.deaf:
             await asyncio.sleep(60)
             return reply(503, {})
@@ -370,7 +435,11 @@
         if run is None:
             task.update(status="ended", more={"cause": "no_such"})
             return
-        busy = [key for key, other in self.shares.items() if other["status"] != "ended" and key != (share, attempt)]
+        busy = [
+            key
+            for key, other in self.shares.items()
+            if other["status"] != "ended" and key != (share, attempt)
+        ]
         if any(key[0] == share for key in busy):
             task.update(status="ended", more={"cause": "in_use"})
             return
@@ -380,7 +449,9 @@
             return
         spawn(self.world.net, self.host, self._work(share, attempt, run, task))
 
-    async def _work(self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]) -> None:
+    async def _work(
+        self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]
+    ) -> None:
         job, number = share.rsplit("/", 1)
         if run["bundle"] not in self.images:
             await asyncio.sleep(run["size_gb"] / 2)
@@ -399,7 +470,11 @@
             task["status"] = "running"
             self.world.gangs.setdefault((job, attempt), []).append((self, share))
             self.change.set()
-        work = run.get("spans", {}).get(int(number), run["expect_s"]) if run["shape"] != "daemon" else 1e9
+        work = (
+            run.get("spans", {}).get(int(number), run["expect_s"])
+            if run["shape"] != "daemon"
+            else 1e9
+        )
         # A gang has one progress, that of its first task to save in an attempt. Kept for each task alone, one resumed behind the other, and was
         # not done when the whole was.
         saved = job if gang else share
@@ -411,7 +486,11 @@
             await self.awake.wait()
             left -= step
             if task["status"] == "ended":
-                if run["snapshot_s"] and task.get("more", {}).get("kept") and self.world.saved_in.get(saved) != attempt:
+                if (
+                    run["snapshot_s"]
+                    and task.get("more", {}).get("kept")
+                    and self.world.saved_in.get(saved) != attempt
+                ):
                     self.world.saved[saved], self.world.saved_in[saved] = work - left, attempt
                 return
             if failing:
@@ -452,7 +531,16 @@
 class World:
     """The cloud, its machines, and the nodes' addresses."""
 
-    def __init__(self, net: Net, rules: Rules, nodes: dict[str, str], zones: list[str], capacity: int, lease_s: float, report_s: float) -> None:
+    def __init__(
+        self,
+        net: Net,
+        rules: Rules,
+        nodes: dict[str, str],
+        zones: list[str],
+        capacity: int,
+        lease_s: float,
+        report_s: float,
+    ) -> None:
         self.net = net
         self.rules = rules
         self.nodes = nodes
@@ -471,10 +559,14 @@
         self.number = 0
         self.keep = 0  # connections to a controller that a worker keeps between its reports
         self.late_reports = 0.0  # share of reports of which a copy arrives again, later
-        self.kept_share = 0.0  # share of which a copy is kept until the lead or a part changes hands
+        self.kept_share = (
+            0.0  # share of which a copy is kept until the lead or a part changes hands
+        )
         self.kept: list[tuple[Worker, bytes]] = []
         self.boot_s = 6.0
-        self.held_orders: tuple[float, float, float] | None = None  # share of direct commands held up, for how long at least and at most
+        self.held_orders: tuple[float, float, float] | None = (
+            None  # share of direct commands held up, for how long at least and at most
+        )
         self.down = False
         self.lag = 0.0  # how old the machine lists are that it gives
         self.lists: list[tuple[float, list[dict[str, Any]]]] = []
@@ -491,11 +583,22 @@
         kept, self.kept = self.kept[-100:], []
         for worker, told in kept:
             for node in self.nodes:
-                spawn(self.net, worker.host, worker._again(node, told, self.rng.choice((0.0, 0.3, 2.0)) * self.rng.random()))
+                spawn(
+                    self.net,
+                    worker.host,
+                    worker._again(node, told, self.rng.choice((0.0, 0.3, 2.0)) * self.rng.random()),
+                )
 
     def rooms(self) -> list[Room]:
         """Machines that could take work at this moment."""
-        return [w.room() for w in self.workers.values() if w.up and not (w.dead or w.deaf or w.mute) and w.awake.is_set() and w.recall_at is None]
+        return [
+            w.room()
+            for w in self.workers.values()
+            if w.up
+            and not (w.dead or w.deaf or w.mute)
+            and w.awake.is_set()
+            and w.recall_at is None
+        ]
 
     def boot(self, zone: str, spot: bool, after: float) -> str:
         name = f"vm-{self.number:06d}"
@@ -535,8 +638,18 @@
         if self.down:
             return reply(503, {"error": "trouble"})
         if path == "/catalog":
-            shape = {"label": "g4", "cpus": 32, "accelerators": 4, "ram_gb": 192, "cache_gb": 80, "fetch_gb_per_s": 2.0,
-                     "price": 10.0, "low_price": 2.5, "boot_s": 6.0, "yards": self.zones}  # fmt: skip
+            shape = {
+                "label": "g4",
+                "cpus": 32,
+                "accelerators": 4,
+                "ram_gb": 192,
+                "cache_gb": 80,
+                "fetch_gb_per_s": 2.0,
+                "price": 10.0,
+                "low_price": 2.5,
+                "boot_s": 6.0,
+                "yards": self.zones,
+            }
             return reply(200, {"hulls": [shape]})
         if path == "/hosts" and request.method == "POST":
             body = json.loads(request.body)
@@ -544,7 +657,10 @@
                 free = self.capacity - len(self.workers)
                 if free <= 0 or body["loaners"]:
                     return reply(503, {"error": "no capacity"})
-                names = [self.boot(body["yard"], False, self.boot_s * (0.6 + self.rng.random())) for _ in range(min(free, body["how_many"]))]
+                names = [
+                    self.boot(body["yard"], False, self.boot_s * (0.6 + self.rng.random()))
+                    for _ in range(min(free, body["how_many"]))
+                ]
                 self.charters[body["charter"]] = names
             return reply(200, {"berths": self.charters[body["charter"]]})
         if path == "/hosts/release":
@@ -561,8 +677,15 @@
     def _list(self, now: float) -> None:
         """What the list shows of this moment, once that is as old as lists are."""
         hosts = [
-            {"id": w.name, "address": w.address, "hull": w.kind, "yard": w.zone, "loaners": w.spot, "status": "running",
-             "age_s": now - self.born[w.name]}
+            {
+                "id": w.name,
+                "address": w.address,
+                "hull": w.kind,
+                "yard": w.zone,
+                "loaners": w.spot,
+                "status": "running",
+                "age_s": now - self.born[w.name],
+            }
             for w in self.workers.values()
-        ]  # fmt: skip
+        ]
         self.lists.append((now, hosts))
