--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,11 @@
 from tests.rules import On, Room, Rules
 from tests.whole import job
 
-A, B, SPOT = On("m1", "g4", "a", False, 1), On("m2", "g4", "b", False, 2), On("m3", "g4", "a", True, 1)
+A, B, SPOT = (
+    On("m1", "g4", "a", False, 1),
+    On("m2", "g4", "b", False, 2),
+    On("m3", "g4", "a", True, 1),
+)
 FREE, ONE = Room(A, 4.0, 4.0, 64.0), Room(A, 4.0, 1.0, 64.0)
 
 
@@ -75,7 +79,14 @@
     def act(r: Rules) -> None:
         r.started("req-000001", 0, A, 1)
         r.answered("req-000001", 201, "queued", submission=True)
-        r.accounted({path.replace("_", "/", 3) if path.startswith("work") else path.replace("_", "/"): value for path, value in keys.items()})
+        r.accounted(
+            {
+                path.replace("_", "/", 3)
+                if path.startswith("work")
+                else path.replace("_", "/"): value
+                for path, value in keys.items()
+            }
+        )
 
     return act
 
@@ -115,7 +126,10 @@
 
     def act(r: Rules) -> None:
         for n, at in enumerate(began):
-            run = job(10 + n, owner="blue", workload="w2", accelerators=0.5, shares=1 if n else 3) | more
+            run = (
+                job(10 + n, owner="blue", workload="w2", accelerators=0.5, shares=1 if n else 3)
+                | more
+            )
             r.submitted(run)
             r.answered(run["id"], 201, "queued", submission=True, now=0.0)
             for task in range(run["shares"]):
@@ -145,46 +159,95 @@
 QUEUED, OVER = {"status": "queued"}, {"status": "done"}
 
 PLANTED = [
-    ("forgotten", unanswered(90.0, False, 170.0)), (None, unanswered(90.0, True, 170.0)), ("forgotten", unanswered(90.0, True, 176.0)),
-    (None, unanswered(120.0, False, 170.0)), ("forgotten", stored()), ("forgotten", stored(**{"job_req-000001": QUEUED})),
-    (None, stored(**{"job_req-000001": OVER})), (None, stored(**{"job_req-000001": QUEUED, "work_red_req-000001_job": QUEUED})),
-    ("ran_twice", twice), ("quota", over_quota), ("wrong_place", together), ("wrong_place", spread),
+    ("forgotten", unanswered(90.0, False, 170.0)),
+    (None, unanswered(90.0, True, 170.0)),
+    ("forgotten", unanswered(90.0, True, 176.0)),
+    (None, unanswered(120.0, False, 170.0)),
+    ("forgotten", stored()),
+    ("forgotten", stored(**{"job_req-000001": QUEUED})),
+    (None, stored(**{"job_req-000001": OVER})),
+    (None, stored(**{"job_req-000001": QUEUED, "work_red_req-000001_job": QUEUED})),
+    ("ran_twice", twice),
+    ("quota", over_quota),
+    ("wrong_place", together),
+    ("wrong_place", spread),
     ("wrong_place", lambda r: r.started("req-000002", 0, SPOT, 1)),
     ("wrong_place", lambda r: r.started("req-000004", 0, A, 1)),
     ("wrong_place", lambda r: r.started("req-000005", 0, A, 1)),
-    ("ran_cancelled", after_cancel), ("ran_cancelled", still_there), ("forgotten", forgotten),
+    ("ran_cancelled", after_cancel),
+    ("ran_cancelled", still_there),
+    ("forgotten", forgotten),
     ("invented", lambda r: r.answered("req-999999", 200, "queued")),
     ("not_done", lambda r: r.answered("req-000001", 200, "done")),
     ("went_back", lambda r: r.answered("req-000001", 200, "withdrawn")),
-    ("nothing_ran", lambda r: None), (None, clean),
+    ("nothing_ran", lambda r: None),
+    (None, clean),
     # Close looks: an older answer to what was asked after a user was told something newer; one that was on its way is none.
-    ("went_back", looked(6, 5.5, 200, "queued")), (None, looked(6, 4.9, 200, "queued")), ("went_back", looked(6, 4.9, 200, "done")),
-    ("forgotten", looked(6, 5.5, 404)), ("forgotten", looked(6, 1.0, 404)), (None, looked(6, 0.9, 404)), (None, looked(6, 5.5, 503)),
+    ("went_back", looked(6, 5.5, 200, "queued")),
+    (None, looked(6, 4.9, 200, "queued")),
+    ("went_back", looked(6, 4.9, 200, "done")),
+    ("forgotten", looked(6, 5.5, 404)),
+    ("forgotten", looked(6, 1.0, 404)),
+    (None, looked(6, 0.9, 404)),
+    (None, looked(6, 5.5, 503)),
     ("went_back", looked(6, 5.5, 200, "running")),
     # Submissions that can't run.
-    ("took_bad", bad(201)), ("took_bad", bad(200)), ("took_bad", bad(400)), ("took_bad", bad(422, stored=True)), (None, bad(422)),
+    ("took_bad", bad(201)),
+    ("took_bad", bad(200)),
+    ("took_bad", bad(400)),
+    ("took_bad", bad(422, stored=True)),
+    (None, bad(422)),
     # What waits beside room that fits.
-    ("idle", waits([FREE], 101.0)), (None, waits([FREE], 99.0)), (None, waits([FREE], 101.0, used=2.0)), ("idle", waits([FREE], 101.0, used=1.0)),
-    (None, waits([FREE._replace(cpus=0.5)], 101.0)), (None, waits([FREE._replace(accelerators=0.0)], 101.0)), (None, waits([FREE], 101.0, yard="b")),
-    (None, waits([FREE], 101.0, hulls=["g8"])), (None, waits([FREE._replace(place=SPOT)], 101.0)), ("idle", waits([FREE._replace(place=SPOT)], 101.0, loaners=True)),
-    ("idle", waits([FREE], 101.0, shape="ensemble")), (None, waits([FREE], 101.0, shape="ensemble", used=1.0)),
-    (None, waits([ONE, ONE._replace(place=B)], 101.0, shape="ensemble", same_place=True)), ("idle", waits([ONE, ONE._replace(place=B)], 101.0, shape="ensemble")),
-    (None, waits([FREE], 101.0, shape="ensemble", spread=True)), ("idle", waits([FREE, FREE._replace(place=B)], 101.0, shape="ensemble", spread=True)),
-    (None, waits([FREE], 101.0, awaits=["req-000001"])), (None, waits([], 101.0)),
+    ("idle", waits([FREE], 101.0)),
+    (None, waits([FREE], 99.0)),
+    (None, waits([FREE], 101.0, used=2.0)),
+    ("idle", waits([FREE], 101.0, used=1.0)),
+    (None, waits([FREE._replace(cpus=0.5)], 101.0)),
+    (None, waits([FREE._replace(accelerators=0.0)], 101.0)),
+    (None, waits([FREE], 101.0, yard="b")),
+    (None, waits([FREE], 101.0, hulls=["g8"])),
+    (None, waits([FREE._replace(place=SPOT)], 101.0)),
+    ("idle", waits([FREE._replace(place=SPOT)], 101.0, loaners=True)),
+    ("idle", waits([FREE], 101.0, shape="ensemble")),
+    (None, waits([FREE], 101.0, shape="ensemble", used=1.0)),
+    (None, waits([ONE, ONE._replace(place=B)], 101.0, shape="ensemble", same_place=True)),
+    ("idle", waits([ONE, ONE._replace(place=B)], 101.0, shape="ensemble")),
+    (None, waits([FREE], 101.0, shape="ensemble", spread=True)),
+    ("idle", waits([FREE, FREE._replace(place=B)], 101.0, shape="ensemble", spread=True)),
+    (None, waits([FREE], 101.0, awaits=["req-000001"])),
+    (None, waits([], 101.0)),
     # What a transaction names.
-    ("unfenced", txn([], "job/req-1")), (None, txn(["job/req-1"], "job/req-1")), (None, txn([], "catalog")), ("unfenced", txn([], "member/n1")),
-    ("unfenced", txn(["work/red/req-1/0", "job/req-1"], "work/red/req-1/0")), ("unfenced", txn(["work/red/req-1/0", "part/red"], "work/red/req-1/0")),
-    ("unfenced", txn(["part/red", "job/req-1"], "work/red/req-1/0")), (None, txn(["work/red/req-1/0", "part/red", "job/req-1"], "work/red/req-1/0")),
-    ("unfenced", txn([], "work/red/req-1/job")), (None, txn(["job/req-1"], "work/red/req-1/job")), (None, txn(["work/red/req-1/job"], "work/red/req-1/job")),
-    ("unfenced", txn(["park/red/0"], "park/red/0")), (None, txn(["park/red/0", "part/red"], "park/red/0")), ("unfenced", txn(["part/red"], "park/red/0")),
-    ("unfenced", txn(["charter/a"], "charter/a")), (None, txn(["charter/a", "leader"], "charter/a")), ("unfenced", txn(["machine/a"], "machine/a")),
-    ("unfenced", txn(["leader"], "machine/a")), (None, txn(["machine/a", "leader"], "machine/a")), (None, txn(["machine/a", "part/red"], "machine/a")),
+    ("unfenced", txn([], "job/req-1")),
+    (None, txn(["job/req-1"], "job/req-1")),
+    (None, txn([], "catalog")),
+    ("unfenced", txn([], "member/n1")),
+    ("unfenced", txn(["work/red/req-1/0", "job/req-1"], "work/red/req-1/0")),
+    ("unfenced", txn(["work/red/req-1/0", "part/red"], "work/red/req-1/0")),
+    ("unfenced", txn(["part/red", "job/req-1"], "work/red/req-1/0")),
+    (None, txn(["work/red/req-1/0", "part/red", "job/req-1"], "work/red/req-1/0")),
+    ("unfenced", txn([], "work/red/req-1/job")),
+    (None, txn(["job/req-1"], "work/red/req-1/job")),
+    (None, txn(["work/red/req-1/job"], "work/red/req-1/job")),
+    ("unfenced", txn(["park/red/0"], "park/red/0")),
+    (None, txn(["park/red/0", "part/red"], "park/red/0")),
+    ("unfenced", txn(["part/red"], "park/red/0")),
+    ("unfenced", txn(["charter/a"], "charter/a")),
+    (None, txn(["charter/a", "leader"], "charter/a")),
+    ("unfenced", txn(["machine/a"], "machine/a")),
+    ("unfenced", txn(["leader"], "machine/a")),
+    (None, txn(["machine/a", "leader"], "machine/a")),
+    (None, txn(["machine/a", "part/red"], "machine/a")),
     # Less than half of a class, a team or a class's largest jobs begins within four minutes.
-    (None, begins(200.0, 10.0, 20.0)), ("unserved", begins(250.0, 10.0, 20.0)), ("unserved", begins(10.0, 250.0, 250.0)), (None, begins(10.0, 250.0)),
-]  # fmt: skip
+    (None, begins(200.0, 10.0, 20.0)),
+    ("unserved", begins(250.0, 10.0, 20.0)),
+    ("unserved", begins(10.0, 250.0, 250.0)),
+    (None, begins(10.0, 250.0)),
+]
 
 
-@pytest.mark.parametrize(("rule", "act"), PLANTED, ids=[str(rule) + str(n) for n, (rule, _) in enumerate(PLANTED)])
+@pytest.mark.parametrize(
+    ("rule", "act"), PLANTED, ids=[str(rule) + str(n) for n, (rule, _) in enumerate(PLANTED)]
+)
 def test_planted(rule, act) -> None:  # type: ignore[no-untyped-def]
     rules = Rules(10.0, {"red": 2.0, "blue": 100.0})
     rules.submitted(job(1, shares=3))
@@ -209,4 +272,6 @@
     rules.answered("req-000001", 200, "withdrawn", now=5)
     rules.started("req-000001", 1, A, 6)
     rules.started("req-000001", 2, A, 15.5)
-    assert rules.late_starts == [("req-000001", 1), ("req-000001", 10.5)] and {rule for rule, _ in rules.broken} == {"ran_cancelled"}
+    assert rules.late_starts == [("req-000001", 1), ("req-000001", 10.5)] and {
+        rule for rule, _ in rules.broken
+    } == {"ran_cancelled"}
--- a/tests/test_stock.py
+++ b/tests/test_stock.py
@@ -11,16 +11,28 @@
 from ashdock.core.stock import Kind, Lent, Stock
 
 MACHINE = some.tuples(
-    some.sampled_from(["", "red", "blue"]), some.sampled_from("ab"), some.booleans(), some.integers(0, 2),
-    some.integers(0, 6), some.frozensets(some.sampled_from(["i1", "i2", "i3"])),
-)  # fmt: skip
+    some.sampled_from(["", "red", "blue"]),
+    some.sampled_from("ab"),
+    some.booleans(),
+    some.integers(0, 2),
+    some.integers(0, 6),
+    some.frozensets(some.sampled_from(["i1", "i2", "i3"])),
+)
 # A want: in which zone, of which image, up to what loss from whom, and how many machines.
-WANT = some.tuples(some.sampled_from(["", "a", "b"]), some.sampled_from([None, "i1", "i2"]), some.integers(-1, 7), some.sampled_from(["red", "blue"]), some.integers(1, 4))
+WANT = some.tuples(
+    some.sampled_from(["", "a", "b"]),
+    some.sampled_from([None, "i1", "i2"]),
+    some.integers(-1, 7),
+    some.sampled_from(["red", "blue"]),
+    some.integers(1, 4),
+)
 
 
 @given(some.lists(MACHINE, max_size=24), some.lists(WANT, max_size=8))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_a_stock_gives_what_a_look_at_each_machine_gives(machines: list[Any], wants: list[Any]) -> None:
+def test_a_stock_gives_what_a_look_at_each_machine_gives(
+    machines: list[Any], wants: list[Any]
+) -> None:
     rows = [
         ((float(loss), 0.0), priority, Lent(f"m{n:02}", part, "g4", zone, spot, 1, "", images))
         for n, (part, zone, spot, priority, loss, images) in enumerate(machines)
@@ -35,11 +47,17 @@
             return most if kind.part else math.inf
 
         fitting = sorted(
-            (key, name) for name, (key, m) in left.items()
-            if zone in ("", m.zone) and m.part != by and (image is None or image in m.images) and (key[0] <= most or not m.part)
-        )  # fmt: skip
+            (key, name)
+            for name, (key, m) in left.items()
+            if zone in ("", m.zone)
+            and m.part != by
+            and (image is None or image in m.images)
+            and (key[0] <= most or not m.part)
+        )
         if image is None:
-            assert sum(stock.count(shelf, limit(shelf.kind)) for shelf in stock.shelves_for(suits)) == len(fitting)
+            assert sum(
+                stock.count(shelf, limit(shelf.kind)) for shelf in stock.shelves_for(suits)
+            ) == len(fitting)
         taken = []
         for machine in stock.take(stock.shelves_for(suits, image), limit):
             taken.append(machine.name)
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -18,8 +18,19 @@
 
 JOBS = [
     job(1, shares=6),
-    job(2, owner="blue", shape="ensemble", shares=2, accelerators=4.0, same_place=True, snapshot_s=3.0, flush_s=1.0),
-    job(3, shape="ensemble", shares=3, accelerators=2.0, urgency="high", snapshot_s=3.0, flush_s=1.0),
+    job(
+        2,
+        owner="blue",
+        shape="ensemble",
+        shares=2,
+        accelerators=4.0,
+        same_place=True,
+        snapshot_s=3.0,
+        flush_s=1.0,
+    ),
+    job(
+        3, shape="ensemble", shares=3, accelerators=2.0, urgency="high", snapshot_s=3.0, flush_s=1.0
+    ),
     job(4, owner="blue", shares=5, spread=True, yard=None),
     job(5, shares=3, yard="b"),
 ]
@@ -87,7 +98,13 @@
 
 async def node_alone(service: Service) -> None:
     await asyncio.sleep(7)
-    others = ["10.2.0.1", "10.2.0.2", "10.0.0.0", "10.0.0.1", *(worker.host for worker in service.world.workers.values())]
+    others = [
+        "10.2.0.1",
+        "10.2.0.2",
+        "10.0.0.0",
+        "10.0.0.1",
+        *(worker.host for worker in service.world.workers.values()),
+    ]
     service.net.cut("10.0.0.2", *others)
     await asyncio.sleep(15)
     service.net.heal()
@@ -120,11 +137,31 @@
     service.state.lose_answers = 0.0
 
 
-FAULTS = [quiet, crash_one, crash_all, roll, state_down, answers_lost, applied_late, workers_die, node_without_workers,
-          node_without_state, node_alone, cloud_down, list_lags, all_at_once]  # fmt: skip
+FAULTS = [
+    quiet,
+    crash_one,
+    crash_all,
+    roll,
+    state_down,
+    answers_lost,
+    applied_late,
+    workers_die,
+    node_without_workers,
+    node_without_state,
+    node_alone,
+    cloud_down,
+    list_lags,
+    all_at_once,
+]
 
 
-def play(monkeypatch: pytest.MonkeyPatch, seed: int, day: Callable[[Service], Awaitable[Any]], settle: float = 0.0, **more: Any) -> Service:
+def play(
+    monkeypatch: pytest.MonkeyPatch,
+    seed: int,
+    day: Callable[[Service], Awaitable[Any]],
+    settle: float = 0.0,
+    **more: Any,
+) -> Service:
     async def main(net: simtime.Net) -> Service:
         service = Service(net, **more)
         await service.start()
@@ -139,7 +176,9 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
-def test_rules_hold_and_jobs_end(fault: Callable[[Service], Awaitable[None]], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rules_hold_and_jobs_end(
+    fault: Callable[[Service], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def day(service: Service) -> None:
         spawn(service.net, "users", fault(service))
         statuses = await asyncio.gather(*(service.submit(dict(run)) for run in JOBS))
@@ -211,13 +250,18 @@
 def test_parks_outlive_their_controllers(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=3, fails=9))
-        while not any(path.startswith("park/") and value[0] for path, value in service.state.keys.items()):
+        while not any(
+            path.startswith("park/") and value[0] for path, value in service.state.keys.items()
+        ):
             await asyncio.sleep(0.1)
             assert service.now() < 30
         for n in range(3):
             service.crash(n, 2.0)
         assert await service.until_final(["req-000001"], 200) == []
-        assert not any(path.startswith(("work/", "park/red")) and value[0] for path, value in service.state.keys.items())
+        assert not any(
+            path.startswith(("work/", "park/red")) and value[0]
+            for path, value in service.state.keys.items()
+        )
 
     play(monkeypatch, 6, day)
 
@@ -235,20 +279,34 @@
 
 
 BAD_BODIES = [
-    (b"", 400), (b"{", 400), (b"[]", 400), (b"null", 400), (b"\xff\xfe", 400), (b"[" * 50_000, 400),
-    (json.dumps(job(1) | {"shares": 0}).encode(), 400), (json.dumps(job(1) | {"shares": 100_001}).encode(), 400),
-    (json.dumps(job(1) | {"shares": 1.5}).encode(), 400), (json.dumps(job(1) | {"cpus": -1}).encode(), 400),
-    (json.dumps(job(1) | {"cpus": "8"}).encode(), 400), (json.dumps(job(1) | {"cpus": 1e300}).encode(), 400),
-    (json.dumps(job(1) | {"cpus": float("nan")}).encode(), 400), (json.dumps(job(1) | {"spread": None}).encode(), 400),
-    (json.dumps(job(1) | {"id": "x"}).encode(), 400), (json.dumps(job(1) | {"id": "req-1/2"}).encode(), 400),
-    (json.dumps(job(1) | {"shape": "array"}).encode(), 400), (json.dumps(job(1) | {"hulls": "g4"}).encode(), 400),
-    (json.dumps({k: v for k, v in job(1).items() if k != "flush_s"}).encode(), 400), (b"x" * 70_000, 400),
-    (json.dumps(job(1) | {"owner": "green"}).encode(), 422), (json.dumps(job(1) | {"cpus": 33.0}).encode(), 422),
-    (json.dumps(job(1) | {"hulls": ["none"]}).encode(), 422), (json.dumps(job(1) | {"yard": "z"}).encode(), 422),
+    (b"", 400),
+    (b"{", 400),
+    (b"[]", 400),
+    (b"null", 400),
+    (b"\xff\xfe", 400),
+    (b"[" * 50_000, 400),
+    (json.dumps(job(1) | {"shares": 0}).encode(), 400),
+    (json.dumps(job(1) | {"shares": 100_001}).encode(), 400),
+    (json.dumps(job(1) | {"shares": 1.5}).encode(), 400),
+    (json.dumps(job(1) | {"cpus": -1}).encode(), 400),
+    (json.dumps(job(1) | {"cpus": "8"}).encode(), 400),
+    (json.dumps(job(1) | {"cpus": 1e300}).encode(), 400),
+    (json.dumps(job(1) | {"cpus": float("nan")}).encode(), 400),
+    (json.dumps(job(1) | {"spread": None}).encode(), 400),
+    (json.dumps(job(1) | {"id": "x"}).encode(), 400),
+    (json.dumps(job(1) | {"id": "req-1/2"}).encode(), 400),
+    (json.dumps(job(1) | {"shape": "array"}).encode(), 400),
+    (json.dumps(job(1) | {"hulls": "g4"}).encode(), 400),
+    (json.dumps({k: v for k, v in job(1).items() if k != "flush_s"}).encode(), 400),
+    (b"x" * 70_000, 400),
+    (json.dumps(job(1) | {"owner": "green"}).encode(), 422),
+    (json.dumps(job(1) | {"cpus": 33.0}).encode(), 422),
+    (json.dumps(job(1) | {"hulls": ["none"]}).encode(), 422),
+    (json.dumps(job(1) | {"yard": "z"}).encode(), 422),
     (json.dumps(job(1) | {"shape": "ensemble", "shares": 25}).encode(), 422),
     (json.dumps(job(1) | {"shape": "daemon", "shares": 25}).encode(), 422),
     (json.dumps(job(1) | {"shares": 25, "unheard_of": 1}).encode(), 201),
-]  # fmt: skip
+]
 
 
 def test_answers_to_bad_input(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -260,12 +318,21 @@
             status, answer = await client.request("POST", "/v2/runs", body, 2.0)
             assert status == expected, (body[:80], answer)
         for method, target, expected in [
-            ("GET", "/v2/runs/req-777777", 404), ("POST", "/v2/runs/req-777777/withdraw", 404), ("GET", "/nothing", 404),
-            ("DELETE", "/v2/runs", 405), ("POST", "/checkin", 400), ("GET", "/ready", 200),
-        ]:  # fmt: skip
+            ("GET", "/v2/runs/req-777777", 404),
+            ("POST", "/v2/runs/req-777777/withdraw", 404),
+            ("GET", "/nothing", 404),
+            ("DELETE", "/v2/runs", 405),
+            ("POST", "/checkin", 400),
+            ("GET", "/ready", 200),
+        ]:
             status, _ = await client.request(method, target, b"", 2.0)
             assert status == expected, target
-        pages = [(await Client(f"10.0.0.{n}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[1].decode() for n in range(3)]
+        pages = [
+            (await Client(f"10.0.0.{n}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
+                1
+            ].decode()
+            for n in range(3)
+        ]
         assert 'ashdock_tasks{state="ready",team="red"}' in "".join(pages)
         assert sum(page.count("ashdock_leads 1.0") for page in pages) == 1
         await service.until_final(["req-000001"], 120)
@@ -280,7 +347,10 @@
         await asyncio.sleep(3)
         client = Client("10.0.0.0", 8080, keep=0)
         before = service.now()
-        for method, target, body in [("POST", "/v2/runs", json.dumps(job(2)).encode()), ("GET", "/v2/runs/req-000009", b"")]:
+        for method, target, body in [
+            ("POST", "/v2/runs", json.dumps(job(2)).encode()),
+            ("GET", "/v2/runs/req-000009", b""),
+        ]:
             status, _ = await client.request(method, target, body, 2.0)
             assert status == 503
         assert service.now() - before < 0.1
@@ -304,7 +374,9 @@
             return status, service.now() - before
 
         answers = await asyncio.gather(*(one(run) for run in runs))
-        assert {status for status, _ in answers} <= {201, 429, 503} and 429 in {status for status, _ in answers}
+        assert {status for status, _ in answers} <= {201, 429, 503} and 429 in {
+            status for status, _ in answers
+        }
         assert max(took for _, took in answers) < 1.0
         statuses = await asyncio.gather(*(service.submit(run) for run in runs[:120]))
         assert all(status in (200, 201) for status in statuses)
@@ -313,7 +385,9 @@
     play(monkeypatch, 12, day)
 
 
-def test_a_worker_that_lost_its_owner_is_relayed_for_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_worker_that_lost_its_owner_is_relayed_for_at_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """When two zones were apart, workers that could not reach their owner were sent back to it by the next node, waited out
     another report there, and came to be relayed for when their lease was over: all their tasks were killed."""
 
@@ -331,21 +405,30 @@
         front.relaying.clear()
         for warrant, expected in [(0, 421), (worker.token, 200)]:
             worker.tally += 1
-            status, answer = await client.request("POST", "/checkin", json.dumps(worker.message() | {"warrant": warrant}).encode(), 4.0)
+            status, answer = await client.request(
+                "POST",
+                "/checkin",
+                json.dumps(worker.message() | {"warrant": warrant}).encode(),
+                4.0,
+            )
             assert status == expected, answer
         assert json.loads(answer)["warrant"] == worker.token
         # Answered here a report ago, it has not been elsewhere: its machine has just changed hands.
         service.controllers[other].front.answered[worker.name] = service.now()
         service.controllers[other].front.relaying.clear()
         worker.tally += 1
-        status, answer = await client.request("POST", "/checkin", json.dumps(worker.message()).encode(), 4.0)
+        status, answer = await client.request(
+            "POST", "/checkin", json.dumps(worker.message()).encode(), 4.0
+        )
         assert status == 421 and json.loads(answer)["harbour"] == owner
         # Of two zones that are apart, one that cannot hear the owner either names a third that may.
         service.net.cut(f"10.0.0.{other}", f"10.0.0.{owner[1:]}")
         await asyncio.sleep(5)
         worker = next(w for w in service.world.workers.values() if w.shares and w is not worker)
         worker.tally += 1
-        status, answer = await client.request("POST", "/checkin", json.dumps(worker.message()).encode(), 4.0)
+        status, answer = await client.request(
+            "POST", "/checkin", json.dumps(worker.message()).encode(), 4.0
+        )
         assert status == 421 and json.loads(answer)["harbour"] not in (owner, f"n{other}")
 
     play(monkeypatch, 14, day)
@@ -366,7 +449,9 @@
     play(monkeypatch, 13, day)
 
 
-def test_frames_over_their_limit_are_refused_and_counts_are_split(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_frames_over_their_limit_are_refused_and_counts_are_split(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Counts of more than 5000 jobs were cut off, and a frame over its limit ended the loop that sent it."""
 
     async def day(service: Service) -> None:
@@ -380,7 +465,9 @@
         monkeypatch.setattr(part.telling, "counts", lambda: many)
         await asyncio.sleep(2)
         assert all(other.remote_counts[owner.label][name] == (1, 2) for name, _, _ in many)
-        assert not owner.mesh.send(other.label, Relay(1, b"x" * frames.MOST)) and owner.mesh.send(other.label, Relay(1, b"x"))
+        assert not owner.mesh.send(other.label, Relay(1, b"x" * frames.MOST)) and owner.mesh.send(
+            other.label, Relay(1, b"x")
+        )
 
     play(monkeypatch, 16, day)
 
@@ -393,7 +480,11 @@
         touched: list[int] = []
 
         def hook(writes: list[dict[str, Any]]) -> None:
-            touched.append(sum((write.get("set") or write["delete"]).startswith("machine/") for write in writes))
+            touched.append(
+                sum(
+                    (write.get("set") or write["delete"]).startswith("machine/") for write in writes
+                )
+            )
 
         service.state.hook = hook
         await service.start()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,7 +14,19 @@
 from ashdock.net.http import Answer, Client, Request, Server, plain_connections
 from ashdock.settings import SettingsError, load, load_operators
 from ashdock.wire import frames
-from ashdock.wire.frames import Ahead, BadFrame, Beat, Cancelled, Claims, Counts, Hello, Relay, Relayed, Vouch, Yield
+from ashdock.wire.frames import (
+    Ahead,
+    BadFrame,
+    Beat,
+    Cancelled,
+    Claims,
+    Counts,
+    Hello,
+    Relay,
+    Relayed,
+    Vouch,
+    Yield,
+)
 from ashdock.wire.messages import Malformed, decode_report, decode_run, encode
 from tests import simtime
 from tests.whole import job
@@ -54,35 +66,58 @@
 """
 
 
-
 def limits(text: str, named: str | None) -> tuple[str, str, str | None]:
     return "list_lag_s = 4.0", f"list_lag_s = 4.0\n[settings.machine_limits]\n{text}", named
 
 
 SETTINGS = [  # replaced, by what -> what the one line must name
-    ("", "", None), ('label = "n0"', "", "label"), ("report_s = 1.0", "report_s = -1.0", "report_s"),
-    ("report_s = 1.0", 'report_s = "x"', "report_s"), ("size = 3", "size = 0", "size"), ('"10.2.0.1:2379"', '"10.2.0.1"', "outside.state"),
-    ('bind = "10.0.0.1:8080"', 'bind = "10.0.0.1:99999"', "bind"), ("rps = 6.0", "rps = nan", "rps"), ("cancel_s = 40.0", "cancel_s = 9.0", "cancel_s"),
-    ("[outside]", "[outside", "TOML"), ('name = "red"', 'name = "re d"', "teams"), ("txn_ops = 48", "txn_ops = 1", "txn_ops"),
+    ("", "", None),
+    ('label = "n0"', "", "label"),
+    ("report_s = 1.0", "report_s = -1.0", "report_s"),
+    ("report_s = 1.0", 'report_s = "x"', "report_s"),
+    ("size = 3", "size = 0", "size"),
+    ('"10.2.0.1:2379"', '"10.2.0.1"', "outside.state"),
+    ('bind = "10.0.0.1:8080"', 'bind = "10.0.0.1:99999"', "bind"),
+    ("rps = 6.0", "rps = nan", "rps"),
+    ("cancel_s = 40.0", "cancel_s = 9.0", "cancel_s"),
+    ("[outside]", "[outside", "TOML"),
+    ('name = "red"', 'name = "re d"', "teams"),
+    ("txn_ops = 48", "txn_ops = 1", "txn_ops"),
     ("txn_ops = 48", "txn_ops = 48\n[settings.state.next]\nwrite_rps = 56.0", None),
     ("txn_ops = 48", "txn_ops = 48\n[settings.state.next]\ntxn_ops = 1", "state.next.txn_ops"),
     ("txn_ops = 48", 'txn_ops = 48\n[settings.state.next]\nvalue_kb = "2"', "state.next.value_kb"),
     # What a start needs: the field, and the least that works.
-    *(limits(text, named) for text, named in [
-        ("core_share = 0.324\nram_mb = 110\nmax_connections = 900", None), ("core_share = 0.324", None), ("other = 1", None), ("", None),
-        ("core_share = 0", "core_share: expected at least 0.05, found 0"), ("core_share = -1.0", "core_share: expected at least 0.05"),
-        ("core_share = 0.01", "core_share: expected at least 0.05"), ('core_share = "half"', "core_share: expected at least 0.05, found 'half'"),
-        ("core_share = nan", "core_share: expected at least 0.05"), ("core_share = true", "core_share: expected at least 0.05"),
-        ("ram_mb = 0", "ram_mb: expected at least 32"), ("ram_mb = -5", "ram_mb: expected at least 32"), ("ram_mb = 31.9", "ram_mb: expected at least 32"),
-        ("ram_mb = []", "ram_mb: expected at least 32"), ("max_connections = 0", "max_connections: expected at least 26"),
-        ("max_connections = 25", "max_connections: expected at least 26"), ("max_connections = 26", None), ("max_connections = nan", "max_connections: expected at least 26"),
-        ("max_connections = 900.5", "max_connections"),
-    ]),
-]  # fmt: skip
+    *(
+        limits(text, named)
+        for text, named in [
+            ("core_share = 0.324\nram_mb = 110\nmax_connections = 900", None),
+            ("core_share = 0.324", None),
+            ("other = 1", None),
+            ("", None),
+            ("core_share = 0", "core_share: expected at least 0.05, found 0"),
+            ("core_share = -1.0", "core_share: expected at least 0.05"),
+            ("core_share = 0.01", "core_share: expected at least 0.05"),
+            ('core_share = "half"', "core_share: expected at least 0.05, found 'half'"),
+            ("core_share = nan", "core_share: expected at least 0.05"),
+            ("core_share = true", "core_share: expected at least 0.05"),
+            ("ram_mb = 0", "ram_mb: expected at least 32"),
+            ("ram_mb = -5", "ram_mb: expected at least 32"),
+            ("ram_mb = 31.9", "ram_mb: expected at least 32"),
+            ("ram_mb = []", "ram_mb: expected at least 32"),
+            ("max_connections = 0", "max_connections: expected at least 26"),
+            ("max_connections = 25", "max_connections: expected at least 26"),
+            ("max_connections = 26", None),
+            ("max_connections = nan", "max_connections: expected at least 26"),
+            ("max_connections = 900.5", "max_connections"),
+        ]
+    ),
+]
 
 
 @pytest.mark.parametrize(("old", "new", "named"), SETTINGS)
-def test_settings(old: str, new: str, named: str | None, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_settings(
+    old: str, new: str, named: str | None, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     file = tmp_path / "s.toml"
     file.write_text(GOOD.replace(old, new) if old else GOOD)
     code = cli.main(["check-config", str(file)])
@@ -93,10 +128,15 @@
 
 
 OPERATORS = [
-    ("", None), ("retry {\n first_delay_s = 5\n}\n", None), ("retry {\n first_delay = 5\n}\n", "first_delay"),
-    ("retry {\n cap_s = -1\n}\n", "cap_s"), ("retry {\n cap_s = \n", "HCL"), ("colour = 1\n", "colour"),
-    ("renting {\n spot = false\n}\n", None), ("retry {\n}\nretry {\n}\n", "one block"),
-]  # fmt: skip
+    ("", None),
+    ("retry {\n first_delay_s = 5\n}\n", None),
+    ("retry {\n first_delay = 5\n}\n", "first_delay"),
+    ("retry {\n cap_s = -1\n}\n", "cap_s"),
+    ("retry {\n cap_s = \n", "HCL"),
+    ("colour = 1\n", "colour"),
+    ("renting {\n spot = false\n}\n", None),
+    ("retry {\n}\nretry {\n}\n", "one block"),
+]
 
 
 @pytest.mark.parametrize(("text", "named"), OPERATORS)
@@ -119,13 +159,31 @@
 
 
 FRAMES: list[Any] = [
-    Cancelled([("req-1", "red", 2**63, 1.5), ("req-2", "blue", 0, 0.0)]), Cancelled([]), Vouch(2**64 - 1, 0),
-    Hello("n1"), Beat(7, 0.5, 1.5, True, False), Claims([("red", 7), ("blue", 2**63)]), Yield("red", "vm-1", ""), Recalled("red", "blue", ["vm-1", "vm-2"]),
-    Relay(9, b'{"a":1}'), Relayed(9, 503, b""), Counts([("req-1", 3, 4), ("req-2", 0, 0)]),
-    Picture("red", 12, [Want(1.0, 2.0, 3.0, ("g4", "g8"), "a", True, False, 5, 2, True, -3.5, "img", 6)], [("vm-9", 2.5)],
-            [Busy("vm-8", 3, 4.5)], 4, 5, 6),
-    Ahead("red", [("req-1", 2, 1.5), ("req-2", -1, float("inf"))]), Owed("red", "blue", 3, ("g4",), "a", True), Owed("red", "blue", 1, (), "", False),
-]  # fmt: skip
+    Cancelled([("req-1", "red", 2**63, 1.5), ("req-2", "blue", 0, 0.0)]),
+    Cancelled([]),
+    Vouch(2**64 - 1, 0),
+    Hello("n1"),
+    Beat(7, 0.5, 1.5, True, False),
+    Claims([("red", 7), ("blue", 2**63)]),
+    Yield("red", "vm-1", ""),
+    Recalled("red", "blue", ["vm-1", "vm-2"]),
+    Relay(9, b'{"a":1}'),
+    Relayed(9, 503, b""),
+    Counts([("req-1", 3, 4), ("req-2", 0, 0)]),
+    Picture(
+        "red",
+        12,
+        [Want(1.0, 2.0, 3.0, ("g4", "g8"), "a", True, False, 5, 2, True, -3.5, "img", 6)],
+        [("vm-9", 2.5)],
+        [Busy("vm-8", 3, 4.5)],
+        4,
+        5,
+        6,
+    ),
+    Ahead("red", [("req-1", 2, 1.5), ("req-2", -1, float("inf"))]),
+    Owed("red", "blue", 3, ("g4",), "a", True),
+    Owed("red", "blue", 1, (), "", False),
+]
 
 
 @pytest.mark.parametrize("frame", FRAMES, ids=lambda frame: type(frame).__name__)
@@ -165,15 +223,25 @@
 
 def test_bodies_fuzzed() -> None:
     rng = random.Random(6)
-    report = {"berth": "vm-1", "address": "h:1", "hull": "g4", "yard": "a", "tenure": 1, "tally": 2, "warrant": 3,
-              "shares": [{"share": "req-1/0", "try": 1, "status": "running"}]}  # fmt: skip
+    report = {
+        "berth": "vm-1",
+        "address": "h:1",
+        "hull": "g4",
+        "yard": "a",
+        "tenure": 1,
+        "tally": 2,
+        "warrant": 3,
+        "shares": [{"share": "req-1/0", "try": 1, "status": "running"}],
+    }
     for decode, good in ((decode_run, encode(job(1))), (decode_report, encode(report))):
         decode(good)  # type: ignore[operator]
         for _ in range(2000):
             raw = bytearray(good)
             for _ in range(rng.randrange(1, 5)):
                 at = rng.randrange(len(raw))
-                raw[at : at + rng.randrange(3)] = bytes(rng.randrange(256) for _ in range(rng.randrange(3)))
+                raw[at : at + rng.randrange(3)] = bytes(
+                    rng.randrange(256) for _ in range(rng.randrange(3))
+                )
             try:
                 decode(bytes(raw))  # type: ignore[operator]
             except Malformed:
@@ -181,17 +249,30 @@
 
 
 STAYS = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: "
-CLOSES = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\ncontent-length: "
+CLOSES = (
+    b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\ncontent-length: "
+)
 MESSAGES = [  # bytes sent -> start of what comes back
-    (b"nonsense\r\n\r\n", b"HTTP/1.1 400"), (b"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", b"HTTP/1.1 400"),
-    (b"GET /" + b"a" * 20_000 + b" HTTP/1.1\r\n", b"HTTP/1.1 400"), (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99999, b"HTTP/1.1 400"),
-    (b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", b"HTTP/1.1 200"), (b"GET / HTTP/1.1\r\n", b""), (b"", b""),
+    (b"nonsense\r\n\r\n", b"HTTP/1.1 400"),
+    (b"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", b"HTTP/1.1 400"),
+    (b"GET /" + b"a" * 20_000 + b" HTTP/1.1\r\n", b"HTTP/1.1 400"),
+    (
+        b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99999,
+        b"HTTP/1.1 400",
+    ),
+    (b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", b"HTTP/1.1 200"),
+    (b"GET / HTTP/1.1\r\n", b""),
+    (b"", b""),
     (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", b"HTTP/1.1 400"),
     (b"POST /boom HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 503"),
     # Whoever asks for an end of the connection is told of it, and what came with one request is taken for the next.
-    (b"GET / HTTP/1.0\r\n\r\n", CLOSES + b"2\r\n\r\n{}"), (b"HEAD / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", CLOSES + b"2\r\n\r\n"),
-    (b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", STAYS + b"2\r\n\r\n{}" + CLOSES + b"2\r\n\r\n{}"),
-]  # fmt: skip
+    (b"GET / HTTP/1.0\r\n\r\n", CLOSES + b"2\r\n\r\n{}"),
+    (b"HEAD / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", CLOSES + b"2\r\n\r\n"),
+    (
+        b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
+        STAYS + b"2\r\n\r\n{}" + CLOSES + b"2\r\n\r\n{}",
+    ),
+]
 
 
 @pytest.mark.parametrize(("sent", "expected"), MESSAGES)
@@ -227,7 +308,10 @@
         silent = [await net.open_connection("10.0.0.1", 80) for _ in range(3)]
         await asyncio.sleep(0.1)
         reader, _ = await net.open_connection("10.0.0.1", 80)
-        assert b"503" in (first := await asyncio.wait_for(reader.read(4096), 1)) and b"Retry-After" in first
+        assert (
+            b"503" in (first := await asyncio.wait_for(reader.read(4096), 1))
+            and b"Retry-After" in first
+        )
         status, _ = await Client("10.0.0.1", 80).request("POST", "/", b"x" * 100, 1.0)
         assert status == 503
         await asyncio.sleep(10)
--- a/tests/users.py
+++ b/tests/users.py
@@ -40,12 +40,20 @@
     out: dict[str, list[Worker]] = {}
     for (job_id, _), places in service.rules.on.items():
         run = service.rules.jobs[job_id]
-        if job_id not in service.rules.asked_to_cancel and (run["shape"] == "daemon" or run["expect_s"] >= LONG_S):
-            out.setdefault(job_id, []).extend(service.world.workers[place.machine] for place in places if place.machine in service.world.workers)
+        if job_id not in service.rules.asked_to_cancel and (
+            run["shape"] == "daemon" or run["expect_s"] >= LONG_S
+        ):
+            out.setdefault(job_id, []).extend(
+                service.world.workers[place.machine]
+                for place in places
+                if place.machine in service.world.workers
+            )
     return sorted(out.items())
 
 
-async def cancel_now(service: Service, rng: random.Random, for_s: float, hang: bool = False) -> None:
+async def cancel_now(
+    service: Service, rng: random.Random, for_s: float, hang: bool = False
+) -> None:
     """Up to four jobs that run are called off within a fifth of a second; some of their machines hang for so long."""
     found = running(service)
     chosen = rng.sample(found, min(4, len(found)))
@@ -57,7 +65,9 @@
         await asyncio.sleep(after_s)
         await service.withdraw(job_id)
 
-    calls = [spawn(service.net, "users", cancel(job_id, 0.2 * rng.random())) for job_id, _ in chosen]
+    calls = [
+        spawn(service.net, "users", cancel(job_id, 0.2 * rng.random())) for job_id, _ in chosen
+    ]
     await asyncio.gather(*calls, asyncio.sleep(for_s if hang else 0.2))
 
 
@@ -72,7 +82,9 @@
         if rng.random() < 0.5:
             spawn(service.net, "users", service.withdraw(job_id, rng.randrange(3)))
             for door in range(3):
-                spawn(service.net, "users", rng.choice((service.poll, service.repeat))(job_id, door))
+                spawn(
+                    service.net, "users", rng.choice((service.poll, service.repeat))(job_id, door)
+                )
 
     service.rules.on_done = ended
     await asyncio.sleep(for_s)
@@ -80,10 +92,22 @@
 
 
 BAD: list[tuple[int, dict[str, Any]]] = [  # the status that a submission with this gets
-    (422, {"owner": "nobody"}), (422, {"accelerators": 5.0}), (422, {"cpus": 33.0}), (422, {"hulls": ["g9"]}), (422, {"yard": "z"}),
-    (422, {"shape": "ensemble", "shares": 25}), (400, {"shares": 0}), (400, {"shares": -1}), (400, {"cpus": "many"}), (400, {"shape": "heap"}),
-    (400, {"urgency": None}), (400, {"bundle": ...}), (400, {"owner": ...}), (400, {"shares": ...}), (400, {"id": ...}),
-]  # fmt: skip
+    (422, {"owner": "nobody"}),
+    (422, {"accelerators": 5.0}),
+    (422, {"cpus": 33.0}),
+    (422, {"hulls": ["g9"]}),
+    (422, {"yard": "z"}),
+    (422, {"shape": "ensemble", "shares": 25}),
+    (400, {"shares": 0}),
+    (400, {"shares": -1}),
+    (400, {"cpus": "many"}),
+    (400, {"shape": "heap"}),
+    (400, {"urgency": None}),
+    (400, {"bundle": ...}),
+    (400, {"owner": ...}),
+    (400, {"shares": ...}),
+    (400, {"id": ...}),
+]
 
 
 async def odd_requests(service: Service, rng: random.Random, for_s: float) -> None:
@@ -103,7 +127,9 @@
             number += 1
             expected, change = rng.choice(BAD)
             run = {key: value for key, value in (job(number) | change).items() if value is not ...}
-            got = await service.call("POST", "/v2/runs", service.body_of(run), 5.0, rng.randrange(3))
+            got = await service.call(
+                "POST", "/v2/runs", service.body_of(run), 5.0, rng.randrange(3)
+            )
             if got is not None and got[0] in (200, 201, 400, 422):
                 service.rules.refused(f"req-{number:06d}", got[0], expected)
 
@@ -121,8 +147,21 @@
     number = 100_000 + 1000 * rng.randrange(500)
     while service.now() < until:
         number += 1
-        run = job(number, owner=rng.choice(("red", "blue")), shares=1, accelerators=0.5, expect_s=rng.choice((1.0, 2.0, 4.0)), size_gb=0.5)
-        calls.append(spawn(service.net, "users", one(run, rng.choice((0.0, 0.05, 1.0, 2.5)) if rng.random() < 0.25 else None)))
+        run = job(
+            number,
+            owner=rng.choice(("red", "blue")),
+            shares=1,
+            accelerators=0.5,
+            expect_s=rng.choice((1.0, 2.0, 4.0)),
+            size_gb=0.5,
+        )
+        calls.append(
+            spawn(
+                service.net,
+                "users",
+                one(run, rng.choice((0.0, 0.05, 1.0, 2.5)) if rng.random() < 0.25 else None),
+            )
+        )
         await asyncio.sleep(rng.expovariate(4.0))
     await asyncio.gather(*calls)
 
@@ -132,9 +171,20 @@
     number = 700_000 + 1000 * rng.randrange(200)
     zone = rng.choice(("a", "b", "c"))
     runs = [
-        job(number, shares=10, yard=zone, expect_s=12.0), job(number + 1, owner="blue", shares=6, same_place=True, expect_s=10.0, urgency="high"),
-        job(number + 2, shape="ensemble", shares=4, accelerators=2.0, same_place=True, urgency="critical", snapshot_s=3.0, flush_s=1.0),
-        job(number + 3, owner="blue", shares=8, spread=True, urgency="best_effort"), job(number + 4, shape="ensemble", shares=8, urgency="high", yard=zone),
-    ]  # fmt: skip
+        job(number, shares=10, yard=zone, expect_s=12.0),
+        job(number + 1, owner="blue", shares=6, same_place=True, expect_s=10.0, urgency="high"),
+        job(
+            number + 2,
+            shape="ensemble",
+            shares=4,
+            accelerators=2.0,
+            same_place=True,
+            urgency="critical",
+            snapshot_s=3.0,
+            flush_s=1.0,
+        ),
+        job(number + 3, owner="blue", shares=8, spread=True, urgency="best_effort"),
+        job(number + 4, shape="ensemble", shares=8, urgency="high", yard=zone),
+    ]
     await asyncio.gather(*(service.submit(run) for run in runs))
     await asyncio.sleep(for_s)
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -33,9 +33,14 @@
 
 def shared() -> Shared:
     return Shared(
-        size=3, zones=ZONES, teams=TEAMS, workers=Workers(1.0, 6.0, 12.0, 3.0, 20.0),
-        state=StateLimits(200, 200, 8.0, 48), cloud=CloudLimits(10, 1.0), machine_limits=Limits(1.0, 256, 400),
-    )  # fmt: skip
+        size=3,
+        zones=ZONES,
+        teams=TEAMS,
+        workers=Workers(1.0, 6.0, 12.0, 3.0, 20.0),
+        state=StateLimits(200, 200, 8.0, 48),
+        cloud=CloudLimits(10, 1.0),
+        machine_limits=Limits(1.0, 256, 400),
+    )
 
 
 def settings(n: int, later: NextLimits | None = None) -> Settings:
@@ -43,23 +48,47 @@
     common.state.next = later
     others = [Other(f"n{k}", f"10.0.0.{k}:8081", "a") for k in range(3) if k != n]
     return Settings(
-        f"n{n}", ZONES[n], f"10.0.0.{n}:8080", f"10.0.0.{n}:8081", Outside(f"{CLOUD}:8443", f"{STATE}:2379"), common,
-        others, Operators(),
-    )  # fmt: skip
+        f"n{n}",
+        ZONES[n],
+        f"10.0.0.{n}:8080",
+        f"10.0.0.{n}:8081",
+        Outside(f"{CLOUD}:8443", f"{STATE}:2379"),
+        common,
+        others,
+        Operators(),
+    )
 
 
 def job(number: int, **more: Any) -> dict[str, Any]:
     run: dict[str, Any] = {
-        "id": f"req-{number:06d}", "workload": "w", "owner": "red", "shape": "sweep", "urgency": "standard", "shares": 4,
-        "cpus": 1.0, "accelerators": 1.0, "ram_gb": 1.0, "bundle": "img", "size_gb": 2.0, "hulls": None, "yard": None,
-        "same_place": False, "spread": False, "loaners": False, "expect_s": 8.0, "snapshot_s": 0.0, "flush_s": 0.0,
+        "id": f"req-{number:06d}",
+        "workload": "w",
+        "owner": "red",
+        "shape": "sweep",
+        "urgency": "standard",
+        "shares": 4,
+        "cpus": 1.0,
+        "accelerators": 1.0,
+        "ram_gb": 1.0,
+        "bundle": "img",
+        "size_gb": 2.0,
+        "hulls": None,
+        "yard": None,
+        "same_place": False,
+        "spread": False,
+        "loaners": False,
+        "expect_s": 8.0,
+        "snapshot_s": 0.0,
+        "flush_s": 0.0,
         "due_s": None,
-    }  # fmt: skip
+    }
     return run | more
 
 
 class Service:
-    def __init__(self, net: Net, machines: int = 4, capacity: int = 8, later: NextLimits | None = None) -> None:
+    def __init__(
+        self, net: Net, machines: int = 4, capacity: int = 8, later: NextLimits | None = None
+    ) -> None:
         self.net = net
         self.later = later
         self.rng = random.Random(net.rng.random())
@@ -73,7 +102,9 @@
         self.answers: dict[str, dict[str, Any]] = {}
         self.limit = 400  # sockets of a controller
         self.doors = [0, 1, 2]  # controllers that users reach
-        self.heard: list[Callable[[str, str], None]] = []  # called with each job and what a user was just told of it for the first time
+        self.heard: list[
+            Callable[[str, str], None]
+        ] = []  # called with each job and what a user was just told of it for the first time
         self.words: set[tuple[str, str]] = set()  # that were told so
 
     async def start(self) -> None:
@@ -117,8 +148,12 @@
             for act in self.heard:
                 act(job_id, word)
 
-    async def call(self, method: str, target: str, body: bytes, timeout: float, door: int | None = None) -> tuple[int, dict[str, Any]] | None:
-        client = Client(f"10.0.0.{self.rng.choice(self.doors) if door is None else door}", 8080, keep=0)
+    async def call(
+        self, method: str, target: str, body: bytes, timeout: float, door: int | None = None
+    ) -> tuple[int, dict[str, Any]] | None:
+        client = Client(
+            f"10.0.0.{self.rng.choice(self.doors) if door is None else door}", 8080, keep=0
+        )
         try:
             status, answer = await client.request(method, target, body, timeout)
         except NoAnswer:
@@ -127,14 +162,18 @@
 
     @staticmethod
     def body_of(run: dict[str, Any]) -> bytes:
-        return json.dumps({key: value for key, value in run.items() if key not in ("fails", "spans")}).encode()
+        return json.dumps(
+            {key: value for key, value in run.items() if key not in ("fails", "spans")}
+        ).encode()
 
     async def _submitted(self, run: dict[str, Any], door: int | None = None) -> int | None:
         asked = self.now()
         got = await self.call("POST", "/v2/runs", self.body_of(run), 5.0, door)
         if got is None:
             return None
-        self.rules.answered(run["id"], got[0], got[1].get("status"), submission=True, now=self.now(), asked=asked)
+        self.rules.answered(
+            run["id"], got[0], got[1].get("status"), submission=True, now=self.now(), asked=asked
+        )
         if got[0] in (200, 201):
             self._heard(run["id"], "accepted")
         return got[0]
@@ -186,5 +225,7 @@
         left = list(jobs)
         while left and self.now() < until:
             await asyncio.sleep(1.0)
-            left = [job_id for job_id in left if await self.poll(job_id) not in ("done", "withdrawn")]
+            left = [
+                job_id for job_id in left if await self.poll(job_id) not in ("done", "withdrawn")
+            ]
         return left
