--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -16,6 +16,7 @@
 
 import pytest
 
+from ashdock.settings import NextLimits
 from tests import simtime, users
 from tests.courses import wrong
 from tests.ends import played
@@ -411,12 +412,16 @@
     patch: pytest.MonkeyPatch,
     leads: int | None = None,
     more: dict[str, Trouble] | None = None,
+    later: NextLimits | None = None,
+    observe: Callable[[float, str, str, bytes], None] | None = None,
 ) -> tuple[list[tuple[str, str]], list[str]]:
-    """The same of a day with these troubles. `leads`: so many controllers after the one that owns blue's part leads."""
+    """The same of a day with these troubles. `leads`: so many controllers after the one that owns blue's part leads.
+    `later`: the smaller limits that the settings announce. `observe`: called with time, sender, receiver and bytes of each write."""
     troubles_by_name = TROUBLES | (more or {})
 
     async def main(net: simtime.Net) -> tuple[list[tuple[str, str]], list[str]]:
-        service = Service(net, machines=5, capacity=8)
+        net.observe = observe
+        service = Service(net, machines=5, capacity=8, later=later)
         service.state.applied = service.world.changed_hands
         service.state.fenced = service.rules.applied
         service.rules.room = service.world.rooms
--- a/tests/simtime.py
+++ b/tests/simtime.py
@@ -91,6 +91,10 @@
 
     def write(self, data: bytes) -> None:
         if not self.closed and data:
+            if self.net.observe is not None:
+                self.net.observe(
+                    asyncio.get_running_loop().time(), self.here, self.there, bytes(data)
+                )
             self._deliver(lambda other: other.reader.feed_data(bytes(data)))
 
     def _deliver(self, act: Callable[[End], None]) -> None:
