--- /dev/null
+++ b/tests/forms/adapter/frames.py
@@ -0,0 +1,188 @@
+"""Frames of the mesh, as their kind on the wire and positional values in wire order."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from ashdock.core.telling import Busy, Owed, Picture, Recalled, Want
+from ashdock.wire import frames
+from tests.forms.adapter.values import (
+    Plain,
+    attempt,
+    plain,
+    rows,
+)
+
+WANT_FIELDS = (
+    "cpus",
+    "gpus",
+    "memory",
+    "tasks",
+    "priority",
+    "spot",
+    "together",
+    "slack_s",
+    "guaranteed",
+    "whole",
+    "idle",
+    "types",
+    "zone",
+    "image",
+)
+
+
+def want_to_values(want: Want) -> list[Plain]:
+    """A part's want in wire order."""
+    return [plain(getattr(want, name)) for name in WANT_FIELDS]
+
+
+def want_from_values(values: list[Plain]) -> Want:
+    """The inverse of `want_to_values`."""
+    fields = dict(zip(WANT_FIELDS, values, strict=True))
+    return Want(**(fields | {"types": tuple(fields["types"])}))
+
+
+def same(value: Any) -> Any:
+    """For fields that JSON holds as they are."""
+    return value
+
+
+def wants(values: list[list[Plain]]) -> list[Want]:
+    """The wants of a picture."""
+    return [want_from_values(row) for row in values]
+
+
+def busy_machines(values: list[list[Plain]]) -> list[Busy]:
+    """The busy machines of a picture."""
+    return [Busy(*row) for row in values]
+
+
+def word(values: list[Plain]) -> Any:
+    """What stands under a term: a kind and its fields."""
+    return frame_from_values({"kind": values[0], "fields": values[1]})
+
+
+# Kind on the wire: the type, and each field in wire order with what restores it from values.
+FRAMES: dict[int, tuple[type[Any], tuple[tuple[str, Callable[[Any], Any]], ...]]] = {
+    1: (frames.Hello, (("label", same),)),
+    2: (
+        frames.Beat,
+        (
+            ("incarnation", same),
+            ("state_age", same),
+            ("worker_age", same),
+            ("ready", same),
+            ("leader", same),
+            ("requests", same),
+            ("writes", same),
+        ),
+    ),
+    3: (
+        Picture,
+        (
+            ("team", same),
+            ("seen", same),
+            ("machines", same),
+            ("waiting", same),
+            ("spare_beyond", same),
+            ("wants", wants),
+            ("idle", rows),
+            ("busy", busy_machines),
+        ),
+    ),
+    4: (frames.Yield, (("part", same), ("machine", same), ("to", same))),
+    5: (Recalled, (("part", same), ("to", same), ("machines", list))),
+    6: (frames.Relay, (("number", same), ("body", bytes.fromhex))),
+    7: (frames.Relayed, (("number", same), ("status", same), ("body", bytes.fromhex))),
+    8: (frames.Counts, (("jobs", rows),)),
+    9: (frames.Give, (("part", same), ("to", same))),
+    10: (
+        Owed,
+        (
+            ("part", same),
+            ("to", same),
+            ("number", same),
+            ("spot", same),
+            ("types", tuple),
+            ("zone", same),
+        ),
+    ),
+    11: (frames.Claims, (("parts", rows),)),
+    12: (frames.Ahead, (("part", same), ("jobs", rows))),
+    13: (frames.Termed, (("term", same), ("word", word))),
+    14: (frames.Leaving, (("part", same), ("machines", rows))),
+    15: (frames.Cancelled, (("jobs", rows),)),
+    16: (frames.Vouch, (("number", same), ("back", same))),
+}
+FRAME_HEAD_BYTES = frames.HEAD.size
+FRAME_BODY_LIMIT = frames.MOST
+FRAME_KINDS = {int(kind) for kind in frames.FrameKind}
+
+
+def frame_field_to_values(value: Any) -> Plain:
+    """One field of a frame as plain values."""
+    if isinstance(value, bytes):
+        return value.hex()
+    if any(isinstance(value, kind) for kind, _ in FRAMES.values()):
+        inner = frame_to_values(value)
+        return [inner["kind"], inner["fields"]]
+    if isinstance(value, list):
+        return [want_to_values(item) if isinstance(item, Want) else plain(item) for item in value]
+    return plain(value)
+
+
+def frame_to_values(frame: Any) -> Plain:
+    """A frame as its kind on the wire and its fields in wire order."""
+    for kind, (shape, fields) in FRAMES.items():
+        if type(frame) is shape:
+            values = [frame_field_to_values(getattr(frame, name)) for name, _ in fields]
+            return {"kind": kind, "fields": values}
+    raise TypeError(f"no such frame: {frame!r}")
+
+
+def frame_from_values(values: Plain) -> Any:
+    """The inverse of `frame_to_values`."""
+    shape, fields = FRAMES[values["kind"]]
+    restored = {
+        name: restore(value)
+        for (name, restore), value in zip(fields, values["fields"], strict=True)
+    }
+    return shape(**restored)
+
+
+def read_frame(data: str) -> Plain:
+    """A whole frame, head and body, from hex; the length in the head against the body's."""
+    raw = bytes.fromhex(data)
+    kind, length = frames.head(raw[:FRAME_HEAD_BYTES])
+    body = raw[FRAME_HEAD_BYTES:]
+    return {"length": length} | frame_to_values(frames.unpack(kind, body))
+
+
+def write_frame(values: Plain) -> Plain:
+    """A frame's bytes as hex."""
+    return frames.pack(frame_from_values(values)).hex()
+
+
+def read_frame_cut_short(data: str) -> Plain:
+    """What each cut of the body says, shortest first, as runs of [number of cuts, what they say]."""
+    raw = bytes.fromhex(data)
+    kind, body = raw[3], raw[FRAME_HEAD_BYTES:]
+    runs: list[list[Plain]] = []
+    for cut in range(len(body)):
+        said = attempt(lambda cut=cut: frame_to_values(frames.unpack(kind, body[:cut])))  # type: ignore[misc]
+        if runs and runs[-1][1] == said:
+            runs[-1][0] += 1
+        else:
+            runs.append([1, said])
+    return runs
+
+
+def write_large_frame(size: int) -> Plain:
+    """The head of a relayed report of so many bytes, or the error."""
+    return frames.pack(frames.Relay(1, b"x" * size))[:FRAME_HEAD_BYTES].hex()
+
+
+def write_no_frame(value: Plain) -> Plain:
+    """Pack something that is no frame."""
+    return frames.pack(value).hex()
--- /dev/null
+++ b/tests/forms/adapter/records.py
@@ -0,0 +1,334 @@
+"""Records in the store, as their readers see them and their writers write them."""
+
+from __future__ import annotations
+
+import random
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+
+from ashdock.controller import Controller
+from ashdock.core.bounds import Bounds
+from ashdock.core.job import Job, fitting, job_record, spec_of_record
+from ashdock.core.machine import Machine, MachinePhase, images_of, trimmed
+from ashdock.core.park import Park, Parks
+from ashdock.core.part import Part
+from ashdock.core.task import Failure, TaskState
+from ashdock.duties.seat import Seat, Stands
+from ashdock.front import Front
+from ashdock.leader import Leader, rent_of
+from ashdock.membership import Membership
+from ashdock.net.state import (
+    Entry,
+)
+from ashdock.questions import known_of
+from ashdock.restarts.lives import Lives
+from ashdock.settings import (
+    CloudLimits,
+    Operators,
+    Shared,
+    StateLimits,
+    Team,
+    Workers,
+)
+from ashdock.wire import messages
+from tests.forms.adapter.bodies import SPEC
+from tests.forms.adapter.values import (
+    Plain,
+    attributes_of,
+    encoded,
+    plain,
+    struct_from,
+    to_bytes,
+)
+
+NOW = 1_700_000_000.25
+REVISION = 7
+VALUE_BYTES = 4096
+
+
+def shared_settings() -> Shared:
+    """A deployment of three controllers and two teams."""
+    return Shared(
+        size=3,
+        zones=["a", "b"],
+        teams=[Team("red", gpus=8, gpus_max=24), Team("blue")],
+        workers=Workers(1.0, 6.0, 12.0, 3.0, 20.0),
+        state=StateLimits(200, 200, 8.0, 48),
+        cloud=CloudLimits(10, 1.0),
+    )
+
+
+def machine_type(label: str) -> messages.MachineType:
+    """A machine type of the corpus."""
+    return messages.MachineType(label, 8, 4, 64, 100, 1, 2, 1, 6, ["a", "b"])
+
+
+def spec_from(values: Plain) -> messages.Spec:
+    """A job's specification from values under their stored names."""
+    found: messages.Spec = struct_from(messages.Spec, SPEC, values)
+    return found
+
+
+def write_job_record(values: Plain) -> Plain:
+    """`job/<id>` and `work/<team>/<id>/job`."""
+    details = {key: item for key, item in values.items() if key not in ("spec", "at")}
+    return encoded(job_record(spec_from(values["spec"]), values["at"], **details))
+
+
+def write_fitting_job_record(values: Plain) -> Plain:
+    """The record of a job that is over, made to fit a value of `limit` bytes."""
+    record = msgspec.json.decode(to_bytes(values["record"]))
+    return encoded(fitting(record, values["limit"]))
+
+
+class RecordReader:
+    """Stands in for a front's house and questions: notes what a job's record says."""
+
+    def __init__(self) -> None:
+        self.told: list[Plain] = []
+        self.admission = SimpleNamespace(memory=SimpleNamespace(jobs=10))
+
+    def learn(self, job_id: str, value: dict[str, Any], stamp: int) -> None:
+        """Nothing is remembered here."""
+
+    def now(self) -> float:
+        """The time of day, where a record has none."""
+        return NOW
+
+    def tell_withdrawn(self, job_id: str, team: str, stamp: int, at: float) -> None:
+        """A cancellation is passed on."""
+        self.told.append([job_id, team, stamp, at])
+
+
+def read_final(job_id: str, record: dict[str, Any]) -> Plain:
+    """What a front remembers of a job that is over, and what it tells the others."""
+    house = RecordReader()
+    front: Any = Front.__new__(Front)
+    front.house, front.questions, front.finals = house, house, {}
+    front.saw(job_id, record, REVISION)
+    final = front.finals.get(job_id)
+    return {"final": plain(final), "told": house.told}
+
+
+def read_job_record(body: Plain) -> Plain:
+    """A job's record as its owner, a front and a question read it."""
+    record = msgspec.json.decode(to_bytes(body))
+    job = make_part().add_job(record, REVISION)
+    spec = attributes_of(spec_of_record(record), SPEC)
+    known = known_of(record, REVISION)
+    read = {"spec": spec, "at": job.submitted, "known": plain(known)}
+    return read | read_final(spec["id"], record)
+
+
+def make_part() -> Part:
+    """An empty part of team red."""
+    shared = shared_settings()
+    return Part(
+        shared.teams[0],
+        REVISION,
+        shared,
+        Operators(),
+        {"g4": machine_type("g4")},
+        random.Random(1),
+        Bounds(shared.state),
+    )
+
+
+def make_job(layout: Plain) -> Job:
+    """A job whose chunks take `width` tasks, of a deployment where plain chunks take `plain_width`."""
+    spec = spec_from(layout["spec"])
+    return Job(spec, NOW, REVISION, layout["width"], layout["plain_width"])
+
+
+def task_ranges(tasks: list[int]) -> list[list[int]]:
+    """Task numbers as inclusive ranges."""
+    ranges: list[list[int]] = []
+    for task in tasks:
+        if ranges and ranges[-1][1] == task - 1:
+            ranges[-1][1] = task
+        else:
+            ranges.append([task, task])
+    return ranges
+
+
+def job_tasks_to_values(job: Job) -> Plain:
+    """The states of a job's tasks: done, placed, and failures of their own."""
+    done = [task for task, state in enumerate(job.states) if state == TaskState.DONE]
+    placed = [[task, found.machine, found.attempt] for task, found in sorted(job.live.items())]
+    failed = [
+        {"task": task, "times": f.times, "first": f.first, "why": f.why, "past": f.past}
+        for task, f in sorted(job.fails.items())
+    ]
+    return {"done": task_ranges(done), "placed": placed, "failed": failed}
+
+
+def read_chunk(values: Plain) -> Plain:
+    """`work/<team>/<id>/<n>` or `<n>w<width>`: the state of the tasks of one chunk."""
+    job = make_job(values)
+    tail = values["key"].rsplit("/", 1)[1]
+    job.load_chunks([(tail, msgspec.json.decode(to_bytes(values["value"])), REVISION)], NOW)
+    number, width = job.of_tail(tail)
+    chunk = job.chunk(number)
+    head = {"chunk": number, "width": width, "attempts": chunk.attempts, "revision": chunk.stamp}
+    return head | job_tasks_to_values(job)
+
+
+def write_chunk(values: Plain) -> Plain:
+    """Key and value of one chunk."""
+    job = make_job(values)
+    tasks = values["tasks"]
+    for low, high in tasks["done"]:
+        for task in range(low, high + 1):
+            job.finish(task)
+    for task, machine, attempt_number in tasks["placed"]:
+        job.place(task, machine, attempt_number, NOW)
+    for item in tasks["failed"]:
+        failure = Failure(item["times"], item["first"], item["why"], item["past"])
+        job.set_failure(item["task"], failure)
+    chunk = job.chunk(tasks["chunk"])
+    chunk.attempts = max(chunk.attempts, tasks["attempts"])
+    return {"key": job.path(chunk.n), "value": encoded(job.chunk_value(chunk.n))}
+
+
+def read_layouts(values: Plain) -> Plain:
+    """Chunks of several widths side by side: what counts, what is written next, what is deleted."""
+    job = make_job(values)
+    found = [
+        (tail, msgspec.json.decode(body), REVISION + n)
+        for n, (tail, body) in enumerate(values["chunks"])
+    ]
+    job.load_chunks(found, NOW)
+    writes = {
+        job.path(chunk.n): encoded(job.chunk_value(chunk.n))
+        for chunk in job.chunks.values()
+        if chunk.gen > chunk.durable
+    }
+    wider = {job.work_path(tail): plain(wide) for tail, wide in job.wider.items()}
+    return {"width": job.chunk_tasks, "writes": writes, "wider": wider} | job_tasks_to_values(job)
+
+
+PARK = ("job", "low", "high", "at", "times", "first", "why", "past")
+
+
+def read_parks(values: Plain) -> Plain:
+    """`park/<team>/<n>`: ranges of tasks that wait for their retry."""
+    parks = Parks("red", VALUE_BYTES)
+    number = int(values["key"].rsplit("/", 1)[1])
+    rows_read = parks.load(number, msgspec.json.decode(to_bytes(values["value"])), REVISION)
+    return [
+        dict(zip(PARK, (p.job, p.low, p.high, p.at, *p.failure), strict=True)) for p in rows_read
+    ]
+
+
+def write_parks(values: Plain) -> Plain:
+    """Keys and values of a part's parks, spilled over values of `limit` bytes."""
+    parks = Parks("red", values["limit"])
+    for row in values["parks"]:
+        failure = Failure(row["times"], row["first"], row["why"], row["past"])
+        parks.items.append(Park(row["job"], row["low"], row["high"], row["at"], failure))
+    return [[parks.path(number), encoded(value)] for number, value in parks.writes()]
+
+
+MACHINE_PHASES = {
+    MachinePhase.EXPECTED: "not up yet",
+    MachinePhase.UP: "up",
+    MachinePhase.LEAVING: "draining",
+    MachinePhase.DOOMED: "given up",
+}
+
+
+def read_machine(values: Plain) -> Plain:
+    """`machine/<name>` as its part's owner and as the leader read it."""
+    name = values["key"].split("/", 1)[1]
+    record = msgspec.json.decode(to_bytes(values["value"]))
+    machine = Machine(name, record, REVISION, machine_type("g4"), NOW)
+    lent = Leader._lent_of(Entry(values["key"], record, REVISION))
+    return {
+        "type": machine.type,
+        "zone": machine.zone,
+        "spot": machine.spot,
+        "address": machine.address,
+        "rented_at": machine.rented,
+        "rental_time_known": machine.dated,
+        "phase": MACHINE_PHASES[machine.phase],
+        "reason": machine.why,
+        "session": machine.tenure,
+        "images": plain(images_of(record)),
+        "as_leader": plain(tuple(lent)),
+    }
+
+
+def rewrite_machine(values: Plain) -> Plain:
+    """A machine's record, read by an owner and written again for a part."""
+    record = msgspec.json.decode(to_bytes(values["value"]))
+    machine = Machine("vm-1", record, REVISION, machine_type("g4"), NOW)
+    return encoded(machine.value(values["part"]))
+
+
+def trim_machine(values: Plain) -> Plain:
+    """A machine's record with no more images than fit a value of `limit` bytes."""
+    return encoded(trimmed(msgspec.json.decode(to_bytes(values["value"])), values["limit"]))
+
+
+def write_leader_machine(values: Plain) -> Plain:
+    """A machine's record as the leader first writes it."""
+    record = Leader._value(
+        values["type"],
+        values["zone"],
+        values["spot"],
+        values["address"],
+        values["part"],
+        values["at"],
+    )
+    return encoded(record)
+
+
+def read_charter(body: Plain) -> Plain:
+    """`charter/<name>`: what the leader set out to rent."""
+    rent = rent_of(msgspec.json.decode(to_bytes(body)))
+    return {
+        "teams": plain(rent.teams),
+        "type": rent.type,
+        "zone": rent.zone,
+        "spot": rent.spot,
+        "number": rent.number,
+    }
+
+
+def read_life(body: Plain) -> Plain:
+    """`life/<label>`: the count that the next life of a controller starts from."""
+    lives = Lives(1.0, 6.0)
+    record = lives.begun(msgspec.json.decode(to_bytes(body)), [], NOW)
+    return {"ends": record.ends, "at": record.at, "steady": lives.steady}
+
+
+def read_members(values: Plain) -> Plain:
+    """`member/<label>`: who may own parts and lead."""
+    entries = entries_by_path(values)
+    membership: Any = Membership.__new__(Membership)
+    membership.house = SimpleNamespace(members=SimpleNamespace(entries=entries))
+    return membership.fit_members()
+
+
+def read_part_owner(body: Plain) -> Plain:
+    """`part/<team>`: the label of the controller that owns it."""
+    entry = Entry("part/red", msgspec.json.decode(to_bytes(body)), REVISION)
+    controller: Any = Controller.__new__(Controller)
+    controller.parts = SimpleNamespace(entries={entry.path: entry})
+    return controller.owner_label("red")
+
+
+LEADERSHIP = {Stands.FREE: "free", Stands.FOR_US: "ours", Stands.OTHERS: "another's"}
+
+
+def read_seat(values: Plain) -> Plain:
+    """`leader`: whose it is, seen by a controller."""
+    seat = Seat("machines", "leader", values["label"], 5)
+    return LEADERSHIP[seat.stands(msgspec.json.decode(to_bytes(values["value"])))]
+
+
+def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
+    """Entries of the store by path, from `[path, value, revision]`."""
+    return {path: Entry(path, value, stamp) for path, value, stamp in values}
--- /dev/null
+++ b/tests/forms/adapter/writers.py
@@ -0,0 +1,250 @@
+"""What each writer puts into the store, and records that are read by a request to it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Coroutine, Iterable
+from types import SimpleNamespace
+from typing import Any
+
+from ashdock.core.allotment import Rent
+from ashdock.duties.holder import Holder
+from ashdock.duties.seat import Seat
+from ashdock.kinds import Kinds
+from ashdock.leader import Leader
+from ashdock.membership import Membership
+from ashdock.net.cloud import CloudTrouble
+from ashdock.owner import Owner, OwnerPhase
+from ashdock.settings import (
+    Other,
+    Team,
+)
+from ashdock.upgrade import Upgrade
+from ashdock.wire import messages
+from tests.forms.adapter.bodies import MACHINE_TYPE
+from tests.forms.adapter.exchanges import Store, bounded, store_client
+from tests.forms.adapter.records import (
+    NOW,
+    REVISION,
+    entries_by_path,
+    machine_type,
+    make_part,
+    shared_settings,
+)
+from tests.forms.adapter.values import (
+    Plain,
+    attributes_of,
+    to_bytes,
+)
+
+
+def replica(entries: Iterable[Plain]) -> Any:
+    """A prefix of the store as a controller keeps it in memory."""
+    return SimpleNamespace(
+        entries=entries_by_path(list(entries)), wrote=lambda path, value, stamp: None
+    )
+
+
+def house(store: Store, **more: Any) -> Any:
+    """What of a controller the writers use."""
+    shared = shared_settings()
+    client = store_client(store)
+    base = {
+        "label": "n1",
+        "incarnation": 5,
+        "ttl_s": 1.0,
+        "tick_s": 0.25,
+        "shared": shared,
+        "workers": shared.workers,
+        "bounds": client.bounds,
+        "state": client,
+        "hold": 9,
+        "hold_began": 0.0,
+        "others": [Other("n2", "10.0.0.2:8081"), Other("n3", "10.0.0.3:8081")],
+        "now": lambda: NOW,
+        "cut_off": lambda: False,
+        "fit_members": lambda: ["n1", "n2"],
+        "names_next": lambda: True,
+    }
+    return SimpleNamespace(**(base | more))
+
+
+async def write_membership(store: Store, values: Plain) -> None:
+    """Join, and then say once more whether this controller is fit."""
+    upgrade = SimpleNamespace(agreed=values["agreed"])
+    path = "member/n1"
+    entries = [[path, {"incarnation": 5, "fit": True}, 3]]
+    membership = Membership(house(store, upgrade=upgrade, members=replica(entries)), 6.0)
+    await membership._join()
+    store.entries[path] = (None, 3)
+    await membership._say_fit(False)
+
+
+async def write_claim(store: Store, values: Plain) -> None:
+    """Claim a part, and give it to another controller."""
+    owner: Any = Owner.__new__(Owner)
+    owner.team, owner.claimed_from = Team("red"), values["revision"]
+    owner.phase = OwnerPhase.LOST  # the claim is written, and the part is not read
+    owner.house = house(store, parts=replica([]), let_go=lambda owner: None)
+    try:
+        await owner._claim()
+    except Exception as error:
+        if type(error).__name__ != "Overtaken":
+            raise
+    store.entries["part/red"] = (None, REVISION)
+    await owner._give(make_part(), "n2")
+
+
+async def write_leadership(store: Store, values: Plain) -> None:
+    """Take the leader's key, name the next leader, and drop it."""
+    seat = Seat("machines", "leader", "n1", 5)
+    holder: Any = Holder.__new__(Holder)
+    holder.house, holder.seat, holder.replica = house(store), seat, replica([])
+    holder.begin, holder.work, holder.free_since, holder.named_at = (
+        (lambda seat: None),
+        None,
+        None,
+        None,
+    )
+    holder.held_s = holder.gap_s = SimpleNamespace(add=lambda seconds: None)
+    held = entries_by_path(values["held"]).get("leader")
+    await holder._take(held)
+    store.entries["leader"] = (None, 100)
+    await holder._hand("n2")
+    await holder._drop(100)
+
+
+async def write_upgrade(store: Store, values: Plain) -> None:
+    """Look at the announcements and the mark, and write what is due."""
+    await Upgrade(house(store)).look()
+
+
+async def write_catalog_records(store: Store, values: Plain) -> None:
+    """Keep the machine types: in one value, or in one for each where that is too large."""
+
+    async def catalog() -> dict[str, messages.MachineType]:
+        return {label: machine_type(label) for label in values["labels"]}
+
+    home = house(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
+    if values["limit"]:
+        home.bounds.agreed, home.bounds.value_bytes = True, values["limit"]
+    await Kinds(home).learn()
+
+
+async def write_charter(store: Store, values: Plain) -> None:
+    """Set out to rent."""
+
+    async def carry_out(*words: Any, **more: Any) -> None:
+        """What follows the write is not part of the form."""
+
+    leader: Any = Leader.__new__(Leader)
+    leader.house, leader.stamp, leader.renting_names = house(store, charters=0), 41, set()
+    leader.seat = SimpleNamespace(path="leader", may=lambda now, term: True)
+    leader._carry_out = carry_out
+    teams = tuple((team, number) for team, number in values["teams"])
+    await leader._rent(Rent(teams, values["type"], values["zone"], values["spot"]))
+
+
+async def write_machines(store: Store, values: Plain) -> None:
+    """Record a rented machine, adopt a stray, lend one of the pool and give one up."""
+    leader: Any = Leader.__new__(Leader)
+    catalog = {"g4": machine_type("g4")}
+    pool = [[path, value, stamp] for path, (value, stamp) in store.entries.items()]
+    leader.house = house(store, machines=replica(pool), catalog=catalog)
+    leader.stamp, leader.seat = 41, SimpleNamespace(path="leader")
+    leader.lending, leader.strays, leader.marking, leader.released = {}, {}, set(), {}
+    leader.lending, leader.lag_s = set(), 1.0
+    store.entries["leader"] = (None, 41)
+    report = messages.decode_report(to_bytes(values["report"]))
+    leader.pooled = {"vm-1": (report, NOW)}
+    await leader._record(Rent((("red", 1), ("blue", 1)), "g4", "a", True), ["vm-7", "vm-8"], NOW)
+    await leader._adopt("vm-9", "g4", "b", False, "10.1.0.9:9000")
+    leader.strays = {"vm-6": (report, NOW)}
+    await leader._assign({"vm-1": "red", "vm-6": "blue"})
+    await leader._mark("vm-1", "returned")
+
+
+async def write_part_changes(store: Store, values: Plain) -> None:
+    """A part's own transactions: load it, tell it of reports, and write what is not durable."""
+    part = make_part()
+    if "limit" in values:
+        part.bounds.agreed, part.bounds.value_bytes = True, values["limit"]
+    held = {path: (value, stamp) for path, (value, stamp) in store.entries.items()}
+
+    def under(prefix: str) -> list[tuple[str, Any, int]]:
+        return [
+            (path, value, stamp) for path, (value, stamp) in held.items() if path.startswith(prefix)
+        ]
+
+    machines = [(path.split("/", 1)[1], value, stamp) for path, value, stamp in under("machine/")]
+    part.load(machines, under("work/red/"), under("park/red/"), NOW)
+    part.tick(NOW)
+    part.passes.schedule(NOW)
+    store.entries["part/red"] = (None, REVISION)
+    for report in values.get("reports", ()):
+        found = messages.decode_report(to_bytes(report))
+        part.reports.on_report(found, NOW + 1, checkin=True)
+    for job_id in values.get("cancelled", ()):
+        part.cancel(job_id, NOW, held[f"job/{job_id}"][1], NOW)
+    client = store_client(store)
+    while (txn := part.ledger.next_txn()) is not None:
+        revision = await client.txn(txn.when, txn.writes)
+        for mark in txn.marks:
+            mark(revision)
+        for path in txn.writes:
+            store.entries[path] = (None, revision)
+
+
+WRITERS: dict[str, Callable[[Store, Plain], Coroutine[Any, Any, None]]] = {
+    "membership": write_membership,
+    "claim": write_claim,
+    "leadership": write_leadership,
+    "upgrade": write_upgrade,
+    "catalog": write_catalog_records,
+    "charter": write_charter,
+    "machines": write_machines,
+    "part": write_part_changes,
+}
+
+
+def transactions(values: Plain) -> Plain:
+    """The bodies of the transactions that one writer sends, given what the store holds."""
+
+    async def run() -> Plain:
+        store = Store(values["store"])
+        await WRITERS[values["writer"]](store, values["arguments"])
+        return [body for _, _, body in store.requests]
+
+    return bounded(run())
+
+
+def read_upgrade(entries: Plain) -> Plain:
+    """`upgrade/`: the version that all controllers know, and what follows from it."""
+
+    async def run() -> Plain:
+        home = house(Store(entries))
+        upgrade = Upgrade(home)
+        await upgrade.look()
+        return {
+            "version": upgrade.forms,
+            "missing": upgrade.missing,
+            "narrow_chunks": upgrade.agreed,
+            "terms": upgrade.termed,
+            "cancellations_told": upgrade.vouched,
+        }
+
+    return bounded(run())
+
+
+def read_kept_catalog(entries: Plain) -> Plain:
+    """`catalog` and `catalog/<label>`, read while the cloud does not answer."""
+
+    async def catalog() -> dict[str, messages.MachineType]:
+        raise CloudTrouble("no answer", True)
+
+    async def run() -> Plain:
+        home = house(Store(entries), catalog={}, leader=None)
+        home.cloud = SimpleNamespace(catalog=catalog)
+        await Kinds(home).learn()
+        return {label: attributes_of(kind, MACHINE_TYPE) for label, kind in home.catalog.items()}
+
+    return bounded(run())
