--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""The tests of ashdock, their stand-ins, and the tools that measure it in simulated time."""
