--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -27,7 +27,13 @@
 from ashdock.net.cloud import CloudClient, CloudTrouble
 from ashdock.net.http import Answer, Server
 from ashdock.net.mesh import Mesh
-from ashdock.net.state import Conflict, HoldLost, Replica, StateClient, Unavailable
+from ashdock.net.store import (
+    CompareFailedError,
+    LeaseLostError,
+    StoreClient,
+    StoreUnavailableError,
+    WatchCache,
+)
 from ashdock.net.worker import WorkerClient
 from ashdock.owner import Owner, OwnerPhase
 from ashdock.recovery import Rise
@@ -78,7 +84,7 @@
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
         places = self.admission.shares.certain
-        self.state = StateClient(
+        self.store = StoreClient(
             *address(settings.outside.state, "outside.state"),
             self.shared,
             self.bounds,
@@ -100,13 +106,13 @@
             on_link=lambda label: self.word.vouched.linked(label),
         )
         self.word: OurWord = OurWord(self)
-        self.machines = Replica(self.state, "machine/")
-        self.parts = Replica(self.state, "part/")
-        self.members = Replica(self.state, "member/")
-        self.leaders = Replica(self.state, "leader")
+        self.machines = WatchCache(self.store, "machine/")
+        self.parts = WatchCache(self.store, "part/")
+        self.members = WatchCache(self.store, "member/")
+        self.leaders = WatchCache(self.store, "leader")
         # Asked anew often enough that at the beginning of an outage we know how jobs stood a moment before.
-        self.jobs = Replica(
-            self.state,
+        self.jobs = WatchCache(
+            self.store,
             "job/",
             keep=False,
             hold_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8),
@@ -241,7 +247,7 @@
                 if pause is None:
                     return
                 await asyncio.sleep(pause)
-            except (Unavailable, CloudTrouble, Conflict) as why:
+            except (StoreUnavailableError, CloudTrouble, CompareFailedError) as why:
                 log.debug("%s: %s", loop.__name__, why)
                 await asyncio.sleep(self.tick_s)
             except Exception:
@@ -272,7 +278,7 @@
     # -- how well we are connected ---------------------------------------------------------------------------
 
     def state_fresh(self) -> bool:
-        return self.state.bad_since is None and self.state.silent_for < self.ttl_s
+        return self.store.bad_since is None and self.store.silent_for < self.ttl_s
 
     def may_renew(self, read_at: float) -> bool:
         """Whether running work of a part that was read at `read_at` may be kept alive: what could have been cancelled without our
@@ -286,7 +292,7 @@
     def alone_without_state(self) -> bool:
         """Others are served, or may be: users had better ask them. Where nobody is heard either we are most likely cut off; one that went on
         taking users then answered none of their questions for as long as that lasted, and their connections stayed."""
-        silent = self.state.silent_for
+        silent = self.store.silent_for
         if silent < self.ttl_s / 2:
             return False
         beats = [
@@ -353,7 +359,7 @@
         if self.catalog:
             try:
                 await self.duty.tend()
-            except HoldLost:
+            except LeaseLostError:
                 self.membership.lost()
         return 0.0
 
@@ -492,11 +498,11 @@
         self._share()
         beat = Beat(
             self.incarnation,
-            self.state.silent_for,
+            self.store.silent_for,
             now - self.last_report,
             self.ready(),
             self.leader is not None,
-            *self.state.demand,
+            *self.store.demand,
         )
         self.mesh.broadcast(beat)
         self.word.vouch(now)
@@ -586,7 +592,7 @@
                 others.append(Demand(peer.beat.requests, peer.beat.writes))
             elif f"member/{peer.label}" in self.members.entries or not self.members.ready.is_set():
                 others.append(None)
-        self.state.share_with(others)
+        self.store.share_with(others)
 
     def tell_leader(self, part: Part) -> None:
         """At once when a part comes to lack something; what it no longer lacks can wait for the next beat."""
--- a/ashdock/duties/holder.py
+++ b/ashdock/duties/holder.py
@@ -10,7 +10,14 @@
 from ashdock.core.spans import Spans
 from ashdock.duties.seat import Phase, Seat, Stands
 from ashdock.duties.spread import better, ranked
-from ashdock.net.state import Conflict, Entry, HoldLost, Replica, StateClient, Unavailable
+from ashdock.net.store import (
+    CompareFailedError,
+    Entry,
+    LeaseLostError,
+    StoreClient,
+    StoreUnavailableError,
+    WatchCache,
+)
 
 log = logging.getLogger("ashdock.duties")
 
@@ -36,7 +43,7 @@
 
     label: str
     ttl_s: float
-    state: StateClient
+    store: StoreClient
 
     @property
     def hold(self) -> int | None: ...
@@ -58,7 +65,7 @@
         self,
         house: HolderHouse,
         seat: Seat,
-        replica: Replica,
+        replica: WatchCache,
         begin: Callable[[Seat], Held],
         allowed: Collection[str],
         settle_s: float,
@@ -163,13 +170,13 @@
         value = {"label": seat.label, "incarnation": seat.incarnation}
         seat.taking()
         try:
-            term = await house.state.txn(
+            term = await house.store.txn(
                 {seat.path: entry.stamp if entry else 0}, {seat.path: value}, hold=hold
             )
-        except Conflict:
+        except CompareFailedError:
             seat.refused()
             return
-        except (HoldLost, Unavailable):
+        except (LeaseLostError, StoreUnavailableError):
             seat.refused()
             raise
         self.replica.wrote(seat.path, value, term)
@@ -224,10 +231,10 @@
             return
         value: dict[str, Any] = {"label": to, "incarnation": 0, "by": seat.label}
         try:
-            stamp = await self.house.state.txn(
+            stamp = await self.house.store.txn(
                 {seat.path: seat.term}, {seat.path: value}, hold=self.house.hold
             )
-        except Conflict:
+        except CompareFailedError:
             return  # the watch will tell who has it
         self.lose(f"handed on to {to}")
         self.named_at = time.monotonic()
@@ -236,8 +243,8 @@
     async def _drop(self, stamp: int) -> None:
         path = self.seat.path
         try:
-            gone = await self.house.state.txn({path: stamp}, {path: None})
-        except Conflict:
+            gone = await self.house.store.txn({path: stamp}, {path: None})
+        except CompareFailedError:
             return
         self.lose("given up")
         self.replica.wrote(path, None, gone)
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -19,7 +19,13 @@
 from ashdock.net.budget import Turn
 from ashdock.net.http import Answer, Request
 from ashdock.net.mesh import Mesh
-from ashdock.net.state import Conflict, Entry, Replica, StateClient, Unavailable
+from ashdock.net.store import (
+    CompareFailedError,
+    Entry,
+    StoreClient,
+    StoreUnavailableError,
+    WatchCache,
+)
 from ashdock.questions import Busy, Known, Questions, known_of
 from ashdock.restarts.deputy import Deputy
 from ashdock.settings import Shared, Workers
@@ -91,8 +97,8 @@
     bounds: Bounds
     admission: Admission
     catalog: dict[str, messages.MachineType]
-    state: StateClient
-    machines: Replica
+    store: StoreClient
+    machines: WatchCache
     mesh: Mesh
     deputy: Deputy
 
@@ -135,7 +141,7 @@
         self.finals: OrderedDict[str, Final] = OrderedDict()
         self.reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.looking: set[str] = set()  # jobs that others need, being looked up to tell who asks
-        self.questions = Questions(house.state, ANSWER_S, self.saw, house.admission.memory.jobs)
+        self.questions = Questions(house.store, ANSWER_S, self.saw, house.admission.memory.jobs)
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
         self.answered: dict[str, float] = {}  # worker: when an owner here last answered it
@@ -187,7 +193,7 @@
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
-        writes = house.state.writes
+        writes = house.store.writes
         refusal_now = house.admission.submission(
             writes.behind_s(Turn.USER, spec.team),
             time.monotonic(),
@@ -218,23 +224,23 @@
                 # A job that was accepted is never refused afterwards, whatever its later copies say.
                 entry = await self._bounded(self._read(spec.id))
                 return Answer(200, self._state(spec.id, entry)) if entry else refusal
-        except Unavailable:
+        except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
         path = f"job/{spec.id}"
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
             stamp = await self._bounded(
-                house.state.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team)
+                house.store.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team)
             )
-        except Conflict:
+        except CompareFailedError:
             try:
                 entry = await self._read(spec.id)
-            except Unavailable:
+            except StoreUnavailableError:
                 return error(503, "the state service does not answer", self._retry_after())
             if entry is None:
                 return error(503, "try again", 1)
             return Answer(200, self._state(spec.id, entry))
-        except Unavailable:
+        except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
         log.info(
             "job %s of %s accepted: %s of %d, priority %d",
@@ -311,7 +317,7 @@
             known = await self._bounded(self.questions.ask(job_id))
         except Busy:
             return error(429, "too many questions at once", self._retry_after())
-        except Unavailable:
+        except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
         final = self.finals.get(
             job_id
@@ -348,7 +354,7 @@
                 head = f"work/{team}/{job_id}/job"
                 # Durable first. Every start names the job's stamp, so none can be committed after this.
                 stamp = await self._bounded(
-                    house.state.txn(
+                    house.store.txn(
                         {path: entry.stamp},
                         {path: record, head: record},
                         turn=Turn.USER,
@@ -357,16 +363,16 @@
                 )
                 log.info("job %s withdrawn", job_id)
                 house.jobs_seen(path, record, stamp)
-            except Conflict:
+            except CompareFailedError:
                 continue
-            except Unavailable:
+            except StoreUnavailableError:
                 break
         return error(503, "try again", self._retry_after())
 
     def _state_usable(self) -> bool:
         """While the state service is known not to answer, users are told so at once."""
-        state = self.house.state
-        return state.bad_since is None or time.monotonic() - state.bad_since < self.house.ttl_s / 8
+        store = self.house.store
+        return store.bad_since is None or time.monotonic() - store.bad_since < self.house.ttl_s / 8
 
     def _retry_after(self) -> int:
         return 1 if self.house.state_fresh() else 2
@@ -377,7 +383,7 @@
             async with asyncio.timeout(ANSWER_S):
                 return await call
         except TimeoutError:
-            raise Unavailable("no answer in time", unknown=True) from None
+            raise StoreUnavailableError("no answer in time", unknown=True) from None
 
     async def _read(self, job_id: str) -> Entry | None:
         """A read that began after it was asked for... or is shared with others who ask at the same time."""
@@ -394,7 +400,7 @@
         # Only readers who come before the request is sent share it: an answer on its way may be too old.
         await asyncio.sleep(0)
         self.reads.pop(job_id, None)
-        return await self.house.state.get(f"job/{job_id}", turn=Turn.USER)
+        return await self.house.store.get(f"job/{job_id}", turn=Turn.USER)
 
     def saw(self, job_id: str, value: dict[str, Any], stamp: int) -> None:
         """A record of it came by."""
@@ -439,7 +445,7 @@
         """How a job ended and when, as far as that was noted; None if it has not."""
         final = self.finals.get(job_id)
         if final is None:
-            entry = await self.house.state.get(f"job/{job_id}")
+            entry = await self.house.store.get(f"job/{job_id}")
             if entry is not None:
                 self.saw(job_id, entry.value, entry.stamp)
             final = self.finals.get(job_id)
@@ -484,7 +490,7 @@
     async def _look_up(self, need: str) -> None:
         try:
             await self.outcome(need)
-        except Unavailable:
+        except StoreUnavailableError:
             pass
         finally:
             self.looking.discard(need)
--- a/ashdock/kinds.py
+++ b/ashdock/kinds.py
@@ -9,7 +9,7 @@
 from ashdock.core.bounds import Bounds
 from ashdock.net.budget import Turn
 from ashdock.net.cloud import CloudClient, CloudTrouble
-from ashdock.net.state import StateClient
+from ashdock.net.store import StoreClient
 from ashdock.wire.messages import MachineType
 
 LEARN_S = 60.0  # until they are asked for again
@@ -21,7 +21,7 @@
     tick_s: float
     bounds: Bounds
     cloud: CloudClient
-    state: StateClient
+    store: StoreClient
     catalog: dict[str, MachineType]
 
     @property
@@ -39,14 +39,14 @@
             house.catalog.update(await house.cloud.catalog())
         except CloudTrouble:
             if not house.catalog:
-                entries, _ = await house.state.under("catalog")
+                entries, _ = await house.store.under("catalog")
                 for entry in entries:
                     house.catalog.update(msgspec.convert(entry.value, dict[str, MachineType]))
             return house.tick_s * 4
-        if house.leader or not await house.state.get("catalog", turn=Turn.PATIENT):
+        if house.leader or not await house.store.get("catalog", turn=Turn.PATIENT):
             for path, value in self.values().items():
                 # Without a condition: whoever wrote them last, and however late, they are the cloud's.
-                await house.state.txn({}, {path: value}, turn=Turn.PATIENT)
+                await house.store.txn({}, {path: value}, turn=Turn.PATIENT)
         return LEARN_S
 
     def values(self) -> dict[str, Any]:
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -18,7 +18,13 @@
 from ashdock.duties.seat import Seat
 from ashdock.net.budget import Turn
 from ashdock.net.cloud import CloudClient, CloudTrouble, NoCapacity
-from ashdock.net.state import Conflict, Entry, Replica, StateClient, Unavailable
+from ashdock.net.store import (
+    CompareFailedError,
+    Entry,
+    StoreClient,
+    StoreUnavailableError,
+    WatchCache,
+)
 from ashdock.settings import Operators, Shared, Workers
 from ashdock.wire.frames import Give, Word, Yield
 from ashdock.wire.messages import MachineType, Report
@@ -63,9 +69,9 @@
     charters: int
     bounds: Bounds
     catalog: dict[str, MachineType]
-    state: StateClient
+    store: StoreClient
     cloud: CloudClient
-    machines: Replica
+    machines: WatchCache
 
     def now(self) -> float: ...
 
@@ -151,7 +157,7 @@
                 if again is None:
                     return
                 await asyncio.sleep(again)
-            except (Unavailable, CloudTrouble, Conflict, NotHeld) as why:
+            except (StoreUnavailableError, CloudTrouble, CompareFailedError, NotHeld) as why:
                 log.debug("%s: %s", loop.__name__, why or "not ours at the moment")
                 await asyncio.sleep(pause)
             except Exception:
@@ -252,7 +258,7 @@
                     self._spawn(self._mark_all(machines, "returned"))
         if lend:
             # What is not written now is neither lent nor on its way: counted as that, it stood there for half a lease.
-            most = 0 if self.lending else max(1, int(LOANS_S * self.house.state.writes.per_s))
+            most = 0 if self.lending else max(1, int(LOANS_S * self.house.store.writes.per_s))
             self.allotment.not_lent(list(lend)[most:])
             if most:
                 self._spawn(self._assign(dict(list(lend.items())[:most])))
@@ -266,13 +272,13 @@
         names = list(records)
         written: list[str] = []
         while names:
-            most = max(1, min(self.house.bounds.ops, int(self.house.state.writes.per_s / 2)))
+            most = max(1, min(self.house.bounds.ops, int(self.house.store.writes.per_s / 2)))
             written += await self._write_some({name: records[name] for name in names[:most]})
             names = names[most:]
         return written
 
     async def _write_some(self, records: dict[str, tuple[int, dict[str, Any] | None]]) -> list[str]:
-        state = self.house.state
+        store = self.house.store
         most = self.house.bounds.value_bytes
         left = {
             name: (stamp, value and trimmed(value, most))
@@ -284,10 +290,10 @@
                     self.seat.path: self.stamp,
                     **{f"machine/{name}": stamp for name, (stamp, _) in left.items()},
                 }
-                revision = await state.txn(
+                revision = await store.txn(
                     when, {f"machine/{name}": value for name, (_, value) in left.items()}
                 )
-            except Conflict as why:
+            except CompareFailedError as why:
                 if self.seat.path in why.failed:
                     raise NotHeld from None
                 # Somebody was quicker with some of them: the others are written without.
@@ -330,7 +336,7 @@
         try:
             for name in await self._write_all(records):
                 log.info("machine %s goes from the pool to %s", name, lend[name])
-        except Unavailable as why:
+        except StoreUnavailableError as why:
             log.debug("not lent: %s", why)
 
     def _word_of(self, name: str) -> dict[str, Any]:
@@ -363,7 +369,7 @@
                 records[name] = (entry.stamp, {**entry.value, "x": why})
         try:
             await self._write_all(records)
-        except Unavailable as trouble:
+        except StoreUnavailableError as trouble:
             log.debug("not given up: %s", trouble)
 
     # -- renting ---------------------------------------------------------------------------------------
@@ -383,9 +389,9 @@
         self.renting_names.add(name)
         try:
             if not self._may():
-                raise Unavailable("not ours at the moment")
-            stamp = await house.state.txn({path: 0, self.seat.path: self.stamp}, {path: value})
-        except (Conflict, Unavailable) as why:
+                raise StoreUnavailableError("not ours at the moment")
+            stamp = await house.store.txn({path: 0, self.seat.path: self.stamp}, {path: value})
+        except (CompareFailedError, StoreUnavailableError) as why:
             log.debug("charter %s not written: %s", name, why)
             self.renting_names.discard(name)
             self.allotment.not_rented(rent, house.now(), no_capacity=False)
@@ -446,15 +452,15 @@
         again though it was returned long ago."""
         for name, stamp in walk(self.undeleted):
             try:
-                await self.house.state.txn(
+                await self.house.store.txn(
                     {f"charter/{name}": stamp, self.seat.path: self.stamp},
                     {f"charter/{name}": None},
                     turn=Turn.PATIENT,
                 )
-            except Conflict as why:
+            except CompareFailedError as why:
                 if self.seat.path in why.failed:
                     raise NotHeld from None
-            except Unavailable as why:
+            except StoreUnavailableError as why:
                 log.debug("charter %s not removed: %s", name, why)
                 return
             self.undeleted.pop(name, None)
@@ -472,7 +478,7 @@
             try:
                 await self._write_all(left)  # type: ignore[arg-type]
                 return
-            except Unavailable:
+            except StoreUnavailableError:
                 await asyncio.sleep(self.house.tick_s)
                 left = {name: record for name, record in left.items() if self._entry(name) is None}
 
@@ -486,7 +492,7 @@
         had asked for were asked for again. Then the same request again tells what came of it."""
         self._guard_call()
         await self._forget_charters()
-        entries, _ = await self.house.state.under("charter/")
+        entries, _ = await self.house.store.under("charter/")
         # Our own may have been written, carried out and removed since this was read: repeated, the cloud names machines again that
         # may have been released meanwhile, and each would be recorded once more.
         left = {e.path.split("/", 1)[1]: (e.value, e.stamp) for e in entries}
@@ -577,10 +583,10 @@
             return
         value = self._value(kind, zone, spot, where, "", now)
         try:
-            stamp = await house.state.txn({path: 0, self.seat.path: self.stamp}, {path: value})
+            stamp = await house.store.txn({path: 0, self.seat.path: self.stamp}, {path: value})
             log.info("machine %s adopted", name)
             house.machines.wrote(path, value, stamp)
-        except Conflict:
+        except CompareFailedError:
             pass
 
     async def _look(self) -> float:
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ashdock.net.state import HoldLost, Replica, StateClient, Unavailable
+from ashdock.net.store import LeaseLostError, StoreClient, StoreUnavailableError, WatchCache
 from ashdock.recovery import Rise
 from ashdock.restarts.lives import Lives
 from ashdock.upgrade import Upgrade
@@ -23,8 +23,8 @@
     label: str
     ttl_s: float
     incarnation: int
-    state: StateClient
-    members: Replica
+    store: StoreClient
+    members: WatchCache
     upgrade: Upgrade
     rise: Rise
 
@@ -59,17 +59,17 @@
             if self.hold is None:
                 await self._join()
             else:
-                await house.state.renew(self.hold, timeout=house.ttl_s / 2)
+                await house.store.renew(self.hold, timeout=house.ttl_s / 2)
                 self.lives.look(house.now())
                 if self.fit is not self._sound():
                     await self._say_fit(not self.fit)
             house.rise.joined(time.monotonic())
             self.began, self.until = started, started + house.ttl_s
             house.renewed()
-        except HoldLost:
+        except LeaseLostError:
             self.lost()
             return 0.0
-        except Unavailable:
+        except StoreUnavailableError:
             house.doubted()
             return pause / 2
         return pause
@@ -81,10 +81,10 @@
 
     async def _join(self) -> None:
         house = self.house
-        state = house.state
+        store = house.store
         path, life = f"member/{house.label}", f"life/{house.label}"
         hold, entry, (lives, _) = await asyncio.gather(
-            state.hold(int(house.ttl_s * 1000)), state.get(path), state.under("life/")
+            store.hold(int(house.ttl_s * 1000)), store.get(path), store.under("life/")
         )
         kept = next((other for other in lives if other.path == life), None)
         record = self.lives.begun(
@@ -102,7 +102,7 @@
         if house.upgrade.agreed:
             when[life] = kept.stamp if kept else 0
             writes[life] = msgspec.to_builtins(record)
-        stamp = await state.txn(when, writes, hold=hold, stays=(life,))
+        stamp = await store.txn(when, writes, hold=hold, stays=(life,))
         house.members.wrote(path, writes[path], stamp)
         self.hold = hold  # only now: a hold without our name on it would make us no member
         self.fit = fit
@@ -127,7 +127,7 @@
             else "hears nobody but the state service: parts and lead are for others",
         )
         value = self._entry(fit)
-        stamp = await house.state.txn({path: entry.stamp}, {path: value}, hold=self.hold)
+        stamp = await house.store.txn({path: entry.stamp}, {path: value}, hold=self.hold)
         house.members.wrote(path, value, stamp)
         self.fit = fit
 
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -24,7 +24,7 @@
 from ashdock.net.cloud import CloudClient
 from ashdock.net.http import Server
 from ashdock.net.mesh import Mesh
-from ashdock.net.state import StateClient
+from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
 from ashdock.recovery import Rise, Takeover
 from ashdock.upgrade import Upgrade
@@ -50,7 +50,7 @@
     cloud: CloudClient
     mesh: Mesh
     server: Server
-    state: StateClient
+    store: StoreClient
     rise: Rise
     upgrade: Upgrade
     worker_client: WorkerClient
@@ -94,7 +94,7 @@
             ),
             "ashdock_state_age_seconds": (
                 "since the state service last answered",
-                house.state.silent_for,
+                house.store.silent_for,
             ),
             "ashdock_cancellations_known_age_seconds": (
                 "since when cancellations confirmed elsewhere may be unknown here",
@@ -244,7 +244,7 @@
         held |= {
             Use.MESH: len(house.mesh.links)
             + sum(peer.writer is not None for peer in house.mesh.peers.values()),
-            Use.STATE: house.state.sockets,
+            Use.STATE: house.store.sockets,
             Use.CLOUD: house.cloud.client.sockets,
             Use.ORDERS: house.worker_client.sockets,
         }
@@ -282,7 +282,7 @@
             labels=["turn"],
         )
         for turn in Turn:
-            behind.add_metric([turn.name.lower()], house.state.writes.behind_s(turn))
+            behind.add_metric([turn.name.lower()], house.store.writes.behind_s(turn))
         yield from (sockets, shares, ended, refused, short, behind)
         yield GaugeMetricFamily(
             "ashdock_processor_late_seconds",
--- a/ashdock/net/state.py
+++ b/ashdock/net/store.py
@@ -23,7 +23,7 @@
 CONDITION_BYTES = 160  # of one on the longest key of a job
 
 
-class Unavailable(Exception):
+class StoreUnavailableError(Exception):
     """The state service did not do it, or it is not known whether it did (`unknown`)."""
 
     def __init__(self, why: str, unknown: bool = False) -> None:
@@ -31,15 +31,15 @@
         self.unknown = unknown
 
 
-class Limited(Unavailable):
+class StoreRateLimitedError(StoreUnavailableError):
     """More than it takes a second."""
 
 
-class Refused(Unavailable):
+class WriteRefusedError(StoreUnavailableError):
     """Not to be had as it stands: too many changes, or too large a value. What comes next will be smaller."""
 
 
-class Conflict(Exception):
+class CompareFailedError(Exception):
     """A condition did not hold."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -47,11 +47,11 @@
         self.failed = failed
 
 
-class HoldLost(Exception):
+class LeaseLostError(Exception):
     """The lease named is over."""
 
 
-class Expired(Exception):
+class WatchExpiredError(Exception):
     """The watch's starting point is too old: read again."""
 
 
@@ -81,7 +81,7 @@
     failed: list[str] = []
 
 
-class _Permit(Struct):
+class _Lease(Struct):
     permit: int
 
 
@@ -101,11 +101,11 @@
 _list = msgspec.json.Decoder(_List)
 _ledger = msgspec.json.Decoder(_Ledger)
 _failed = msgspec.json.Decoder(_Failed)
-_permit = msgspec.json.Decoder(_Permit)
+_permit = msgspec.json.Decoder(_Lease)
 _news = msgspec.json.Decoder(_News)
 
 
-class StateClient:
+class StoreClient:
     def __init__(
         self,
         host: str,
@@ -183,12 +183,12 @@
             )
         except NoAnswer as why:
             self._bad(str(why))
-            raise Unavailable(str(why), why.sent) from None
+            raise StoreUnavailableError(str(why), why.sent) from None
         if status in (429, 503) or status >= 500:
             if status == 429:
-                raise Limited(f"status {status}")
+                raise StoreRateLimitedError(f"status {status}")
             self._bad(f"status {status}")
-            raise Unavailable(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         if not watch:
             self.ok_at = max(self.ok_at, started)
             if self.bad_since is not None:
@@ -209,7 +209,7 @@
         try:
             return decoder.decode(answer)
         except msgspec.DecodeError as why:
-            raise Unavailable(f"answer not understood: {why}", unknown=True) from None
+            raise StoreUnavailableError(f"answer not understood: {why}", unknown=True) from None
 
     async def get(self, path: str, turn: Turn = Turn.WORK) -> Entry | None:
         await self.requests.wait(1, turn)
@@ -217,7 +217,7 @@
         if status == 404:
             return None
         if status != 200:
-            raise Unavailable(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         entry = self._decode(_entry, answer)
         return Entry(path, entry.value, entry.stamp)
 
@@ -231,7 +231,7 @@
             target = f"/store?under={under}&most=500" + (f"&from={after}" if after else "")
             status, answer = await self._call("GET", target)
             if status != 200:
-                raise Unavailable(f"status {status}")
+                raise StoreUnavailableError(f"status {status}")
             page = self._decode(_list, answer)
             ledger = page.ledger if ledger is None else ledger
             out += [Entry(entry.path, entry.value, entry.stamp) for entry in page.entries]
@@ -263,23 +263,23 @@
             ]
         try:
             status, answer = await self._call("POST", "/txn", msgspec.json.encode(body))
-        except Limited:
+        except StoreRateLimitedError:
             # One of the limits is lower than we think, or others use more of it: what is saved up is not spent on top.
             (self.writes if writes else self.requests).spend()
             raise
         if status == 200:
             return int(self._decode(_ledger, answer).ledger)
         if status == 409:
-            raise Conflict(self._decode(_failed, answer).failed)
+            raise CompareFailedError(self._decode(_failed, answer).failed)
         if status == 400 and b"no such lease" in answer:
-            raise HoldLost
+            raise LeaseLostError
         if status == 400:
             self.bounds.refused(
                 len(writes),
                 max((len(msgspec.json.encode(value)) for value in writes.values()), default=0),
             )
-            raise Refused(f"status {status}: {answer[:200]!r}")
-        raise Unavailable(f"status {status}: {answer[:200]!r}")
+            raise WriteRefusedError(f"status {status}: {answer[:200]!r}")
+        raise StoreUnavailableError(f"status {status}: {answer[:200]!r}")
 
     @staticmethod
     def _write(path: str, value: Any, hold: int | None) -> dict[str, Any]:
@@ -296,36 +296,36 @@
             "POST", "/holds", msgspec.json.encode({"ttl_ms": ttl_ms}), first=True
         )
         if status != 200:
-            raise Unavailable(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         return int(self._decode(_permit, answer).permit)
 
     async def renew(self, hold: int, timeout: float) -> None:
         self.requests.take(1)
         status, _ = await self._call("POST", f"/holds/{hold}/renew", timeout=timeout, first=True)
         if status == 404:
-            raise HoldLost
+            raise LeaseLostError
         if status != 200:
-            raise Unavailable(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
 
     async def changes(self, under: str, after: int, hold_ms: int) -> tuple[list[Change], int]:
         await self.requests.wait(1)
         target = f"/changes?under={under}&from={after}&hold_ms={hold_ms}"
         status, answer = await self._call("GET", target, timeout=hold_ms / 1000 + 30, watch=True)
         if status == 410:
-            raise Expired
+            raise WatchExpiredError
         if status != 200:
-            raise Unavailable(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         news = self._decode(_news, answer)
         return news.news, news.ledger
 
 
-class Replica:
+class WatchCache:
     """A prefix kept in memory by watching it. Behind the store by a few milliseconds, or by an outage."""
 
     def __init__(
-        self, state: StateClient, under: str, keep: bool = True, hold_ms: int = 20_000
+        self, store: StoreClient, under: str, keep: bool = True, hold_ms: int = 20_000
     ) -> None:
-        self.state = state
+        self.store = store
         self.keep = keep  # if not, only changes from now on are passed on, and nothing is held
         self.under = under
         self.hold_ms = hold_ms
@@ -369,7 +369,7 @@
                     await self._read()
                     self.whole_since = time.monotonic()
                 asked = time.monotonic()
-                news, ledger = await self.state.changes(self.under, self.ledger, self.hold_ms)
+                news, ledger = await self.store.changes(self.under, self.ledger, self.hold_ms)
                 for change in news:
                     if change.set is not None:
                         self._apply(change.set, change.value, change.stamp)
@@ -384,22 +384,22 @@
                 pause = 0.05
                 if news:
                     # Each watch opened is a request: where changes come by the dozen a second, they are taken by the bunch.
-                    await asyncio.sleep(4 / self.state.all.requests * self.state.size)
-            except Expired:
+                    await asyncio.sleep(4 / self.store.all.requests * self.store.size)
+            except WatchExpiredError:
                 self.ready.clear()
                 self.whole_since = math.inf
                 if self.on_gap:
                     self.on_gap()
-            except Unavailable:
+            except StoreUnavailableError:
                 await asyncio.sleep(pause)
                 pause = min(pause * 2, 1.0)
 
     async def _read(self) -> None:
         if not self.keep:
-            _, self.ledger = await self.state.under("leader")
+            _, self.ledger = await self.store.under("leader")
             self.ready.set()
             return
-        entries, ledger = await self.state.under(self.under)
+        entries, ledger = await self.store.under(self.under)
         found = {entry.path for entry in entries}
         for path in [path for path in self.entries if path not in found]:
             self._apply(path, None, ledger)
--- a/ashdock/owner.py
+++ b/ashdock/owner.py
@@ -18,7 +18,7 @@
 from ashdock.core.part import Part
 from ashdock.net.budget import Turn
 from ashdock.net.http import NoAnswer
-from ashdock.net.state import Conflict, Replica, StateClient, Unavailable
+from ashdock.net.store import CompareFailedError, StoreClient, StoreUnavailableError, WatchCache
 from ashdock.net.worker import WorkerClient
 from ashdock.recovery import Takeover
 from ashdock.settings import Operators, Shared, Team, Workers
@@ -57,9 +57,9 @@
     rng: random.Random
     bounds: Bounds
     catalog: dict[str, MachineType]
-    state: StateClient
-    machines: Replica
-    parts: Replica
+    store: StoreClient
+    machines: WatchCache
+    parts: WatchCache
     worker_client: WorkerClient
 
     @property
@@ -209,9 +209,9 @@
                         await asyncio.sleep(self.house.gather_s)
                 except TimeoutError:
                     pass
-        except Conflict as why:
+        except CompareFailedError as why:
             self.lost(f"claimed by another ({why})")
-        except Unavailable as why:
+        except StoreUnavailableError as why:
             self.lost(f"the state service: {why}")
         except Overtaken as why:
             log.debug("part %s: %s", self.team.name, why)
@@ -222,9 +222,9 @@
     async def _claim(self) -> None:
         name = self.team.name
         path = f"part/{name}"
-        state = self.house.state
+        store = self.house.store
         value = {"owner": self.house.label}
-        stamp = await state.txn({path: self.claimed_from}, {path: value})
+        stamp = await store.txn({path: self.claimed_from}, {path: value})
         self.house.parts.wrote(path, value, stamp)
         held(self.phase is OwnerPhase.CLAIMING, "given up while it was being claimed")
         self._claimed(stamp)
@@ -233,7 +233,7 @@
         self.read_at = time.monotonic()
         # Read after the claim: no earlier owner can write from here on, so this is all there is.
         (machines, seen), (work, _), (parks, _) = await asyncio.gather(
-            state.under("machine/"), state.under(f"work/{name}/"), state.under(f"park/{name}/")
+            store.under("machine/"), store.under(f"work/{name}/"), store.under(f"park/{name}/")
         )
         # Another may have claimed it meanwhile: one that let go here used to come back to life as nobody's owner.
         held(self.phase is OwnerPhase.LOADING, "given up while it was being read")
@@ -285,7 +285,7 @@
             needs = list(unread)[:READS_AT_ONCE]
             try:
                 outcomes = await asyncio.gather(*map(jobs.outcome, needs))
-            except Unavailable:
+            except StoreUnavailableError:
                 return  # asked again with the next turn
             for need, outcome in zip(needs, outcomes, strict=True):
                 unread.pop(need, None)
@@ -311,31 +311,31 @@
         path = f"part/{part.name}"
         value = {"owner": to}
         try:
-            stamp = await self.house.state.txn({path: part.stamp}, {path: value})
-        except Unavailable:
+            stamp = await self.house.store.txn({path: part.stamp}, {path: value})
+        except StoreUnavailableError:
             # It may yet be applied. Until we know, the fence tells: our next write fails if it was.
             return
         self.house.parts.wrote(path, value, stamp)
         self.lost(f"given to {to}")
 
     async def _commit(self, part: Part) -> None:
-        state = self.house.state
+        store = self.house.store
         for _ in range(16):
-            txn = part.ledger.next_txn(state.writes.short, state.writes.per_s)
+            txn = part.ledger.next_txn(store.writes.short, store.writes.per_s)
             if txn is None or self.phase is not OwnerPhase.ACTIVE:
                 return
             try:
-                revision = await state.txn(
+                revision = await store.txn(
                     txn.when,
                     txn.writes,
                     turn=Turn.WORK if txn.urgent else Turn.PATIENT,
                     whose=part.name,
                 )
-            except Conflict as why:
+            except CompareFailedError as why:
                 if not await self._reread(part, why.failed):
                     return
                 continue
-            except Unavailable:
+            except StoreUnavailableError:
                 return  # tried again at the next turn; whether it was applied shows then by the stamps
             for mark in txn.marks:
                 mark(revision)
@@ -360,7 +360,7 @@
     async def _reread(self, part: Part, failed: list[str]) -> bool:
         fence = f"part/{part.name}"
         for path in failed or [fence]:
-            entry = await self.house.state.get(path)
+            entry = await self.house.store.get(path)
             held(self.phase is OwnerPhase.ACTIVE, "given up while it was being written")
             stamp = entry.stamp if entry else 0
             if path == fence:
--- a/ashdock/questions.py
+++ b/ashdock/questions.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from ashdock.net.budget import Turn
-from ashdock.net.state import Conflict, Entry, StateClient, Unavailable
+from ashdock.net.store import CompareFailedError, Entry, StoreClient, StoreUnavailableError
 
 CALLS_SHARE = 1 / 8  # of our requests to the state service that may go into comparing
 UNDER_WAY = 4  # comparisons, and reads of what differed, at a time
@@ -44,9 +44,9 @@
 
 
 class Questions:
-    def __init__(self, state: StateClient, patience_s: float, seen: Any, most: int) -> None:
+    def __init__(self, store: StoreClient, patience_s: float, seen: Any, most: int) -> None:
         """`most`: jobs of which the stamp is remembered."""
-        self.state = state
+        self.store = store
         self.patience_s = patience_s
         self.most_known = most
         self.seen = seen  # told of each record read: (job id, record, stamp)
@@ -78,11 +78,11 @@
 
     @property
     def most(self) -> int:
-        return self.state.most_conditions
+        return self.store.most_conditions
 
     @property
     def pause_s(self) -> float:
-        return 1 / (CALLS_SHARE * self.state.requests.per_s)
+        return 1 / (CALLS_SHARE * self.store.requests.per_s)
 
     async def ask(self, job_id: str) -> Known | None:
         """How the job stands, by a check that begins from here on; None: there is no such job."""
@@ -120,12 +120,14 @@
                     f"job/{job_id}": known.stamp if known else 0 for job_id, known in held.items()
                 }
                 try:
-                    await self.state.txn(when, {}, turn=Turn.USER)
-                except Conflict as why:
+                    await self.store.txn(when, {}, turn=Turn.USER)
+                except CompareFailedError as why:
                     # What failed says nothing of the rest: that is compared again without.
                     differ = {path.split("/", 1)[1] for path in why.failed} & bunch.keys()
                     if not differ:
-                        raise Unavailable("a comparison failed and did not say where") from None
+                        raise StoreUnavailableError(
+                            "a comparison failed and did not say where"
+                        ) from None
                     for job_id in differ:
                         if (
                             self.known.get(job_id) == held[job_id]
@@ -136,7 +138,7 @@
                     if not future.done():
                         future.set_result(held[job_id])
                 return
-        except Unavailable as why:
+        except StoreUnavailableError as why:
             for future in bunch.values():
                 if not future.done():
                     future.set_exception(why)
@@ -146,8 +148,8 @@
     async def _read(self, job_id: str, future: asyncio.Future[Known | None]) -> None:
         try:
             async with self.reads:
-                entry: Entry | None = await self.state.get(f"job/{job_id}", turn=Turn.PATIENT)
-        except Unavailable as why:
+                entry: Entry | None = await self.store.get(f"job/{job_id}", turn=Turn.PATIENT)
+        except StoreUnavailableError as why:
             if not future.done():
                 future.set_exception(why)
             return
--- a/ashdock/upgrade.py
+++ b/ashdock/upgrade.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from ashdock.core.bounds import Bounds
-from ashdock.net.state import StateClient
+from ashdock.net.store import StoreClient
 from ashdock.settings import Other
 
 log = logging.getLogger("ashdock.upgrade")
@@ -31,7 +31,7 @@
     others: list[Other]
     ttl_s: float
     bounds: Bounds
-    state: StateClient
+    store: StoreClient
 
 
 class Upgrade:
@@ -61,8 +61,8 @@
 
     async def look(self) -> float | None:
         house = self.house
-        state = house.state
-        entries, _ = await state.under(UNDER)
+        store = house.store
+        entries, _ = await store.under(UNDER)
         found = {entry.path: entry for entry in entries}
         if MARK in found:
             self._agree(int(found[MARK].value["forms"]), "as the mark says")
@@ -71,7 +71,7 @@
             return None
         ours = f"{UNDER}node/{house.label}"
         if ours not in found or found[ours].value["forms"] < FORMS:
-            await state.txn(
+            await store.txn(
                 {ours: found[ours].stamp if ours in found else 0}, {ours: {"forms": FORMS}}
             )
             log.info("announced that this controller is of the new version")
@@ -82,7 +82,7 @@
         if common > self.forms:
             # What all of them know, be it less than we do: two versions after the one in production may meet as well.
             when = {entry.path: entry.stamp for entry in announced.values() if entry}
-            await state.txn(
+            await store.txn(
                 {**when, MARK: found[MARK].stamp if MARK in found else 0},
                 {MARK: {"forms": common, "of": names}},
             )
@@ -104,7 +104,7 @@
         house = self.house
         if forms >= 2 and not house.bounds.agreed:
             house.bounds.agree()
-            house.state.keep_within()
+            house.store.keep_within()
         if forms > self.forms:
             self.forms = forms
             if forms >= FORMS:
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -158,7 +158,7 @@
     ("wire/frames.py", "mesh"),
     ("vouching/", "mesh"),
     ("wire/messages.py", "JSON"),
-    ("net/state.py", "watch and state"),
+    ("net/store.py", "watch and state"),
     ("net/budget.py", "watch and state"),
     ("fairness/line.py", "watch and state"),
     ("core/reports.py", "reports"),
@@ -219,7 +219,7 @@
     "questions": "questions.py:ask",
     "mesh": "controller.py:_on_frame",
     "leader's choices": "leader.py:_choose",
-    "watch and state": "net/state.py:txn",
+    "watch and state": "net/store.py:txn",
     "submissions and questions": "front.py:submit",
     "pictures": "core/telling.py:picture",
 }
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -11,8 +11,8 @@
 from ashdock.core.bounds import Bounds
 from ashdock.net.cloud import CloudClient
 from ashdock.net.http import NoAnswer
-from ashdock.net.state import (
-    StateClient,
+from ashdock.net.store import (
+    StoreClient,
 )
 from ashdock.net.worker import WorkerClient
 from tests.forms.adapter.bodies import HOST, MACHINE_TYPE, orders_from, report_to_values
@@ -90,10 +90,10 @@
         return 200, encoded({"entries": found, "ledger": 99}).encode()
 
 
-def store_client(exchange: Exchange) -> StateClient:
+def store_client(exchange: Exchange) -> StoreClient:
     """A client of the store over the exchange."""
     shared = shared_settings()
-    client = StateClient("10.0.0.9", 2379, shared, Bounds(shared.state))
+    client = StoreClient("10.0.0.9", 2379, shared, Bounds(shared.state))
     client.client = client.watcher = exchange  # type: ignore[assignment]
     return client
 
@@ -103,7 +103,7 @@
     return asyncio.run(asyncio.wait_for(call, 10))
 
 
-async def call_store(client: StateClient, call: str, values: Plain) -> Plain:
+async def call_store(client: StoreClient, call: str, values: Plain) -> Plain:
     """One call of the store's client; its result as values."""
     match call:
         case "get":
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -19,7 +19,7 @@
 from ashdock.front import Front
 from ashdock.leader import Leader, rent_of
 from ashdock.membership import Membership
-from ashdock.net.state import (
+from ashdock.net.store import (
     Entry,
 )
 from ashdock.questions import known_of
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -9,13 +9,13 @@
 
 from ashdock.net.cloud import CloudTrouble, NoCapacity
 from ashdock.net.http import NoAnswer
-from ashdock.net.state import (
-    Conflict,
-    Expired,
-    HoldLost,
-    Limited,
-    Refused,
-    Unavailable,
+from ashdock.net.store import (
+    CompareFailedError,
+    LeaseLostError,
+    StoreRateLimitedError,
+    StoreUnavailableError,
+    WatchExpiredError,
+    WriteRefusedError,
 )
 from ashdock.settings import (
     SettingsError,
@@ -29,12 +29,12 @@
     BadFrame: "bad frame",
     messages.Malformed: "malformed body",
     SettingsError: "settings",
-    Conflict: "conflict",
-    Unavailable: "store unavailable",
-    Limited: "store rate limited",
-    Refused: "store refused",
-    HoldLost: "lease lost",
-    Expired: "watch expired",
+    CompareFailedError: "conflict",
+    StoreUnavailableError: "store unavailable",
+    StoreRateLimitedError: "store rate limited",
+    WriteRefusedError: "store refused",
+    LeaseLostError: "lease lost",
+    WatchExpiredError: "watch expired",
     CloudTrouble: "cloud trouble",
     NoCapacity: "no capacity",
     NoAnswer: "no answer",
@@ -52,7 +52,7 @@
     else:
         raise error
     values: dict[str, Plain] = {"type": kind, "message": str(error)}
-    if isinstance(error, (Unavailable, CloudTrouble)):
+    if isinstance(error, (StoreUnavailableError, CloudTrouble)):
         values["outcome_unknown"] = error.unknown
     if isinstance(error, NoAnswer):
         values["outcome_unknown"] = error.sent
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -56,7 +56,7 @@
         "shared": shared,
         "workers": shared.workers,
         "bounds": client.bounds,
-        "state": client,
+        "store": client,
         "hold": 9,
         "hold_began": 0.0,
         "others": [Other("n2", "10.0.0.2:8081"), Other("n3", "10.0.0.3:8081")],
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ashdock.again import Overtaken, held, walk
-from ashdock.net.state import Entry, Replica
+from ashdock.net.store import Entry, WatchCache
 from ashdock.owner import OwnerPhase
 from ashdock.wire.messages import Report
 from tests import simtime
@@ -127,7 +127,7 @@
 def test_news_older_than_our_own_write_changes_nothing(
     wrote: Any, watched: Any, there: dict[str, int]
 ) -> None:
-    replica = Replica(None, "m/")  # type: ignore[arg-type]
+    replica = WatchCache(None, "m/")  # type: ignore[arg-type]
     replica.entries["m/1"] = Entry("m/1", {"a": 0}, 5)
     replica.ledger = 6
     for change in wrote:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -31,8 +31,8 @@
         await asyncio.sleep(1e6)
         return 503, b"{}"
 
-    controller.state.client.request = refused  # type: ignore[method-assign]
-    controller.state.watcher.request = waits  # type: ignore[method-assign]
+    controller.store.client.request = refused  # type: ignore[method-assign]
+    controller.store.watcher.request = waits  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
@@ -96,8 +96,8 @@
 
         service.state.server.handler = count
         for controller in service.controllers.values():
-            controller.state.writes.left = (
-                -20 * controller.state.writes.per_s
+            controller.store.writes.left = (
+                -20 * controller.store.writes.per_s
             )  # comparing writes nothing, so waits for no writes
         asked = Counter[int]()
 
@@ -116,7 +116,7 @@
         assert sum(asked.values()) == 1200
         assert calls["compares"] <= 3 * 5 * 4 and calls["reads"] <= 20
         for controller in service.controllers.values():
-            controller.state.writes.left = 1.0
+            controller.store.writes.left = 1.0
         # A change is seen at once, whichever controller is asked.
         assert await service.withdraw("req-000007") == "withdrawn"
         for n in range(3):
@@ -369,7 +369,7 @@
         leader.strays = {
             name: (msgspec.structs.replace(report, berth=name), service.now()) for name in names
         }
-        most = int(LOANS_S * leader.house.state.all.writes)  # shares of it come and go
+        most = int(LOANS_S * leader.house.store.all.writes)  # shares of it come and go
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
         while not begun:
             await asyncio.sleep(0.1)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -951,13 +951,13 @@
         controller = next(c for c in service.controllers.values() if "red" in c.owners)
         part = controller.owners["red"].part
         assert part is not None
-        txn, schedule, passes = controller.state.txn, part.passes.schedule, [service.now()]
+        txn, schedule, passes = controller.store.txn, part.passes.schedule, [service.now()]
 
         async def slow(when: dict[str, int], writes: dict[str, Any], **more: Any) -> int:
             await asyncio.sleep(0.4 if "part/red" in when else 0.0)
             return await txn(when, writes, **more)
 
-        monkeypatch.setattr(controller.state, "txn", slow)
+        monkeypatch.setattr(controller.store, "txn", slow)
 
         def noted(now: float) -> Any:
             passes.append(service.now())
