--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -94,7 +94,7 @@
 # that are open have the rest.
 BODIES = 1 / 8  # of requests that come in or are being answered
 BUFFERS = 1 / 8  # what all connections may hold that has not been read
-REMEMBERED = 1 / 8  # jobs that have ended, and stamps of others
+REMEMBERED = 1 / 8  # jobs that have ended, and revisions of others
 JOB_BYTES = 512  # of one that is remembered
 MOST_JOBS = 20_000  # that are remembered, however much memory there is
 LEAST_BUFFER, MOST_BUFFER = 2 * 1024, 64 * 1024
--- a/ashdock/again.py
+++ b/ashdock/again.py
@@ -2,7 +2,7 @@
 
 While a coroutine waits, every other one runs. What it read before may be gone, replaced, or somebody else's by the time it goes
 on; taking it for true ended the leader's loop with a KeyError and brought back owners that had let go. So nothing is kept over an
-await but names and stamps, and what they stand for is looked up anew:
+await but names and revisions, and what they stand for is looked up anew:
 
 - a loop that waits goes over a table by `walk`, never over `list(table.items())`;
 - what is taken out after a wait goes by `pop(name, None)`, never by `del`;
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -183,8 +183,8 @@
     def jobs_known(self) -> Front:
         return self.front
 
-    def tell_withdrawn(self, job_id: str, team: str, stamp: int, at: float) -> None:
-        self.word.tell(job_id, team, stamp, at)
+    def tell_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> None:
+        self.word.tell(job_id, team, revision, at)
 
     def parts_here(self) -> int:
         return len(self.owners)
@@ -363,10 +363,10 @@
                 self.membership.lost()
         return 0.0
 
-    def _seat_changed(self, path: str, value: Any, stamp: int) -> None:
+    def _seat_changed(self, path: str, value: Any, revision: int) -> None:
         self.seats_stir.set()
         if value is not None and path == "leader":
-            self.terms.saw(stamp)
+            self.terms.saw(revision)
             # It chooses nothing before it has heard of every part, and would hear with our next beat.
             for part in self._parts():
                 self._tell_picture(part)
@@ -396,7 +396,7 @@
         """The token under which its owner acts, as far as the records have come through to us."""
         entry = self.machines.entries.get(f"machine/{machine}")
         part = self.parts.entries.get(f"part/{entry.value['p']}") if entry else None
-        return max(entry.stamp, part.stamp) if entry and part else 1 << 64
+        return max(entry.revision, part.revision) if entry and part else 1 << 64
 
     async def _ownership(self) -> float:
         # The jobs too: a part read before their watch has begun would miss what is accepted in between.
@@ -434,8 +434,8 @@
             entry = self.parts.entries.get(f"part/{team.name}")
             ours = self.owners.get(team.name)
             if ours is not None:
-                claim = ours.part.stamp if ours.part else 0
-                if claim and entry and entry.stamp > claim:
+                claim = ours.part.revision if ours.part else 0
+                if claim and entry and entry.revision > claim:
                     ours.lost(f"claimed by {entry.value['owner']}")
                 continue
             # A part that names us is ours from before a restart: taken back at once.
@@ -443,51 +443,51 @@
                 team.name
             ) == self.label:
                 if self.state_fresh():
-                    self.owners[team.name] = Owner(self, team, entry.stamp if entry else 0)
+                    self.owners[team.name] = Owner(self, team, entry.revision if entry else 0)
         return self.tick_s
 
-    def _machine_changed(self, path: str, value: Any, stamp: int) -> None:
+    def _machine_changed(self, path: str, value: Any, revision: int) -> None:
         name = path.split("/", 1)[1]
         for owner in list(self.owners.values()):
             if value is None:
                 owner.note(lambda part: part.machine_gone(name, self.now()))
             elif value["p"] == owner.team.name:
-                owner.note(lambda part: part.add_machine(name, value, stamp, self.now()))
+                owner.note(lambda part: part.add_machine(name, value, revision, self.now()))
 
     def _missed_jobs(self) -> None:
         """Jobs may have been accepted that we were not told of: our parts are claimed and read again."""
         for owner in list(self.owners.values()):
             owner.lost("changes to jobs were missed")
 
-    def jobs_seen(self, path: str, value: Any, stamp: int) -> None:
+    def jobs_seen(self, path: str, value: Any, revision: int) -> None:
         """`job/<id>` changed: new, withdrawn, done, or with a reason."""
         if value is None:
             return
         job_id = path.split("/", 1)[1]
-        self.front.saw(job_id, value, stamp)
+        self.front.saw(job_id, value, revision)
         team = spec_of_record(value).team
         owner = self.owners.get(team)
         status = value["status"]
         if status == "withdrawn":
-            self.cancelled(job_id, team, stamp, value.get("cancelled_at", self.now()))
+            self.cancelled(job_id, team, revision, value.get("cancelled_at", self.now()))
         elif owner is not None and status == "queued":
-            owner.note(lambda part: self._job_news(part, job_id, value, stamp))
+            owner.note(lambda part: self._job_news(part, job_id, value, revision))
         if status != "queued":
             self.settled(job_id, status, value.get("done_at"))
 
-    def cancelled(self, job_id: str, team: str, stamp: int, at: float) -> None:
+    def cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
         owner = self.owners.get(team)
         if owner is not None:
-            owner.note(lambda part: part.cancel(job_id, at, stamp, self.now()))
+            owner.note(lambda part: part.cancel(job_id, at, revision, self.now()))
 
     def settled(self, job_id: str, status: str, done_at: float | None) -> None:
         for owner in list(self.owners.values()):
             if owner.waits_for(job_id):
                 owner.note(lambda part: part.pipelines.settled(job_id, status, done_at, self.now()))
 
-    def _job_news(self, part: Part, job_id: str, value: Any, stamp: int) -> None:
+    def _job_news(self, part: Part, job_id: str, value: Any, revision: int) -> None:
         if job_id not in part.jobs and not self.front.is_final(job_id):
-            part.telling.came(part.add_job(value, stamp), self.now())
+            part.telling.came(part.add_job(value, revision), self.now())
 
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
@@ -568,20 +568,20 @@
     def tell_claims(self) -> None:
         # Once they are read: told at the claim, one that the state service refuses let go of its workers, the reading met an outage, and
         # nobody could answer them (109 tasks on a day of refusals and outages). Until then it can write nothing any more.
-        claims = [(part.name, part.stamp) for part in self._parts()]
+        claims = [(part.name, part.revision) for part in self._parts()]
         if claims:
             self.mesh.broadcast(Claims(claims))
 
     def _claims_of(self, label: str, claims: Claims) -> None:
         """A claim that the state service did not tell us of. One controller that it refused alone went on answering
         the workers of a part that had gone to another; that one heard none of them and gave up their machines."""
-        for team, stamp in claims.parts:
+        for team, revision in claims.parts:
             path = f"part/{team}"
             known = self.parts.entries.get(path)
-            if known is None or known.stamp < stamp:
-                self.parts.wrote(path, {"owner": label}, stamp)
+            if known is None or known.revision < revision:
+                self.parts.wrote(path, {"owner": label}, revision)
             ours = self.owners.get(team)
-            if ours is not None and ours.part and ours.part.stamp < stamp:
+            if ours is not None and ours.part and ours.part.revision < revision:
                 ours.lost(f"claimed by {label}, as the mesh tells")
 
     def _share(self) -> None:
--- a/ashdock/core/allotment.py
+++ b/ashdock/core/allotment.py
@@ -1,7 +1,7 @@
 """The leader's choices: which machines to rent, lend to which part, call back and return.
 
 It is told pictures of the parts by their owners and sees the machines' records. Its own writes are
-fenced by the records' stamps, so a leader that is out of date can waste money but break nothing.
+fenced by the records' revisions, so a leader that is out of date can waste money but break nothing.
 """
 
 from __future__ import annotations
@@ -326,7 +326,7 @@
         for name, (team, since) in list(self.coming.items()):
             record = lent.get(name)
             picture = pictures.get(team)
-            seen = record and picture and record.part == team and picture.seen >= record.stamp
+            seen = record and picture and record.part == team and picture.seen >= record.revision
             if seen or now - since > self.settle_s:
                 del self.coming[name]
 
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -30,11 +30,11 @@
 class Chunk:
     """A run of tasks that share one value `work/<team>/<id>/<n>`."""
 
-    __slots__ = ("attempts", "durable", "gen", "live", "n", "placed", "stamp")
+    __slots__ = ("attempts", "durable", "gen", "live", "n", "placed", "revision")
 
     def __init__(self, n: int) -> None:
         self.n = n
-        self.stamp = 0
+        self.revision = 0
         self.gen = 0
         self.durable = 0
         self.attempts = 0  # the highest attempt number used
@@ -51,14 +51,14 @@
 class Wider(NamedTuple):
     """A chunk of an earlier, wider layout. For each of its tasks the narrower chunk that is there has the word."""
 
-    stamp: int
+    revision: int
     low: int
     high: int  # beyond its last task
 
 
 class Job:
     def __init__(
-        self, spec: Spec, submitted: float, stamp: int, chunk_tasks: int, plain_tasks: int = 0
+        self, spec: Spec, submitted: float, revision: int, chunk_tasks: int, plain_tasks: int = 0
     ) -> None:
         self.spec = spec
         self.id = spec.id
@@ -66,8 +66,8 @@
         self.since = submitted  # when it could first have started: what it needs was done
         self.waits = False  # for other jobs: none of its tasks may be placed
         self.carried: Carried = NOTHING  # from the jobs that need it
-        self.stamp = (
-            stamp  # of job/<id>, and of the copy beside the work: they are only written together
+        self.revision = (
+            revision  # of job/<id>, and of the copy beside the work: they are only written together
         )
         self.phase = JobPhase.ACTIVE
         self.chunk_tasks = chunk_tasks
@@ -289,13 +289,13 @@
         n, _, width = tail.partition("w")
         return int(n), int(width) if width else self.plain_tasks
 
-    def chunk_wrote(self, tail: str, stamp: int) -> None:
+    def chunk_wrote(self, tail: str, revision: int) -> None:
         """What the key holds now (0: nothing), whether of this layout or of one before."""
         n, width = self.of_tail(tail)
         if width == self.chunk_tasks:
-            self.chunk(n).stamp = stamp
-        elif stamp:
-            self.wider[tail] = Wider(stamp, n * width, min((n + 1) * width, self.spec.tasks))
+            self.chunk(n).revision = revision
+        elif revision:
+            self.wider[tail] = Wider(revision, n * width, min((n + 1) * width, self.spec.tasks))
         else:
             self.wider.pop(tail, None)
         self.changed()
@@ -305,14 +305,14 @@
         for each task until the narrower chunk that takes it over is durable; only then is it deleted."""
         before, old = self.chunks, self.chunk_tasks
         self.wider |= {
-            self.tail(n): Wider(chunk.stamp, n * old, min((n + 1) * old, self.spec.tasks))
+            self.tail(n): Wider(chunk.revision, n * old, min((n + 1) * old, self.spec.tasks))
             for n, chunk in before.items()
-            if chunk.stamp
+            if chunk.revision
         }
         self.chunks = {}
         self.chunk_tasks = width
         for n, chunk in before.items():
-            if not chunk.stamp and not chunk.gen:
+            if not chunk.revision and not chunk.gen:
                 continue
             for piece in self.pieces(n * old, min((n + 1) * old, self.spec.tasks)):
                 piece.attempts = max(piece.attempts, chunk.attempts)
@@ -364,26 +364,27 @@
         """Take its chunks in, by the end of their keys. Where the job was going over to narrower ones both are there: for each
         task the narrowest has the word, and the rest of the way is gone from here."""
         rows = sorted(
-            (*reversed(self.of_tail(tail)), tail, value, stamp) for tail, value, stamp in found
+            (*reversed(self.of_tail(tail)), tail, value, revision)
+            for tail, value, revision in found
         )
         if not rows:
             return []
         self.chunk_tasks = rows[0][0]
         taken = bytearray(self.spec.tasks)
         out: list[Placement] = []
-        for width, n, tail, value, stamp in rows:
+        for width, n, tail, value, revision in rows:
             low, high = n * width, min((n + 1) * width, self.spec.tasks)
             out += self._load(value, taken, now)
             taken[low:high] = b"\1" * (high - low)
             if width == self.chunk_tasks:
                 chunk = self.chunk(n)
-                chunk.stamp = stamp
+                chunk.revision = revision
                 chunk.attempts = max(chunk.attempts, value.get("a", 0))
                 chunk.durable = chunk.gen
                 continue
-            self.wider[tail] = Wider(stamp, low, high)
+            self.wider[tail] = Wider(revision, low, high)
             for chunk in self.pieces(low, high):
-                if not chunk.stamp:
+                if not chunk.revision:
                     chunk.attempts = max(chunk.attempts, value.get("a", 0))
                     chunk.touch()
         return out
--- a/ashdock/core/ledger.py
+++ b/ashdock/core/ledger.py
@@ -1,7 +1,7 @@
 """What of a part is not durable yet, and the transactions that make it so.
 
-Every transaction carries the part's fence and the written keys' own stamps. What comes of it is noted only once it has been
-answered; one that was not answered shows by the stamps.
+Every transaction carries the part's fence and the written keys' own revisions. What comes of it is noted only once it has been
+answered; one that was not answered shows by the revisions.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
             len(self.writes) + ops <= self.ops and self.bytes + size <= 60 * 1024
         )
 
-    def put(self, path: str, value: Any, stamp: int) -> None:
-        self.when[path] = stamp
+    def put(self, path: str, value: Any, revision: int) -> None:
+        self.when[path] = revision
         self.writes[path] = value
 
 
@@ -54,7 +54,7 @@
 
     name: str
     team: Team
-    stamp: int
+    revision: int
     clock: float
     shared: Shared
     bounds: Bounds
@@ -69,11 +69,11 @@
 
     def drop(self, placement: Placement, now: float) -> None: ...
 
-    def cancel(self, job_id: str, at: float, stamp: int, now: float) -> None: ...
+    def cancel(self, job_id: str, at: float, revision: int, now: float) -> None: ...
 
     def machine_gone(self, name: str, now: float) -> None: ...
 
-    def add_machine(self, name: str, value: dict[str, Any], stamp: int, now: float) -> None: ...
+    def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None: ...
 
 
 class Ledger:
@@ -116,8 +116,8 @@
         for n, value in part.parks.writes() if part.parks.dirty else ():
             size = part.bounds.value_bytes
             if txn.room(1, size):
-                stamp = part.parks.stamps[n] if n < len(part.parks.stamps) else 0
-                txn.put(part.parks.path(n), value, stamp)
+                revision = part.parks.revisions[n] if n < len(part.parks.revisions) else 0
+                txn.put(part.parks.path(n), value, revision)
                 txn.bytes += size
                 txn.marks.append(
                     lambda revision, n=n, value=value: self._parks_written(n, value, revision)  # type: ignore[misc]
@@ -141,11 +141,11 @@
             if not self._write_job(job, txn):
                 break
         while self.leftover and txn.room(1, 100):
-            path, stamp = self.leftover.pop()
-            txn.put(path, None, stamp)
+            path, revision = self.leftover.pop()
+            txn.put(path, None, revision)
         if not txn.writes:
             return None
-        txn.when[f"part/{part.name}"] = part.stamp
+        txn.when[f"part/{part.name}"] = part.revision
         return txn
 
     def _parks_written(self, n: int, value: list[Any] | None, revision: int) -> None:
@@ -188,8 +188,8 @@
             size = len(value) + 120
             if (job.spec.kind != "gang" or self.part.bounds.agreed) and not txn.room(1, size):
                 return False
-            txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.stamp)
-            txn.when[job.job_path] = job.stamp
+            txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
+            txn.when[job.job_path] = job.revision
             txn.bytes += size
             txn.marks.append(
                 lambda revision, c=chunk, gen=chunk.gen: self._chunk_durable(job, c, gen, revision)  # type: ignore[misc]
@@ -202,7 +202,7 @@
             ):
                 if not txn.room(1, 100):
                     return False
-                txn.put(job.work_path(tail), None, wide.stamp)
+                txn.put(job.work_path(tail), None, wide.revision)
                 txn.bytes += 100
                 txn.marks.append(lambda revision, tail=tail: job.chunk_wrote(tail, 0))  # type: ignore[misc]
         if job.reason_gen > job.reason_durable and job.active:
@@ -215,8 +215,8 @@
                 return True
             if not txn.room(2, size):
                 return False
-            txn.put(job.job_path, record, job.stamp)
-            txn.put(job.head_path, record, job.stamp)
+            txn.put(job.job_path, record, job.revision)
+            txn.put(job.head_path, record, job.revision)
             txn.bytes += size
             txn.marks.append(
                 lambda revision, gen=job.reason_gen: self._reason_durable(job, gen, revision)  # type: ignore[misc]
@@ -255,18 +255,20 @@
             )
 
     def _write_outcome(self, job: Job, txn: Txn) -> bool:
-        chunks = [(job.path(chunk.n), chunk.stamp) for chunk in job.chunks.values() if chunk.stamp]
-        chunks += [(job.work_path(tail), wide.stamp) for tail, wide in job.wider.items()]
+        chunks = [
+            (job.path(chunk.n), chunk.revision) for chunk in job.chunks.values() if chunk.revision
+        ]
+        chunks += [(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()]
         together, later = chunks[: txn.ops - 4], chunks[txn.ops - 4 :]
         record = fitting(job.record(), self.part.bounds.value_bytes)
         size = 100 * (len(together) + 2) + len(msgspec.json.encode(record))
         if not txn.room(len(together) + 2, size):
             return False
         if job.phase is not JobPhase.CANCELLED:
-            txn.put(job.job_path, record, job.stamp)
-        txn.put(job.head_path, None, job.stamp)
-        for path, stamp in together:
-            txn.put(path, None, stamp)
+            txn.put(job.job_path, record, job.revision)
+        txn.put(job.head_path, None, job.revision)
+        for path, revision in together:
+            txn.put(path, None, revision)
         txn.bytes += size
         txn.marks.append(lambda revision: self._outcome_durable(job, later))
         return True
@@ -282,13 +284,13 @@
         txn.put(
             f"machine/{machine.name}",
             trimmed(machine.value(to), self.part.bounds.value_bytes),
-            machine.stamp,
+            machine.revision,
         )
         txn.bytes += 300
         txn.marks.append(lambda revision: self._machine_written(machine, to, revision))
 
     def _machine_written(self, machine: Machine, to: str, revision: int) -> None:
-        machine.stamp = revision
+        machine.revision = revision
         machine.doom_gen = 0
         machine.bump = False
         if to != self.part.name:
@@ -296,7 +298,7 @@
             self.part.machines.pop(machine.name, None)
 
     def _chunk_durable(self, job: Job, chunk: Chunk, gen: int, revision: int) -> None:
-        chunk.stamp = revision
+        chunk.revision = revision
         chunk.durable = max(chunk.durable, gen)
         together = job.spec.kind == "gang"
         if together and any(other.placed > other.durable for other in job.chunks.values()):
@@ -311,7 +313,7 @@
 
     def _reason_durable(self, job: Job, gen: int, revision: int) -> None:
         job.reason_durable = gen
-        job.stamp = revision
+        job.revision = revision
 
     def _outcome_durable(self, job: Job, later: list[Any]) -> None:
         self.leftover += later
@@ -327,7 +329,7 @@
             job.id, "done" if done else "withdrawn", job.ended_at, self.part.clock
         )
 
-    def reread(self, path: str, value: Any, stamp: int, now: float) -> None:
+    def reread(self, path: str, value: Any, revision: int, now: float) -> None:
         """A condition of ours failed though the part is still ours: take in what the key holds now.
 
         Only a transaction of our own that was applied late, a withdrawal, or the leader's deletion of a
@@ -340,8 +342,8 @@
             if job is None or value is None:
                 return
             if value["status"] == "withdrawn":
-                part.cancel(rest, value.get("cancelled_at", now), stamp, now)
-            job.stamp = stamp
+                part.cancel(rest, value.get("cancelled_at", now), revision, now)
+            job.revision = revision
             if value["status"] == "done" and job.phase is JobPhase.OVER:
                 self._outcome_durable(job, [])
         elif kind == "work":
@@ -350,12 +352,12 @@
             if job is None:
                 return
             if tail != "job":
-                job.chunk_wrote(tail, stamp)
+                job.chunk_wrote(tail, revision)
             elif value is None and job.phase is JobPhase.CANCELLED:
                 self._outcome_durable(job, [])
         elif kind == "park":
             n = int(rest.rsplit("/", 1)[1])
-            part.parks.wrote(n, value, stamp)
+            part.parks.wrote(n, value, revision)
             part.parks.dirty = True
         elif kind == "machine":
             if value is None:
@@ -363,4 +365,4 @@
             elif value.get("p") != part.name:
                 part.machines.pop(rest, None)
             else:
-                part.add_machine(rest, value, stamp, now)
+                part.add_machine(rest, value, revision, now)
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -21,7 +21,7 @@
 
 class Machine:
     def __init__(
-        self, name: str, value: dict[str, Any], stamp: int, shape: MachineType, now: float
+        self, name: str, value: dict[str, Any], revision: int, shape: MachineType, now: float
     ) -> None:
         self.name = name
         self.type = value["t"]
@@ -32,7 +32,7 @@
         self.dated = bool(
             value.get("r")
         )  # whether that is when it was rented, and not when it was found
-        self.stamp = stamp
+        self.revision = revision
         self.shape = shape
         self.phase = MachinePhase.DOOMED if value.get("x") else MachinePhase.EXPECTED
         self.why = value.get("x", "")
--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -59,7 +59,7 @@
         self.team = team
         self.value_bytes = value_bytes
         self.items: list[Park] = []
-        self.stamps: list[int] = []  # of the values as last written or read; 0: there is none
+        self.revisions: list[int] = []  # of the values as last written or read; 0: there is none
         self.written: list[bytes] = []
         self.dirty = False
 
@@ -117,29 +117,29 @@
         they not fit into one transaction, what has moved on stands twice for a moment, and not nowhere."""
         values = self.values() if self.items else []
         out: list[tuple[int, list[Any] | None]] = []
-        most = max(len(values), len(self.stamps))
+        most = max(len(values), len(self.revisions))
         for n in (
             reversed(range(most))
-            if len(values) > sum(stamp > 0 for stamp in self.stamps)
+            if len(values) > sum(revision > 0 for revision in self.revisions)
             else range(most)
         ):
-            stamp = self.stamps[n] if n < len(self.stamps) else 0
+            revision = self.revisions[n] if n < len(self.revisions) else 0
             if n >= len(values):
-                if stamp:
+                if revision:
                     out.append((n, None))
-            elif stamp == 0 or self.written[n] != msgspec.json.encode(values[n]):
+            elif revision == 0 or self.written[n] != msgspec.json.encode(values[n]):
                 out.append((n, values[n]))
         return out
 
-    def wrote(self, n: int, value: list[Any] | None, stamp: int) -> None:
-        while len(self.stamps) <= n:
-            self.stamps.append(0)
+    def wrote(self, n: int, value: list[Any] | None, revision: int) -> None:
+        while len(self.revisions) <= n:
+            self.revisions.append(0)
             self.written.append(b"")
-        self.stamps[n] = 0 if value is None else stamp
+        self.revisions[n] = 0 if value is None else revision
         self.written[n] = b"" if value is None else msgspec.json.encode(value)
 
-    def load(self, n: int, value: list[Any], stamp: int) -> list[Park]:
-        self.wrote(n, value, stamp)
+    def load(self, n: int, value: list[Any], revision: int) -> list[Park]:
+        self.wrote(n, value, revision)
         out = [
             Park(job, low, high, at, Failure(*failure)) for job, low, high, at, *failure in value
         ]
--- a/ashdock/core/part.py
+++ b/ashdock/core/part.py
@@ -49,7 +49,7 @@
     def __init__(
         self,
         team: Team,
-        stamp: int,
+        revision: int,
         shared: Shared,
         operators: Operators,
         catalog: dict[str, MachineType],
@@ -58,7 +58,7 @@
     ) -> None:
         self.team = team
         self.name = team.name
-        self.stamp = stamp  # of our claim: the fence in every write
+        self.revision = revision  # of our claim: the fence in every write
         self.shared = shared
         self.workers = shared.workers
         self.retry = operators.retry
@@ -78,8 +78,8 @@
         self.wants: list[Want] = []
         self.wanted_before = False
         self.reserved: set[str] = set()  # empty machines kept for a gang that lacks others
-        self.seen = stamp
-        self.looked = stamp  # what was seen when the last pass began
+        self.seen = revision
+        self.looked = revision  # what was seen when the last pass began
         self.urgent: dict[str, None] = {}  # machines with orders worth sending at once
         self.ledger = Ledger(self)
         self.ending: dict[str, Job] = {}  # cancelled jobs with tasks that may still be there
@@ -109,28 +109,28 @@
     ) -> None:
         """Rebuild the picture from the state service, then re-arm the parks."""
         self.clock = now
-        for name, value, stamp in machines:
-            self.add_machine(name, value, stamp, now)
+        for name, value, revision in machines:
+            self.add_machine(name, value, revision, now)
         chunks: dict[str, list[tuple[str, Any, int]]] = {}
         heads: dict[str, tuple[Any, int]] = {}
-        for path, value, stamp in work:
+        for path, value, revision in work:
             _, _, job_id, tail = path.split("/", 3)
             if tail == "job":
-                heads[job_id] = (value, stamp)
+                heads[job_id] = (value, revision)
             else:
-                chunks.setdefault(job_id, []).append((tail, value, stamp))
-        for job_id, (value, stamp) in heads.items():
-            job = self.add_job(value, stamp, started=job_id in chunks)
+                chunks.setdefault(job_id, []).append((tail, value, revision))
+        for job_id, (value, revision) in heads.items():
+            job = self.add_job(value, revision, started=job_id in chunks)
             if job_id in chunks:
                 job.started_at = now  # or so: an earlier owner saw it start
             for placement in job.load_chunks(chunks.pop(job_id, []), now):
                 self._count(job, placement, now)
         for job_id, rest in chunks.items():
             self.ledger.leftover += [
-                (f"work/{self.name}/{job_id}/{tail}", stamp) for tail, _, stamp in rest
+                (f"work/{self.name}/{job_id}/{tail}", revision) for tail, _, revision in rest
             ]
-        for path, value, stamp in parks:
-            for park in self.parks.load(int(path.rsplit("/", 1)[1]), value, stamp):
+        for path, value, revision in parks:
+            for park in self.parks.load(int(path.rsplit("/", 1)[1]), value, revision):
                 parked = self.jobs.get(park.job)
                 for task in range(park.low, park.high + 1):
                     # The chunk has the last word: a task placed since is not parked.
@@ -142,7 +142,7 @@
         self.taken_at = now
         for job in self.jobs.values():
             for chunk in job.chunks.values():
-                if chunk.stamp or not job.wider:  # what a wider one still holds is to be written
+                if chunk.revision or not job.wider:  # what a wider one still holds is to be written
                     chunk.durable = chunk.gen
             self._after_load(job, now)
         self.pipelines.look(now)
@@ -169,14 +169,14 @@
             if placement.machine not in self.machines:
                 self.lost(placement, "machine gone", now)
 
-    def add_job(self, record: dict[str, Any], stamp: int, started: bool = False) -> Job:
+    def add_job(self, record: dict[str, Any], revision: int, started: bool = False) -> Job:
         """`started`: tasks of it have been placed before, so all that it needs is known to be done."""
         spec = spec_of_record(record)
         known = self.jobs.get(spec.id)
         if known:
             return known
         width = min(self.chunk_tasks, self.bounds.width) if self.bounds.agreed else self.chunk_tasks
-        job = Job(spec, record["at"], stamp, width, self.chunk_tasks)
+        job = Job(spec, record["at"], revision, width, self.chunk_tasks)
         job.listener = self.ledger.touched
         self.stale = True
         job.reason = record.get("reason")
@@ -193,20 +193,20 @@
         self.classes.done(job.id, now)
         job.over(now if self.bounds.agreed else None)
 
-    def add_machine(self, name: str, value: dict[str, Any], stamp: int, now: float) -> None:
+    def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
         shape = self.catalog.get(value["t"])
-        self.seen = max(self.seen, stamp)
+        self.seen = max(self.seen, revision)
         known = self.machines.get(name)
         if known:
-            if stamp > known.stamp:
-                known.stamp = stamp
+            if revision > known.revision:
+                known.revision = revision
                 if value.get("x"):
                     known.doom(value["x"])
             return
         if shape is None:
             log.error("machine %s has a type the catalog lacks: %s", name, value["t"])
             return
-        self.machines[name] = Machine(name, value, stamp, shape, now)
+        self.machines[name] = Machine(name, value, revision, shape, now)
 
     # -- accounting ---------------------------------------------------------------------------
 
@@ -232,7 +232,7 @@
         self.ledger.changing[name] = None
 
     def token(self, machine: Machine) -> int:
-        return max(self.stamp, machine.stamp)
+        return max(self.revision, machine.revision)
 
     # -- changes of a task's state --------------------------------------------------------------
 
@@ -491,14 +491,14 @@
             ) or placement.status != "running":
                 self.preempt(job, [placement.task], "machine taken back", now)
 
-    def cancel(self, job_id: str, at: float, stamp: int, now: float) -> None:
+    def cancel(self, job_id: str, at: float, revision: int, now: float) -> None:
         job = self.jobs.get(job_id)
         if job is None or job.phase in (JobPhase.CANCELLED, JobPhase.FINAL):
             return
         log.info("job %s is cancelled; %d tasks to stop", job_id, len(job.live))
         job.cancel(at)
         self.classes.served.withdrawn(job_id)
-        job.stamp = max(job.stamp, stamp)
+        job.revision = max(job.revision, revision)
         job.breaking = None
         self.pipelines.cancelled(job, now)
         if not job.done:
--- a/ashdock/core/stock.py
+++ b/ashdock/core/stock.py
@@ -24,7 +24,7 @@
     type: str
     zone: str
     spot: bool
-    stamp: int
+    revision: int
     doomed: str
     images: frozenset[str] = frozenset()
 
--- a/ashdock/core/telling.py
+++ b/ashdock/core/telling.py
@@ -180,7 +180,7 @@
             and m.idle_since is not None
             and m.usable
             and m.name not in self.part.reserved
-            and m.stamp <= self.part.looked
+            and m.revision <= self.part.looked
         ]
         kept = self._at_hand(empty, now)
         idle = [(m.name, now - (m.idle_since or now)) for m in empty if m.name not in kept]
--- a/ashdock/duties/holder.py
+++ b/ashdock/duties/holder.py
@@ -110,7 +110,7 @@
             self.free_since = now
         if self.house.hold is not None:
             seat.renewed(self.house.hold_began, self.house.ttl_s, now)
-        if seat.held and (entry is None or entry.stamp > seat.term):
+        if seat.held and (entry is None or entry.revision > seat.term):
             self.lose(
                 "its lease is over" if entry is None else f"{entry.value.get('label')} has it"
             )
@@ -140,7 +140,7 @@
         if not house.may_serve():
             if entry is not None:
                 await self._drop(
-                    entry.stamp
+                    entry.revision
                 )  # for others, and they need not wait for the lease of our last life
             return
         if stands is Stands.FREE and not self._turn():
@@ -171,7 +171,7 @@
         seat.taking()
         try:
             term = await house.store.txn(
-                {seat.path: entry.stamp if entry else 0}, {seat.path: value}, hold=hold
+                {seat.path: entry.revision if entry else 0}, {seat.path: value}, hold=hold
             )
         except CompareFailedError:
             seat.refused()
@@ -231,19 +231,19 @@
             return
         value: dict[str, Any] = {"label": to, "incarnation": 0, "by": seat.label}
         try:
-            stamp = await self.house.store.txn(
+            revision = await self.house.store.txn(
                 {seat.path: seat.term}, {seat.path: value}, hold=self.house.hold
             )
         except CompareFailedError:
             return  # the watch will tell who has it
         self.lose(f"handed on to {to}")
         self.named_at = time.monotonic()
-        self.replica.wrote(seat.path, value, stamp)
+        self.replica.wrote(seat.path, value, revision)
 
-    async def _drop(self, stamp: int) -> None:
+    async def _drop(self, revision: int) -> None:
         path = self.seat.path
         try:
-            gone = await self.house.store.txn({path: stamp}, {path: None})
+            gone = await self.house.store.txn({path: revision}, {path: None})
         except CompareFailedError:
             return
         self.lose("given up")
@@ -256,4 +256,4 @@
             self.named_at = None
         elif time.monotonic() - self.named_at > self.house.ttl_s:
             self.named_at = None
-            await self._drop(entry.stamp)
+            await self._drop(entry.revision)
--- a/ashdock/duties/seat.py
+++ b/ashdock/duties/seat.py
@@ -1,6 +1,6 @@
 """The seat of a duty as one controller sees it: an explicit state machine, without input or output; times are passed in.
 
-A seat is a key of the state service on its holder's lease. The stamp of the write that took it is the *term*: a number that only rises and
+A seat is a key of the state service on its holder's lease. The revision of the write that took it is the *term*: a number that only rises and
 that no two holders share, whatever process they are. Everything that follows from the term is in `docs/duties.md`.
 """
 
--- a/ashdock/duties/spread.py
+++ b/ashdock/duties/spread.py
@@ -1,6 +1,6 @@
 """Which controller a duty had better lie with. No input or output.
 
-Rank decides nothing but when each tries: the seat is taken by a write under its stamp, so there is never more than one holder.
+Rank decides nothing but when each tries: the seat is taken by a write under its revision, so there is never more than one holder.
 """
 
 from __future__ import annotations
--- a/ashdock/fairness/line.py
+++ b/ashdock/fairness/line.py
@@ -1,7 +1,7 @@
 """A line in which each team has its turn, however many stand there for one of them.
 
 Start-time fair queueing (Goyal, Vin, Cheng, "Start-time Fair Queuing", 1996): what comes is stamped with the moment of a virtual clock at
-which it would begin to be served, were all that stand in line served side by side, each team at its weight; the lowest stamp goes first.
+which it would begin to be served, were all that stand in line served side by side, each team at its weight; the lowest revision goes first.
 A team that asks for nothing leaves its share to the others; when it comes back its first request is stamped with the present, and so goes
 before all that the others have asked for in advance. Nobody saves up what he has not used.
 """
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -122,13 +122,13 @@
 
     def heard_worker(self) -> None: ...
 
-    def jobs_seen(self, path: str, value: Any, stamp: int) -> None: ...
+    def jobs_seen(self, path: str, value: Any, revision: int) -> None: ...
 
     def counts(self, team: str, job: str) -> tuple[int, int]: ...
 
     def metrics(self) -> Answer: ...
 
-    def tell_withdrawn(self, job_id: str, team: str, stamp: int, at: float) -> None: ...
+    def tell_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> None: ...
 
     def spawn(self, job: Coroutine[Any, Any, Any]) -> None: ...
 
@@ -229,7 +229,7 @@
         path = f"job/{spec.id}"
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
-            stamp = await self._bounded(
+            revision = await self._bounded(
                 house.store.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team)
             )
         except CompareFailedError:
@@ -250,7 +250,7 @@
             spec.tasks,
             spec.priority,
         )
-        house.jobs_seen(path, record, stamp)
+        house.jobs_seen(path, record, revision)
         return Answer(201, messages.encode({"id": spec.id, "status": "queued"}))
 
     async def _needs_refused(self, spec: Spec) -> Answer | None:
@@ -267,10 +267,10 @@
                     entry = await self._read(need) if need != spec.id else None
                 if entry is None:
                     return f"{need} was never accepted"
-                self.saw(need, entry.value, entry.stamp)
+                self.saw(need, entry.value, entry.revision)
                 if entry.value["status"] != "queued":
                     return None
-                known = known_of(entry.value, entry.stamp)
+                known = known_of(entry.value, entry.revision)
             return f"{need} is a service and is never done" if known.kind == "service" else None
 
         for reason in await asyncio.gather(*(why(need) for need in spec.needs or ())):
@@ -341,7 +341,7 @@
                 if entry is None:
                     return error(404, "no such job")
                 if entry.value["status"] != "queued":
-                    self.saw(job_id, entry.value, entry.stamp)
+                    self.saw(job_id, entry.value, entry.revision)
                     continue
                 record = {
                     **entry.value,
@@ -352,17 +352,17 @@
                 path = entry.path
                 team = spec_of_record(record).team
                 head = f"work/{team}/{job_id}/job"
-                # Durable first. Every start names the job's stamp, so none can be committed after this.
-                stamp = await self._bounded(
+                # Durable first. Every start names the job's revision, so none can be committed after this.
+                revision = await self._bounded(
                     house.store.txn(
-                        {path: entry.stamp},
+                        {path: entry.revision},
                         {path: record, head: record},
                         turn=Turn.USER,
                         whose=team,
                     )
                 )
                 log.info("job %s withdrawn", job_id)
-                house.jobs_seen(path, record, stamp)
+                house.jobs_seen(path, record, revision)
             except CompareFailedError:
                 continue
             except StoreUnavailableError:
@@ -402,9 +402,9 @@
         self.reads.pop(job_id, None)
         return await self.house.store.get(f"job/{job_id}", turn=Turn.USER)
 
-    def saw(self, job_id: str, value: dict[str, Any], stamp: int) -> None:
+    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """A record of it came by."""
-        self.questions.learn(job_id, value, stamp)
+        self.questions.learn(job_id, value, revision)
         if value["status"] in ("done", "withdrawn"):
             spec = value["spec"]
             team, tasks = (
@@ -416,17 +416,17 @@
             )
             if value["status"] == "withdrawn" and not told:
                 self.house.tell_withdrawn(
-                    job_id, team, stamp, value.get("cancelled_at", self.house.now())
+                    job_id, team, revision, value.get("cancelled_at", self.house.now())
                 )
 
-    def heard_withdrawn(self, job_id: str, team: str, stamp: int, at: float) -> bool:
+    def heard_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> bool:
         """Another controller knows it to be withdrawn; whether that is new to us. We tell it on before a user hears it from us: one who
         does not hear the other may hear us."""
         if job_id in self.finals:
             return False
         self.questions.over(job_id)
         self._over(job_id, Final("withdrawn", 0, None, None))
-        self.house.tell_withdrawn(job_id, team, stamp, at)
+        self.house.tell_withdrawn(job_id, team, revision, at)
         return True
 
     def _over(self, job_id: str, final: Final) -> None:
@@ -447,7 +447,7 @@
         if final is None:
             entry = await self.house.store.get(f"job/{job_id}")
             if entry is not None:
-                self.saw(job_id, entry.value, entry.stamp)
+                self.saw(job_id, entry.value, entry.revision)
             final = self.finals.get(job_id)
         return (final.status, final.done_at) if final else None
 
@@ -457,12 +457,12 @@
         )
 
     def _state(self, job_id: str, entry: Entry) -> bytes:
-        self.saw(job_id, entry.value, entry.stamp)
+        self.saw(job_id, entry.value, entry.revision)
         final = self.finals.get(job_id)
         return (
             self._final(job_id, final)
             if final
-            else self._unfinished(job_id, known_of(entry.value, entry.stamp))
+            else self._unfinished(job_id, known_of(entry.value, entry.revision))
         )
 
     def _unfinished(self, job_id: str, known: Known) -> bytes:
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -95,7 +95,7 @@
     def __init__(self, house: LeaderHouse, seat: Seat) -> None:
         self.house = house
         self.seat = seat
-        self.stamp = seat.term
+        self.revision = seat.term
         self.allotment = Allotment(house.shared, house.operators.renting, house.catalog)
         self.strays: dict[
             str, tuple[Report, float]
@@ -105,7 +105,7 @@
         ] = {}  # recorded and lent to nobody: its last word, and when
         self.lent: dict[
             str, tuple[int, Lent]
-        ] = {}  # each record as the allotment sees it, by its stamp
+        ] = {}  # each record as the allotment sees it, by its revision
         self.released: dict[
             str, float
         ] = {}  # gone, though the cloud's lagging list may still name them
@@ -113,7 +113,7 @@
         self.again: dict[
             str, tuple[dict[str, Any], int]
         ] = {}  # charters broken off while our lease was in doubt
-        self.undeleted: dict[str, int] = {}  # charters carried out, and their stamps
+        self.undeleted: dict[str, int] = {}  # charters carried out, and their revisions
         self.charters_before = (
             house.charters
         )  # a reign of ours that an outage ended may have left some
@@ -133,7 +133,7 @@
     # -- what of it is ours to do -------------------------------------------------------------------------
 
     def _may(self) -> bool:
-        return self.seat.may(time.monotonic(), self.stamp)
+        return self.seat.may(time.monotonic(), self.revision)
 
     def _guard_call(self) -> None:
         """Before each call to the cloud, which knows no fence: one who stood still for a minute carried on in the middle of it."""
@@ -192,8 +192,8 @@
             known = before.get(path)
             self.lent[path] = (
                 known
-                if known is not None and known[0] == entry.stamp
-                else (entry.stamp, self._lent_of(entry))
+                if known is not None and known[0] == entry.revision
+                else (entry.revision, self._lent_of(entry))
             )
         return strays + [lent for _, lent in self.lent.values()]
 
@@ -206,7 +206,7 @@
             value["t"],
             value["z"],
             value["s"],
-            entry.stamp,
+            entry.revision,
             value.get("x", ""),
             frozenset(image for image, _ in images_of(value)),
         )
@@ -216,7 +216,7 @@
         now = house.now()
         if not house.state_fresh() or not house.machines.ready.is_set():
             return house.tick_s
-        if not self.seat.may_choose(time.monotonic(), self.stamp):
+        if not self.seat.may_choose(time.monotonic(), self.revision):
             return house.tick_s / 4
         pictures: dict[str, Picture] = house.pictures()
         if time.monotonic() - self.seat.taken_at < house.workers.lease_s:
@@ -232,7 +232,7 @@
                     self._spawn(self._rent(decision))
                 case Move(part, machine, to):
                     if part:
-                        house.to_owner(part, Yield(part, machine, to), self.stamp)
+                        house.to_owner(part, Yield(part, machine, to), self.revision)
                     else:
                         lend[machine] = to
                 case Recalled():
@@ -242,7 +242,7 @@
                         ",".join(decision.machines),
                         decision.to,
                     )
-                    house.to_owner(decision.part, decision, self.stamp)
+                    house.to_owner(decision.part, decision, self.revision)
                 case Owed():
                     log.info(
                         "team %s is to pass on %d to %s as they come free",
@@ -250,10 +250,10 @@
                         decision.number,
                         decision.to,
                     )
-                    house.to_owner(decision.part, decision, self.stamp)
+                    house.to_owner(decision.part, decision, self.revision)
                 case GivePart(part, to):
                     log.info("part %s is to go to controller %s", part, to)
-                    house.to_owner(part, Give(part, to), self.stamp)
+                    house.to_owner(part, Give(part, to), self.revision)
                 case Release(machines):
                     self._spawn(self._mark_all(machines, "returned"))
         if lend:
@@ -268,7 +268,7 @@
         return self.house.machines.entries.get(f"machine/{name}")
 
     async def _write_all(self, records: dict[str, tuple[int, dict[str, Any] | None]]) -> list[str]:
-        """Write machines' records (None deletes) that still have the stamps given, many to a transaction; those written."""
+        """Write machines' records (None deletes) that still have the revisions given, many to a transaction; those written."""
         names = list(records)
         written: list[str] = []
         while names:
@@ -281,14 +281,14 @@
         store = self.house.store
         most = self.house.bounds.value_bytes
         left = {
-            name: (stamp, value and trimmed(value, most))
-            for name, (stamp, value) in records.items()
+            name: (revision, value and trimmed(value, most))
+            for name, (revision, value) in records.items()
         }
         while left:
             try:
                 when = {
-                    self.seat.path: self.stamp,
-                    **{f"machine/{name}": stamp for name, (stamp, _) in left.items()},
+                    self.seat.path: self.revision,
+                    **{f"machine/{name}": revision for name, (revision, _) in left.items()},
                 }
                 revision = await store.txn(
                     when, {f"machine/{name}": value for name, (_, value) in left.items()}
@@ -323,7 +323,7 @@
         for name, to in lend.items():
             entry = self._entry(name)
             if entry and entry.value["p"] == "" and not entry.value.get("x"):
-                records[name] = (entry.stamp, {**entry.value, "p": to} | self._word_of(name))
+                records[name] = (entry.revision, {**entry.value, "p": to} | self._word_of(name))
             elif entry is None and name in self.strays:
                 report, _ = self.strays.pop(name)
                 value = self._value(
@@ -366,7 +366,7 @@
         for name in names:
             entry = self._entry(name)
             if entry and not entry.value.get("x"):
-                records[name] = (entry.stamp, {**entry.value, "x": why})
+                records[name] = (entry.revision, {**entry.value, "x": why})
         try:
             await self._write_all(records)
         except StoreUnavailableError as trouble:
@@ -377,8 +377,8 @@
     async def _rent(self, rent: Rent) -> None:
         house = self.house
         house.charters += 1
-        # Unique for good: no other process has led with this stamp, and in ours the number only grows.
-        name = f"{house.label}.{self.stamp}.{house.charters}"
+        # Unique for good: no other process has led with this revision, and in ours the number only grows.
+        name = f"{house.label}.{self.revision}.{house.charters}"
         path = f"charter/{name}"
         value = {
             "teams": [list(team) for team in rent.teams],
@@ -390,16 +390,18 @@
         try:
             if not self._may():
                 raise StoreUnavailableError("not ours at the moment")
-            stamp = await house.store.txn({path: 0, self.seat.path: self.stamp}, {path: value})
+            revision = await house.store.txn(
+                {path: 0, self.seat.path: self.revision}, {path: value}
+            )
         except (CompareFailedError, StoreUnavailableError) as why:
             log.debug("charter %s not written: %s", name, why)
             self.renting_names.discard(name)
             self.allotment.not_rented(rent, house.now(), no_capacity=False)
             return
-        await self._carry_out(name, value, stamp, ours=rent)
+        await self._carry_out(name, value, revision, ours=rent)
 
     async def _carry_out(
-        self, name: str, value: dict[str, Any], stamp: int, ours: Rent | None
+        self, name: str, value: dict[str, Any], revision: int, ours: Rent | None
     ) -> None:
         """`ours`: counted as on its way until it is known what came of it."""
         house = self.house
@@ -436,11 +438,11 @@
                 ours = None
             if names:
                 await self._record(rent, names, now)
-            self.undeleted[name] = stamp
+            self.undeleted[name] = revision
             await self._forget_charters()
         except NotHeld:
             # It stands in the state service: we go on with it once our lease is renewed, or whoever comes after us does.
-            self.again[name] = (value, stamp)
+            self.again[name] = (value, revision)
             raise
         finally:
             if ours:
@@ -450,10 +452,10 @@
     async def _forget_charters(self) -> None:
         """Those that are carried out. One left over would be carried out once more by the next holder, and what it had rented be recorded
         again though it was returned long ago."""
-        for name, stamp in walk(self.undeleted):
+        for name, revision in walk(self.undeleted):
             try:
                 await self.house.store.txn(
-                    {f"charter/{name}": stamp, self.seat.path: self.stamp},
+                    {f"charter/{name}": revision, self.seat.path: self.revision},
                     {f"charter/{name}": None},
                     turn=Turn.PATIENT,
                 )
@@ -485,7 +487,7 @@
     def _ours(self, name: str) -> bool:
         """Whether we have set out to rent it ourselves, since this reign began."""
         head, _, number = name.rpartition(".")
-        return head == f"{self.house.label}.{self.stamp}" and int(number) > self.charters_before
+        return head == f"{self.house.label}.{self.revision}" and int(number) > self.charters_before
 
     async def _settle(self) -> float:
         """What earlier terms set out to rent. All of it is counted as on its way before anything is chosen: machines that a holder before
@@ -495,7 +497,7 @@
         entries, _ = await self.house.store.under("charter/")
         # Our own may have been written, carried out and removed since this was read: repeated, the cloud names machines again that
         # may have been released meanwhile, and each would be recorded once more.
-        left = {e.path.split("/", 1)[1]: (e.value, e.stamp) for e in entries}
+        left = {e.path.split("/", 1)[1]: (e.value, e.revision) for e in entries}
         left = {
             name: charter for name, charter in left.items() if not self._ours(name)
         } | self.again
@@ -509,9 +511,9 @@
         known = {name: rent for name, rent in rents.items() if rent.type in self.house.catalog}
         self.allotment.renting_now += known.values()
         self.renting_names.update(rents)
-        self.seat.settled(self.stamp)
-        for name, (value, stamp) in left.items():
-            self._spawn(self._carry_out(name, value, stamp, known.get(name)))
+        self.seat.settled(self.revision)
+        for name, (value, revision) in left.items():
+            self._spawn(self._carry_out(name, value, revision, known.get(name)))
         return 2 * self.house.workers.lease_s
 
     # -- releasing, strays and the cloud's list ----------------------------------------------------------
@@ -520,7 +522,7 @@
         """Release what was given up. The answer proves that the machine and all on it are gone."""
         house = self.house
         doomed = [
-            (e.path.split("/", 1)[1], e.stamp)
+            (e.path.split("/", 1)[1], e.revision)
             for e in house.machines.entries.values()
             if e.value.get("x")
         ]
@@ -531,7 +533,7 @@
                 await house.cloud.release([name for name, _ in doomed], self._guard_call)
                 now = house.now()
                 self.released.update((name, now) for name, _ in doomed)
-                await self._write_all({name: (stamp, None) for name, stamp in doomed})
+                await self._write_all({name: (revision, None) for name, revision in doomed})
             finally:
                 self.releasing = False
             log.info("released %s", ",".join(name for name, _ in doomed))
@@ -583,9 +585,11 @@
             return
         value = self._value(kind, zone, spot, where, "", now)
         try:
-            stamp = await house.store.txn({path: 0, self.seat.path: self.stamp}, {path: value})
+            revision = await house.store.txn(
+                {path: 0, self.seat.path: self.revision}, {path: value}
+            )
             log.info("machine %s adopted", name)
-            house.machines.wrote(path, value, stamp)
+            house.machines.wrote(path, value, revision)
         except CompareFailedError:
             pass
 
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -97,13 +97,13 @@
                 self.lives.probation_s(),
             )
         fit = self._sound()
-        when = {path: entry.stamp if entry else 0}
+        when = {path: entry.revision if entry else 0}
         writes: dict[str, Any] = {path: self._entry(fit)}
         if house.upgrade.agreed:
-            when[life] = kept.stamp if kept else 0
+            when[life] = kept.revision if kept else 0
             writes[life] = msgspec.to_builtins(record)
-        stamp = await store.txn(when, writes, hold=hold, stays=(life,))
-        house.members.wrote(path, writes[path], stamp)
+        revision = await store.txn(when, writes, hold=hold, stays=(life,))
+        house.members.wrote(path, writes[path], revision)
         self.hold = hold  # only now: a hold without our name on it would make us no member
         self.fit = fit
 
@@ -127,8 +127,8 @@
             else "hears nobody but the state service: parts and lead are for others",
         )
         value = self._entry(fit)
-        stamp = await house.store.txn({path: entry.stamp}, {path: value}, hold=self.hold)
-        house.members.wrote(path, value, stamp)
+        revision = await house.store.txn({path: entry.revision}, {path: value}, hold=self.hold)
+        house.members.wrote(path, value, revision)
         self.fit = fit
 
     def fit_members(self) -> list[str]:
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -116,7 +116,7 @@
             part = owner.part
             if part is None:
                 continue
-            tokens.add_metric([team], float(part.stamp))
+            tokens.add_metric([team], float(part.revision))
             for phase, count in Counter(job.phase.value for job in part.jobs.values()).items():
                 jobs.add_metric([team, phase], count)
             for machine_phase, count in Counter(
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from ashdock.core.bounds import Bounds
 from ashdock.net.budget import Budget, Demand, Turn, shares
@@ -58,23 +58,23 @@
 class Entry(NamedTuple):
     path: str
     value: Any
-    stamp: int
+    revision: int
 
 
 class _Entry(Struct):
     path: str
-    stamp: int
+    revision: int = field(name="stamp")
     value: Any = None
 
 
 class _List(Struct):
     entries: list[_Entry]
-    ledger: int
+    revision: int = field(name="ledger")
     truncated: bool = False
 
 
-class _Ledger(Struct):
-    ledger: int
+class _Committed(Struct):
+    revision: int = field(name="ledger")
 
 
 class _Failed(Struct):
@@ -86,20 +86,20 @@
 
 
 class Change(Struct):
-    stamp: int
+    revision: int = field(name="stamp")
     set: str | None = None
     delete: str | None = None
     value: Any = None
 
 
 class _News(Struct):
-    ledger: int
+    revision: int = field(name="ledger")
     news: list[Change] = []
 
 
 _entry = msgspec.json.Decoder(_Entry)
 _list = msgspec.json.Decoder(_List)
-_ledger = msgspec.json.Decoder(_Ledger)
+_committed = msgspec.json.Decoder(_Committed)
 _failed = msgspec.json.Decoder(_Failed)
 _permit = msgspec.json.Decoder(_Lease)
 _news = msgspec.json.Decoder(_News)
@@ -219,13 +219,13 @@
         if status != 200:
             raise StoreUnavailableError(f"status {status}")
         entry = self._decode(_entry, answer)
-        return Entry(path, entry.value, entry.stamp)
+        return Entry(path, entry.value, entry.revision)
 
     async def under(self, under: str, turn: Turn = Turn.WORK) -> tuple[list[Entry], int]:
         """All keys with the prefix, and a revision that the whole list takes in or precedes."""
         out: list[Entry] = []
         after = ""
-        ledger: int | None = None
+        revision: int | None = None
         while True:
             await self.requests.wait(1, turn)
             target = f"/store?under={under}&most=500" + (f"&from={after}" if after else "")
@@ -233,10 +233,10 @@
             if status != 200:
                 raise StoreUnavailableError(f"status {status}")
             page = self._decode(_list, answer)
-            ledger = page.ledger if ledger is None else ledger
-            out += [Entry(entry.path, entry.value, entry.stamp) for entry in page.entries]
+            revision = page.revision if revision is None else revision
+            out += [Entry(entry.path, entry.value, entry.revision) for entry in page.entries]
             if not page.truncated or not page.entries:
-                return out, ledger or 0
+                return out, revision or 0
             after = page.entries[-1].path
 
     async def txn(
@@ -248,13 +248,13 @@
         whose: str = "",
         stays: Collection[str] = (),
     ) -> int:
-        """Apply the writes (None deletes) if every stamp holds. With a `hold` they end with it, but for those that are to stay. The
+        """Apply the writes (None deletes) if every revision holds. With a `hold` they end with it, but for those that are to stay. The
         revision, or Conflict or Unavailable."""
         if writes:  # one that only compares must not wait behind others' writes
             await self.writes.wait(len(writes), turn, whose)
         await self.requests.wait(1, turn, whose)
         body: dict[str, Any] = {
-            "when": [{"path": path, "stamp": stamp} for path, stamp in when.items()]
+            "when": [{"path": path, "stamp": revision} for path, revision in when.items()]
         }
         if writes:
             body["writes"] = [
@@ -268,7 +268,7 @@
             (self.writes if writes else self.requests).spend()
             raise
         if status == 200:
-            return int(self._decode(_ledger, answer).ledger)
+            return int(self._decode(_committed, answer).revision)
         if status == 409:
             raise CompareFailedError(self._decode(_failed, answer).failed)
         if status == 400 and b"no such lease" in answer:
@@ -316,7 +316,7 @@
         if status != 200:
             raise StoreUnavailableError(f"status {status}")
         news = self._decode(_news, answer)
-        return news.news, news.ledger
+        return news.news, news.revision
 
 
 class WatchCache:
@@ -333,9 +333,9 @@
         self.deleted: dict[
             str, int
         ] = {}  # by ourselves, at what revision, until the watch has come so far
-        self.ledger = 0
+        self.revision = 0
         self.ready = asyncio.Event()
-        self.news: list[Any] = []  # called with (path, value or None, stamp)
+        self.news: list[Any] = []  # called with (path, value or None, revision)
         self.on_gap: Any = None  # called when changes were missed that nothing here can make up for
         self.whole_since = math.inf  # no change has been missed since
         self.known_at = -math.inf  # all changes up to then have been passed on
@@ -343,23 +343,23 @@
     def on_change(self, call: Any) -> None:
         self.news.append(call)
 
-    def _apply(self, path: str, value: Any, stamp: int) -> None:
+    def _apply(self, path: str, value: Any, revision: int) -> None:
         known = self.entries.get(path)
-        if (known and known.stamp >= stamp) or self.deleted.get(path, 0) >= stamp:
+        if (known and known.revision >= revision) or self.deleted.get(path, 0) >= revision:
             return  # older than our own write, which the watch has not come to yet: a machine released was back for a moment
         if value is None:
             self.entries.pop(path, None)
         elif self.keep:
-            self.entries[path] = Entry(path, value, stamp)
+            self.entries[path] = Entry(path, value, revision)
         for call in self.news:
-            call(path, value, stamp)
+            call(path, value, revision)
 
-    def wrote(self, path: str, value: Any, stamp: int) -> None:
+    def wrote(self, path: str, value: Any, revision: int) -> None:
         """Our own write, taken in without waiting for the watch to bring it back."""
-        if stamp > self.ledger:
-            self._apply(path, value, stamp)
+        if revision > self.revision:
+            self._apply(path, value, revision)
             if value is None and self.keep:
-                self.deleted[path] = stamp
+                self.deleted[path] = revision
 
     async def run(self) -> None:
         pause = 0.05
@@ -369,17 +369,19 @@
                     await self._read()
                     self.whole_since = time.monotonic()
                 asked = time.monotonic()
-                news, ledger = await self.store.changes(self.under, self.ledger, self.hold_ms)
+                news, revision = await self.store.changes(self.under, self.revision, self.hold_ms)
                 for change in news:
                     if change.set is not None:
-                        self._apply(change.set, change.value, change.stamp)
+                        self._apply(change.set, change.value, change.revision)
                     elif change.delete is not None:
-                        self._apply(change.delete, None, change.stamp)
-                self.ledger = max(self.ledger, ledger)
+                        self._apply(change.delete, None, change.revision)
+                self.revision = max(self.revision, revision)
                 self.known_at = asked
                 if self.deleted:
                     self.deleted = {
-                        path: stamp for path, stamp in self.deleted.items() if stamp > self.ledger
+                        path: revision
+                        for path, revision in self.deleted.items()
+                        if revision > self.revision
                     }
                 pause = 0.05
                 if news:
@@ -396,14 +398,14 @@
 
     async def _read(self) -> None:
         if not self.keep:
-            _, self.ledger = await self.store.under("leader")
+            _, self.revision = await self.store.under("leader")
             self.ready.set()
             return
-        entries, ledger = await self.store.under(self.under)
+        entries, revision = await self.store.under(self.under)
         found = {entry.path for entry in entries}
         for path in [path for path in self.entries if path not in found]:
-            self._apply(path, None, ledger)
+            self._apply(path, None, revision)
         for entry in entries:
             self._apply(*entry)
-        self.ledger = ledger
+        self.revision = revision
         self.ready.set()
--- a/ashdock/owner.py
+++ b/ashdock/owner.py
@@ -40,7 +40,7 @@
 class JobsKnown(Protocol):
     """What this controller remembers of jobs, whoever owns them."""
 
-    def saw(self, job_id: str, value: dict[str, Any], stamp: int) -> None: ...
+    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None: ...
 
     async def outcome(self, job_id: str) -> tuple[str, float | None] | None: ...
 
@@ -77,7 +77,7 @@
 
     def let_go(self, owner: Owner) -> None: ...
 
-    def jobs_seen(self, path: str, value: Any, stamp: int) -> None: ...
+    def jobs_seen(self, path: str, value: Any, revision: int) -> None: ...
 
     def tell_claims(self) -> None: ...
 
@@ -85,10 +85,10 @@
 
 
 class Owner:
-    def __init__(self, house: OwnerHouse, team: Team, stamp: int) -> None:
+    def __init__(self, house: OwnerHouse, team: Team, revision: int) -> None:
         self.house = house
         self.team = team
-        self.claimed_from = stamp
+        self.claimed_from = revision
         self.phase = OwnerPhase.CLAIMING
         self.part: Part | None = None
         self.wake = asyncio.Event()
@@ -109,12 +109,12 @@
 
     # -- changes of state ------------------------------------------------------------------------
 
-    def _claimed(self, stamp: int) -> None:
+    def _claimed(self, revision: int) -> None:
         self.phase = OwnerPhase.LOADING
         self.takeover.claimed(self.house.now())
         self.part = Part(
             self.team,
-            stamp,
+            revision,
             self.house.shared,
             self.house.operators,
             self.house.catalog,
@@ -133,7 +133,7 @@
         log.info(
             "part %s is ours with token %d: %d jobs, %d machines, %d parks",
             self.team.name,
-            self.part.stamp,
+            self.part.revision,
             len(self.part.jobs),
             len(self.part.machines),
             len(self.part.parks.items),
@@ -224,10 +224,10 @@
         path = f"part/{name}"
         store = self.house.store
         value = {"owner": self.house.label}
-        stamp = await store.txn({path: self.claimed_from}, {path: value})
-        self.house.parts.wrote(path, value, stamp)
+        revision = await store.txn({path: self.claimed_from}, {path: value})
+        self.house.parts.wrote(path, value, revision)
         held(self.phase is OwnerPhase.CLAIMING, "given up while it was being claimed")
-        self._claimed(stamp)
+        self._claimed(revision)
         part = self.part
         assert part
         self.read_at = time.monotonic()
@@ -238,14 +238,14 @@
         # Another may have claimed it meanwhile: one that let go here used to come back to life as nobody's owner.
         held(self.phase is OwnerPhase.LOADING, "given up while it was being read")
         mine = [
-            (entry.path.split("/", 1)[1], entry.value, entry.stamp)
+            (entry.path.split("/", 1)[1], entry.value, entry.revision)
             for entry in machines
             if entry.value["p"] == name
         ]
         part.load(mine, list(work), list(parks), self.house.now())
         for job in part.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
-                self.house.jobs_known.saw(job.id, job.record(), job.stamp)
+                self.house.jobs_known.saw(job.id, job.record(), job.revision)
         part.seen = max(part.seen, seen)
         self._loaded()
         self.house.tell_claims()
@@ -311,11 +311,11 @@
         path = f"part/{part.name}"
         value = {"owner": to}
         try:
-            stamp = await self.house.store.txn({path: part.stamp}, {path: value})
+            revision = await self.house.store.txn({path: part.revision}, {path: value})
         except StoreUnavailableError:
             # It may yet be applied. Until we know, the fence tells: our next write fails if it was.
             return
-        self.house.parts.wrote(path, value, stamp)
+        self.house.parts.wrote(path, value, revision)
         self.lost(f"given to {to}")
 
     async def _commit(self, part: Part) -> None:
@@ -336,7 +336,7 @@
                     return
                 continue
             except StoreUnavailableError:
-                return  # tried again at the next turn; whether it was applied shows then by the stamps
+                return  # tried again at the next turn; whether it was applied shows then by the revisions
             for mark in txn.marks:
                 mark(revision)
             self._publish(txn.writes, revision)
@@ -362,14 +362,14 @@
         for path in failed or [fence]:
             entry = await self.house.store.get(path)
             held(self.phase is OwnerPhase.ACTIVE, "given up while it was being written")
-            stamp = entry.stamp if entry else 0
+            revision = entry.revision if entry else 0
             if path == fence:
-                if stamp != part.stamp:
+                if revision != part.revision:
                     self.lost("claimed by another")
                     return False
                 continue
             log.info("part %s: %s had changed; taken in", part.name, path)
-            part.ledger.reread(path, entry.value if entry else None, stamp, self.house.now())
+            part.ledger.reread(path, entry.value if entry else None, revision, self.house.now())
         return True
 
     # -- orders sent directly --------------------------------------------------------------------------
--- a/ashdock/questions.py
+++ b/ashdock/questions.py
@@ -2,7 +2,7 @@
 
 An answer that is not final must rest on something that began after the question. A read for each job asked about cost a
 request a question: users who asked eight times as often used up the state service's limit, and starts and accepts waited
-behind them. A transaction that only compares checks many stamps in one request, so what users ask costs a few requests a
+behind them. A transaction that only compares checks many revisions in one request, so what users ask costs a few requests a
 second however many they are; only what differs from what we hold is read.
 """
 
@@ -23,20 +23,24 @@
 class Known(NamedTuple):
     """A job that is not over, as last seen."""
 
-    stamp: int
+    revision: int
     team: str
     reason: str | None
     kind: str
     needs: tuple[str, ...]  # what it waits for, or has waited for
 
 
-def known_of(value: dict[str, Any], stamp: int) -> Known:
+def known_of(value: dict[str, Any], revision: int) -> Known:
     spec = value["spec"]
     if isinstance(spec, dict):
         return Known(
-            stamp, spec["team"], value.get("reason"), spec["kind"], tuple(spec.get("needs") or ())
+            revision,
+            spec["team"],
+            value.get("reason"),
+            spec["kind"],
+            tuple(spec.get("needs") or ()),
         )
-    return Known(stamp, spec.team, value.get("reason"), spec.kind, tuple(spec.needs or ()))
+    return Known(revision, spec.team, value.get("reason"), spec.kind, tuple(spec.needs or ()))
 
 
 class Busy(Exception):
@@ -45,11 +49,11 @@
 
 class Questions:
     def __init__(self, store: StoreClient, patience_s: float, seen: Any, most: int) -> None:
-        """`most`: jobs of which the stamp is remembered."""
+        """`most`: jobs of which the revision is remembered."""
         self.store = store
         self.patience_s = patience_s
         self.most_known = most
-        self.seen = seen  # told of each record read: (job id, record, stamp)
+        self.seen = seen  # told of each record read: (job id, record, revision)
         self.known: OrderedDict[str, Known] = OrderedDict()
         self.waiting: dict[
             str, asyncio.Future[Known | None]
@@ -60,15 +64,15 @@
         self.pump: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def learn(self, job_id: str, value: dict[str, Any], stamp: int) -> None:
+    def learn(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """A record came by: from a watch, a read, a takeover or our own write."""
         known = self.known.get(job_id)
-        if known is not None and known.stamp >= stamp:
+        if known is not None and known.revision >= revision:
             return
         if value["status"] != "queued":
             self.known.pop(job_id, None)  # final answers are kept elsewhere
             return
-        self.known[job_id] = known_of(value, stamp)
+        self.known[job_id] = known_of(value, revision)
         if len(self.known) > self.most_known:
             self.known.popitem(last=False)
 
@@ -117,7 +121,8 @@
             while bunch:
                 held = {job_id: self.known.get(job_id) for job_id in bunch}
                 when = {
-                    f"job/{job_id}": known.stamp if known else 0 for job_id, known in held.items()
+                    f"job/{job_id}": known.revision if known else 0
+                    for job_id, known in held.items()
                 }
                 try:
                     await self.store.txn(when, {}, turn=Turn.USER)
@@ -154,6 +159,6 @@
                 future.set_exception(why)
             return
         if entry is not None:
-            self.seen(job_id, entry.value, entry.stamp)
+            self.seen(job_id, entry.value, entry.revision)
         if not future.done():
-            future.set_result(known_of(entry.value, entry.stamp) if entry is not None else None)
+            future.set_result(known_of(entry.value, entry.revision) if entry is not None else None)
--- a/ashdock/upgrade.py
+++ b/ashdock/upgrade.py
@@ -72,7 +72,7 @@
         ours = f"{UNDER}node/{house.label}"
         if ours not in found or found[ours].value["forms"] < FORMS:
             await store.txn(
-                {ours: found[ours].stamp if ours in found else 0}, {ours: {"forms": FORMS}}
+                {ours: found[ours].revision if ours in found else 0}, {ours: {"forms": FORMS}}
             )
             log.info("announced that this controller is of the new version")
             return 0.0
@@ -81,9 +81,9 @@
         common = min(int(entry.value["forms"]) if entry else 1 for entry in announced.values())
         if common > self.forms:
             # What all of them know, be it less than we do: two versions after the one in production may meet as well.
-            when = {entry.path: entry.stamp for entry in announced.values() if entry}
+            when = {entry.path: entry.revision for entry in announced.values() if entry}
             await store.txn(
-                {**when, MARK: found[MARK].stamp if MARK in found else 0},
+                {**when, MARK: found[MARK].revision if MARK in found else 0},
                 {MARK: {"forms": common, "of": names}},
             )
             self._agree(common, "as all have announced it")
--- a/ashdock/vouching/word.py
+++ b/ashdock/vouching/word.py
@@ -16,7 +16,7 @@
 class Over(Protocol):
     """What this controller remembers of jobs that are over."""
 
-    def heard_withdrawn(self, job_id: str, team: str, stamp: int, at: float) -> bool: ...
+    def heard_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> bool: ...
 
 
 class WordHouse(Protocol):
@@ -30,7 +30,7 @@
     @property
     def front(self) -> Over: ...
 
-    def cancelled(self, job_id: str, team: str, stamp: int, at: float) -> None: ...
+    def cancelled(self, job_id: str, team: str, revision: int, at: float) -> None: ...
 
     def settled(self, job_id: str, status: str, done_at: float | None) -> None: ...
 
@@ -43,16 +43,16 @@
             str, int
         ] = {}  # of the others: the last that each sent us, to be sent back
 
-    def tell(self, job_id: str, team: str, stamp: int, at: float) -> None:
+    def tell(self, job_id: str, team: str, revision: int, at: float) -> None:
         if self.house.upgrade.vouched:
-            self.house.mesh.tell(Cancelled([(job_id, team, stamp, at)]))
+            self.house.mesh.tell(Cancelled([(job_id, team, revision, at)]))
 
     def heard(self, cancelled: Cancelled) -> None:
         """Durable, or it would not have been told: an owner that the state service refuses stops just these jobs, and in time."""
         house = self.house
-        for job_id, team, stamp, at in cancelled.jobs:
-            if house.front.heard_withdrawn(job_id, team, stamp, at):
-                house.cancelled(job_id, team, stamp, at)
+        for job_id, team, revision, at in cancelled.jobs:
+            if house.front.heard_withdrawn(job_id, team, revision, at):
+                house.cancelled(job_id, team, revision, at)
                 house.settled(job_id, "withdrawn", None)
 
     def vouch(self, now: float) -> None:
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -26,7 +26,7 @@
 )  # cpus gpus memory tasks priority spot together slack guaranteed whole idle
 OWED = struct.Struct("!I?")  # number, spot
 BUSY = struct.Struct("!Bd")  # priority, loss
-CANCELLED = struct.Struct("!Qd")  # stamp, time of day
+CANCELLED = struct.Struct("!Qd")  # revision, time of day
 VOUCH = struct.Struct("!QQ")
 AHEAD = struct.Struct("!bd")  # priority, when it had better be done
 BEAT = struct.Struct(
@@ -108,7 +108,7 @@
 
 
 class Claims(NamedTuple):
-    """The parts that the sender owns, with the stamps of its claims."""
+    """The parts that the sender owns, with the revisions of its claims."""
 
     parts: list[tuple[str, int]]
 
@@ -131,7 +131,7 @@
 
 
 class Cancelled(NamedTuple):
-    """Jobs of which the sender knows, durably, that they are cancelled: job, team, stamp of the record, time of day when it was cancelled.
+    """Jobs of which the sender knows, durably, that they are cancelled: job, team, revision of the record, time of day when it was cancelled.
     Versions before do not know it: it is sent only once every controller does."""
 
     jobs: list[tuple[str, str, int, float]]
@@ -256,7 +256,7 @@
             ) + names + _text(zone)
         case Claims(parts):
             return FrameKind.CLAIMS, U32.pack(len(parts)) + b"".join(
-                _text(part) + U64.pack(stamp) for part, stamp in parts
+                _text(part) + U64.pack(revision) for part, revision in parts
             )
         case Ahead(part, jobs):
             rows = b"".join(
@@ -265,8 +265,8 @@
             return FrameKind.AHEAD, _text(part) + U32.pack(len(jobs)) + rows
         case Cancelled(jobs):
             rows = b"".join(
-                _text(job) + _text(team) + CANCELLED.pack(stamp, at)
-                for job, team, stamp, at in jobs
+                _text(job) + _text(team) + CANCELLED.pack(revision, at)
+                for job, team, revision, at in jobs
             )
             return FrameKind.CANCELLED, U32.pack(len(jobs)) + rows
         case Vouch(number, back):
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -76,7 +76,9 @@
         store = Store(values.get("store", ()))
         home = front_house(store, values)
         front = Front(home)
-        home.jobs_seen = lambda path, value, stamp: front.saw(path.split("/", 1)[1], value, stamp)
+        home.jobs_seen = lambda path, value, revision: front.saw(
+            path.split("/", 1)[1], value, revision
+        )
         method, target, body = values["request"]
         answer = await front.handle(Request(method, target, to_bytes(body)))
         reply = [answer.status, from_bytes(answer.body), answer.retry_after]
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -51,7 +51,7 @@
 
     def __init__(self, entries: Iterable[Plain] = ()) -> None:
         super().__init__()
-        self.entries = {path: (value, stamp) for path, value, stamp in entries}
+        self.entries = {path: (value, revision) for path, value, revision in entries}
         self.fails: list[str] = []  # paths whose condition fails, once
 
     async def request(
@@ -69,7 +69,7 @@
         return self._all(under)
 
     def _transaction(self, body: Plain) -> tuple[int, bytes]:
-        held = {path: stamp for path, (_, stamp) in self.entries.items()}
+        held = {path: revision for path, (_, revision) in self.entries.items()}
         failed = [c["path"] for c in body["when"] if held.get(c["path"], 0) != c["stamp"]]
         if failed:
             return 409, encoded({"failed": failed}).encode()
@@ -78,13 +78,13 @@
     def _one(self, path: str) -> tuple[int, bytes]:
         if path not in self.entries:
             return 404, b"{}"
-        value, stamp = self.entries[path]
-        return 200, encoded({"path": path, "value": value, "stamp": stamp}).encode()
+        value, revision = self.entries[path]
+        return 200, encoded({"path": path, "value": value, "stamp": revision}).encode()
 
     def _all(self, under: str) -> tuple[int, bytes]:
         found = [
-            {"path": path, "value": value, "stamp": stamp}
-            for path, (value, stamp) in sorted(self.entries.items())
+            {"path": path, "value": value, "stamp": revision}
+            for path, (value, revision) in sorted(self.entries.items())
             if path.startswith(under)
         ]
         return 200, encoded({"entries": found, "ledger": 99}).encode()
@@ -124,7 +124,7 @@
             return await client.renew(values["lease"], 1.0)
         case "watch":
             changes, revision = await client.changes(**values)
-            found = [[c.set, c.delete, c.value, c.stamp] for c in changes]
+            found = [[c.set, c.delete, c.value, c.revision] for c in changes]
             return {"changes": found, "revision": revision}
     raise ValueError(f"no such call: {call}")
 
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -90,16 +90,16 @@
         self.told: list[Plain] = []
         self.admission = SimpleNamespace(memory=SimpleNamespace(jobs=10))
 
-    def learn(self, job_id: str, value: dict[str, Any], stamp: int) -> None:
+    def learn(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """Nothing is remembered here."""
 
     def now(self) -> float:
         """The time of day, where a record has none."""
         return NOW
 
-    def tell_withdrawn(self, job_id: str, team: str, stamp: int, at: float) -> None:
+    def tell_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> None:
         """A cancellation is passed on."""
-        self.told.append([job_id, team, stamp, at])
+        self.told.append([job_id, team, revision, at])
 
 
 def read_final(job_id: str, record: dict[str, Any]) -> Plain:
@@ -171,7 +171,7 @@
     job.load_chunks([(tail, msgspec.json.decode(to_bytes(values["value"])), REVISION)], NOW)
     number, width = job.of_tail(tail)
     chunk = job.chunk(number)
-    head = {"chunk": number, "width": width, "attempts": chunk.attempts, "revision": chunk.stamp}
+    head = {"chunk": number, "width": width, "attempts": chunk.attempts, "revision": chunk.revision}
     return head | job_tasks_to_values(job)
 
 
@@ -331,4 +331,4 @@
 
 def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
     """Entries of the store by path, from `[path, value, revision]`."""
-    return {path: Entry(path, value, stamp) for path, value, stamp in values}
+    return {path: Entry(path, value, revision) for path, value, revision in values}
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -40,7 +40,7 @@
 def replica(entries: Iterable[Plain]) -> Any:
     """A prefix of the store as a controller keeps it in memory."""
     return SimpleNamespace(
-        entries=entries_by_path(list(entries)), wrote=lambda path, value, stamp: None
+        entries=entries_by_path(list(entries)), wrote=lambda path, value, revision: None
     )
 
 
@@ -137,7 +137,7 @@
         """What follows the write is not part of the form."""
 
     leader: Any = Leader.__new__(Leader)
-    leader.house, leader.stamp, leader.renting_names = house(store, charters=0), 41, set()
+    leader.house, leader.revision, leader.renting_names = house(store, charters=0), 41, set()
     leader.seat = SimpleNamespace(path="leader", may=lambda now, term: True)
     leader._carry_out = carry_out
     teams = tuple((team, number) for team, number in values["teams"])
@@ -148,9 +148,9 @@
     """Record a rented machine, adopt a stray, lend one of the pool and give one up."""
     leader: Any = Leader.__new__(Leader)
     catalog = {"g4": machine_type("g4")}
-    pool = [[path, value, stamp] for path, (value, stamp) in store.entries.items()]
+    pool = [[path, value, revision] for path, (value, revision) in store.entries.items()]
     leader.house = house(store, machines=replica(pool), catalog=catalog)
-    leader.stamp, leader.seat = 41, SimpleNamespace(path="leader")
+    leader.revision, leader.seat = 41, SimpleNamespace(path="leader")
     leader.lending, leader.strays, leader.marking, leader.released = {}, {}, set(), {}
     leader.lending, leader.lag_s = set(), 1.0
     store.entries["leader"] = (None, 41)
@@ -168,14 +168,18 @@
     part = make_part()
     if "limit" in values:
         part.bounds.agreed, part.bounds.value_bytes = True, values["limit"]
-    held = {path: (value, stamp) for path, (value, stamp) in store.entries.items()}
+    held = {path: (value, revision) for path, (value, revision) in store.entries.items()}
 
     def under(prefix: str) -> list[tuple[str, Any, int]]:
         return [
-            (path, value, stamp) for path, (value, stamp) in held.items() if path.startswith(prefix)
+            (path, value, revision)
+            for path, (value, revision) in held.items()
+            if path.startswith(prefix)
         ]
 
-    machines = [(path.split("/", 1)[1], value, stamp) for path, value, stamp in under("machine/")]
+    machines = [
+        (path.split("/", 1)[1], value, revision) for path, value, revision in under("machine/")
+    ]
     part.load(machines, under("work/red/"), under("park/red/"), NOW)
     part.tick(NOW)
     part.passes.schedule(NOW)
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -162,7 +162,7 @@
     # -- what a transaction names ---------------------------------------------------------------------------
 
     def applied(self, when: set[str], writes: list[dict[str, Any]]) -> None:
-        """A transaction was carried out, and rests on the stamps of these keys: its own, or one that is late undoes what is newer; and those
+        """A transaction was carried out, and rests on the revisions of these keys: its own, or one that is late undoes what is newer; and those
         of whoever may write it, or one that was replaced goes on writing."""
         for write in writes:
             path = write.get("set") or write["delete"]
@@ -171,7 +171,7 @@
             if root == "work" and rest[-1] == "job" and path not in when:
                 names = [
                     f"job/{rest[1]}"
-                ]  # the two are always written together, so their stamps agree
+                ]  # the two are always written together, so their revisions agree
             if root == "park" or (root == "work" and rest[-1] != "job"):
                 names.append(f"part/{rest[0]}")
             if root == "work" and rest[-1] != "job" and "set" in write:
--- a/tests/seats.py
+++ b/tests/seats.py
@@ -41,7 +41,7 @@
     key: Key | None
     on: int  # whose hold the key is on; -1: that of a process that has ended
     orphan: int  # ticks left of that hold
-    last: int  # the highest stamp
+    last: int  # the highest revision
     processes: tuple[Process, ...]
     late: tuple[Effect, ...]  # sent, and not there yet: two words, or one write
     heard: int  # the highest term that the owner of a part has followed a word of
@@ -151,8 +151,8 @@
             and process.lease
             and state.last < self.takes
         ):
-            stamp = process.seen[2] if process.seen else 0
-            if self.without == "stamp" or stamp == (state.key[2] if state.key else 0):
+            revision = process.seen[2] if process.seen else 0
+            if self.without == "stamp" or revision == (state.key[2] if state.key else 0):
                 key = (n, process.incarnation, state.last + 1)
                 seat.taken(key[2], process.lease - LEASE, LEASE, 0)
                 yield (
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -125,8 +125,8 @@
         key = unquote(path.removeprefix("/store/"))
         if key not in self.keys:
             return reply(404, {"ledger": self.ledger})
-        value, stamp, permit = self.keys[key]
-        return reply(200, {"path": key, "value": value, "stamp": stamp, "permit": permit})
+        value, revision, permit = self.keys[key]
+        return reply(200, {"path": key, "value": value, "stamp": revision, "permit": permit})
 
     async def _txn(self, body: dict[str, Any]) -> Answer:
         writes = body.get("writes", [])
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -92,13 +92,13 @@
         await service.submit(job(1))
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
-        label, stamp = leader.house.label, leader.stamp
+        label, revision = leader.house.label, leader.revision
         leader.house.charters = leader.charters_before + 5
         value = {"teams": [["red", 1]], "t": "g4", "z": "a", "s": False}
         for name in (
-            f"{label}.{stamp}.{leader.charters_before + 3}",
-            f"{label}.{stamp}.0",
-            f"n9.{stamp}.7",
+            f"{label}.{revision}.{leader.charters_before + 3}",
+            f"{label}.{revision}.0",
+            f"n9.{revision}.7",
         ):
             service.state.keys[f"charter/{name}"] = (value, 1, None)
         carried: list[str] = []
@@ -110,7 +110,7 @@
         await leader._settle()
         await asyncio.sleep(0.01)
         # One from before an outage that ended our reign for a while is left over like any other's.
-        assert sorted(carried) == sorted([f"{label}.{stamp}.0", f"n9.{stamp}.7"])
+        assert sorted(carried) == sorted([f"{label}.{revision}.0", f"n9.{revision}.7"])
 
     play(monkeypatch, day)
 
@@ -129,12 +129,12 @@
 ) -> None:
     replica = WatchCache(None, "m/")  # type: ignore[arg-type]
     replica.entries["m/1"] = Entry("m/1", {"a": 0}, 5)
-    replica.ledger = 6
+    replica.revision = 6
     for change in wrote:
         replica.wrote(*change)
     for change in watched:
         replica._apply(*change)
-    assert {path: entry.stamp for path, entry in replica.entries.items()} == there
+    assert {path: entry.revision for path, entry in replica.entries.items()} == there
 
 
 def test_a_start_goes_out_under_the_token_it_was_noted_with(
@@ -161,9 +161,9 @@
         monkeypatch.setattr(owner.part, "direct_answered", lambda *_: None)
         owner.part.urgent[machine.name] = None
         owner._send_urgent(owner.part)
-        machine.stamp += 1000  # its record was written before the message had left
+        machine.revision += 1000  # its record was written before the message had left
         await asyncio.sleep(0.01)
-        machine.stamp -= 1000
+        machine.revision -= 1000
         assert sent == [noted]
 
     play(monkeypatch, day)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -39,9 +39,9 @@
     return {"spec": msgspec.to_builtins(one), "at": at, "status": "queued"}
 
 
-def part_with(jobs: list[Any], machines: str = "ab", team: str = "red", stamp: int = 10) -> Part:
+def part_with(jobs: list[Any], machines: str = "ab", team: str = "red", revision: int = 10) -> Part:
     teams = {t.name: t for t in shared().teams}
-    part = Part(teams[team], stamp, shared(), Operators(), {"g4": G4}, random.Random(1))
+    part = Part(teams[team], revision, shared(), Operators(), {"g4": G4}, random.Random(1))
     part.load(
         [
             (f"vm-{n}", {"t": "g4", "z": zone, "s": False, "p": team}, 5)
@@ -69,7 +69,7 @@
 
 def commit(part: Part, revision: int) -> dict[str, Any]:
     txn = part.ledger.next_txn()
-    assert txn is not None and txn.when[f"part/{part.name}"] == part.stamp
+    assert txn is not None and txn.when[f"part/{part.name}"] == part.revision
     assert txn.writes.keys() <= txn.when.keys()  # a late one undoes nothing that is newer
     for mark in txn.marks:
         mark(revision)
@@ -311,7 +311,7 @@
     part = part_with([spec(shares=1)], "a")
     started(part)
     chunk = part.jobs["req-000001"].chunk_value(0)
-    heir = part_with([], "a", stamp=50)
+    heir = part_with([], "a", revision=50)
     record = queued(spec(shares=1), 0.0)
     heir.load(
         [], [("work/red/req-000001/job", record, 7), ("work/red/req-000001/0", chunk, 20)], [], 5.0
@@ -636,7 +636,7 @@
 def test_a_machine_that_never_comes_up_is_given_up_whoever_owns_it() -> None:
     """Counted from its rental: it used to start anew with each takeover, and stood for a machine about to come."""
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "at": 0.0}
-    heir = part_with([spec(shares=2)], "", stamp=50)
+    heir = part_with([spec(shares=2)], "", revision=50)
     heir.load([("vm-9", record, 5)], [], [], 14.0)
     heir.passes.schedule(14.0)
     assert heir.machines["vm-9"].coming(14.0) is True
@@ -663,7 +663,7 @@
     that an earlier owner started in this session look gone."""
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.1:9000", "n": 1}
     one = queued(spec(shares=1), 0.0)
-    heir = part_with([], "", stamp=50)
+    heir = part_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", one, 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
@@ -699,7 +699,7 @@
     """Three tasks ran twice on a day of quick restarts: the new owner sent all starts that it had inherited once more with one of its
     own, under the session of the machine's record, and took the report of a later one for the end of them all."""
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.1:9000", "n": 1}
-    heir = part_with([], "", stamp=50)
+    heir = part_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", queued(spec(shares=1), 0.0), 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
@@ -879,7 +879,7 @@
     for image, size in used:
         machine.uses(image, size)
     assert "".join(machine.images) == held
-    again = part_with([], "", stamp=50)
+    again = part_with([], "", revision=50)
     again.add_machine("vm-0", machine.value("red"), 9, 0.0)
     assert "".join(again.machines["vm-0"].images) == held
     machine.lacks(held[-1])
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -385,7 +385,7 @@
     tenure: int, token: int, tasks: list[Any], counts: bool
 ) -> None:
     """Nothing is there to compare it with: of an earlier session, attempt or token, kept back until now, it proves an attempt's end at most."""
-    heir = part_with([], "", stamp=50)
+    heir = part_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", queued(spec(shares=1), 0.0), 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -292,8 +292,8 @@
         service.state.server.handler = slow
         for n in range(3):
             service.crash(n, 1.0)
-        _, stamp, permit = service.state.keys[path]
-        service.state.keys[path] = ({"a": 1, "d": [[0, 0]]}, stamp, permit)
+        _, revision, permit = service.state.keys[path]
+        service.state.keys[path] = ({"a": 1, "d": [[0, 0]]}, revision, permit)
         answers = set()
         while service.now() < 25:
             for n in range(3):
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -34,7 +34,7 @@
 SMALL = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
 
 
-def new_part(team: str = "red", stamp: int = 10, value_kb: float = 0.5, ops: int = 6) -> Part:
+def new_part(team: str = "red", revision: int = 10, value_kb: float = 0.5, ops: int = 6) -> Part:
     """Of a controller that has seen the mark, within small limits."""
     limits = StateLimits(200, 200, 8.0, 48, NextLimits(value_kb=value_kb, txn_ops=ops))
     common = msgspec.structs.replace(shared(), state=limits)
@@ -42,7 +42,7 @@
     bounds.agree()
     return Part(
         next(t for t in common.teams if t.name == team),
-        stamp,
+        revision,
         common,
         Operators(),
         {"g4": G4},
@@ -334,7 +334,7 @@
 
 
 class Store:
-    """The part's keys, with stamps, and a transaction applied or refused as the state service does it."""
+    """The part's keys, with revisions, and a transaction applied or refused as the state service does it."""
 
     def __init__(self, keys: dict[str, Any], bytes_: int = 1 << 20, ops: int = 1 << 10) -> None:
         self.keys = {path: (value, 5) for path, value in keys.items()}
@@ -347,8 +347,8 @@
         self.bytes, self.ops = bytes_, ops
 
     def part(self, part: Part) -> Part:
-        self.keys[f"part/{part.name}"] = ({}, part.stamp)
-        rows = [(path, value, stamp) for path, (value, stamp) in sorted(self.keys.items())]
+        self.keys[f"part/{part.name}"] = ({}, part.revision)
+        rows = [(path, value, revision) for path, (value, revision) in sorted(self.keys.items())]
         part.load(
             [(path.split("/")[1], v, s) for path, v, s in rows if path.startswith("machine/")],
             [row for row in rows if row[0].startswith("work/")],
@@ -358,7 +358,9 @@
         return part
 
     def apply(self, txn: Any) -> bool:
-        if any(self.keys.get(path, (None, 0))[1] != stamp for path, stamp in txn.when.items()):
+        if any(
+            self.keys.get(path, (None, 0))[1] != revision for path, revision in txn.when.items()
+        ):
             return False
         assert len(txn.writes) <= self.ops and all(
             len(encode(value)) <= self.bytes for value in txn.writes.values()
@@ -484,7 +486,7 @@
     written = 0
     while store.commit(part):
         written += 1
-        heir = store.part(new_part(stamp=part.stamp))
+        heir = store.part(new_part(revision=part.revision))
         at_heir, meant = states(heir)["req-000001"], before["req-000001"]
         assert at_heir[:2] == meant[:2] and {task for task, _ in at_heir[2]} <= {
             task for task, _ in meant[2]
@@ -506,7 +508,7 @@
         job.set_failure(placement.task, Failure(1, 2.0, "error on vm-000001"))
     txn = part.ledger.next_txn()
     assert txn is not None and store.apply(txn)
-    heir = store.part(new_part(stamp=11, ops=4))
+    heir = store.part(new_part(revision=11, ops=4))
     while store.commit(heir):
         pass
     assert states(store.part(new_part()))["req-000001"][:2] == before["req-000001"][:2]
@@ -516,12 +518,12 @@
     """Production's process had sent a placement when it was killed; it is applied after the new owner's claim, or never."""
     keys = only("req-000001")
     store = Store(keys)
-    old = store.part(part_with([], "", stamp=9))
+    old = store.part(part_with([], "", revision=9))
     old.machines["vm-000001"].came_up("x")
     old.passes.schedule(20.0)
     late = old.ledger.next_txn()
     assert late is not None and any(path.endswith("/0") for path in late.writes)
-    store.part(new_part(stamp=10))
+    store.part(new_part(revision=10))
     assert not store.apply(late)
 
 
@@ -584,10 +586,10 @@
             assert stopped == (len(heir.jobs["req-000001"].live) < 120)
     assert steps == 4 and all(p.phase is Phase.COMMITTED for p in job.live.values())
     # Attempts of two kinds, of which one is of before: not a whole gang.
-    value, stamp = store.keys["work/red/req-000001/3w8"]
+    value, revision = store.keys["work/red/req-000001/3w8"]
     store.keys["work/red/req-000001/3w8"] = (
         {"a": 2, "p": [[task, name, 2] for task, name, _ in value["p"]]},
-        stamp,
+        revision,
     )
     assert all(
         p.phase is Phase.STOPPING for p in store.part(new_part()).jobs["req-000001"].live.values()
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -266,7 +266,7 @@
         assert (
             beat is not None
             and beat.incarnation == 2
-            and controller.parts.entries["part/red"].stamp < 1 << 40
+            and controller.parts.entries["part/red"].revision < 1 << 40
         )
         assert list(controller.mesh.links.values()).count("n1") == 1
 
@@ -320,8 +320,8 @@
                 service.crash(n, 0.3)
             await asyncio.sleep(every_s)
         claims = {
-            path: stamp
-            for path, (_, stamp, _) in service.state.keys.items()
+            path: revision
+            for path, (_, revision, _) in service.state.keys.items()
             if path.startswith("part/")
         }
         await asyncio.sleep(1)
@@ -333,7 +333,7 @@
         if every_s > 1:
             assert done >= 8  # of the tasks most were over before the ends were
         assert await service.until_final([run["id"] for run in runs], 60) == []
-        again = sum(service.state.keys[path][1] - stamp > 0 for path, stamp in claims.items())
+        again = sum(service.state.keys[path][1] - revision > 0 for path, revision in claims.items())
         assert again <= 2
 
     play(monkeypatch, 47, day)
