--- a/ashdock/admission/processor.py
+++ b/ashdock/admission/processor.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-PASSES = 1 / 2  # of the processor, for the scheduling passes of all parts together
-PASS = 1 / 4  # for those of one part
+PASSES = 1 / 2  # of the processor, for the scheduling passes of all shards together
+PASS = 1 / 4  # for those of one shard
 CHOOSING = 1 / 4  # for the leader's choices. The rest is for answers: to workers before users
 
 
@@ -12,10 +12,10 @@
     return took_s * (1 / share - 1)
 
 
-def pass_share(parts: int) -> float:
-    """Of one part's passes, where so many parts are owned here. With three parts and the lead, a quarter each left nothing for
+def pass_share(shards: int) -> float:
+    """Of one shard's passes, where so many shards are owned here. With three parts and the lead, a quarter each left nothing for
     the answers that keep their workers' leases."""
-    return min(PASS, PASSES / max(parts, 1))
+    return min(PASS, PASSES / max(shards, 1))
 
 
 class Processor:
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -1,4 +1,4 @@
-"""One controller: membership, the parts it owns, the leader's seat, and the doors to the outside."""
+"""One controller: membership, the shards it owns, the leader's seat, and the doors to the outside."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ashdock.admission.shares import Use
 from ashdock.core.bounds import Bounds
 from ashdock.core.job import spec_of_record
-from ashdock.core.part import Part
+from ashdock.core.shard import Shard
 from ashdock.core.telling import Owed, Picture, Recalled
 from ashdock.duties.fence import Terms
 from ashdock.duties.holder import Holder
@@ -107,7 +107,7 @@
         )
         self.word: OurWord = OurWord(self)
         self.machines = WatchCache(self.store, "machine/")
-        self.parts = WatchCache(self.store, "part/")
+        self.shards = WatchCache(self.store, "part/")
         self.members = WatchCache(self.store, "member/")
         self.leaders = WatchCache(self.store, "leader")
         # Asked anew often enough that at the beginning of an outage we know how jobs stood a moment before.
@@ -169,7 +169,7 @@
         return self.upgrade.termed
 
     def load(self) -> dict[str, int]:
-        """How many machines the parts of each controller hold."""
+        """How many machines the shards of each controller hold."""
         held = Counter(entry.value["p"] for entry in self.machines.entries.values())
         out: Counter[str] = Counter()
         for team in self.shared.teams:
@@ -186,7 +186,7 @@
     def tell_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> None:
         self.word.tell(job_id, team, revision, at)
 
-    def parts_here(self) -> int:
+    def owned_shard_count(self) -> int:
         return len(self.owners)
 
     def let_go(self, owner: Owner) -> None:
@@ -226,7 +226,7 @@
         ]
         tasks = [
             asyncio.create_task(replica.run())
-            for replica in (self.machines, self.parts, self.members, self.leaders, self.jobs)
+            for replica in (self.machines, self.shards, self.members, self.leaders, self.jobs)
         ]
         tasks += [asyncio.create_task(self._forever(loop)) for loop in loops]
         try:
@@ -281,7 +281,7 @@
         return self.store.bad_since is None and self.store.silent_for < self.ttl_s
 
     def may_renew(self, read_at: float) -> bool:
-        """Whether running work of a part that was read at `read_at` may be kept alive: what could have been cancelled without our
+        """Whether running work of a shard that was read at `read_at` may be kept alive: what could have been cancelled without our
         knowledge will be gone in time all the same."""
         return self.word.vouched.may_renew(max(read_at, self.jobs.known_at), time.monotonic())
 
@@ -305,7 +305,7 @@
         return any(beat.state_age < self.ttl_s / 2 for beat in beats)
 
     def cut_off(self) -> bool:
-        """Only the state service is left to us: no other controller is heard, and no worker. Others had better own our parts."""
+        """Only the state service is left to us: no other controller is heard, and no worker. Others had better own our shards."""
         quiet = max(2 * self.workers.report_s, self.ttl_s)
         if not self.mesh.peers or any(
             peer.heard_within(quiet) for peer in self.mesh.peers.values()
@@ -318,7 +318,7 @@
         connected = self.may_serve() or not self.cut_off()
         return (
             bool(self.catalog)
-            and self.parts.ready.is_set()
+            and self.shards.ready.is_set()
             and connected
             and not self.alone_without_state()
         )
@@ -367,9 +367,9 @@
         self.seats_stir.set()
         if value is not None and path == "leader":
             self.terms.saw(revision)
-            # It chooses nothing before it has heard of every part, and would hear with our next beat.
-            for part in self._parts():
-                self._tell_picture(part)
+            # It chooses nothing before it has heard of every shard, and would hear with our next beat.
+            for shard in self._active_shards():
+                self._tell_picture(shard)
 
     def leader_label(self) -> str | None:
         entry = self.leaders.entries.get("leader")
@@ -380,27 +380,27 @@
     def others_may_return(self) -> bool:
         return time.monotonic() - self.started < self.ttl_s / 2
 
-    def _parts(self) -> list[Part]:
-        """The parts owned here that have been read."""
+    def _active_shards(self) -> list[Shard]:
+        """The shards owned here that have been read."""
         return [
-            owner.part
+            owner.shard
             for owner in self.owners.values()
-            if owner.phase is OwnerPhase.ACTIVE and owner.part
+            if owner.phase is OwnerPhase.ACTIVE and owner.shard
         ]
 
     def owner_label(self, team: str) -> str | None:
-        entry = self.parts.entries.get(f"part/{team}")
+        entry = self.shards.entries.get(f"part/{team}")
         return entry.value["owner"] if entry else None
 
     def token_of(self, machine: str) -> int:
         """The token under which its owner acts, as far as the records have come through to us."""
         entry = self.machines.entries.get(f"machine/{machine}")
-        part = self.parts.entries.get(f"part/{entry.value['p']}") if entry else None
-        return max(entry.revision, part.revision) if entry and part else 1 << 64
+        shard = self.shards.entries.get(f"part/{entry.value['p']}") if entry else None
+        return max(entry.revision, shard.revision) if entry and shard else 1 << 64
 
     async def _ownership(self) -> float:
-        # The jobs too: a part read before their watch has begun would miss what is accepted in between.
-        replicas = (self.parts, self.members, self.machines, self.jobs)
+        # The jobs too: a shard read before their watch has begun would miss what is accepted in between.
+        replicas = (self.shards, self.members, self.machines, self.jobs)
         if not (
             self.catalog
             and self.upgrade.looked
@@ -420,7 +420,7 @@
             else:
                 orphans.append(team)
         heirs: dict[str, str] = {}
-        # Where all have ended together, the first one back used to take every part a moment before their owners were
+        # Where all have ended together, the first one back used to take every shard a moment before their owners were
         # back: just started, we leave those of others a little time.
         if self.others_may_return():
             orphans = [
@@ -431,14 +431,14 @@
             load[heir] += 1
             heirs[team.name] = heir
         for team in self.shared.teams:
-            entry = self.parts.entries.get(f"part/{team.name}")
+            entry = self.shards.entries.get(f"part/{team.name}")
             ours = self.owners.get(team.name)
             if ours is not None:
-                claim = ours.part.revision if ours.part else 0
+                claim = ours.shard.revision if ours.shard else 0
                 if claim and entry and entry.revision > claim:
                     ours.lost(f"claimed by {entry.value['owner']}")
                 continue
-            # A part that names us is ours from before a restart: taken back at once.
+            # A shard that names us is ours from before a restart: taken back at once.
             if (entry and entry.value["owner"] == self.label and self.may_serve()) or heirs.get(
                 team.name
             ) == self.label:
@@ -450,12 +450,12 @@
         name = path.split("/", 1)[1]
         for owner in list(self.owners.values()):
             if value is None:
-                owner.note(lambda part: part.machine_gone(name, self.now()))
+                owner.note(lambda shard: shard.machine_gone(name, self.now()))
             elif value["p"] == owner.team.name:
-                owner.note(lambda part: part.add_machine(name, value, revision, self.now()))
+                owner.note(lambda shard: shard.add_machine(name, value, revision, self.now()))
 
     def _missed_jobs(self) -> None:
-        """Jobs may have been accepted that we were not told of: our parts are claimed and read again."""
+        """Jobs may have been accepted that we were not told of: our shards are claimed and read again."""
         for owner in list(self.owners.values()):
             owner.lost("changes to jobs were missed")
 
@@ -471,23 +471,25 @@
         if status == "withdrawn":
             self.cancelled(job_id, team, revision, value.get("cancelled_at", self.now()))
         elif owner is not None and status == "queued":
-            owner.note(lambda part: self._job_news(part, job_id, value, revision))
+            owner.note(lambda shard: self._job_news(shard, job_id, value, revision))
         if status != "queued":
             self.settled(job_id, status, value.get("done_at"))
 
     def cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
         owner = self.owners.get(team)
         if owner is not None:
-            owner.note(lambda part: part.cancel(job_id, at, revision, self.now()))
+            owner.note(lambda shard: shard.cancel(job_id, at, revision, self.now()))
 
     def settled(self, job_id: str, status: str, done_at: float | None) -> None:
         for owner in list(self.owners.values()):
             if owner.waits_for(job_id):
-                owner.note(lambda part: part.pipelines.settled(job_id, status, done_at, self.now()))
+                owner.note(
+                    lambda shard: shard.pipelines.settled(job_id, status, done_at, self.now())
+                )
 
-    def _job_news(self, part: Part, job_id: str, value: Any, revision: int) -> None:
-        if job_id not in part.jobs and not self.front.is_final(job_id):
-            part.telling.came(part.add_job(value, revision), self.now())
+    def _job_news(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
+        if job_id not in shard.jobs and not self.front.is_final(job_id):
+            shard.telling.came(shard.add_job(value, revision), self.now())
 
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
@@ -508,9 +510,9 @@
         self.word.vouch(now)
         self.tell_claims()
         counts: list[tuple[str, int, int]] = []
-        for part in self._parts():
-            counts += part.telling.counts()
-            self._tell_picture(part)
+        for shard in self._active_shards():
+            counts += shard.telling.counts()
+            self._tell_picture(shard)
         self._tell_ahead()
         # As many frames as they need; each other controller keeps what it was told of jobs that still count.
         for at in range(0, len(counts), COUNTS_AT_ONCE):
@@ -519,17 +521,17 @@
         return self.mesh.beat_s
 
     def _hand_on(self, now: float) -> None:
-        """Short of the processor for long, with another controller that is not: a part goes there, as if the leader wished it."""
+        """Short of the processor for long, with another controller that is not: a shard goes there, as if the leader wished it."""
         ours = {
-            team: len(owner.part.machines) + len(owner.part.jobs)
+            team: len(owner.shard.machines) + len(owner.shard.jobs)
             for team, owner in self.owners.items()
-            if owner.part
+            if owner.shard
         }
         fit = set(self.fit_members())
         others = {
             label: Other(
                 peer.pace.gap_s,
-                sum(entry.value["owner"] == label for entry in self.parts.entries.values()),
+                sum(entry.value["owner"] == label for entry in self.shards.entries.values()),
                 peer.beat.leader,
             )
             for label, peer in self.mesh.peers.items()
@@ -546,42 +548,42 @@
                 team,
                 label,
             )
-            self._for_part(Give(team, label))
+            self._for_shard(Give(team, label))
 
     def _tell_ahead(self) -> None:
-        """What our parts' jobs make of other parts' jobs that they need: said anew with each beat, as long as there is any."""
+        """What our shards' jobs make of other shards' jobs that they need: said anew with each beat, as long as there is any."""
         if not self.upgrade.agreed:
             return
-        for part in self._parts():
-            rows = part.pipelines.needs.abroad(part.jobs)
-            if rows or part.name in self.told_ahead:
-                ahead = Ahead(part.name, rows[:COUNTS_AT_ONCE])
+        for shard in self._active_shards():
+            rows = shard.pipelines.needs.abroad(shard.jobs)
+            if rows or shard.name in self.told_ahead:
+                ahead = Ahead(shard.name, rows[:COUNTS_AT_ONCE])
                 self.mesh.broadcast(ahead)
                 self._heard_ahead(ahead)
-            (self.told_ahead.add if rows else self.told_ahead.discard)(part.name)
+            (self.told_ahead.add if rows else self.told_ahead.discard)(shard.name)
 
     def _heard_ahead(self, ahead: Ahead) -> None:
         for team, owner in self.owners.items():
-            if team != ahead.part:
-                owner.note(lambda part: part.pipelines.hear(*ahead))
+            if team != ahead.shard:
+                owner.note(lambda shard: shard.pipelines.hear(*ahead))
 
     def tell_claims(self) -> None:
         # Once they are read: told at the claim, one that the state service refuses let go of its workers, the reading met an outage, and
         # nobody could answer them (109 tasks on a day of refusals and outages). Until then it can write nothing any more.
-        claims = [(part.name, part.revision) for part in self._parts()]
+        claims = [(shard.name, shard.revision) for shard in self._active_shards()]
         if claims:
             self.mesh.broadcast(Claims(claims))
 
     def _claims_of(self, label: str, claims: Claims) -> None:
         """A claim that the state service did not tell us of. One controller that it refused alone went on answering
-        the workers of a part that had gone to another; that one heard none of them and gave up their machines."""
-        for team, revision in claims.parts:
+        the workers of a shard that had gone to another; that one heard none of them and gave up their machines."""
+        for team, revision in claims.shards:
             path = f"part/{team}"
-            known = self.parts.entries.get(path)
+            known = self.shards.entries.get(path)
             if known is None or known.revision < revision:
-                self.parts.wrote(path, {"owner": label}, revision)
+                self.shards.wrote(path, {"owner": label}, revision)
             ours = self.owners.get(team)
-            if ours is not None and ours.part and ours.part.revision < revision:
+            if ours is not None and ours.shard and ours.shard.revision < revision:
                 ours.lost(f"claimed by {label}, as the mesh tells")
 
     def _share(self) -> None:
@@ -594,20 +596,20 @@
                 others.append(None)
         self.store.share_with(others)
 
-    def tell_leader(self, part: Part) -> None:
-        """At once when a part comes to lack something; what it no longer lacks can wait for the next beat."""
-        if part.wants and not part.wanted_before:
-            self._tell_picture(part)
-        part.wanted_before = bool(part.wants)
+    def tell_leader(self, shard: Shard) -> None:
+        """At once when a shard comes to lack something; what it no longer lacks can wait for the next beat."""
+        if shard.wants and not shard.wanted_before:
+            self._tell_picture(shard)
+        shard.wanted_before = bool(shard.wants)
 
-    def _tell_picture(self, part: Part) -> None:
+    def _tell_picture(self, shard: Shard) -> None:
         leader = self.leader_label()
         if not leader or leader == self.label:
             return
-        self.mesh.send(leader, part.telling.picture(self.now()))
-        leaving = part.telling.leaving() if self.upgrade.termed else []
+        self.mesh.send(leader, shard.telling.picture(self.now()))
+        leaving = shard.telling.leaving() if self.upgrade.termed else []
         if leaving:
-            self.mesh.send(leader, Leaving(part.name, leaving))
+            self.mesh.send(leader, Leaving(shard.name, leaving))
 
     def leaving(self) -> list[tuple[str, str]]:
         """What is being vacated in all parts, as far as we were told of late."""
@@ -618,8 +620,8 @@
             if now - at < self.mesh.beat_s * 2
             for row in frame.machines
         ]
-        for part in self._parts():
-            out += part.telling.leaving()
+        for shard in self._active_shards():
+            out += shard.telling.leaving()
         return out
 
     def pictures(self) -> dict[str, Picture]:
@@ -629,8 +631,8 @@
             for team, (at, picture) in self.remote_pictures.items()
             if now - at < self.ttl_s
         }
-        for part in self._parts():
-            out[part.name] = part.telling.picture(self.now())
+        for shard in self._active_shards():
+            out[shard.name] = shard.telling.picture(self.now())
         return out
 
     def to_owner(self, team: str, word: Word, term: int) -> None:
@@ -644,7 +646,7 @@
     def _told(self, term: int, word: Word) -> None:
         """Refused if a later holder is known: a loan that one decided before it stood still reached the owner after its successor's."""
         if self.terms.admit(term):
-            self._for_part(word)
+            self._for_shard(word)
         else:
             log.info(
                 "a %s of term %d is refused: term %d is known",
@@ -653,31 +655,33 @@
                 self.terms.highest,
             )
 
-    def _for_part(self, frame: Word) -> None:
-        owner = self.owners.get(frame.part)
+    def _for_shard(self, frame: Word) -> None:
+        owner = self.owners.get(frame.shard)
         if owner is None:
             return
         if isinstance(frame, Yield):
-            owner.note(lambda part: part.telling.yield_machine(frame.machine, frame.to, self.now()))
+            owner.note(
+                lambda shard: shard.telling.yield_machine(frame.machine, frame.to, self.now())
+            )
         elif isinstance(frame, Owed):
-            owner.note(lambda part: part.telling.owe(frame, self.now()))
+            owner.note(lambda shard: shard.telling.owe(frame, self.now()))
         elif isinstance(frame, Give):
             owner.give_to = frame.to
             owner.wake.set()
         else:
-            owner.note(lambda part: part.telling.recall(frame, self.now()))
+            owner.note(lambda shard: shard.telling.recall(frame, self.now()))
 
     def _on_frame(self, label: str, frame: Frame) -> None:
         match frame:
             case Picture():
                 self.remote_pictures[frame.team] = (time.monotonic(), frame)
             case Leaving():
-                self.remote_leaving[frame.part] = (time.monotonic(), frame)
+                self.remote_leaving[frame.shard] = (time.monotonic(), frame)
             case Termed(term, word):
                 self._told(term, word)
             case Yield() | Recalled() | Give() | Owed():
                 if not self.upgrade.termed:
-                    self._for_part(frame)
+                    self._for_shard(frame)
             case Claims():
                 self._claims_of(label, frame)
             case Ahead():
@@ -703,8 +707,8 @@
 
     def counts(self, team: str, job: str) -> tuple[int, int]:
         owner = self.owners.get(team)
-        if owner and owner.part and job in owner.part.jobs:
-            here = owner.part.jobs[job]
+        if owner and owner.shard and job in owner.shard.jobs:
+            here = owner.shard.jobs[job]
             return here.done, here.running
         label = self.owner_label(team)
         return self.remote_counts.get(label or "", {}).get(job, (0, 0))
--- a/ashdock/core/allotment.py
+++ b/ashdock/core/allotment.py
@@ -1,6 +1,6 @@
-"""The leader's choices: which machines to rent, lend to which part, call back and return.
+"""The leader's choices: which machines to rent, lend to which shard, call back and return.
 
-It is told pictures of the parts by their owners and sees the machines' records. Its own writes are
+It is told pictures of the shards by their owners and sees the machines' records. Its own writes are
 fenced by the records' revisions, so a leader that is out of date can waste money but break nothing.
 """
 
@@ -37,17 +37,17 @@
 
 
 class Move(NamedTuple):
-    """Lend a machine to another part; `part` holds it now ("" is the pool)."""
+    """Lend a machine to another shard; `shard` holds it now ("" is the pool)."""
 
-    part: str
+    shard: str
     machine: str
     to: str
 
 
-class GivePart(NamedTuple):
-    """Hand a part to another controller."""
+class MoveShard(NamedTuple):
+    """Hand a shard to another controller."""
 
-    part: str
+    shard: str
     to: str
 
 
@@ -59,7 +59,7 @@
 MOST_TEAMS = 10  # that share one request, so that its record stays a small value; the others' turn comes with the next round
 ANY_NEED = (0.0, 0.0, 0.0)  # what is to be recalled does not depend on how much a task takes
 
-Decision = Rent | Move | Recalled | Release | GivePart | Owed
+Decision = Rent | Move | Recalled | Release | MoveShard | Owed
 
 
 class Allotment:
@@ -68,7 +68,7 @@
         self.renting = renting
         self.catalog = catalog
         self.now = 0.0
-        self.moved_part_at = -1e9
+        self.moved_shard_at = -1e9
         self.alive: list[str] = []
         self.refused: dict[
             tuple[str, str, bool], tuple[float, float]
@@ -77,7 +77,7 @@
         self.renting_now: list[Rent] = []
         self.recalling: dict[
             str, tuple[str, float]
-        ] = {}  # machine asked of its part: for which team, and when
+        ] = {}  # machine asked of its shard: for which team, and when
         self.pool_since: dict[str, float] = {}
         self.sent_back: set[str] = set()  # to the pool, since nobody wanted them
         self.owed_at: dict[
@@ -126,7 +126,7 @@
             # An owner unheard of may want all that stands empty: neither lend, rent nor return before it is heard.
             return []
         self._forget_settled(lent, pictures, now)
-        pool = {name: m for name, m in lent.items() if m.part == "" and name not in self.coming}
+        pool = {name: m for name, m in lent.items() if m.shard == "" and name not in self.coming}
         self.sent_back &= set(lent)
         for name in list(self.pool_since):
             if name not in pool:
@@ -137,7 +137,7 @@
             name: (lent[name], idle_s)
             for picture in pictures.values()
             for name, idle_s in picture.idle
-            if name in lent and lent[name].part == picture.team and name not in self.coming
+            if name in lent and lent[name].shard == picture.team and name not in self.coming
         }
         empty = Stock(
             # The cheap kind first, since it is the one to keep.
@@ -154,7 +154,7 @@
             for picture in pictures.values()
             for item in picture.busy
             if item.machine in lent
-            and lent[item.machine].part == picture.team
+            and lent[item.machine].shard == picture.team
             and item.machine not in self.recalling
             and lent[item.machine].type in self.catalog
         )
@@ -273,33 +273,33 @@
         lent: dict[str, Lent],
         now: float,
     ) -> list[Decision]:
-        """Where no more is to be had, like work is served in the order of its waiting, whatever its team: a part
+        """Where no more is to be had, like work is served in the order of its waiting, whatever its team: a shard
         whose own work has waited less passes on what comes free. Without this, the machines stayed where they
         were when the cloud ran out, and one team's gangs waited a minute while another's waited seconds."""
         out: list[Decision] = []
         kinds: dict[str, set[tuple[str, str, bool]]] = {}
         for machine in lent.values() if unmet else ():
             if machine.type in self.catalog:
-                kinds.setdefault(machine.part, set()).add(
+                kinds.setdefault(machine.shard, set()).add(
                     (machine.type, machine.zone, machine.spot)
                 )
         for team, want, left in unmet:
             lender, most_slack = "", want.slack_s + self.boot_s / 2
-            for part, picture in pictures.items():
-                if part == team or now - self.owed_at.get((part, team), -1e9) < self.settle_s:
+            for shard, picture in pictures.items():
+                if shard == team or now - self.owed_at.get((shard, team), -1e9) < self.settle_s:
                     continue
                 # Nor does higher work give way to lower: gangs passed machines on to overdue arrays, and had to recall them.
                 like = [other for other in picture.wants if other.priority >= want.priority]
                 if any(other.priority > want.priority for other in like):
                     continue
-                # A part with no such work waiting has its empty machines lent as it is, but for those kept at hand.
+                # A shard with no such work waiting has its empty machines lent as it is, but for those kept at hand.
                 if not like or any(other.guaranteed and not want.guaranteed for other in like):
                     continue
                 slack = min(other.slack_s for other in like)
                 if slack > most_slack and any(
-                    self._suits(want, *kind) for kind in kinds.get(part, ())
+                    self._suits(want, *kind) for kind in kinds.get(shard, ())
                 ):
-                    lender, most_slack = part, slack
+                    lender, most_slack = shard, slack
             if lender:
                 self.owed_at[lender, team] = now
                 per = max(
@@ -319,19 +319,19 @@
     ) -> None:
         patience = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
         for name, (team, since) in list(self.recalling.items()):
-            if name in lent and lent[name].part == team:
+            if name in lent and lent[name].shard == team:
                 self.coming[name] = (team, now)
             if name in self.coming or now - since > patience:
                 del self.recalling[name]
         for name, (team, since) in list(self.coming.items()):
             record = lent.get(name)
             picture = pictures.get(team)
-            seen = record and picture and record.part == team and picture.seen >= record.revision
+            seen = record and picture and record.shard == team and picture.seen >= record.revision
             if seen or now - since > self.settle_s:
                 del self.coming[name]
 
     def _virtual(self, lent: dict[str, Lent]) -> dict[str, Slots]:
-        """Machines lent or asked for that their part's picture does not hold yet."""
+        """Machines lent or asked for that their shard's picture does not hold yet."""
         out: dict[str, Slots] = {}
         for name, (team, _) in [*self.coming.items(), *self.recalling.items()]:
             machine = lent.get(name)
@@ -375,7 +375,7 @@
                 )
 
         for shelf in empty.shelves_for(
-            lambda kind: kind.part != team and self._suits(want, kind.type, kind.zone, kind.spot)
+            lambda kind: kind.shard != team and self._suits(want, kind.type, kind.zone, kind.spot)
         ):
             add(shelf.kind, empty.count(shelf, math.inf), 1.0)
         for shelf in busy.shelves_for(
@@ -404,9 +404,9 @@
         as far as they are beyond it, and work of higher priority takes the place of lower where less is lost by it than a boot's
         wait would cost. But nobody's work beyond his own guarantee takes the place of what another runs within his: a hot team's
         urgent work stopped all of the others' lesser work, however much of it they had been guaranteed."""
-        if kind.part == team:
+        if kind.shard == team:
             return -1.0
-        beyond = spare[kind.part] > 0
+        beyond = spare[kind.shard] > 0
         if want.guaranteed and beyond:
             return math.inf
         if not (want.guaranteed or beyond):
@@ -445,9 +445,9 @@
             want.image if cached else None,
         )
         for machine in busy.take(shelves, lambda kind: self._most_loss(team, want, kind, spare)):
-            out.append(Recalled(machine.part, team, [machine.name]))
+            out.append(Recalled(machine.shard, team, [machine.name]))
             self.recalling[machine.name] = (team, self.now)
-            spare[machine.part] -= 1
+            spare[machine.shard] -= 1
             left -= max(1, self._per(machine.type, want))
             if left <= 0:
                 return left
@@ -481,7 +481,7 @@
 
         def suits(kind: Kind) -> bool:
             if (
-                kind.part == team
+                kind.shard == team
                 or (only_cheap and not kind.spot)
                 or not self._suits(want, kind.type, kind.zone, kind.spot)
             ):
@@ -491,7 +491,7 @@
         for machine in empty.take(
             empty.shelves_for(suits, want.image if cached else None), lambda kind: math.inf
         ):
-            out.append(Move(machine.part, machine.name, team))
+            out.append(Move(machine.shard, machine.name, team))
             self.coming[machine.name] = (team, now)
             left -= self._per(machine.type, want)
             if left <= 0:
@@ -538,7 +538,7 @@
         self, owners: dict[str, str], alive: list[str], pictures: dict[str, Picture], now: float
     ) -> list[Decision]:
         """Parts go from the controller with most work to the one with least, where that evens them out.
-        Rarely, since a part's workers must find its new owner."""
+        Rarely, since a shard's workers must find its new owner."""
         load = {team: picture.waiting + picture.machines + 1 for team, picture in pictures.items()}
         held = dict.fromkeys(alive, 0)
         for team, label in owners.items():
@@ -546,8 +546,8 @@
                 return []  # somebody is ended or cut off: takeovers come first
             held[label] += load[team]
         if alive != self.alive:
-            self.alive, self.moved_part_at = alive, now  # somebody came or went: let that settle
-        if now - self.moved_part_at < 2 * self.shared.workers.lease_s or len(held) < 2:
+            self.alive, self.moved_shard_at = alive, now  # somebody came or went: let that settle
+        if now - self.moved_shard_at < 2 * self.shared.workers.lease_s or len(held) < 2:
             return []
         most = max(sorted(held), key=lambda label: held[label])
         least = min(sorted(held), key=lambda label: held[label])
@@ -555,12 +555,12 @@
         movable = [team for team, label in owners.items() if label == most and load[team] < gap]
         if sum(label == most for label in owners.values()) < 2 or not movable:
             return []
-        # The part that leaves the two most alike.
+        # The shard that leaves the two most alike.
         team = min(sorted(movable), key=lambda team: abs(gap - 2 * load[team]))
         if abs(gap - 2 * load[team]) > 0.7 * gap:
             return []
-        self.moved_part_at = now
-        return [GivePart(team, least)]
+        self.moved_shard_at = now
+        return [MoveShard(team, least)]
 
     def _returns(
         self,
@@ -586,7 +586,7 @@
                     for _, want in wants
                 )
             if not wanted[kind]:
-                out.append(Move(machine.part, machine.name, ""))
+                out.append(Move(machine.shard, machine.name, ""))
                 self.sent_back.add(machine.name)
         gone = [
             name
--- a/ashdock/core/bounds.py
+++ b/ashdock/core/bounds.py
@@ -36,7 +36,7 @@
 
     def refused(self, ops: int, largest: int) -> None:
         """A transaction was refused as malformed, and ours are not: it must have been too large in one way or the other.
-        The same transaction again would be refused again, and its part stand still."""
+        The same transaction again would be refused again, and its shard stand still."""
         if ops > FEWEST_OPS:
             self.ops = max(FEWEST_OPS, min(self.ops, ops // 2))
         elif largest > SMALLEST:
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -1,4 +1,4 @@
-"""A job in its part's memory, and its form in the state service."""
+"""A job in its shard's memory, and its form in the state service."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
         )
         self.listener: dict[
             str, Job
-        ] = {}  # its part's jobs with something to write: it enters itself there
+        ] = {}  # its shard's jobs with something to write: it enters itself there
 
     def changed(self) -> None:
         self.listener[self.id] = self
--- a/ashdock/core/ledger.py
+++ b/ashdock/core/ledger.py
@@ -1,6 +1,6 @@
-"""What of a part is not durable yet, and the transactions that make it so.
+"""What of a shard is not durable yet, and the transactions that make it so.
 
-Every transaction carries the part's fence and the written keys' own revisions. What comes of it is noted only once it has been
+Every transaction carries the shard's fence and the written keys' own revisions. What comes of it is noted only once it has been
 answered; one that was not answered shows by the revisions.
 """
 
@@ -23,7 +23,7 @@
 from ashdock.core.task import Phase, Placement
 from ashdock.settings import Shared, Team
 
-log = logging.getLogger("ashdock.part")
+log = logging.getLogger("ashdock.shard")
 
 MACHINES = 3  # one of so many changes in a transaction is for machines that come and go, where there are any
 
@@ -50,7 +50,7 @@
 
 
 class Written(Protocol):
-    """What of a part is written, and the changes that follow once it is durable, or where somebody else has written."""
+    """What of a shard is written, and the changes that follow once it is durable, or where somebody else has written."""
 
     name: str
     team: Team
@@ -77,8 +77,8 @@
 
 
 class Ledger:
-    def __init__(self, part: Written) -> None:
-        self.part = part
+    def __init__(self, shard: Written) -> None:
+        self.shard = shard
         self.touched: dict[
             str, Job
         ] = {}  # jobs with something to write: a transaction must not look at all of them
@@ -88,16 +88,18 @@
     def next_txn(self, short: bool = False, a_second: float = math.inf) -> Txn | None:
         """The changes not yet durable, as many as one transaction takes: first what starts and outcomes wait for. `short`: the
         state service takes hardly as many changes as there are. `a_second`: how many of them it takes of this controller."""
-        part = self.part
+        shard = self.shard
         # No more at a time than our share of a second: what comes after must not wait longer than that. As it is now, and not an equal
         # one: of a controller with half as much, one transaction took two seconds' worth, and users who came then were sent away.
         txn = Txn(
             max(
                 4,
-                min(part.bounds.ops, int(min(part.bounds.write_rps / part.shared.size, a_second))),
+                min(
+                    shard.bounds.ops, int(min(shard.bounds.write_rps / shard.shared.size, a_second))
+                ),
             )
         )
-        part.parks.fit(part.bounds.value_bytes)
+        shard.parks.fit(shard.bounds.value_bytes)
         whole = txn.ops
         if self.changing:
             # A hot team's own starts filled each transaction, and the machines that it was to pass on stood empty, thirty at a time: none ran
@@ -105,7 +107,7 @@
             txn.ops -= max(1, min(whole // MACHINES, len(self.changing)))
         later: list[Job] = []
         for job in list(self.touched.values()):
-            if job.id not in part.jobs or not self._unwritten(job):
+            if job.id not in shard.jobs or not self._unwritten(job):
                 del self.touched[job.id]
             elif job.pressing and not self._bulk(job):
                 txn.urgent = True
@@ -113,18 +115,18 @@
                     break
             else:
                 later.append(job)
-        for n, value in part.parks.writes() if part.parks.dirty else ():
-            size = part.bounds.value_bytes
+        for n, value in shard.parks.writes() if shard.parks.dirty else ():
+            size = shard.bounds.value_bytes
             if txn.room(1, size):
-                revision = part.parks.revisions[n] if n < len(part.parks.revisions) else 0
-                txn.put(part.parks.path(n), value, revision)
+                revision = shard.parks.revisions[n] if n < len(shard.parks.revisions) else 0
+                txn.put(shard.parks.path(n), value, revision)
                 txn.bytes += size
                 txn.marks.append(
                     lambda revision, n=n, value=value: self._parks_written(n, value, revision)  # type: ignore[misc]
                 )
         txn.ops = whole
         for name in list(self.changing):
-            machine = part.machines.get(name)
+            machine = shard.machines.get(name)
             if machine is None or (
                 machine.to is None and not machine.bump and not machine.doom_gen
             ):
@@ -133,7 +135,7 @@
             txn.urgent = True
             self._write_machine(machine, txn)
             if machine.to is not None and machine.ended and not machine.live:
-                part.urgent[machine.name] = None  # the sooner it forgets, the sooner it can go
+                shard.urgent[machine.name] = None  # the sooner it forgets, the sooner it can go
         if txn.urgent and short:
             # What can wait is better written once than each time that something else has to be.
             txn.ops = min(txn.ops, len(txn.writes) + txn.ops // 4)
@@ -145,12 +147,12 @@
             txn.put(path, None, revision)
         if not txn.writes:
             return None
-        txn.when[f"part/{part.name}"] = part.revision
+        txn.when[f"part/{shard.name}"] = shard.revision
         return txn
 
     def _parks_written(self, n: int, value: list[Any] | None, revision: int) -> None:
-        self.part.parks.wrote(n, value, revision)
-        self.part.parks.dirty = bool(self.part.parks.writes())
+        self.shard.parks.wrote(n, value, revision)
+        self.shard.parks.dirty = bool(self.shard.parks.writes())
 
     def _bulk(self, job: Job) -> bool:
         """An array of short tasks beyond any guarantee, still under way: others' writes go before its many."""
@@ -159,8 +161,8 @@
             job.active
             and spec.kind == "array"
             and math.isinf(job.due)
-            and spec.tasks > self.part.chunk_tasks
-            and not guaranteed(self.part.team, spec.cpus, spec.gpus)
+            and spec.tasks > self.shard.chunk_tasks
+            and not guaranteed(self.shard.team, spec.cpus, spec.gpus)
         )
 
     @staticmethod
@@ -180,13 +182,13 @@
             # A gang is placed whole or not at all, so its chunks go together. Where one transaction does not take them all
             # they go one after the other, and no start before the last; a takeover in between takes the attempt down.
             size = sum(len(value) + 120 for _, value in dirty)
-            if (len(dirty) <= txn.ops or not self.part.bounds.agreed) and not txn.room(
+            if (len(dirty) <= txn.ops or not self.shard.bounds.agreed) and not txn.room(
                 len(dirty), size
             ):
                 return False
         for chunk, value in dirty:
             size = len(value) + 120
-            if (job.spec.kind != "gang" or self.part.bounds.agreed) and not txn.room(1, size):
+            if (job.spec.kind != "gang" or self.shard.bounds.agreed) and not txn.room(1, size):
                 return False
             txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
             txn.when[job.job_path] = job.revision
@@ -208,7 +210,7 @@
         if job.reason_gen > job.reason_durable and job.active:
             record = job.record()
             size = 2 * len(msgspec.json.encode(record))
-            if size > 2 * self.part.bounds.value_bytes:
+            if size > 2 * self.shard.bounds.value_bytes:
                 job.reason_durable = (
                     job.reason_gen
                 )  # too large as it was submitted: told by its owner's log alone
@@ -233,16 +235,16 @@
             ]
             largest = max((len(value) for _, value in dirty), default=0)
             if (
-                largest <= self.part.bounds.value_bytes
+                largest <= self.shard.bounds.value_bytes
                 or job.chunk_tasks == 1
-                or not self.part.bounds.agreed
+                or not self.shard.bounds.agreed
             ):
                 return dirty
             job.narrow(
                 max(
                     1,
                     min(
-                        job.chunk_tasks * self.part.bounds.value_bytes // largest,
+                        job.chunk_tasks * self.shard.bounds.value_bytes // largest,
                         job.chunk_tasks * 3 // 4,
                     ),
                 )
@@ -260,7 +262,7 @@
         ]
         chunks += [(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()]
         together, later = chunks[: txn.ops - 4], chunks[txn.ops - 4 :]
-        record = fitting(job.record(), self.part.bounds.value_bytes)
+        record = fitting(job.record(), self.shard.bounds.value_bytes)
         size = 100 * (len(together) + 2) + len(msgspec.json.encode(record))
         if not txn.room(len(together) + 2, size):
             return False
@@ -276,14 +278,14 @@
     def _write_machine(self, machine: Machine, txn: Txn) -> None:
         moves = machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
         bump = machine.bump and any(
-            sent >= self.part.token(machine) for sent in machine.outstanding.values()
+            sent >= self.shard.token(machine) for sent in machine.outstanding.values()
         )
         if not (moves or bump or machine.doom_gen) or not txn.room(1, 300):
             return
-        to = machine.to if moves and machine.to is not None else self.part.name
+        to = machine.to if moves and machine.to is not None else self.shard.name
         txn.put(
             f"machine/{machine.name}",
-            trimmed(machine.value(to), self.part.bounds.value_bytes),
+            trimmed(machine.value(to), self.shard.bounds.value_bytes),
             machine.revision,
         )
         txn.bytes += 300
@@ -293,9 +295,9 @@
         machine.revision = revision
         machine.doom_gen = 0
         machine.bump = False
-        if to != self.part.name:
+        if to != self.shard.name:
             log.info("machine %s goes to %s", machine.name, to or "the pool")
-            self.part.machines.pop(machine.name, None)
+            self.shard.machines.pop(machine.name, None)
 
     def _chunk_durable(self, job: Job, chunk: Chunk, gen: int, revision: int) -> None:
         chunk.revision = revision
@@ -309,7 +311,7 @@
                 and placement.gen <= job.chunk_of(placement.task).durable
             ):
                 placement.committed()
-                self.part.urgent[placement.machine] = None
+                self.shard.urgent[placement.machine] = None
 
     def _reason_durable(self, job: Job, gen: int, revision: int) -> None:
         job.reason_durable = gen
@@ -322,33 +324,33 @@
             log.info("job %s is done", job.id)
         job.phase = JobPhase.FINAL
         for placement in list(job.live.values()):
-            self.part.drop(placement, placement.placed_at)
-        self.part.parks.drop(job.id)
-        self.part.jobs.pop(job.id, None)
-        self.part.pipelines.settled(
-            job.id, "done" if done else "withdrawn", job.ended_at, self.part.clock
+            self.shard.drop(placement, placement.placed_at)
+        self.shard.parks.drop(job.id)
+        self.shard.jobs.pop(job.id, None)
+        self.shard.pipelines.settled(
+            job.id, "done" if done else "withdrawn", job.ended_at, self.shard.clock
         )
 
     def reread(self, path: str, value: Any, revision: int, now: float) -> None:
-        """A condition of ours failed though the part is still ours: take in what the key holds now.
+        """A condition of ours failed though the shard is still ours: take in what the key holds now.
 
         Only a transaction of our own that was applied late, a withdrawal, or the leader's deletion of a
         machine that is gone can have changed it.
         """
-        part = self.part
+        shard = self.shard
         kind, _, rest = path.partition("/")
         if kind == "job":
-            job = part.jobs.get(rest)
+            job = shard.jobs.get(rest)
             if job is None or value is None:
                 return
             if value["status"] == "withdrawn":
-                part.cancel(rest, value.get("cancelled_at", now), revision, now)
+                shard.cancel(rest, value.get("cancelled_at", now), revision, now)
             job.revision = revision
             if value["status"] == "done" and job.phase is JobPhase.OVER:
                 self._outcome_durable(job, [])
         elif kind == "work":
             _, job_id, tail = rest.split("/", 2)
-            job = part.jobs.get(job_id)
+            job = shard.jobs.get(job_id)
             if job is None:
                 return
             if tail != "job":
@@ -357,12 +359,12 @@
                 self._outcome_durable(job, [])
         elif kind == "park":
             n = int(rest.rsplit("/", 1)[1])
-            part.parks.wrote(n, value, revision)
-            part.parks.dirty = True
+            shard.parks.wrote(n, value, revision)
+            shard.parks.dirty = True
         elif kind == "machine":
             if value is None:
-                part.machine_gone(rest, now)
-            elif value.get("p") != part.name:
-                part.machines.pop(rest, None)
+                shard.machine_gone(rest, now)
+            elif value.get("p") != shard.name:
+                shard.machines.pop(rest, None)
             else:
-                part.add_machine(rest, value, revision, now)
+                shard.add_machine(rest, value, revision, now)
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -1,4 +1,4 @@
-"""A machine as its part's owner knows it."""
+"""A machine as its shard's owner knows it."""
 
 from __future__ import annotations
 
@@ -70,15 +70,15 @@
             self.tenure = value["n"]
             self.last_at = now
         self.inherited = False  # it was up for the owner before, and has not reported to us
-        self.to: str | None = None  # asked to go to this part ("" the pool) once empty
+        self.to: str | None = None  # asked to go to this shard ("" the pool) once empty
 
-    def value(self, part: str) -> dict[str, Any]:
+    def value(self, shard: str) -> dict[str, Any]:
         value: dict[str, Any] = {
             "t": self.type,
             "z": self.zone,
             "s": self.spot,
             "a": self.address,
-            "p": part,
+            "p": shard,
         }
         value["at"] = round(self.rented, 3)
         if self.dated:
--- a/ashdock/core/needs.py
+++ b/ashdock/core/needs.py
@@ -1,6 +1,6 @@
-"""What a part's jobs wait for: other jobs, of any part, that have to be done first.
+"""What a shard's jobs wait for: other jobs, of any part, that have to be done first.
 
-The edges are those of the part's own waiting jobs; what they name may be anywhere. An outcome arrives once it is durable and
+The edges are those of the shard's own waiting jobs; what they name may be anywhere. An outcome arrives once it is durable and
 then never changes, so whatever is decided from it holds for good. Priority and deadline are carried back along the edges; how
 much work that is goes by the edges touched, and nothing recurses.
 """
@@ -45,10 +45,10 @@
         self.after: dict[str, dict[str, None]] = {}  # job: the waiting jobs that need it
         self.carried: dict[
             str, Carried
-        ] = {}  # job that is needed: by all that need it, here or in other parts
+        ] = {}  # job that is needed: by all that need it, here or in other shards
         self.told: dict[
             str, dict[str, Carried]
-        ] = {}  # the same by other parts' owners' word: job, then part
+        ] = {}  # the same by other shards' owners' word: job, then part
         self.fresh: dict[str, None] = {}  # needed, and nobody has looked yet how it stands
         self.changed: set[str] = (
             set()
@@ -115,25 +115,25 @@
         self.told.pop(job, None)
         self.fresh.pop(job, None)
 
-    def hear(self, part: str, rows: Iterable[tuple[str, int, float]]) -> None:
-        """What another part's jobs make of ours. Its owner says it anew with each beat."""
+    def hear(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
+        """What another shard's jobs make of ours. Its owner says it anew with each beat."""
         says = {job: Carried(priority, by) for job, priority, by in rows}
         changed = [
-            job for job, said in self.told.items() if part in said and says.get(job) != said[part]
+            job for job, said in self.told.items() if shard in said and says.get(job) != said[shard]
         ]
         for job in changed:
-            del self.told[job][part]
+            del self.told[job][shard]
             if not self.told[job]:
                 del self.told[job]
         for job, value in says.items():
-            if self.told.get(job, {}).get(part) != value:
-                self.told.setdefault(job, {})[part] = value
+            if self.told.get(job, {}).get(shard) != value:
+                self.told.setdefault(job, {})[shard] = value
                 changed.append(job)
         if changed:
             self._carry(changed)
 
     def abroad(self, ours: Iterable[str]) -> list[tuple[str, int, float]]:
-        """What to tell of jobs that are not of this part."""
+        """What to tell of jobs that are not of this shard."""
         here = set(ours)
         return [
             (job, *self.carried[job])
--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -53,7 +53,7 @@
 
 
 class Parks:
-    """One part's parks, and the values that keep them: `park/<team>/<n>`."""
+    """One shard's parks, and the values that keep them: `park/<team>/<n>`."""
 
     def __init__(self, team: str, value_bytes: int) -> None:
         self.team = team
--- a/ashdock/core/passes.py
+++ b/ashdock/core/passes.py
@@ -20,7 +20,7 @@
 from ashdock.settings import Shared, Team, Workers
 from ashdock.wire.messages import MachineType, Spec
 
-log = logging.getLogger("ashdock.part")
+log = logging.getLogger("ashdock.shard")
 
 FETCHES_AHEAD = 4  # how many fetches longer a job may have waited that is overtaken by one whose image is at hand
 MOST_WANTS = (
@@ -29,7 +29,7 @@
 
 
 class Placed(Protocol):
-    """What of a part a pass looks at, and the changes of state that it may make."""
+    """What of a shard a pass looks at, and the changes of state that it may make."""
 
     team: Team
     shared: Shared
@@ -100,8 +100,8 @@
 
 
 class Passes:
-    def __init__(self, part: Placed, estimates: Estimates, telling: Telling) -> None:
-        self.part = part
+    def __init__(self, shard: Placed, estimates: Estimates, telling: Telling) -> None:
+        self.shard = shard
         self.estimates = estimates
         self.telling = telling
         self.aims: dict[str, list[float]] = {}  # by class: within what times its jobs are to start
@@ -109,25 +109,25 @@
     def waiting(self, now: float, look: _Pass | None = None) -> list[Job]:
         out = [
             job
-            for job in self.part.jobs.values()
+            for job in self.shard.jobs.values()
             if job.active
             and job.ready
             and not job.waits
             and not job.breaking
-            and job.id not in self.part.strange
+            and job.id not in self.shard.strange
             and (job.spec.kind != "gang" or job.ready == job.spec.tasks)
         ]
         out.sort(key=lambda job: self._rank(job, now, look))
-        lifted = self.part.classes.lifted(out, self._can_run(out), now)
+        lifted = self.shard.classes.lifted(out, self._can_run(out), now)
         if lifted:
             out.sort(key=lambda job: (-job.priority, job.id not in lifted))
         return out
 
     def _can_run(self, jobs: list[Job]) -> Iterator[str]:
-        """Those for which the part has a machine of a kind that they allow, be it full. Not looked for before somebody asks."""
+        """Those for which the shard has a machine of a kind that they allow, be it full. Not looked for before somebody asks."""
         kinds = {
             (machine.type, machine.zone, machine.spot)
-            for machine in self.part.machines.values()
+            for machine in self.shard.machines.values()
             if machine.usable
         }
         yield from (
@@ -148,19 +148,19 @@
         if job.priority <= job.spec.priority:
             return True
         boot_s = max(
-            (shape.boot_s for shape in self.part.catalog.values()),
-            default=self.part.workers.lease_s,
+            (shape.boot_s for shape in self.shard.catalog.values()),
+            default=self.shard.workers.lease_s,
         )
         return (job.submitted - job.due) / 2 < self.slack(job, now) < boot_s
 
     def aim_s(self, spec: Spec) -> float:
         aims = [
             o.within_s
-            for o in self.part.shared.objectives
+            for o in self.shard.shared.objectives
             if o.kind == "wait" and o.job_class == spec.job_class
         ]
-        aims += [o.within_s for o in self.part.shared.objectives if o.kind == "guarantee"]
-        return min((aim for aim in aims if aim is not None), default=self.part.workers.lease_s)
+        aims += [o.within_s for o in self.shard.shared.objectives if o.kind == "guarantee"]
+        return min((aim for aim in aims if aim is not None), default=self.shard.workers.lease_s)
 
     def _rank(self, job: Job, now: float, look: _Pass | None = None) -> tuple[float, ...]:
         """Priority; then what can still be in time, then what can be in time for the later aim, then the rest.
@@ -173,14 +173,14 @@
         if spec.kind == "array" and math.isinf(job.due):
             return (
                 -job.priority,
-                *self.part.worth.rank(job, self.estimates.run_s(spec), now),
+                *self.shard.worth.rank(job, self.estimates.run_s(spec), now),
                 job.since,
             )
         if math.isinf(job.due):
             ahead = 0.0
             if look is not None and look.holders(spec, spec.tasks if spec.kind == "gang" else 1):
                 ahead = FETCHES_AHEAD * placing.image_s(
-                    spec, next(iter(self.part.catalog.values()))
+                    spec, next(iter(self.shard.catalog.values()))
                 )
             turn, size = self._turn(job, now)
             return (-job.priority, turn, size, job.since - now - ahead)
@@ -188,7 +188,7 @@
         late = now + self.estimates.run_s(spec) * (1 - self.grace) - job.submitted
         times = sorted(
             o.times
-            for o in self.part.shared.objectives
+            for o in self.shard.shared.objectives
             if o.kind == "deadline" and o.job_class == spec.job_class and o.times
         )
         rank = float(sum(1 for factor in times or [1.0] if late > deadline_s * factor))
@@ -217,7 +217,7 @@
         if job_class not in self.aims:
             within = [
                 o.within_s
-                for o in self.part.shared.objectives
+                for o in self.shard.shared.objectives
                 if o.kind == "wait" and o.job_class == job_class
             ]
             self.aims[job_class] = sorted(aim for aim in within if aim)
@@ -227,13 +227,13 @@
 
     def schedule(self, now: float) -> None:
         """One pass: place what fits, keep and make room for what does not, and tell what is lacking."""
-        self.part.stale = False
-        self.part.looked = self.part.seen
+        self.shard.stale = False
+        self.shard.looked = self.shard.seen
         short: list[tuple[Job, int, str]] = []
-        self.part.reserved = set()
+        self.shard.reserved = set()
         if self.telling.owed:
             self.telling.pass_on(now)
-        look = _Pass(self.part.machines.values(), now)
+        look = _Pass(self.shard.machines.values(), now)
         for job in self.waiting(now, look):
             missing = self._try_place(job, look, now)
             if job.doubtful:
@@ -242,32 +242,32 @@
             if missing and job.spec.kind == "gang" and job.spec.tasks > 1:
                 zone, kept = self._keep_for_gang(job, look)
                 missing -= kept
-            if now - job.preempted_at < self.part.workers.lease_s / 2:
+            if now - job.preempted_at < self.shard.workers.lease_s / 2:
                 missing -= job.cleared  # room is being made already
             if missing > 0:
                 short.append((job, missing, zone))
-        lowest = min((self.part.jobs[p.job].priority for p in self._some_live()), default=0)
+        lowest = min((self.shard.jobs[p.job].priority for p in self._some_live()), default=0)
         lower: dict[int, list[tuple[Machine, list[Placement]]]] = {}
         for job, missing, zone in short:
             # Nothing of lower priority runs, mostly: then there is nothing to look at.
             if (
                 job.priority > lowest
-                and now - job.preempted_at >= self.part.workers.lease_s
+                and now - job.preempted_at >= self.shard.workers.lease_s
                 and self.pressed(job, now)
             ):
                 if job.priority not in lower:
                     lower[job.priority] = self._lower_work(job.priority)
                 self._make_room(job, missing, zone, lower[job.priority], now)
-        self.part.wants = self._net_wants(short, look, now)
+        self.shard.wants = self._net_wants(short, look, now)
 
     def _some_live(self) -> Iterable[Placement]:
         """One placement of each job that has any: they share the job's priority."""
-        return (next(iter(job.live.values())) for job in self.part.jobs.values() if job.live)
+        return (next(iter(job.live.values())) for job in self.shard.jobs.values() if job.live)
 
     def _try_place(self, job: Job, look: _Pass, now: float) -> int:
         """Place what fits; the number of tasks that want room and found none."""
         spec = job.spec
-        permitted = min(self.part.usage.room(spec), job.ready)
+        permitted = min(self.shard.usage.room(spec), job.ready)
         if job.doubtful and spec.kind != "gang":
             permitted = min(permitted, 1 - len(job.live))  # one task at a time tells as much as all
         if (spec.kind == "gang" and permitted < spec.tasks) or permitted <= 0:
@@ -279,8 +279,8 @@
             spec.kind == "gang" and look.barren.holds(together, need, spec.tasks)
         ):
             return permitted
-        options = placing.choices(job, look.roomy(spec, self.part.reserved), now)
-        picked = placing.select(job, options, permitted, self.part.zone_of)
+        options = placing.choices(job, look.roomy(spec, self.shard.reserved), now)
+        picked = placing.select(job, options, permitted, self.shard.zone_of)
         if not options:
             look.barren.note(anywhere, need, 1)
         elif not picked and spec.kind == "gang":
@@ -289,7 +289,7 @@
             tasks = job.ready_tasks(len(picked))
             attempt = job.attempt_for(0)
             for task, machine in zip(tasks, picked, strict=True):
-                self.part.place(
+                self.shard.place(
                     job,
                     task,
                     machine,
@@ -307,10 +307,10 @@
     def _lower_work(self, priority: int) -> list[tuple[Machine, list[Placement]]]:
         """Machines with work below a priority, and that work; none where something is being stopped already."""
         out = []
-        for machine in self.part.machines.values():
-            if not machine.usable or not machine.live or machine.name in self.part.reserved:
+        for machine in self.shard.machines.values():
+            if not machine.usable or not machine.live or machine.name in self.shard.reserved:
                 continue
-            lower = [p for p in machine.live.values() if self.part.jobs[p.job].priority < priority]
+            lower = [p for p in machine.live.values() if self.shard.jobs[p.job].priority < priority]
             if lower and not any(p.phase is Phase.STOPPING for p in machine.live.values()):
                 out.append((machine, lower))
         return out
@@ -333,14 +333,14 @@
                 p.phase is Phase.STOPPING for p in lower
             ):
                 continue
-            cpus = machine.cpus + sum(self.part.jobs[p.job].spec.cpus for p in lower)
-            gpus = machine.gpus + sum(self.part.jobs[p.job].spec.gpus for p in lower)
-            memory = machine.memory + sum(self.part.jobs[p.job].spec.memory_gb for p in lower)
+            cpus = machine.cpus + sum(self.shard.jobs[p.job].spec.cpus for p in lower)
+            gpus = machine.gpus + sum(self.shard.jobs[p.job].spec.gpus for p in lower)
+            memory = machine.memory + sum(self.shard.jobs[p.job].spec.memory_gb for p in lower)
             if cpus + 1e-6 < spec.cpus or gpus + 1e-6 < spec.gpus or memory + 1e-6 < spec.memory_gb:
                 continue
             # While one of its machines fetches, all of a gang's wait.
             cost = (
-                sum(loss(self.part.jobs, p, now) for p in lower)
+                sum(loss(self.shard.jobs, p, now) for p in lower)
                 + placing.fetch_s(spec, machine) * (spec.gpus or spec.cpus) * missing
             )
             victims.append((cost, machine))
@@ -354,13 +354,13 @@
             job.preempted_at = now
             log.info("job %s takes the place of lower work on %s", job.id, machine.name)
             for placement in list(machine.live.values()):
-                other = self.part.jobs.get(placement.job)
+                other = self.shard.jobs.get(placement.job)
                 if (
                     other
                     and other.priority < job.priority
                     and machine.live.get(placement.key) is placement
                 ):
-                    self.part.preempt(other, [placement.task], f"made room for {job.id}", now)
+                    self.shard.preempt(other, [placement.task], f"made room for {job.id}", now)
 
     def _keep_for_gang(self, job: Job, look: _Pass) -> tuple[str, int]:
         """The zone where a gang that finds no room is best completed ("" if any will do), and how many of
@@ -374,7 +374,7 @@
         def suits(label: str, zone: str, spot: bool) -> bool:
             return placing.permits(spec, label, zone, spot)
 
-        for machine in look.roomy(spec, self.part.reserved):
+        for machine in look.roomy(spec, self.shard.reserved):
             zone = machine.zone if spec.one_zone else ""
             room = machine.fits(*need)
             rooms.setdefault(zone, []).append((machine, room))
@@ -386,20 +386,20 @@
         kept = 0
         for machine, room in rooms.get(best, ()):
             if kept < spec.tasks:
-                self.part.reserved.add(machine.name)
+                self.shard.reserved.add(machine.name)
                 kept += room
         return best, min(kept, spec.tasks)
 
     def _net_wants(self, short: list[tuple[Job, int, str]], look: _Pass, now: float) -> list[Want]:
         """What is lacking once the machines still booting are counted in."""
-        cpus, gpus = self.part.usage.cpus, self.part.usage.gpus
+        cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         out: list[Want] = []
         for job, missing, zone in short:
             spec = job.spec
             if not guaranteed(
-                self.part.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
+                self.shard.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
             ):
-                missing = min(missing, self.part.worth.pays(job, self.estimates.run_s(spec)))
+                missing = min(missing, self.shard.worth.pays(job, self.estimates.run_s(spec)))
             cpus += spec.cpus * missing
             gpus += spec.gpus * missing
 
@@ -421,11 +421,11 @@
                         spec.one_zone and spec.tasks > 1,
                         missing,
                         job.priority,
-                        guaranteed(self.part.team, cpus, gpus),
+                        guaranteed(self.shard.team, cpus, gpus),
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
-                        math.isinf(job.due) and not self.part.worth.promised(spec),
+                        math.isinf(job.due) and not self.shard.worth.promised(spec),
                     )
                 )
         return out
--- a/ashdock/core/pipelines.py
+++ b/ashdock/core/pipelines.py
@@ -1,4 +1,4 @@
-"""A part's jobs that wait for others: released or cancelled as the outcomes come in, and ranked by what needs them.
+"""A shard's jobs that wait for others: released or cancelled as the outcomes come in, and ranked by what needs them.
 
 An outcome is only told once it is durable, by the watch on jobs, by our own write or by a read; it never changes again. So a
 job is released once for good, and so it is cancelled.
@@ -18,11 +18,11 @@
 from ashdock.settings import Workers
 from ashdock.wire.messages import MachineType, Spec
 
-log = logging.getLogger("ashdock.part")
+log = logging.getLogger("ashdock.shard")
 
 
 class Waited(Protocol):
-    """What of a part its waiting jobs rest on."""
+    """What of a shard its waiting jobs rest on."""
 
     workers: Workers
     catalog: dict[str, MachineType]
@@ -33,8 +33,8 @@
 
 
 class Pipelines:
-    def __init__(self, part: Waited) -> None:
-        self.part = part
+    def __init__(self, shard: Waited) -> None:
+        self.shard = shard
         self.needs = Needs()
         self.unread: dict[
             str, None
@@ -57,15 +57,15 @@
     def _takes(self, spec: Spec) -> float:
         """How long from when it may start until it is done, where it finds room at once."""
         fetch = max(
-            (placing.image_s(spec, shape) for shape in self.part.catalog.values()), default=0.0
+            (placing.image_s(spec, shape) for shape in self.shard.catalog.values()), default=0.0
         )
-        return fetch + self.part.estimates.run_s(spec) + 2 * self.part.workers.report_s
+        return fetch + self.shard.estimates.run_s(spec) + 2 * self.shard.workers.report_s
 
     def look(self, now: float) -> None:
-        """How the jobs stand that ours have come to wait for: what is not of this part has to be read."""
+        """How the jobs stand that ours have come to wait for: what is not of this shard has to be read."""
         while self.needs.fresh:
             need, _ = self.needs.fresh.popitem()
-            job = self.part.jobs.get(need)
+            job = self.shard.jobs.get(need)
             if job is None:
                 self.unread[need] = None
             elif job.phase is JobPhase.CANCELLED:
@@ -78,26 +78,26 @@
             return
         if status == "done":
             for job_id, since in self.needs.done(need, at):
-                job = self.part.jobs[job_id]
+                job = self.shard.jobs[job_id]
                 job.released(since)
-                self.part.stale = True
+                self.shard.stale = True
                 log.info("job %s may start: the last that it needs is done (%s)", job_id, need)
-                self.part.telling.came(job, now)
+                self.shard.telling.came(job, now)
         else:
             for job_id in self.needs.cancelled(need):
                 log.info("job %s is cancelled with %s, which it needs", job_id, need)
-                self.part.jobs[job_id].orphan(need, now)
+                self.shard.jobs[job_id].orphan(need, now)
         self._carry()
 
-    def hear(self, part: str, rows: Iterable[tuple[str, int, float]]) -> None:
-        self.needs.hear(part, rows)
+    def hear(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
+        self.needs.hear(shard, rows)
         self._carry()
 
     def _carry(self) -> None:
         for job_id in self.needs.changed:
-            job = self.part.jobs.get(job_id)
+            job = self.shard.jobs.get(job_id)
             if job is not None:
                 job.carried = self.needs.of(job_id)
         if self.needs.changed:
-            self.part.stale = True
+            self.shard.stale = True
             self.needs.changed.clear()
--- a/ashdock/core/reports.py
+++ b/ashdock/core/reports.py
@@ -1,4 +1,4 @@
-"""What a worker's report proves of a part's tasks: judged against what was ordered, and under which token."""
+"""What a worker's report proves of a shard's tasks: judged against what was ordered, and under which token."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from ashdock.settings import Workers
 from ashdock.wire.messages import ENDED, Held, Order, Report, split_task
 
-log = logging.getLogger("ashdock.part")
+log = logging.getLogger("ashdock.shard")
 
 
 class Reported(Protocol):
-    """What of a part a report may touch: its jobs, its machines, and the changes of state that follow from what is proved."""
+    """What of a shard a report may touch: its jobs, its machines, and the changes of state that follow from what is proved."""
 
     jobs: dict[str, Job]
     machines: dict[str, Machine]
@@ -44,23 +44,23 @@
 
 
 class Reports:
-    def __init__(self, part: Reported, estimates: Estimates) -> None:
-        self.part = part
+    def __init__(self, shard: Reported, estimates: Estimates) -> None:
+        self.shard = shard
         self.estimates = estimates
 
     def on_report(self, report: Report, now: float, checkin: bool) -> list[Order] | None:
         """Take a worker's report in; the answer's orders, or None if we may not answer."""
-        machine = self.part.machines.get(report.berth)
+        machine = self.shard.machines.get(report.berth)
         if machine is None:
             return None
-        token = self.part.token(machine)
+        token = self.shard.token(machine)
         if report.warrant > token:
             return None
         newer = (report.tenure, report.tally) > (machine.tenure, machine.tally)
         if not newer:
             return []
         if machine.phase is MachinePhase.EXPECTED:
-            self.part.stale = True
+            self.shard.stale = True
         machine.came_up(report.address)
         machine.inherited = False
         machine.last_at = now
@@ -72,11 +72,11 @@
             key: sent for key, sent in machine.outstanding.items() if sent >= report.warrant
         }
         if report.recall_s is not None:
-            self.part.taken_back(machine, report.recall_s, now)
+            self.shard.taken_back(machine, report.recall_s, now)
         self._match(machine, report, now, checkin and report.warrant >= token)
-        if checkin and self.part.lapses(machine, now):
+        if checkin and self.shard.lapses(machine, now):
             return None
-        return self.part.orders(machine, now, report if checkin else None)
+        return self.shard.orders(machine, now, report if checkin else None)
 
     def _session_over(self, machine: Machine, report: Report, now: float) -> None:
         """The worker's lease ended: it killed and forgot all that it had."""
@@ -94,7 +94,7 @@
             ):
                 continue
             if placement.tenure < report.tenure:
-                self.part.lost(placement, "worker lost its controllers", now)
+                self.shard.lost(placement, "worker lost its controllers", now)
 
     def _match(self, machine: Machine, report: Report, now: float, proof: bool) -> None:
         held: dict[tuple[str, int, int], Held] = {}
@@ -110,7 +110,7 @@
             if found is None:
                 if proof and key not in machine.outstanding and self._absent(placement, report):
                     if placement.phase is Phase.STOPPING or placement.seen:
-                        self.part.lost(placement, placement.why or "not on its machine", now)
+                        self.shard.lost(placement, placement.why or "not on its machine", now)
                 continue
             if found.status == ENDED:
                 ended.add(key)
@@ -119,7 +119,7 @@
                 placement.held(found.status, report.tenure, now)
                 if placement.running_at == now:
                     self._runs(placement, now)
-                spec = self.part.jobs[placement.job].spec
+                spec = self.shard.jobs[placement.job].spec
                 if found.status == "pulling":
                     machine.lacks(spec.image)
                 else:
@@ -128,23 +128,23 @@
         for key, item in held.items():
             if item.status == ENDED:
                 ended.add(key)
-                job = self.part.jobs.get(key[0])
+                job = self.shard.jobs.get(key[0])
                 if item.cause == "done" and job and job.active and 0 <= key[1] < job.spec.tasks:
                     self._done_elsewhere(job, key[1], now)
             else:
                 strange[key[0], key[1]] = key[2]
         for job_id in sorted({job for job, _ in [*machine.strange, *strange]}):
             here = any(job_id == other for other, _ in strange)
-            where = self.part.strange.setdefault(job_id, set())
+            where = self.shard.strange.setdefault(job_id, set())
             (where.add if here else where.discard)(machine.name)
             if not where:
-                del self.part.strange[job_id]
+                del self.shard.strange[job_id]
         machine.strange = strange
         machine.ended = ended
 
     def _runs(self, placement: Placement, now: float) -> None:
-        job = self.part.jobs[placement.job]
-        self.part.classes.served.started(job.id, 1, now)
+        job = self.shard.jobs[placement.job]
+        self.shard.classes.served.started(job.id, 1, now)
         if job.started_at is None:
             job.started_at = now
             waited = placement.placed_at - job.since
@@ -170,12 +170,12 @@
         for other in range(job.spec.tasks) if job.spec.kind == "gang" else (task,):
             placement = job.live.get(other)
             if placement is not None and job.spec.kind != "gang":
-                self.part.stop(placement, "done already", 0.0, now)
+                self.shard.stop(placement, "done already", 0.0, now)
                 continue
-            self.part.finish(job, other, now)
+            self.shard.finish(job, other, now)
 
     def _ended(self, machine: Machine, placement: Placement, item: Held, now: float) -> None:
-        job = self.part.jobs[placement.job]
+        job = self.shard.jobs[placement.job]
         cause = item.cause or "error"
         if cause == "done" and job.spec.kind != "service" and job.active:
             machine.failed.clear()
@@ -183,15 +183,15 @@
             self.estimates.learn(job, placement, now)
             tasks = range(job.spec.tasks) if job.spec.kind == "gang" else (placement.task,)
             for task in tasks:
-                self.part.finish(job, task, now)
+                self.shard.finish(job, task, now)
             job.breaking = job.broke = None
         elif cause in ("error", "no_such") and placement.phase is not Phase.STOPPING and job.active:
-            self.part.own_failure(machine, placement, cause, now)
+            self.shard.own_failure(machine, placement, cause, now)
         else:
             if cause == "no_room":
-                machine.no_room_until = now + self.part.workers.report_s
+                machine.no_room_until = now + self.shard.workers.report_s
             if cause == "error":
                 job.broke = job.broke or (
                     Failure(0, now, f"error on {machine.name}") if job.spec.kind == "gang" else None
                 )
-            self.part.lost(placement, cause, now)
+            self.shard.lost(placement, cause, now)
--- a/ashdock/core/part.py
+++ b/ashdock/core/shard.py
@@ -1,4 +1,4 @@
-"""A part: one team, its jobs and parks, and the machines lent to it, in its one owner's memory.
+"""A shard: one team, its jobs and parks, and the machines lent to it, in its one owner's memory.
 
 No input or output happens here. Reports, wakes and changes seen elsewhere come in as calls; what is
 to be written comes out as transactions, and what is to be sent as orders. A start is let out only once
@@ -40,12 +40,12 @@
     task_name,
 )
 
-log = logging.getLogger("ashdock.part")
+log = logging.getLogger("ashdock.shard")
 
 ORDERS_AT_ONCE = 200  # keeps an answer to a worker well under 64 KiB
 
 
-class Part:
+class Shard:
     def __init__(
         self,
         team: Team,
@@ -542,7 +542,7 @@
             if m.last_at is not None and m.silent_for(now) > self.silent_s
         ]
         up = sum(1 for m in self.machines.values() if m.last_at is not None)
-        # Where most fall silent at once, the fault may be on our side: the part may yet move to a controller
+        # Where most fall silent at once, the fault may be on our side: the shard may yet move to a controller
         # that hears them. But not for ever, or two dead machines of two would hold their tasks for good.
         patience = self.silent_s if len(silent) * 2 <= up else 2 * self.silent_s
         gap = 2 * self.workers.report_s
@@ -583,7 +583,7 @@
         return 1.1 * self.workers.lease_s + self.workers.report_s
 
     def _patience(self, now: float) -> float:
-        """How long to wait for the workers that a part was taken over with. Where more than a quarter stay away, the owner
+        """How long to wait for the workers that a shard was taken over with. Where more than a quarter stay away, the owner
         before may still answer them: cut off from the state service alone it does so for a while, does not know that it
         was replaced, and holds them until then. Their machines used to be given up with all their work (inc-f1aa)."""
         if self.unheard_s is None:
--- a/ashdock/core/stock.py
+++ b/ashdock/core/stock.py
@@ -20,7 +20,7 @@
     """A machine's record, as everyone sees it."""
 
     name: str
-    part: str
+    shard: str
     type: str
     zone: str
     spot: bool
@@ -33,7 +33,7 @@
     type: str
     zone: str
     spot: bool
-    part: str  # that holds it now; "" is the pool
+    shard: str  # that holds it now; "" is the pool
     priority: int = 0  # the highest of what runs there
 
 
@@ -66,7 +66,7 @@
         self.taken: set[str] = set()
         shelves: dict[tuple[str, str, bool, str, int], Shelf] = {}
         for key, priority, machine in machines:
-            alike = (machine.type, machine.zone, machine.spot, machine.part, priority)
+            alike = (machine.type, machine.zone, machine.spot, machine.shard, priority)
             shelf = shelves.get(alike)
             if shelf is None:
                 shelf = shelves[alike] = Shelf(Kind(*alike))
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -16,7 +16,7 @@
 
 
 class Phase(IntEnum):
-    """Where a placement stands. It counts towards every bound until `part` drops it on proof of its stop."""
+    """Where a placement stands. It counts towards every bound until `shard` drops it on proof of its stop."""
 
     INTENDED = 0  # in memory only: nothing may be sent
     COMMITTED = 1  # durable: a start may be sent
--- a/ashdock/core/telling.py
+++ b/ashdock/core/telling.py
@@ -1,4 +1,4 @@
-"""What a part's owner tells the leader, and what it does of what the leader asks."""
+"""What a shard's owner tells the leader, and what it does of what the leader asks."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from ashdock.settings import Team, Workers
 from ashdock.wire.messages import MachineType, Spec
 
-log = logging.getLogger("ashdock.part")
+log = logging.getLogger("ashdock.shard")
 
 BOOTS_BACK = 4  # how many boots' time of arrivals tells what is to be expected
 
 
 class Want(NamedTuple):
-    """Room that a part lacks, as its owner tells the leader."""
+    """Room that a shard lacks, as its owner tells the leader."""
 
     cpus: float
     gpus: float
@@ -43,17 +43,17 @@
 
 
 class Recalled(NamedTuple):
-    """Machines that a part is to vacate for another team."""
+    """Machines that a shard is to vacate for another team."""
 
-    part: str
+    shard: str
     to: str
     machines: list[str]
 
 
 class Owed(NamedTuple):
-    """Machines that a part is to pass on as they come free, to a team whose like work has waited longer."""
+    """Machines that a shard is to pass on as they come free, to a team whose like work has waited longer."""
 
-    part: str
+    shard: str
     to: str
     number: int
     types: tuple[str, ...]
@@ -70,7 +70,7 @@
 
 
 class Picture(NamedTuple):
-    """What the leader is told of a part."""
+    """What the leader is told of a shard."""
 
     team: str
     seen: int  # the latest assignment of a machine that this picture takes in
@@ -92,7 +92,7 @@
 
 
 class Told(Protocol):
-    """What of a part goes into its picture, and what the leader's wishes may touch."""
+    """What of a shard goes into its picture, and what the leader's wishes may touch."""
 
     name: str
     team: Team
@@ -112,8 +112,8 @@
 
 
 class Telling:
-    def __init__(self, part: Told) -> None:
-        self.part = part
+    def __init__(self, shard: Told) -> None:
+        self.shard = shard
         self.owed: dict[str, tuple[Owed, float]] = {}  # by team, and until when
         self.rows: dict[str, _Row] = {}
         self.arrived: deque[tuple[float, int, Spec]] = (
@@ -123,14 +123,14 @@
     def came(self, job: Job, now: float) -> None:
         """A new job, and not one read at a takeover: what has come of late tells what is to be expected."""
         if not job.waits and job.spec.kind != "service":
-            self.part.classes.came(
-                job.id, job.job_class, self.part.name, job.spec.tasks, job.since, job.due
+            self.shard.classes.came(
+                job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
             )
         if job.spec.deadline_s is None and job.spec.kind != "service" and not job.waits:
             per = max(
                 (
                     capacity(shape, job.spec.cpus, job.spec.gpus, job.spec.memory_gb)
-                    for shape in self.part.catalog.values()
+                    for shape in self.shard.catalog.values()
                 ),
                 default=1,
             )
@@ -147,8 +147,8 @@
     def _lately(self, now: float) -> None:
         """Forget what came longer ago than is looked back on."""
         boot_s = max(
-            (shape.boot_s for shape in self.part.catalog.values()),
-            default=self.part.workers.lease_s,
+            (shape.boot_s for shape in self.shard.catalog.values()),
+            default=self.shard.workers.lease_s,
         )
         while self.arrived and now - self.arrived[0][0] > BOOTS_BACK * boot_s:
             self.arrived.popleft()
@@ -157,10 +157,10 @@
         """The empty machines to keep, within the guarantee only; those that hold most images first."""
         keep = self.headroom(now) if idle else 0
         out: set[str] = set()
-        cpus, gpus = self.part.usage.cpus, self.part.usage.gpus
+        cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         for machine in sorted(idle, key=lambda m: (-len(m.images), m.name)) if keep else ():
             cpus, gpus = cpus + machine.shape.cpus, gpus + machine.shape.accelerators
-            if len(out) >= keep or not guaranteed(self.part.team, cpus, gpus):
+            if len(out) >= keep or not guaranteed(self.shard.team, cpus, gpus):
                 break
             if any(
                 placing.permits(spec, machine.type, machine.zone, machine.spot)
@@ -175,45 +175,47 @@
         # to each other for a minute, and nothing ran.
         empty = [
             m
-            for m in self.part.machines.values()
+            for m in self.shard.machines.values()
             if m.empty
             and m.idle_since is not None
             and m.usable
-            and m.name not in self.part.reserved
-            and m.revision <= self.part.looked
+            and m.name not in self.shard.reserved
+            and m.revision <= self.shard.looked
         ]
         kept = self._at_hand(empty, now)
         idle = [(m.name, now - (m.idle_since or now)) for m in empty if m.name not in kept]
         busy = [
             self._row(m, now)
-            for m in self.part.machines.values()
-            if m.live and m.usable and m.name not in self.part.reserved
+            for m in self.shard.machines.values()
+            if m.live and m.usable and m.name not in self.shard.reserved
         ]
-        if len(self.rows) > 2 * len(self.part.machines) + 16:
-            self.rows = {name: row for name, row in self.rows.items() if name in self.part.machines}
-        waiting = sum(job.ready for job in self.part.jobs.values() if job.active and not job.waits)
+        if len(self.rows) > 2 * len(self.shard.machines) + 16:
+            self.rows = {
+                name: row for name, row in self.rows.items() if name in self.shard.machines
+            }
+        waiting = sum(job.ready for job in self.shard.jobs.values() if job.active and not job.waits)
         return Picture(
-            self.part.name,
-            self.part.looked,
-            self.part.wants,
+            self.shard.name,
+            self.shard.looked,
+            self.shard.wants,
             idle,
             busy,
-            len(self.part.machines),
+            len(self.shard.machines),
             waiting,
             self._beyond(busy),
         )
 
     def leaving(self) -> list[tuple[str, str]]:
-        """The machines that are being vacated, and for which part ("" is the pool)."""
+        """The machines that are being vacated, and for which shard ("" is the pool)."""
         return [
             (m.name, m.to)
-            for m in self.part.machines.values()
+            for m in self.shard.machines.values()
             if m.to is not None and m.phase is MachinePhase.LEAVING
         ]
 
     def _row(self, machine: Machine, now: float) -> Busy:
         """A machine at work. What stopping it costs changes with what runs there, or slowly: it is worked out anew for each report, not
-        for each picture. Of a large part, pictures cost more than passes."""
+        for each picture. Of a large shard, pictures cost more than passes."""
         known = self.rows.get(machine.name)
         if (
             known is None
@@ -222,24 +224,24 @@
             or now >= known.until
         ):
             priority = max(
-                self.part.jobs[placement.job].priority for placement in machine.live.values()
+                self.shard.jobs[placement.job].priority for placement in machine.live.values()
             )
-            busy = Busy(machine.name, priority, machine_loss(self.part.jobs, machine, now))
+            busy = Busy(machine.name, priority, machine_loss(self.shard.jobs, machine, now))
             known = self.rows[machine.name] = _Row(
-                machine, machine.version, now + self.part.workers.report_s, busy
+                machine, machine.version, now + self.shard.workers.report_s, busy
             )
         return known.busy
 
     def _beyond(self, busy: list[Busy]) -> int:
         """How many machines' work the team runs beyond its guarantee. Machines that stand empty or boot do not
         count: taking running work for those made machines go round between teams that were all within theirs."""
-        cpus, gpus = self.part.usage.cpus, self.part.usage.gpus
+        cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         beyond = 0
         for item in sorted(busy, key=lambda item: item.loss_s):
-            machine = self.part.machines[item.machine]
+            machine = self.shard.machines[item.machine]
             cpus -= machine.shape.cpus - machine.cpus
             gpus -= machine.shape.accelerators - machine.gpus
-            if guaranteed(self.part.team, cpus + 1e-3, gpus + 1e-3) and not self._at_least(
+            if guaranteed(self.shard.team, cpus + 1e-3, gpus + 1e-3) and not self._at_least(
                 cpus, gpus
             ):
                 break
@@ -248,7 +250,7 @@
 
     def _at_least(self, cpus: float, gpus: float) -> bool:
         """Whether so much still fills the guarantee."""
-        team = self.part.team
+        team = self.shard.team
         return not (
             (team.gpus > 0 and gpus < team.gpus - 1e-6)
             or (team.cpus > 0 and cpus < team.cpus - 1e-6)
@@ -256,29 +258,29 @@
 
     def yield_machine(self, name: str, to: str, now: float) -> None:
         """The leader wants it elsewhere. It goes if empty, by a write under our fence."""
-        machine = self.part.machines.get(name)
-        if machine is not None and machine.usable and machine.empty and to != self.part.name:
+        machine = self.shard.machines.get(name)
+        if machine is not None and machine.usable and machine.empty and to != self.shard.name:
             machine.to = to
             machine.leave("moves")
-            self.part.note_machine(name)
+            self.shard.note_machine(name)
 
     def recall(self, order: Recalled, now: float) -> None:
         """Vacate machines for a team that lacks its guarantee, or for work of higher priority."""
         for name in order.machines:
-            machine = self.part.machines.get(name)
-            if machine and machine.usable and name not in self.part.reserved:
+            machine = self.shard.machines.get(name)
+            if machine and machine.usable and name not in self.shard.reserved:
                 log.info("machine %s is vacated for team %s", name, order.to)
                 machine.leave(f"recalled for {order.to}")
                 machine.to = order.to
-                self.part.note_machine(name)
-                self.part.drain(machine, now)
+                self.shard.note_machine(name)
+                self.shard.drain(machine, now)
 
     def owe(self, order: Owed, now: float) -> None:
-        self.owed[order.to] = (order, now + self.part.workers.lease_s)
+        self.owed[order.to] = (order, now + self.shard.workers.lease_s)
 
     def pass_on(self, now: float) -> None:
         """Nothing is stopped for it: only what has come free goes, before our own work takes it."""
-        for machine in self.part.machines.values():
+        for machine in self.shard.machines.values():
             if machine.live or machine.strange or not machine.usable:
                 continue
             for to, (order, until) in list(self.owed.items()):
@@ -291,9 +293,9 @@
                 ):
                     machine.to = to
                     machine.leave(f"passed on to {to}")
-                    self.part.note_machine(machine.name)
+                    self.shard.note_machine(machine.name)
                     self.owed[to] = (order._replace(number=order.number - 1), until)
                     break
 
     def counts(self) -> list[tuple[str, int, int]]:
-        return [(job.id, job.done, job.running) for job in self.part.jobs.values() if job.active]
+        return [(job.id, job.done, job.running) for job in self.shard.jobs.values() if job.active]
--- a/ashdock/fairness/burden.py
+++ b/ashdock/fairness/burden.py
@@ -1,4 +1,4 @@
-"""Whether a controller that is short of its processor for long hands a part on, and to whom.
+"""Whether a controller that is short of its processor for long hands a shard on, and to whom.
 
 How behind a controller is shows in its beats: each says that a whole round of its loop is over, so one that is behind sends fewer of them than
 it is set to. That holds however late we read them, needs no word of a new kind, and is true of controllers of the version before.
@@ -11,7 +11,7 @@
 
 FADES = 1 / 8  # weight of the newest gap between two beats
 BEHIND = 2.0  # times the gap that is meant: each round takes as long again as it should
-BETTER = 1.5  # how many times shorter the gaps of who is to have the part have to be
+BETTER = 1.5  # how many times shorter the gaps of who is to have the shard have to be
 
 
 class Pace:
@@ -31,7 +31,7 @@
     """Another controller that may own parts."""
 
     gap_s: float
-    parts: int
+    shards: int
     leads: bool
 
 
@@ -50,9 +50,9 @@
         others: Mapping[str, Other],
         now: float,
     ) -> tuple[str, str] | None:
-        """The part to hand on and the controller that is to have it. `ours`: the work of each part here.
+        """The shard to hand on and the controller that is to have it. `ours`: the work of each shard here.
 
-        Leading counts as a part. Only to who then has no more than we have left: else it would come back. The lightest goes: the others'
+        Leading counts as a shard. Only to who then has no more than we have left: else it would come back. The lightest goes: the others'
         workers all have to find their new owner."""
         if gap_s < BEHIND * self.beat_s:
             self.since = None
@@ -62,7 +62,7 @@
         if now - self.since < self.patience_s or not ours:
             return None
         able = {
-            label: other.parts + other.leads
+            label: other.shards + other.leads
             for label, other in others.items()
             if other.gap_s * BETTER <= gap_s
         }
@@ -70,4 +70,4 @@
         if not label or able[label] + 1 > len(ours) + leads - 1:
             return None
         self.since = now
-        return min(sorted(ours), key=lambda part: ours[part]), label
+        return min(sorted(ours), key=lambda shard: ours[shard]), label
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -1,4 +1,4 @@
-"""A part's classes of jobs: how each is served, and which of them falls behind its like.
+"""A shard's classes of jobs: how each is served, and which of them falls behind its like.
 
 Priorities, guarantees and limits go before: a class rises only among work of its own priority, and by one job a pass, the one that has
 waited longest. So what rises costs the others one job's room a pass at most, however far it is behind, and is not served at the
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -68,7 +68,7 @@
 
 
 class Answering(Protocol):
-    """Whoever owns a part here."""
+    """Whoever owns a shard here."""
 
     async def report(self, report: messages.Report) -> messages.Orders | None: ...
 
@@ -213,7 +213,7 @@
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
         elif spec.needs and not house.bounds.agreed:
-            # A controller of the version before may own the part, now or soon, and would start the job at once.
+            # A controller of the version before may own the shard, now or soon, and would start the job at once.
             refusal = error(
                 503, "jobs that need others are taken once every controller has the new version", 1
             )
@@ -518,7 +518,7 @@
                     self.answered.clear()
                 self.answered[report.berth] = time.monotonic()
                 return Answer(200, messages.encode(orders))
-            # It waited for a part that was being read: the machine may have gone to another team meanwhile.
+            # It waited for a shard that was being read: the machine may have gone to another team meanwhile.
             entry = house.machines.entries.get(f"machine/{report.berth}")
             team = entry.value["p"] if entry else ""
         label = house.owner_label(team)
@@ -581,7 +581,7 @@
             since = None
         # One that knows the token of the owner in office has been there, and would not be here had it been answered.
         # Sent back, it would wait out another report there, and by then its lease is over. But one that we answered a
-        # report ago has not left us: its machine has just gone to another part, whose orders told it the token.
+        # report ago has not left us: its machine has just gone to another shard, whose orders told it the token.
         stayed = now - self.answered.get(report.berth, -1e9) < 1.5 * house.workers.report_s
         was_there = not stayed and report.warrant >= token
         hears = house.mesh.hears(label, house.ttl_s)
--- a/ashdock/garbage.py
+++ b/ashdock/garbage.py
@@ -2,7 +2,7 @@
 
 Next to nothing here lies in circles, so what a collection finds is little, and what it looks at is every table of the fleet. At the interpreter's own
 thresholds an owner's collections took 2 to 8 hundredths of its processor time (`python -m tests.scale cost`), most of it in the second after a start,
-when the parts are read.
+when the shards are read.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 async def begin_later(ready: Callable[[], bool], lease_s: float) -> None:
-    """A lease (seconds) after the controller is ready, or after another if it is not by then: its workers are back and its parts read, and what a
+    """A lease (seconds) after the controller is ready, or after another if it is not by then: its workers are back and its shards read, and what a
     start makes much of is over."""
     for _ in range(10):
         if ready():
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -9,7 +9,7 @@
 
 from ashdock.admission.processor import CHOOSING, pause_s
 from ashdock.again import walk
-from ashdock.core.allotment import Allotment, GivePart, Move, Release, Rent
+from ashdock.core.allotment import Allotment, Move, MoveShard, Release, Rent
 from ashdock.core.bounds import Bounds
 from ashdock.core.machine import images_of, trimmed
 from ashdock.core.stock import Lent
@@ -230,30 +230,30 @@
             match decision:
                 case Rent():
                     self._spawn(self._rent(decision))
-                case Move(part, machine, to):
-                    if part:
-                        house.to_owner(part, Yield(part, machine, to), self.revision)
+                case Move(shard, machine, to):
+                    if shard:
+                        house.to_owner(shard, Yield(shard, machine, to), self.revision)
                     else:
                         lend[machine] = to
                 case Recalled():
                     log.info(
                         "team %s is to give %s to %s",
-                        decision.part,
+                        decision.shard,
                         ",".join(decision.machines),
                         decision.to,
                     )
-                    house.to_owner(decision.part, decision, self.revision)
+                    house.to_owner(decision.shard, decision, self.revision)
                 case Owed():
                     log.info(
                         "team %s is to pass on %d to %s as they come free",
-                        decision.part,
+                        decision.shard,
                         decision.number,
                         decision.to,
                     )
-                    house.to_owner(decision.part, decision, self.revision)
-                case GivePart(part, to):
-                    log.info("part %s is to go to controller %s", part, to)
-                    house.to_owner(part, Give(part, to), self.revision)
+                    house.to_owner(decision.shard, decision, self.revision)
+                case MoveShard(shard, to):
+                    log.info("part %s is to go to controller %s", shard, to)
+                    house.to_owner(shard, Give(shard, to), self.revision)
                 case Release(machines):
                     self._spawn(self._mark_all(machines, "returned"))
         if lend:
@@ -560,9 +560,9 @@
 
     @staticmethod
     def _value(
-        kind: str, zone: str, spot: bool, where: str, part: str, now: float
+        kind: str, zone: str, spot: bool, where: str, shard: str, now: float
     ) -> dict[str, Any]:
-        return {"t": kind, "z": zone, "s": spot, "a": where, "p": part, "at": round(now, 3)}
+        return {"t": kind, "z": zone, "s": spot, "a": where, "p": shard, "at": round(now, 3)}
 
     async def _adopt_strays(self) -> None:
         """What nobody has wanted for a while is recorded all the same: nothing unrecorded is ever returned."""
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -1,4 +1,4 @@
-"""A controller's entry among the members: on a lease of its own, with its word on whether parts and lead may be its."""
+"""A controller's entry among the members: on a lease of its own, with its word on whether shards and lead may be its."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
         return {"incarnation": self.house.incarnation, "fit": fit}
 
     def _sound(self) -> bool:
-        """Whether parts and lead may be ours, as far as we are concerned."""
+        """Whether shards and lead may be ours, as far as we are concerned."""
         return self.lives.steady and not self.house.cut_off()
 
     async def _say_fit(self, fit: bool) -> None:
@@ -132,8 +132,8 @@
         self.fit = fit
 
     def fit_members(self) -> list[str]:
-        """Who may own parts and lead: those that say they are fit. Where none does, all: each taking itself for the only one, they
-        claimed every part from one another."""
+        """Who may own shards and lead: those that say they are fit. Where none does, all: each taking itself for the only one, they
+        claimed every shard from one another."""
         names = {
             path.split("/", 1)[1]: entry.value.get("fit", True)
             for path, entry in self.house.members.entries.items()
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -404,15 +404,15 @@
                 status, answer, ok = await self._by_events(data, link.reader)
                 return status, answer
             head, answer = known
-            parts, left = [answer], head.length - len(answer)
+            shards, left = [answer], head.length - len(answer)
             while left > 0:
                 data = await link.reader.read(MOST_READ)
                 if not data:
                     raise EOFError("closed before an answer")
-                parts.append(data)
+                shards.append(data)
                 left -= len(data)
             ok = left == 0
-            answer = b"".join(parts)
+            answer = b"".join(shards)
             return head.status, answer if ok else answer[: head.length]
         finally:
             link.used = time.monotonic()
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -15,7 +15,7 @@
 
 from ashdock.admission.control import Admission
 from ashdock.admission.shares import Use
-from ashdock.core.part import Part
+from ashdock.core.shard import Shard
 from ashdock.core.spans import Spans
 from ashdock.duties.fence import Terms
 from ashdock.duties.seat import Seat
@@ -33,7 +33,7 @@
 
 
 class Owning(Protocol):
-    part: Part | None
+    shard: Shard | None
     takeover: Takeover
 
 
@@ -113,27 +113,27 @@
         )
         tokens = GaugeMetricFamily("ashdock_part_token", "stamp of the claim", labels=["team"])
         for team, owner in house.owners.items():
-            part = owner.part
-            if part is None:
+            shard = owner.shard
+            if shard is None:
                 continue
-            tokens.add_metric([team], float(part.revision))
-            for phase, count in Counter(job.phase.value for job in part.jobs.values()).items():
+            tokens.add_metric([team], float(shard.revision))
+            for phase, count in Counter(job.phase.value for job in shard.jobs.values()).items():
                 jobs.add_metric([team, phase], count)
             for machine_phase, count in Counter(
-                machine.phase.value for machine in part.machines.values()
+                machine.phase.value for machine in shard.machines.values()
             ).items():
                 machines.add_metric([team, machine_phase], count)
-            tasks.add_metric([team, "placed"], sum(len(job.live) for job in part.jobs.values()))
+            tasks.add_metric([team, "placed"], sum(len(job.live) for job in shard.jobs.values()))
             tasks.add_metric(
                 [team, "ready"],
-                sum(job.ready for job in part.jobs.values() if job.active and not job.waits),
+                sum(job.ready for job in shard.jobs.values() if job.active and not job.waits),
             )
             tasks.add_metric(
                 [team, "waiting"],
-                sum(job.ready for job in part.jobs.values() if job.active and job.waits),
+                sum(job.ready for job in shard.jobs.values() if job.active and job.waits),
             )
             tasks.add_metric(
-                [team, "parked"], sum(park.high - park.low + 1 for park in part.parks.items)
+                [team, "parked"], sum(park.high - park.low + 1 for park in shard.parks.items)
             )
         yield from (jobs, tasks, machines, tokens)
         yield from self._admission()
@@ -171,7 +171,7 @@
         yield from (state, term, refused, held, gap)
 
     def _fairness(self) -> Iterable[Metric]:
-        """Of jobs that came since a part is owned here: how each class is served, how long its starts waited, and who was sent away."""
+        """Of jobs that came since a shard is owned here: how each class is served, how long its starts waited, and who was sent away."""
         share = GaugeMetricFamily(
             "ashdock_served_share",
             "of jobs that are due, served (docs/fairness.md)",
@@ -194,10 +194,10 @@
             labels=["team", "class"],
         )
         for team, owner in self.house.owners.items():
-            if owner.part is None:
+            if owner.shard is None:
                 continue
-            classes = owner.part.classes
-            for (kind, name), row in classes.served.rows(owner.part.clock).items():
+            classes = owner.shard.classes
+            for (kind, name), row in classes.served.rows(owner.shard.clock).items():
                 if kind == "class":
                     share.add_metric([team, name], row.share)
                     due.add_metric([team, name], row.due)
--- a/ashdock/owner.py
+++ b/ashdock/owner.py
@@ -1,4 +1,4 @@
-"""Owning a part: claim it, rebuild it, run it, and let go when the claim is lost."""
+"""Owning a shard: claim it, rebuild it, run it, and let go when the claim is lost."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ashdock.again import Overtaken, held
 from ashdock.core.bounds import Bounds
 from ashdock.core.machine import Machine
-from ashdock.core.part import Part
+from ashdock.core.shard import Shard
 from ashdock.net.budget import Turn
 from ashdock.net.http import NoAnswer
 from ashdock.net.store import CompareFailedError, StoreClient, StoreUnavailableError, WatchCache
@@ -46,7 +46,7 @@
 
 
 class OwnerHouse(Protocol):
-    """What of its controller the owner of a part uses, and no more."""
+    """What of its controller the owner of a shard uses, and no more."""
 
     label: str
     shared: Shared
@@ -59,7 +59,7 @@
     catalog: dict[str, MachineType]
     store: StoreClient
     machines: WatchCache
-    parts: WatchCache
+    shards: WatchCache
     worker_client: WorkerClient
 
     @property
@@ -73,7 +73,7 @@
 
     def fit_members(self) -> list[str]: ...
 
-    def parts_here(self) -> int: ...
+    def owned_shard_count(self) -> int: ...
 
     def let_go(self, owner: Owner) -> None: ...
 
@@ -81,7 +81,7 @@
 
     def tell_claims(self) -> None: ...
 
-    def tell_leader(self, part: Part) -> None: ...
+    def tell_leader(self, shard: Shard) -> None: ...
 
 
 class Owner:
@@ -90,15 +90,17 @@
         self.team = team
         self.claimed_from = revision
         self.phase = OwnerPhase.CLAIMING
-        self.part: Part | None = None
+        self.shard: Shard | None = None
         self.wake = asyncio.Event()
         self.ready = asyncio.Event()
-        self.give_to: str | None = None  # the leader wants another controller to have the part
+        self.give_to: str | None = None  # the leader wants another controller to have the shard
         self.read_at = (
             -math.inf
-        )  # by the steady clock: each cancellation confirmed until then was read with the part
+        )  # by the steady clock: each cancellation confirmed until then was read with the shard
         self.renews = True  # as the log has told
-        self.early: list[Callable[[Part], None]] = []  # changes seen while the part was being read
+        self.early: list[
+            Callable[[Shard], None]
+        ] = []  # changes seen while the shard was being read
         self.sends: set[asyncio.Task[None]] = set()
         self.reading: asyncio.Task[None] | None = None  # how the jobs stand that ours wait for
         self.passed_at = -1e9  # when the last scheduling pass began
@@ -112,7 +114,7 @@
     def _claimed(self, revision: int) -> None:
         self.phase = OwnerPhase.LOADING
         self.takeover.claimed(self.house.now())
-        self.part = Part(
+        self.shard = Shard(
             self.team,
             revision,
             self.house.shared,
@@ -124,19 +126,19 @@
 
     def _loaded(self) -> None:
         self.phase = OwnerPhase.ACTIVE
-        assert self.part
-        self.takeover.read(self.part.taken, self.house.now())
+        assert self.shard
+        self.takeover.read(self.shard.taken, self.house.now())
         for change in self.early:
-            change(self.part)
+            change(self.shard)
         self.early.clear()
         self.ready.set()
         log.info(
             "part %s is ours with token %d: %d jobs, %d machines, %d parks",
             self.team.name,
-            self.part.revision,
-            len(self.part.jobs),
-            len(self.part.machines),
-            len(self.part.parks.items),
+            self.shard.revision,
+            len(self.shard.jobs),
+            len(self.shard.machines),
+            len(self.shard.parks.items),
         )
 
     def lost(self, why: str) -> None:
@@ -149,20 +151,20 @@
 
     # -- what others tell us -----------------------------------------------------------------------
 
-    def note(self, change: Callable[[Part], None]) -> None:
-        """A change to take in, now or as soon as the part is read."""
-        if self.phase is OwnerPhase.ACTIVE and self.part:
-            change(self.part)
+    def note(self, change: Callable[[Shard], None]) -> None:
+        """A change to take in, now or as soon as the shard is read."""
+        if self.phase is OwnerPhase.ACTIVE and self.shard:
+            change(self.shard)
             self.wake.set()
         elif self.phase is not OwnerPhase.LOST:
             self.early.append(change)
 
     def waits_for(self, job_id: str) -> bool:
-        """Whether the outcome of a job is of any use here. While the part is being read that is not known."""
+        """Whether the outcome of a job is of any use here. While the shard is being read that is not known."""
         return (
-            self.part is None
+            self.shard is None
             or self.phase is not OwnerPhase.ACTIVE
-            or job_id in self.part.pipelines.needs.after
+            or job_id in self.shard.pipelines.needs.after
         )
 
     def _may_renew(self) -> bool:
@@ -183,16 +185,16 @@
                     await self.ready.wait()
             except TimeoutError:
                 return None
-        part = self.part
-        if self.phase is not OwnerPhase.ACTIVE or part is None or not self._may_renew():
+        shard = self.shard
+        if self.phase is not OwnerPhase.ACTIVE or shard is None or not self._may_renew():
             return None
-        orders = part.reports.on_report(report, self.house.now(), checkin=True)
+        orders = shard.reports.on_report(report, self.house.now(), checkin=True)
         if orders is None:
             return None
         self.takeover.heard(self.house.now())
-        if part.stale or part.ledger.touched or part.ledger.changing or part.urgent:
+        if shard.stale or shard.ledger.touched or shard.ledger.changing or shard.urgent:
             self.wake.set()  # most reports say nothing new, and call for no turn
-        return Orders(part.token(part.machines[report.berth]), orders)
+        return Orders(shard.token(shard.machines[report.berth]), orders)
 
     # -- the loop ------------------------------------------------------------------------------------
 
@@ -225,11 +227,11 @@
         store = self.house.store
         value = {"owner": self.house.label}
         revision = await store.txn({path: self.claimed_from}, {path: value})
-        self.house.parts.wrote(path, value, revision)
+        self.house.shards.wrote(path, value, revision)
         held(self.phase is OwnerPhase.CLAIMING, "given up while it was being claimed")
         self._claimed(revision)
-        part = self.part
-        assert part
+        shard = self.shard
+        assert shard
         self.read_at = time.monotonic()
         # Read after the claim: no earlier owner can write from here on, so this is all there is.
         (machines, seen), (work, _), (parks, _) = await asyncio.gather(
@@ -242,45 +244,47 @@
             for entry in machines
             if entry.value["p"] == name
         ]
-        part.load(mine, list(work), list(parks), self.house.now())
-        for job in part.jobs.values():
+        shard.load(mine, list(work), list(parks), self.house.now())
+        for job in shard.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
                 self.house.jobs_known.saw(job.id, job.record(), job.revision)
-        part.seen = max(part.seen, seen)
+        shard.seen = max(shard.seen, seen)
         self._loaded()
         self.house.tell_claims()
 
     async def _turn(self) -> None:
-        part = self.part
-        assert part
+        shard = self.shard
+        assert shard
         if self.give_to is not None:
-            await self._give(part, self.give_to)
+            await self._give(shard, self.give_to)
             return
         now = self.turned_at = self.house.now()
-        part.tick(now)
-        if part.pipelines.unread and (self.reading is None or self.reading.done()):
-            self.reading = asyncio.create_task(self._read_needs(part))
+        shard.tick(now)
+        if shard.pipelines.unread and (self.reading is None or self.reading.done()):
+            self.reading = asyncio.create_task(self._read_needs(shard))
         if not self.house.state_fresh():
-            part.wants = []
-        elif self._pass_due(part, now):
+            shard.wants = []
+        elif self._pass_due(shard, now):
             self.passed_at = now
-            part.passes.schedule(now)
-            self.takeover.passed(part.placed > 0, self.house.now())
-            # No more than its share of the processor goes into passes, however large the part.
+            shard.passes.schedule(now)
+            self.takeover.passed(shard.placed > 0, self.house.now())
+            # No more than its share of the processor goes into passes, however large the shard.
             ended = self.house.now()
-            self.pass_after = ended + pause_s(ended - now, pass_share(self.house.parts_here()))
-        self.house.tell_leader(part)
-        await self._commit(part)
-        self._send_urgent(part)
+            self.pass_after = ended + pause_s(
+                ended - now, pass_share(self.house.owned_shard_count())
+            )
+        self.house.tell_leader(shard)
+        await self._commit(shard)
+        self._send_urgent(shard)
 
-    def _pass_due(self, part: Part, now: float) -> bool:
-        return now >= self.pass_after and (part.stale or now - self.passed_at > self.house.tick_s)
+    def _pass_due(self, shard: Shard, now: float) -> bool:
+        return now >= self.pass_after and (shard.stale or now - self.passed_at > self.house.tick_s)
 
-    async def _read_needs(self, part: Part) -> None:
+    async def _read_needs(self, shard: Shard) -> None:
         """The watch brings every outcome from here on; what was over before has to be looked up. Its word goes for good,
         whatever the watch brings meanwhile."""
         jobs = self.house.jobs_known
-        unread = part.pipelines.unread
+        unread = shard.pipelines.unread
         while unread and self.phase is OwnerPhase.ACTIVE:
             needs = list(unread)[:READS_AT_ONCE]
             try:
@@ -290,38 +294,38 @@
             for need, outcome in zip(needs, outcomes, strict=True):
                 unread.pop(need, None)
                 if outcome is not None:
-                    part.pipelines.settled(need, *outcome, self.house.now())
+                    shard.pipelines.settled(need, *outcome, self.house.now())
                     self.wake.set()
 
     def _pause(self) -> float:
         """Until the next turn, if nothing wakes us: sooner where a pass had to be put off."""
-        part = self.part
+        shard = self.shard
         tick_s = self.house.tick_s
-        if part and part.stale:
+        if shard and shard.stale:
             return min(tick_s, max(self.pass_after - self.house.now(), tick_s / 16))
         return tick_s
 
-    async def _give(self, part: Part, to: str) -> None:
-        """Name the next owner in the part's key, between two of our own transactions. It claims on seeing that."""
+    async def _give(self, shard: Shard, to: str) -> None:
+        """Name the next owner in the shard's key, between two of our own transactions. It claims on seeing that."""
         self.give_to = None
         if to not in self.house.fit_members() or any(
-            machine.sending for machine in part.machines.values()
+            machine.sending for machine in shard.machines.values()
         ):
             return
-        path = f"part/{part.name}"
+        path = f"part/{shard.name}"
         value = {"owner": to}
         try:
-            revision = await self.house.store.txn({path: part.revision}, {path: value})
+            revision = await self.house.store.txn({path: shard.revision}, {path: value})
         except StoreUnavailableError:
             # It may yet be applied. Until we know, the fence tells: our next write fails if it was.
             return
-        self.house.parts.wrote(path, value, revision)
+        self.house.shards.wrote(path, value, revision)
         self.lost(f"given to {to}")
 
-    async def _commit(self, part: Part) -> None:
+    async def _commit(self, shard: Shard) -> None:
         store = self.house.store
         for _ in range(16):
-            txn = part.ledger.next_txn(store.writes.short, store.writes.per_s)
+            txn = shard.ledger.next_txn(store.writes.short, store.writes.per_s)
             if txn is None or self.phase is not OwnerPhase.ACTIVE:
                 return
             try:
@@ -329,10 +333,10 @@
                     txn.when,
                     txn.writes,
                     turn=Turn.WORK if txn.urgent else Turn.PATIENT,
-                    whose=part.name,
+                    whose=shard.name,
                 )
             except CompareFailedError as why:
-                if not await self._reread(part, why.failed):
+                if not await self._reread(shard, why.failed):
                     return
                 continue
             except StoreUnavailableError:
@@ -340,14 +344,16 @@
             for mark in txn.marks:
                 mark(revision)
             self._publish(txn.writes, revision)
-            if part.placed:
+            if shard.placed:
                 self.takeover.durable(self.house.now())
             # Starts go out between transactions, not after the last of them.
-            self._send_urgent(part)
+            self._send_urgent(shard)
             # Nor is what could start meanwhile, or is late, to wait for the last: where the state service takes few changes a
             # second, sixteen transactions took nine seconds, and no pass was made (cvbc rollout: 5 s a step of a pipeline).
             now = self.house.now()
-            if now - self.turned_at > self.house.workers.report_s / 4 and self._pass_due(part, now):
+            if now - self.turned_at > self.house.workers.report_s / 4 and self._pass_due(
+                shard, now
+            ):
                 return
 
     def _publish(self, writes: dict[str, Any], revision: int) -> None:
@@ -357,42 +363,42 @@
             elif path.startswith("job/"):
                 self.house.jobs_seen(path, value, revision)
 
-    async def _reread(self, part: Part, failed: list[str]) -> bool:
-        fence = f"part/{part.name}"
+    async def _reread(self, shard: Shard, failed: list[str]) -> bool:
+        fence = f"part/{shard.name}"
         for path in failed or [fence]:
             entry = await self.house.store.get(path)
             held(self.phase is OwnerPhase.ACTIVE, "given up while it was being written")
             revision = entry.revision if entry else 0
             if path == fence:
-                if revision != part.revision:
+                if revision != shard.revision:
                     self.lost("claimed by another")
                     return False
                 continue
-            log.info("part %s: %s had changed; taken in", part.name, path)
-            part.ledger.reread(path, entry.value if entry else None, revision, self.house.now())
+            log.info("part %s: %s had changed; taken in", shard.name, path)
+            shard.ledger.reread(path, entry.value if entry else None, revision, self.house.now())
         return True
 
     # -- orders sent directly --------------------------------------------------------------------------
 
-    def _send_urgent(self, part: Part) -> None:
-        urgent, part.urgent = part.urgent, {}
+    def _send_urgent(self, shard: Shard) -> None:
+        urgent, shard.urgent = shard.urgent, {}
         if self.phase is not OwnerPhase.ACTIVE or not self._may_renew():
             return
         for name in urgent:
-            machine = part.machines.get(name)
+            machine = shard.machines.get(name)
             if machine is None:
                 continue
             if machine.sending:
-                part.urgent[name] = None
+                shard.urgent[name] = None
                 continue
-            orders = part.direct(machine, self.house.now())
+            orders = shard.direct(machine, self.house.now())
             if orders:
                 machine.sending = True
-                task = asyncio.create_task(self._send(part, machine, orders, part.token(machine)))
+                task = asyncio.create_task(self._send(shard, machine, orders, shard.token(machine)))
                 self.sends.add(task)
                 task.add_done_callback(self.sends.discard)
 
-    async def _send(self, part: Part, machine: Machine, orders: list[Order], token: int) -> None:
+    async def _send(self, shard: Shard, machine: Machine, orders: list[Order], token: int) -> None:
         # Under the token that the starts are noted with. It may rise before this runs; sent under the higher one, a start that
         # arrives late would be taken though it counted as harmless.
         try:
@@ -400,20 +406,20 @@
                 machine.address, token, machine.tenure, orders
             )
             # Anything else was not said by the worker, which may still carry them out.
-            (part.direct_answered if status in SAID else part.direct_unanswered)(machine, orders)
+            (shard.direct_answered if status in SAID else shard.direct_unanswered)(machine, orders)
             if (
                 report is not None
                 and report.berth == machine.name
                 and self.phase is OwnerPhase.ACTIVE
             ):
-                part.reports.on_report(report, self.house.now(), checkin=False)
+                shard.reports.on_report(report, self.house.now(), checkin=False)
             if status != 200:
                 log.debug("machine %s did not take orders: %d", machine.name, status)
         except NoAnswer as why:
             if why.sent:
-                part.direct_unanswered(machine, orders)
+                shard.direct_unanswered(machine, orders)
             else:
-                part.direct_answered(machine, orders)
+                shard.direct_answered(machine, orders)
             log.debug("machine %s did not answer: %s", machine.name, why)
         finally:
             machine.sending = False
--- a/ashdock/recovery.py
+++ b/ashdock/recovery.py
@@ -1,6 +1,6 @@
 """What a controller goes through between its start, or a takeover, and the first placement, measured state by state.
 
-Two machines. A controller: joining (its membership), learning (what is kept, the machine types, the mark), owning. A part that it
+Two machines. A controller: joining (its membership), learning (what is kept, the machine types, the mark), owning. A shard that it
 takes: claiming, reading, hearing (the first reports), passing (the first pass), placing, and recovered. No input or output; times
 are passed in.
 """
@@ -22,7 +22,7 @@
 
 
 class Taking(Enum):
-    """A part, since this controller set out to claim it."""
+    """A shard, since this controller set out to claim it."""
 
     CLAIMING = "claiming"
     READING = "reading"
--- a/ashdock/restarts/deputy.py
+++ b/ashdock/restarts/deputy.py
@@ -1,7 +1,7 @@
 """Keeping the leases of workers whose owner is gone while the state service does not answer.
 
-A controller that ends in an outage is back at once, but cannot claim its parts until the outage is over, and nobody else can:
-with all workers of its parts asking in vain, their leases ran out one after the other. One that was there before the outage may
+A controller that ends in an outage is back at once, but cannot claim its shards until the outage is over, and nobody else can:
+with all workers of its shards asking in vain, their leases ran out one after the other. One that was there before the outage may
 answer them instead: with the token that the worker has, which takes nothing from anybody, and without an order. It starts
 nothing, stops nothing and proves nothing. What it must not do is keep alive what its user was told is cancelled:
 
--- a/ashdock/restarts/lives.py
+++ b/ashdock/restarts/lives.py
@@ -1,7 +1,7 @@
-"""How often this controller has ended of late, and whether parts and lead are for others meanwhile.
+"""How often this controller has ended of late, and whether shards and lead are for others meanwhile.
 
-A process that is back within a fraction of a second takes its parts back before the others have missed it. That is right once,
-and wrong for one that keeps ending: each time its workers ask elsewhere, its parts are read anew, and nobody else serves them.
+A process that is back within a fraction of a second takes its shards back before the others have missed it. That is right once,
+and wrong for one that keeps ending: each time its workers ask elsewhere, its shards are read anew, and nobody else serves them.
 The count has to outlive the process, so it is kept in the state service, written together with the membership. No input or
 output; the time of day is passed in, since it is all that two processes have in common (within the settings' skew).
 
@@ -34,7 +34,7 @@
 
 class Life(Enum):
     UNKNOWN = "unknown"  # not yet read how the lives before ended
-    PROBATION = "probation"  # parts and lead are for others
+    PROBATION = "probation"  # shards and lead are for others
     STEADY = "steady"
 
 
@@ -54,7 +54,7 @@
         return self.state is not Life.PROBATION
 
     def probation_s(self) -> float:
-        """How long this life has to last before parts and lead are for it as well."""
+        """How long this life has to last before shards and lead are for it as well."""
         over = self.record.ends - ENDS_BORNE
         return min(self.first_s * 2.0 ** min(over - 1, 32), self.bound_s) if over > 0 else 0.0
 
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -72,7 +72,7 @@
 
 
 class Yield(NamedTuple):
-    part: str
+    shard: str
     machine: str
     to: str
 
@@ -93,27 +93,27 @@
 
 
 class Give(NamedTuple):
-    """The leader asks a part's owner to hand the part to another controller."""
+    """The leader asks a shard's owner to hand the shard to another controller."""
 
-    part: str
+    shard: str
     to: str
 
 
 class Ahead(NamedTuple):
-    """What a part's jobs make of the jobs of other parts that they need: whose, and what priority and time are carried back.
+    """What a shard's jobs make of the jobs of other shards that they need: whose, and what priority and time are carried back.
     Versions before do not know it: it is sent only once every controller is of the new version."""
 
-    part: str
+    shard: str
     jobs: list[tuple[str, int, float]]
 
 
 class Claims(NamedTuple):
-    """The parts that the sender owns, with the revisions of its claims."""
+    """The shards that the sender owns, with the revisions of its claims."""
 
-    parts: list[tuple[str, int]]
+    shards: list[tuple[str, int]]
 
 
-Word = Yield | Recalled | Give | Owed  # what a holder of the machines' duty asks of a part's owner
+Word = Yield | Recalled | Give | Owed  # what a holder of the machines' duty asks of a shard's owner
 
 
 class Termed(NamedTuple):
@@ -124,9 +124,9 @@
 
 
 class Leaving(NamedTuple):
-    """The machines that a part is vacating, and for whom ("" is the pool): a new holder has not asked for them itself. Sent as `Termed` is."""
+    """The machines that a shard is vacating, and for whom ("" is the pool): a new holder has not asked for them itself. Sent as `Termed` is."""
 
-    part: str
+    shard: str
     machines: list[tuple[str, str]]
 
 
@@ -231,11 +231,11 @@
             return FrameKind.BEAT, BEAT.pack(*frame)
         case Picture():
             return FrameKind.PICTURE, _pack_picture(frame)
-        case Yield(part, machine, to):
-            return FrameKind.YIELD, _text(part) + _text(machine) + _text(to)
+        case Yield(shard, machine, to):
+            return FrameKind.YIELD, _text(shard) + _text(machine) + _text(to)
         case Recalled():
             names = b"".join(map(_text, frame.machines))
-            return FrameKind.RECALL, _text(frame.part) + _text(frame.to) + U32.pack(
+            return FrameKind.RECALL, _text(frame.shard) + _text(frame.to) + U32.pack(
                 len(frame.machines)
             ) + names
         case Relay(number, body):
@@ -247,22 +247,22 @@
                 _text(job) + U32.pack(done) + U32.pack(running) for job, done, running in jobs
             )
             return FrameKind.COUNTS, U32.pack(len(jobs)) + rows
-        case Give(part, to):
-            return FrameKind.GIVE, _text(part) + _text(to)
-        case Owed(part, to, number, types, zone, spot):
+        case Give(shard, to):
+            return FrameKind.GIVE, _text(shard) + _text(to)
+        case Owed(shard, to, number, types, zone, spot):
             names = U16.pack(len(types)) + b"".join(map(_text, types))
-            return FrameKind.OWED, _text(part) + _text(to) + OWED.pack(
+            return FrameKind.OWED, _text(shard) + _text(to) + OWED.pack(
                 number, spot
             ) + names + _text(zone)
-        case Claims(parts):
-            return FrameKind.CLAIMS, U32.pack(len(parts)) + b"".join(
-                _text(part) + U64.pack(revision) for part, revision in parts
+        case Claims(shards):
+            return FrameKind.CLAIMS, U32.pack(len(shards)) + b"".join(
+                _text(shard) + U64.pack(revision) for shard, revision in shards
             )
-        case Ahead(part, jobs):
+        case Ahead(shard, jobs):
             rows = b"".join(
                 _text(job) + AHEAD.pack(priority, finish_by) for job, priority, finish_by in jobs
             )
-            return FrameKind.AHEAD, _text(part) + U32.pack(len(jobs)) + rows
+            return FrameKind.AHEAD, _text(shard) + U32.pack(len(jobs)) + rows
         case Cancelled(jobs):
             rows = b"".join(
                 _text(job) + _text(team) + CANCELLED.pack(revision, at)
@@ -271,9 +271,9 @@
             return FrameKind.CANCELLED, U32.pack(len(jobs)) + rows
         case Vouch(number, back):
             return FrameKind.VOUCH, VOUCH.pack(number, back)
-        case Leaving(part, rows):
+        case Leaving(shard, rows):
             names = b"".join(_text(machine) + _text(to) for machine, to in rows)
-            return FrameKind.LEAVING, _text(part) + U32.pack(len(rows)) + names
+            return FrameKind.LEAVING, _text(shard) + U32.pack(len(rows)) + names
         case Termed(term, word):
             kind, body = _body(word)
             return FrameKind.TERMED, U64.pack(term) + bytes([kind]) + body
@@ -392,15 +392,15 @@
     elif kind == FrameKind.GIVE:
         frame = Give(reader.text(), reader.text())
     elif kind == FrameKind.OWED:
-        part, to = reader.text(), reader.text()
+        shard, to = reader.text(), reader.text()
         number, spot = reader.take(OWED)
         types = tuple(reader.text() for _ in range(reader.take(U16)[0]))
-        frame = Owed(part, to, number, types, reader.text(), spot)
+        frame = Owed(shard, to, number, types, reader.text(), spot)
     elif kind == FrameKind.CLAIMS:
         frame = Claims([(reader.text(), reader.take(U64)[0]) for _ in range(reader.many())])
     elif kind == FrameKind.AHEAD:
-        part = reader.text()
-        frame = Ahead(part, [(reader.text(), *reader.take(AHEAD)) for _ in range(reader.many())])
+        shard = reader.text()
+        frame = Ahead(shard, [(reader.text(), *reader.take(AHEAD)) for _ in range(reader.many())])
     elif kind == FrameKind.LEAVING:
         frame = Leaving(
             reader.text(), [(reader.text(), reader.text()) for _ in range(reader.many())]
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -169,7 +169,7 @@
     ("restarts/", "reports"),
     ("relays.py", "reports"),
     ("core/machine.py", "reports"),
-    ("core/part.py:orders", "reports"),
+    ("core/shard.py:orders", "reports"),
     ("core/passes.py", "passes"),
     ("core/placement.py", "passes"),
     ("core/stock.py", "passes"),
@@ -197,7 +197,7 @@
     ("core/job.py", "writing"),
     ("core/task.py", "writing"),
     ("core/park.py", "writing"),
-    ("core/part.py", "writing"),
+    ("core/shard.py", "writing"),
     ("owner.py", "writing"),
     ("questions.py", "questions"),
     ("front.py", "submissions and questions"),
@@ -324,7 +324,7 @@
     async def takeover(self) -> None:
         """The owner of the largest part ends for good, and another that leads takes it."""
         held = {
-            n: max((len(o.part.machines) for o in c.owners.values() if o.part), default=0)
+            n: max((len(o.shard.machines) for o in c.owners.values() if o.shard), default=0)
             for n, c in self.fleet.controllers.items()
         }
         n = max(held, key=lambda one: (held[one], self.fleet.controllers[one].leader is None))
@@ -404,7 +404,7 @@
         for n, controller in sorted(fleet.controllers.items()):
             host = f"10.0.0.{n}"
             held = sum(
-                len(owner.part.machines) for owner in controller.owners.values() if owner.part
+                len(owner.shard.machines) for owner in controller.owners.values() if owner.shard
             )
             role = f"{'leads, ' if controller.leader else ''}owns {held} machines"
             out[f"n{n}: {role}"] = {
@@ -423,22 +423,22 @@
 
 def memory_of(controller: Any) -> dict[str, int]:
     """Bytes in a controller's tables, by what they are for."""
-    parts = [owner.part for owner in controller.owners.values() if owner.part is not None]
+    shards = [owner.shard for owner in controller.owners.values() if owner.shard is not None]
     front = controller.front
     tables: dict[str, list[Any]] = {
         "replicas": [
             replica.entries
             for replica in (
                 controller.machines,
-                controller.parts,
+                controller.shards,
                 controller.members,
                 controller.leaders,
             )
         ],
         "jobs that ended": [front.finals],
-        "jobs that are open": [front.questions.known, *(part.jobs for part in parts)],
-        "machines": [part.machines for part in parts],
-        "parks": [part.parks for part in parts],
+        "jobs that are open": [front.questions.known, *(shard.jobs for shard in shards)],
+        "machines": [shard.machines for shard in shards],
+        "parks": [shard.parks for shard in shards],
         "of workers": [front.redirected, front.relaying, front.answered],
         "what others told": [controller.remote_pictures, controller.remote_counts],
         "leader": [controller.leader.strays, controller.leader.listed, controller.leader.released]
--- a/tests/courses.py
+++ b/tests/courses.py
@@ -52,9 +52,9 @@
 
 
 def busiest(fleet: Fleet) -> int | None:
-    """The controller whose parts hold most machines."""
+    """The controller whose shards hold most machines."""
     held = {
-        n: sum(len(owner.part.machines) for owner in c.owners.values() if owner.part)
+        n: sum(len(owner.shard.machines) for owner in c.owners.values() if owner.shard)
         for n, c in fleet.controllers.items()
     }
     return max(held, key=lambda n: (held[n], n), default=None)
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -33,7 +33,7 @@
 
 
 def want_to_values(want: Want) -> list[Plain]:
-    """A part's want in wire order."""
+    """A shard's want in wire order."""
     return [plain(getattr(want, name)) for name in WANT_FIELDS]
 
 
@@ -91,16 +91,16 @@
             ("busy", busy_machines),
         ),
     ),
-    4: (frames.Yield, (("part", same), ("machine", same), ("to", same))),
-    5: (Recalled, (("part", same), ("to", same), ("machines", list))),
+    4: (frames.Yield, (("shard", same), ("machine", same), ("to", same))),
+    5: (Recalled, (("shard", same), ("to", same), ("machines", list))),
     6: (frames.Relay, (("number", same), ("body", bytes.fromhex))),
     7: (frames.Relayed, (("number", same), ("status", same), ("body", bytes.fromhex))),
     8: (frames.Counts, (("jobs", rows),)),
-    9: (frames.Give, (("part", same), ("to", same))),
+    9: (frames.Give, (("shard", same), ("to", same))),
     10: (
         Owed,
         (
-            ("part", same),
+            ("shard", same),
             ("to", same),
             ("number", same),
             ("spot", same),
@@ -108,10 +108,10 @@
             ("zone", same),
         ),
     ),
-    11: (frames.Claims, (("parts", rows),)),
-    12: (frames.Ahead, (("part", same), ("jobs", rows))),
+    11: (frames.Claims, (("shards", rows),)),
+    12: (frames.Ahead, (("shard", same), ("jobs", rows))),
     13: (frames.Termed, (("term", same), ("word", word))),
-    14: (frames.Leaving, (("part", same), ("machines", rows))),
+    14: (frames.Leaving, (("shard", same), ("machines", rows))),
     15: (frames.Cancelled, (("jobs", rows),)),
     16: (frames.Vouch, (("number", same), ("back", same))),
 }
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -13,7 +13,7 @@
 from ashdock.core.job import Job, fitting, job_record, spec_of_record
 from ashdock.core.machine import Machine, MachinePhase, images_of, trimmed
 from ashdock.core.park import Park, Parks
-from ashdock.core.part import Part
+from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, TaskState
 from ashdock.duties.seat import Seat, Stands
 from ashdock.front import Front
@@ -122,10 +122,10 @@
     return read | read_final(spec["id"], record)
 
 
-def make_part() -> Part:
+def make_part() -> Shard:
     """An empty part of team red."""
     shared = shared_settings()
-    return Part(
+    return Shard(
         shared.teams[0],
         REVISION,
         shared,
@@ -223,7 +223,7 @@
 
 
 def write_parks(values: Plain) -> Plain:
-    """Keys and values of a part's parks, spilled over values of `limit` bytes."""
+    """Keys and values of a shard's parks, spilled over values of `limit` bytes."""
     parks = Parks("red", values["limit"])
     for row in values["parks"]:
         failure = Failure(row["times"], row["first"], row["why"], row["past"])
@@ -240,7 +240,7 @@
 
 
 def read_machine(values: Plain) -> Plain:
-    """`machine/<name>` as its part's owner and as the leader read it."""
+    """`machine/<name>` as its shard's owner and as the leader read it."""
     name = values["key"].split("/", 1)[1]
     record = msgspec.json.decode(to_bytes(values["value"]))
     machine = Machine(name, record, REVISION, machine_type("g4"), NOW)
@@ -261,7 +261,7 @@
 
 
 def rewrite_machine(values: Plain) -> Plain:
-    """A machine's record, read by an owner and written again for a part."""
+    """A machine's record, read by an owner and written again for a shard."""
     record = msgspec.json.decode(to_bytes(values["value"]))
     machine = Machine("vm-1", record, REVISION, machine_type("g4"), NOW)
     return encoded(machine.value(values["part"]))
@@ -305,7 +305,7 @@
 
 
 def read_members(values: Plain) -> Plain:
-    """`member/<label>`: who may own parts and lead."""
+    """`member/<label>`: who may own shards and lead."""
     entries = entries_by_path(values)
     membership: Any = Membership.__new__(Membership)
     membership.house = SimpleNamespace(members=SimpleNamespace(entries=entries))
@@ -316,7 +316,7 @@
     """`part/<team>`: the label of the controller that owns it."""
     entry = Entry("part/red", msgspec.json.decode(to_bytes(body)), REVISION)
     controller: Any = Controller.__new__(Controller)
-    controller.parts = SimpleNamespace(entries={entry.path: entry})
+    controller.shards = SimpleNamespace(entries={entry.path: entry})
     return controller.owner_label("red")
 
 
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -80,11 +80,11 @@
 
 
 async def write_claim(store: Store, values: Plain) -> None:
-    """Claim a part, and give it to another controller."""
+    """Claim a shard, and give it to another controller."""
     owner: Any = Owner.__new__(Owner)
     owner.team, owner.claimed_from = Team("red"), values["revision"]
-    owner.phase = OwnerPhase.LOST  # the claim is written, and the part is not read
-    owner.house = house(store, parts=replica([]), let_go=lambda owner: None)
+    owner.phase = OwnerPhase.LOST  # the claim is written, and the shard is not read
+    owner.house = house(store, shards=replica([]), let_go=lambda owner: None)
     try:
         await owner._claim()
     except Exception as error:
@@ -164,10 +164,10 @@
 
 
 async def write_part_changes(store: Store, values: Plain) -> None:
-    """A part's own transactions: load it, tell it of reports, and write what is not durable."""
-    part = make_part()
+    """A shard's own transactions: load it, tell it of reports, and write what is not durable."""
+    shard = make_part()
     if "limit" in values:
-        part.bounds.agreed, part.bounds.value_bytes = True, values["limit"]
+        shard.bounds.agreed, shard.bounds.value_bytes = True, values["limit"]
     held = {path: (value, revision) for path, (value, revision) in store.entries.items()}
 
     def under(prefix: str) -> list[tuple[str, Any, int]]:
@@ -180,17 +180,17 @@
     machines = [
         (path.split("/", 1)[1], value, revision) for path, value, revision in under("machine/")
     ]
-    part.load(machines, under("work/red/"), under("park/red/"), NOW)
-    part.tick(NOW)
-    part.passes.schedule(NOW)
+    shard.load(machines, under("work/red/"), under("park/red/"), NOW)
+    shard.tick(NOW)
+    shard.passes.schedule(NOW)
     store.entries["part/red"] = (None, REVISION)
     for report in values.get("reports", ()):
         found = messages.decode_report(to_bytes(report))
-        part.reports.on_report(found, NOW + 1, checkin=True)
+        shard.reports.on_report(found, NOW + 1, checkin=True)
     for job_id in values.get("cancelled", ()):
-        part.cancel(job_id, NOW, held[f"job/{job_id}"][1], NOW)
+        shard.cancel(job_id, NOW, held[f"job/{job_id}"][1], NOW)
     client = store_client(store)
-    while (txn := part.ledger.next_txn()) is not None:
+    while (txn := shard.ledger.next_txn()) is not None:
         revision = await client.txn(txn.when, txn.writes)
         for mark in txn.marks:
             mark(revision)
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -59,7 +59,7 @@
 
 
 def owner_of(service: Service, rng: random.Random) -> str:
-    """One that owns a part, where that is known."""
+    """One that owns a shard, where that is known."""
     entry = service.state.keys.get(f"part/{rng.choice(('red', 'blue'))}")
     return f"10.0.0.{entry[0]['owner'][1:]}" if entry else node(rng)
 
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -437,7 +437,7 @@
     """Bytes in the tables that grow with the fleet."""
     tables: list[Any] = [
         controller.machines.entries,
-        controller.parts.entries,
+        controller.shards.entries,
         controller.front.finals,
         controller.front.questions.known,
     ]
@@ -448,8 +448,8 @@
         controller.remote_counts,
     ]
     for owner in controller.owners.values():
-        if owner.part is not None:
-            tables += [owner.part.machines, owner.part.jobs, owner.part.parks]
+        if owner.shard is not None:
+            tables += [owner.shard.machines, owner.shard.jobs, owner.shard.parks]
     if controller.leader is not None:
         tables += [controller.leader.strays, controller.leader.listed, controller.leader.released]
     return int(asizeof.asizeof(*tables))
@@ -593,7 +593,7 @@
             takeovers={
                 team: [
                     owner.takeover.machines,
-                    len(owner.part.jobs) if owner.part else 0,
+                    len(owner.shard.jobs) if owner.shard else 0,
                     owner.takeover.words(),
                 ]
                 for c in alive
@@ -613,10 +613,10 @@
 def whole_of(fleet: Fleet) -> str:
     """What each team uses, of how many machines it holds."""
     held = {
-        team: len(owner.part.machines)
+        team: len(owner.shard.machines)
         for c in fleet.controllers.values()
         for team, owner in c.owners.items()
-        if owner.part
+        if owner.shard
     }
     return (
         " ".join(
--- a/tests/seats.py
+++ b/tests/seats.py
@@ -44,7 +44,7 @@
     last: int  # the highest revision
     processes: tuple[Process, ...]
     late: tuple[Effect, ...]  # sent, and not there yet: two words, or one write
-    heard: int  # the highest term that the owner of a part has followed a word of
+    heard: int  # the highest term that the owner of a shard has followed a word of
     crashes: int
 
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -560,7 +560,7 @@
         self.keep = 0  # connections to a controller that a worker keeps between its reports
         self.late_reports = 0.0  # share of reports of which a copy arrives again, later
         self.kept_share = (
-            0.0  # share of which a copy is kept until the lead or a part changes hands
+            0.0  # share of which a copy is kept until the lead or a shard changes hands
         )
         self.kept: list[tuple[Worker, bytes]] = []
         self.boot_s = 6.0
@@ -577,7 +577,7 @@
         await self.server.start(CLOUD, 8443)
 
     def changed_hands(self, path: str, value: Any) -> None:
-        """The lead or a part has somebody new: the copies that were kept reach every controller within the next moments."""
+        """The lead or a shard has somebody new: the copies that were kept reach every controller within the next moments."""
         if value is None or not (path == "leader" or path.startswith("part/")):
             return
         kept, self.kept = self.kept[-100:], []
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -147,8 +147,8 @@
         await service.until_final(["req-000001"], 60)
         controller = next(c for c in service.controllers.values() if "red" in c.owners)
         owner = controller.owners["red"]
-        assert owner.part is not None
-        machine = next(m for m in owner.part.machines.values() if m.address and m.tenure)
+        assert owner.shard is not None
+        machine = next(m for m in owner.shard.machines.values() if m.address and m.tenure)
         sent: list[int] = []
 
         async def orders(where: str, token: int, *_: Any) -> Any:
@@ -156,11 +156,11 @@
             return 200, None
 
         monkeypatch.setattr(controller.worker_client, "orders", orders)
-        noted = owner.part.token(machine)
-        monkeypatch.setattr(owner.part, "direct", lambda *_: [object()])
-        monkeypatch.setattr(owner.part, "direct_answered", lambda *_: None)
-        owner.part.urgent[machine.name] = None
-        owner._send_urgent(owner.part)
+        noted = owner.shard.token(machine)
+        monkeypatch.setattr(owner.shard, "direct", lambda *_: [object()])
+        monkeypatch.setattr(owner.shard, "direct_answered", lambda *_: None)
+        owner.shard.urgent[machine.name] = None
+        owner._send_urgent(owner.shard)
         machine.revision += 1000  # its record was written before the message had left
         await asyncio.sleep(0.01)
         machine.revision -= 1000
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,11 +12,11 @@
 from ashdock.core import losses, telling
 from ashdock.core import park as parking
 from ashdock.core import placement as placing
-from ashdock.core.allotment import Allotment, GivePart, Move, Release, Rent
+from ashdock.core.allotment import Allotment, Move, MoveShard, Release, Rent
 from ashdock.core.job import Job, JobPhase, chunk_size
 from ashdock.core.machine import Machine, trimmed
-from ashdock.core.part import Part
 from ashdock.core.quota import Usage, can_ever, guaranteed
+from ashdock.core.shard import Shard
 from ashdock.core.stock import Lent
 from ashdock.core.task import Failure, Phase, ranges_of
 from ashdock.core.telling import Busy, Owed, Picture, Recalled, Want
@@ -39,10 +39,12 @@
     return {"spec": msgspec.to_builtins(one), "at": at, "status": "queued"}
 
 
-def part_with(jobs: list[Any], machines: str = "ab", team: str = "red", revision: int = 10) -> Part:
+def shard_with(
+    jobs: list[Any], machines: str = "ab", team: str = "red", revision: int = 10
+) -> Shard:
     teams = {t.name: t for t in shared().teams}
-    part = Part(teams[team], revision, shared(), Operators(), {"g4": G4}, random.Random(1))
-    part.load(
+    shard = Shard(teams[team], revision, shared(), Operators(), {"g4": G4}, random.Random(1))
+    shard.load(
         [
             (f"vm-{n}", {"t": "g4", "z": zone, "s": False, "p": team}, 5)
             for n, zone in enumerate(machines)
@@ -52,8 +54,8 @@
         0.0,
     )
     for one in jobs:
-        part.add_job(queued(one, 0.0), 7)
-    return part
+        shard.add_job(queued(one, 0.0), 7)
+    return shard
 
 
 def report(
@@ -67,9 +69,9 @@
     return Report(machine, "10.1.0.1:9000", "g4", "a", tenure, tally, warrant, shares=held)
 
 
-def commit(part: Part, revision: int) -> dict[str, Any]:
-    txn = part.ledger.next_txn()
-    assert txn is not None and txn.when[f"part/{part.name}"] == part.revision
+def commit(shard: Shard, revision: int) -> dict[str, Any]:
+    txn = shard.ledger.next_txn()
+    assert txn is not None and txn.when[f"part/{shard.name}"] == shard.revision
     assert txn.writes.keys() <= txn.when.keys()  # a late one undoes nothing that is newer
     for mark in txn.marks:
         mark(revision)
@@ -201,23 +203,23 @@
 
 @pytest.mark.parametrize(("more", "zones", "placed", "most_zones"), PLACES)
 def test_placement(more: dict[str, Any], zones: str, placed: int, most_zones: int) -> None:
-    part = part_with([spec(**more)], zones)
+    shard = shard_with([spec(**more)], zones)
     for n in range(len(zones)):
-        part.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
-    part.passes.schedule(1.0)
-    live = part.jobs["req-000001"].live.values()
-    assert len(live) == placed and len({part.machines[p.machine].zone for p in live}) <= most_zones
+        shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+    shard.passes.schedule(1.0)
+    live = shard.jobs["req-000001"].live.values()
+    assert len(live) == placed and len({shard.machines[p.machine].zone for p in live}) <= most_zones
 
 
-def started(part: Part) -> None:
+def started(shard: Shard) -> None:
     """One task of the job placed on vm-0, committed, and its start sent in the answer to report 2."""
-    part.reports.on_report(report("vm-0", 1), 1.0, True)
-    part.passes.schedule(1.0)
+    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.passes.schedule(1.0)
     assert not [
-        o for o in part.reports.on_report(report("vm-0", 2), 1.5, True) or [] if o.verb == "run"
+        o for o in shard.reports.on_report(report("vm-0", 2), 1.5, True) or [] if o.verb == "run"
     ], "sent before it was durable"
-    commit(part, 20)
-    assert [o.verb for o in part.reports.on_report(report("vm-0", 3), 2.0, True) or []] == ["run"]
+    commit(shard, 20)
+    assert [o.verb for o in shard.reports.on_report(report("vm-0", 3), 2.0, True) or []] == ["run"]
 
 
 PROOFS = [  # what comes next, the task being told to stop -> does the placement still count?
@@ -243,24 +245,24 @@
 
 @pytest.mark.parametrize(("events", "counts"), [p[1:] for p in PROOFS], ids=[p[0] for p in PROOFS])
 def test_only_proof_ends_a_placement(events: list[tuple[str, int, int, int]], counts: bool) -> None:
-    part = part_with([spec(shares=1)], "a")
-    started(part)
-    machine = part.machines["vm-0"]
+    shard = shard_with([spec(shares=1)], "a")
+    started(shard)
+    machine = shard.machines["vm-0"]
     if events[0][0] == "unanswered":
-        orders = part.direct(machine, 2.5)
-        part.direct_unanswered(machine, orders)
-    one = part.jobs["req-000001"]
-    part.preempt(one, [0], "test", 3.0)
+        orders = shard.direct(machine, 2.5)
+        shard.direct_unanswered(machine, orders)
+    one = shard.jobs["req-000001"]
+    shard.preempt(one, [0], "test", 3.0)
     for kind, a, b, c in events:
         if kind in ("report", "direct"):
-            part.reports.on_report(report("vm-0", a, warrant=b, tenure=c), 4.0, kind == "report")
+            shard.reports.on_report(report("vm-0", a, warrant=b, tenure=c), 4.0, kind == "report")
         elif kind == "tick":
-            part.tick(float(a))
+            shard.tick(float(a))
         elif kind == "gone":
-            part.machine_gone("vm-0", 4.0)
+            shard.machine_gone("vm-0", 4.0)
         elif kind == "bump":
-            assert "machine/vm-0" in commit(part, a)
-    assert (0 in one.live) is counts and (part.usage.gpus == 1.0) is counts
+            assert "machine/vm-0" in commit(shard, a)
+    assert (0 in one.live) is counts and (shard.usage.gpus == 1.0) is counts
 
 
 ENDS = [  # cause reported -> the task afterwards, failures counted
@@ -277,12 +279,12 @@
 
 @pytest.mark.parametrize(("cause", "after", "failures"), ENDS)
 def test_only_its_own_failures_spend_the_count(cause: str, after: str, failures: int) -> None:
-    part = part_with([spec(shares=2)], "a")
-    part.jobs["req-000001"].states[1] = 3  # the other one is done
-    part.jobs["req-000001"].done, part.jobs["req-000001"].ready = 1, 1
-    started(part)
-    one = part.jobs["req-000001"]
-    orders = part.reports.on_report(
+    shard = shard_with([spec(shares=2)], "a")
+    shard.jobs["req-000001"].states[1] = 3  # the other one is done
+    shard.jobs["req-000001"].done, shard.jobs["req-000001"].ready = 1, 1
+    started(shard)
+    one = shard.jobs["req-000001"]
+    orders = shard.reports.on_report(
         report("vm-0", 4, [("req-000001/0", 1, "ended", cause)]), 3.0, True
     )
     assert "forget" not in [o.verb for o in orders or []], (
@@ -290,28 +292,28 @@
     )
     assert 0 not in one.live and one.fails.get(0, Failure(0, 0, "")).times == failures
     assert (one.phase is JobPhase.OVER) is (after == "done")
-    writes = commit(part, 30)
+    writes = commit(shard, 30)
     if after == "done":
         assert (
             writes["job/req-000001"]["status"] == "done"
             and writes["work/red/req-000001/job"] is None
         )
-    orders = part.reports.on_report(
+    orders = shard.reports.on_report(
         report("vm-0", 5, [("req-000001/0", 1, "ended", cause)]), 4.0, True
     )
     assert "forget" in [o.verb for o in orders or []]
 
 
 def test_a_stale_owner_gives_no_answer() -> None:
-    part = part_with([spec()], "a")
-    assert part.reports.on_report(report("vm-0", 1, warrant=11), 1.0, True) is None
+    shard = shard_with([spec()], "a")
+    assert shard.reports.on_report(report("vm-0", 1, warrant=11), 1.0, True) is None
 
 
 def test_a_new_owner_counts_what_it_inherits() -> None:
-    part = part_with([spec(shares=1)], "a")
-    started(part)
-    chunk = part.jobs["req-000001"].chunk_value(0)
-    heir = part_with([], "a", revision=50)
+    shard = shard_with([spec(shares=1)], "a")
+    started(shard)
+    chunk = shard.jobs["req-000001"].chunk_value(0)
+    heir = shard_with([], "a", revision=50)
     record = queued(spec(shares=1), 0.0)
     heir.load(
         [], [("work/red/req-000001/job", record, 7), ("work/red/req-000001/0", chunk, 20)], [], 5.0
@@ -327,12 +329,14 @@
 
 
 def test_capacity_shortage_spends_nothing() -> None:
-    part = part_with([spec(shares=2)], "")
+    shard = shard_with([spec(shares=2)], "")
     for now in range(1, 2000, 100):
-        part.tick(float(now))
-        part.passes.schedule(float(now))
+        shard.tick(float(now))
+        shard.passes.schedule(float(now))
     assert (
-        part.jobs["req-000001"].fails == {} and part.parks.items == [] and part.wants[0].tasks == 2
+        shard.jobs["req-000001"].fails == {}
+        and shard.parks.items == []
+        and shard.wants[0].tasks == 2
     )
 
 
@@ -353,8 +357,8 @@
     return Want(**usual | more)
 
 
-def lent(name: str, part: str, zone: str = "a", spot: bool = False) -> Lent:
-    return Lent(name, part, "g4", zone, spot, 5, "")
+def lent(name: str, shard: str, zone: str = "a", spot: bool = False) -> Lent:
+    return Lent(name, shard, "g4", zone, spot, 5, "")
 
 
 LEADER = [  # machines, red's wants, blue's empty and busy machines, how many of them beyond its guarantee -> decisions
@@ -429,7 +433,7 @@
     )
 
 
-BALANCE = [  # owner of red and blue, their waiting tasks, alive -> the part that moves
+BALANCE = [  # owner of red and blue, their waiting tasks, alive -> the shard that moves
     (("n0", "n0"), (5, 5), ["n0", "n1"], ["blue"]),
     (("n0", "n1"), (50, 5), ["n0", "n1"], []),
     (("n0", "n0"), (5, 5), ["n0"], []),
@@ -451,16 +455,16 @@
     held = dict(zip(("red", "blue"), owners, strict=True))
     assert allotment.balance(held, alive, pictures, 0.0) == []  # the company has just changed
     decisions = allotment.balance(held, alive, pictures, 20.0)
-    assert [decision.part for decision in decisions if isinstance(decision, GivePart)] == moved
+    assert [decision.shard for decision in decisions if isinstance(decision, MoveShard)] == moved
     assert not moved or allotment.balance({"red": "n0", "blue": "n0"}, alive, pictures, 21.0) == []
 
 
 def test_estimates_are_corrected_by_what_tasks_took() -> None:
-    part = part_with([spec(shares=1, expect_s=10.0)], "a")
-    started(part)
-    part.reports.on_report(report("vm-0", 4, [("req-000001/0", 1, "running", None)]), 10.0, True)
-    part.reports.on_report(report("vm-0", 5, [("req-000001/0", 1, "ended", "done")]), 30.0, True)
-    assert 10.0 < part.estimates.run_s(spec(expect_s=10.0)) <= 20.0
+    shard = shard_with([spec(shares=1, expect_s=10.0)], "a")
+    started(shard)
+    shard.reports.on_report(report("vm-0", 4, [("req-000001/0", 1, "running", None)]), 10.0, True)
+    shard.reports.on_report(report("vm-0", 5, [("req-000001/0", 1, "ended", "done")]), 30.0, True)
+    assert 10.0 < shard.estimates.run_s(spec(expect_s=10.0)) <= 20.0
 
 
 LISTS = [  # (time, names listed) in turn -> what the last one shows to be gone
@@ -519,10 +523,10 @@
     tasks: int, run_s: float, due_s: float | None, asked: int
 ) -> None:
     """An array of 25,000 tasks of 4 s each asked for room for all at once: 195 machines."""
-    part = part_with([spec(shares=tasks, expect_s=run_s, due_s=due_s, accelerators=0.0)], "")
-    part.team = part.worth.team = Team("red")  # a guest: nothing is guaranteed
-    part.passes.schedule(1.0)
-    assert part.wants[0].tasks == asked and part.wants[0].idle is (due_s is None)
+    shard = shard_with([spec(shares=tasks, expect_s=run_s, due_s=due_s, accelerators=0.0)], "")
+    shard.team = shard.worth.team = Team("red")  # a guest: nothing is guaranteed
+    shard.passes.schedule(1.0)
+    assert shard.wants[0].tasks == asked and shard.wants[0].idle is (due_s is None)
 
 
 def test_among_guests_jobs_what_was_promised_goes_first_and_the_least_work_first() -> None:
@@ -532,18 +536,18 @@
         spec(2, shares=900, expect_s=4.0, accelerators=0.0),
         spec(3, shares=1, expect_s=4.0, accelerators=0.0),
     ]
-    part = part_with(jobs, "")
+    shard = shard_with(jobs, "")
     aims = [Objective("finished", 0.5, "w", 400.0)]
-    part.worth = Worth(
-        Team("red"), msgspec.structs.replace(part.shared, objectives=aims), part.catalog
+    shard.worth = Worth(
+        Team("red"), msgspec.structs.replace(shard.shared, objectives=aims), shard.catalog
     )
-    assert [job.id[-1] for job in part.passes.waiting(9.0)] == ["3", "2", "1"]
-    part.jobs["req-000002"].since = -2000.0  # long overdue: nothing starves
-    assert [job.id[-1] for job in part.passes.waiting(9.0)] == ["2", "3", "1"]
+    assert [job.id[-1] for job in shard.passes.waiting(9.0)] == ["3", "2", "1"]
+    shard.jobs["req-000002"].since = -2000.0  # long overdue: nothing starves
+    assert [job.id[-1] for job in shard.passes.waiting(9.0)] == ["2", "3", "1"]
 
 
-def fails(part: Part, name: str, tally: int, tasks: list[tuple[str, int]], now: float) -> None:
-    part.reports.on_report(
+def fails(shard: Shard, name: str, tally: int, tasks: list[tuple[str, int]], now: float) -> None:
+    shard.reports.on_report(
         report(name, tally, [(task, attempt, "ended", "error") for task, attempt in tasks]),
         now,
         True,
@@ -553,43 +557,43 @@
 def test_a_job_that_fails_everywhere_is_tried_by_one_task_and_displaces_nothing() -> None:
     """Arrays submitted with a mistake failed on dozens of machines at a time, fetched their image there, and had other work
     stopped for them; two such jobs made sound machines suspect."""
-    part = part_with([spec(shares=6, urgency="high")], "ab")
-    one = part.jobs["req-000001"]
+    shard = shard_with([spec(shares=6, urgency="high")], "ab")
+    one = shard.jobs["req-000001"]
     for name in ("vm-0", "vm-1"):
-        part.reports.on_report(report(name, 1), 0.5, True)
-    part.passes.schedule(1.0)
+        shard.reports.on_report(report(name, 1), 0.5, True)
+    shard.passes.schedule(1.0)
     assert len(one.live) == 6
     revision = 20
     for tally in range(1, 4):
-        commit(part, revision)
+        commit(shard, revision)
         for name in ("vm-0", "vm-1"):
             tasks = [
                 (f"req-000001/{p.task}", p.attempt) for p in one.live.values() if p.machine == name
             ]
-            part.reports.on_report(report(name, 3 * tally), float(tally), True)
-            part.reports.on_report(
+            shard.reports.on_report(report(name, 3 * tally), float(tally), True)
+            shard.reports.on_report(
                 report(name, 3 * tally + 1, [(task, n, "running", None) for task, n in tasks]),
                 float(tally),
                 True,
             )
-            fails(part, name, 3 * tally + 2, tasks, tally + 0.5)
+            fails(shard, name, 3 * tally + 2, tasks, tally + 0.5)
         assert one.reason and "error on vm-" in one.reason, "told from the first failure on"
         if one.doubtful:
             break
-        part.passes.schedule(tally + 0.6)
+        shard.passes.schedule(tally + 0.6)
         revision += 1
-    assert one.doubtful and not any(machine.failed for machine in part.machines.values())
-    commit(part, 90)
+    assert one.doubtful and not any(machine.failed for machine in shard.machines.values())
+    commit(shard, 90)
     for name in ("vm-0", "vm-1"):
-        part.reports.on_report(report(name, 90), 39.0, True)
-    part.add_job(queued(spec(2, shares=16, expect_s=50.0), 0.0), 8)
+        shard.reports.on_report(report(name, 90), 39.0, True)
+    shard.add_job(queued(spec(2, shares=16, expect_s=50.0), 0.0), 8)
     for now in (40.0, 41.0, 42.0):
-        part.tick(now)
-        part.passes.schedule(now)
-    sound = part.jobs["req-000002"]
+        shard.tick(now)
+        shard.passes.schedule(now)
+    sound = shard.jobs["req-000002"]
     assert len(one.live) <= 1 and sound.live
     assert not any(p.phase is Phase.STOPPING for p in sound.live.values()) and all(
-        w.priority == 1 for w in part.wants
+        w.priority == 1 for w in shard.wants
     )
     heir = Job(one.spec, 0.0, 7, one.chunk_tasks)
     heir.set_failure(0, Failure(3, 0.0, "error"))
@@ -599,22 +603,22 @@
 
 
 def test_a_machine_that_came_after_the_last_pass_is_not_idle() -> None:
-    """Lent, told as idle before its part had looked at it, and lent back: two parts' machines went round for a minute."""
-    part = part_with([], "a")
-    part.reports.on_report(report("vm-0", 1), 1.0, True)
-    part.passes.schedule(1.0)
-    assert [name for name, _ in part.telling.picture(9.0).idle] == ["vm-0"]
-    part.add_machine(
+    """Lent, told as idle before its shard had looked at it, and lent back: two parts' machines went round for a minute."""
+    shard = shard_with([], "a")
+    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.passes.schedule(1.0)
+    assert [name for name, _ in shard.telling.picture(9.0).idle] == ["vm-0"]
+    shard.add_machine(
         "vm-1", {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.2:9000", "n": 1}, 30, 9.0
     )
-    assert [name for name, _ in part.telling.picture(9.0).idle] == [
+    assert [name for name, _ in shard.telling.picture(9.0).idle] == [
         "vm-0"
-    ] and part.telling.picture(9.0).seen < 30
-    part.passes.schedule(9.1)
-    assert [name for name, _ in part.telling.picture(9.1).idle] == [
+    ] and shard.telling.picture(9.0).seen < 30
+    shard.passes.schedule(9.1)
+    assert [name for name, _ in shard.telling.picture(9.1).idle] == [
         "vm-0",
         "vm-1",
-    ] and part.telling.picture(9.1).seen == 30
+    ] and shard.telling.picture(9.1).seen == 30
 
 
 @pytest.mark.parametrize(
@@ -636,7 +640,7 @@
 def test_a_machine_that_never_comes_up_is_given_up_whoever_owns_it() -> None:
     """Counted from its rental: it used to start anew with each takeover, and stood for a machine about to come."""
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "at": 0.0}
-    heir = part_with([spec(shares=2)], "", revision=50)
+    heir = shard_with([spec(shares=2)], "", revision=50)
     heir.load([("vm-9", record, 5)], [], [], 14.0)
     heir.passes.schedule(14.0)
     assert heir.machines["vm-9"].coming(14.0) is True
@@ -663,7 +667,7 @@
     that an earlier owner started in this session look gone."""
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.1:9000", "n": 1}
     one = queued(spec(shares=1), 0.0)
-    heir = part_with([], "", revision=50)
+    heir = shard_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", one, 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
@@ -699,7 +703,7 @@
     """Three tasks ran twice on a day of quick restarts: the new owner sent all starts that it had inherited once more with one of its
     own, under the session of the machine's record, and took the report of a later one for the end of them all."""
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.1:9000", "n": 1}
-    heir = part_with([], "", revision=50)
+    heir = shard_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", queued(spec(shares=1), 0.0), 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
@@ -734,39 +738,39 @@
         return real(*given)
 
     monkeypatch.setattr(placing, "permits", counted)
-    part = part_with([spec(1, shares=8)], "ab" * 40)
-    part.passes.schedule(1.0)
-    for machine in part.machines.values():
+    shard = shard_with([spec(1, shares=8)], "ab" * 40)
+    shard.passes.schedule(1.0)
+    for machine in shard.machines.values():
         machine.came_up("10.1.0.1:9000")
-    part.passes.schedule(1.0)
+    shard.passes.schedule(1.0)
     costs = []
     for batch in (1, 2, 3):
         for n in range(30):
-            part.add_job(queued(spec(batch * 100 + n, shares=1, cpus=40.0), 0.0), 7)
+            shard.add_job(queued(spec(batch * 100 + n, shares=1, cpus=40.0), 0.0), 7)
         calls[0] = 0
-        part.passes.schedule(2.0 + batch)
+        shard.passes.schedule(2.0 + batch)
         costs.append(calls[0])
     assert costs[0] == costs[1] == costs[2] <= 80
 
 
 def test_a_transaction_looks_only_at_jobs_that_changed(monkeypatch: pytest.MonkeyPatch) -> None:
-    part = part_with([spec(n, shares=1) for n in range(1, 200)], "a")
-    part.tick(1.0)
-    part.reports.on_report(report("vm-0", 1), 1.0, True)
-    part.passes.schedule(1.0)
-    commit(part, 20)
+    shard = shard_with([spec(n, shares=1) for n in range(1, 200)], "a")
+    shard.tick(1.0)
+    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.passes.schedule(1.0)
+    commit(shard, 20)
     seen: list[str] = []
-    real = part.ledger._unwritten
+    real = shard.ledger._unwritten
 
     def unwritten(job: Job) -> Any:
         seen.append(job.id)
         return real(job)
 
-    monkeypatch.setattr(part.ledger, "_unwritten", unwritten)
-    assert part.ledger.next_txn() is None
-    part.reports.on_report(report("vm-0", 2, [("req-000001/0", 1, "ended", "done")]), 2.0, True)
+    monkeypatch.setattr(shard.ledger, "_unwritten", unwritten)
+    assert shard.ledger.next_txn() is None
+    shard.reports.on_report(report("vm-0", 2, [("req-000001/0", 1, "ended", "done")]), 2.0, True)
     seen.clear()
-    assert part.ledger.next_txn() is not None
+    assert shard.ledger.next_txn() is not None
     assert seen == ["req-000001"]
 
 
@@ -817,22 +821,22 @@
         "blue": Picture("blue", 9, theirs, [], [Busy("m1", 1, 5.0)], 1, 0, 0),
     }
     decisions = allotment.decide([lent("m1", "blue")], pictures, 50.0)
-    assert [(d.part, d.to, d.number) for d in decisions if isinstance(d, Owed)] == owed
+    assert [(d.shard, d.to, d.number) for d in decisions if isinstance(d, Owed)] == owed
 
 
 def test_what_comes_free_is_passed_on_before_own_work_takes_it() -> None:
-    part = part_with([spec(1, shares=1), spec(2, shares=8)], "ab")
+    shard = shard_with([spec(1, shares=1), spec(2, shares=8)], "ab")
     for tally, machine in enumerate(("vm-0", "vm-1"), 1):
-        part.reports.on_report(report(machine, tally), 1.0, True)
-    part.telling.owe(Owed("red", "blue", 1, (), "b", True), 1.0)
-    part.passes.schedule(1.0)
+        shard.reports.on_report(report(machine, tally), 1.0, True)
+    shard.telling.owe(Owed("red", "blue", 1, (), "b", True), 1.0)
+    shard.passes.schedule(1.0)
     assert (
-        part.machines["vm-1"].to == "blue"
-        and not part.machines["vm-1"].live
-        and part.machines["vm-0"].live
+        shard.machines["vm-1"].to == "blue"
+        and not shard.machines["vm-1"].live
+        and shard.machines["vm-0"].live
     )
-    part.passes.schedule(1.5)
-    assert part.machines["vm-0"].to is None  # one was asked for
+    shard.passes.schedule(1.5)
+    assert shard.machines["vm-0"].to is None  # one was asked for
 
 
 HEADROOM = [  # sizes of gangs (in machines) that came in the last four boots -> empty machines to keep
@@ -847,20 +851,20 @@
 @pytest.mark.parametrize(("sizes", "kept"), HEADROOM)
 def test_a_swing_is_kept_at_hand(sizes: list[int], kept: int) -> None:
     """An empty machine within a guarantee was lent or returned at once, and the next gang waited for a boot."""
-    part = part_with([], "abcabc")
+    shard = shard_with([], "abcabc")
     for n in range(6):
-        part.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+        shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
     for n, size in enumerate(sizes, 1):
-        gang = part.add_job(
+        gang = shard.add_job(
             queued(spec(n, shape="ensemble", shares=size, accelerators=4.0), 1.0), 7
         )
-        part.telling.came(gang, 1.0)
-    assert part.telling.headroom(2.0) == kept
+        shard.telling.came(gang, 1.0)
+    assert shard.telling.headroom(2.0) == kept
     within = min(kept, 2)  # red's guarantee is two machines
-    assert len(part.telling.picture(2.0).idle) == 6 - within
-    late = part.add_job(queued(spec(99, shares=1), 99.0), 7)
-    part.telling.came(late, 99.0)
-    assert len(part.telling.arrived) == 1 and part.telling.headroom(99.0 + 5 * G4.boot_s) == 0
+    assert len(shard.telling.picture(2.0).idle) == 6 - within
+    late = shard.add_job(queued(spec(99, shares=1), 99.0), 7)
+    shard.telling.came(late, 99.0)
+    assert len(shard.telling.arrived) == 1 and shard.telling.headroom(99.0 + 5 * G4.boot_s) == 0
 
 
 CACHE = [  # images used in turn with their sizes, in a cache of 80 GB -> what it holds, the last used last
@@ -875,11 +879,11 @@
 @pytest.mark.parametrize(("used", "held"), CACHE)
 def test_what_a_cache_holds(used: list[tuple[str, float]], held: str) -> None:
     """All images ever seen on a machine were taken to be there still, and gangs waited for what it had to fetch again."""
-    machine = part_with([], "a").machines["vm-0"]
+    machine = shard_with([], "a").machines["vm-0"]
     for image, size in used:
         machine.uses(image, size)
     assert "".join(machine.images) == held
-    again = part_with([], "", revision=50)
+    again = shard_with([], "", revision=50)
     again.add_machine("vm-0", machine.value("red"), 9, 0.0)
     assert "".join(again.machines["vm-0"].images) == held
     machine.lacks(held[-1])
@@ -899,12 +903,12 @@
 def test_the_small_go_first_while_not_all_can_be_in_time(
     gangs: list[tuple[int, float]], order: list[int]
 ) -> None:
-    part = part_with([], "")
-    part.passes.aims["w"] = [10.0, 60.0]
+    shard = shard_with([], "")
+    shard.passes.aims["w"] = [10.0, 60.0]
     for n, (tasks, at) in enumerate(gangs):
         one = spec(n, shape="ensemble", shares=tasks, accelerators=2.0)
-        part.add_job(queued(one, at), 7)
-    assert [job.id for job in part.passes.waiting(100.0)] == [f"req-{n:06d}" for n in order]
+        shard.add_job(queued(one, at), 7)
+    assert [job.id for job in shard.passes.waiting(100.0)] == [f"req-{n:06d}" for n in order]
 
 
 def test_rentals_for_all_teams_go_out_together() -> None:
@@ -926,26 +930,28 @@
 
 def test_hundreds_that_start_or_end_together_share_transactions() -> None:
     """Counted: 400 tasks on 100 machines cost a few writes when they start, and a few when they end."""
-    part = part_with([spec(1, shares=400)], "ab" * 50)
-    part.usage.team = Team("red", gpus=8, gpus_max=1000)
+    shard = shard_with([spec(1, shares=400)], "ab" * 50)
+    shard.usage.team = Team("red", gpus=8, gpus_max=1000)
     for n in range(100):
-        part.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
-    part.passes.schedule(1.0)
-    assert len(part.jobs["req-000001"].live) == 400
-    writes = [commit(part, 20)]
-    assert sum(map(len, writes)) <= 8 and part.ledger.next_txn() is None
+        shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+    shard.passes.schedule(1.0)
+    assert len(shard.jobs["req-000001"].live) == 400
+    writes = [commit(shard, 20)]
+    assert sum(map(len, writes)) <= 8 and shard.ledger.next_txn() is None
     where: dict[str, list[tuple[str, int, str, str | None]]] = {}
-    for task, placement in part.jobs["req-000001"].live.items():
+    for task, placement in shard.jobs["req-000001"].live.items():
         where.setdefault(placement.machine, []).append(
             (f"req-000001/{task}", placement.attempt, "ended", "done")
         )
     for machine, tasks in where.items():
-        part.direct(part.machines[machine], 1.0)
-        part.direct_answered(part.machines[machine], part.orders(part.machines[machine], 1.0, None))
-        part.reports.on_report(report(machine, 2, tasks), 5.0, True)
+        shard.direct(shard.machines[machine], 1.0)
+        shard.direct_answered(
+            shard.machines[machine], shard.orders(shard.machines[machine], 1.0, None)
+        )
+        shard.reports.on_report(report(machine, 2, tasks), 5.0, True)
     ends: list[dict[str, Any]] = []
-    while part.jobs:
-        ends.append(commit(part, 30 + len(ends)))
+    while shard.jobs:
+        ends.append(commit(shard, 30 + len(ends)))
     assert len(ends) == 1 and len(ends[0]) <= 10
 
 
@@ -977,11 +983,11 @@
 def test_a_picture_is_worked_out_anew_only_where_something_changed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Several a second were made of every machine: of a large part they cost more than its passes."""
-    part = part_with([spec(1, shares=4, accelerators=4.0, snapshot_s=0.0)], machines="abab")
-    for machine in part.machines.values():
+    """Several a second were made of every machine: of a large shard they cost more than its passes."""
+    shard = shard_with([spec(1, shares=4, accelerators=4.0, snapshot_s=0.0)], machines="abab")
+    for machine in shard.machines.values():
         machine.came_up("10.1.0.1:9000")
-    part.passes.schedule(1.0)
+    shard.passes.schedule(1.0)
     asked: list[str] = []
     whole = losses.machine_loss
 
@@ -998,35 +1004,35 @@
     ]
     for now, anew in steps:
         asked.clear()
-        assert len(part.telling.picture(now).busy) == 4 and sorted(asked) == anew
+        assert len(shard.telling.picture(now).busy) == 4 and sorted(asked) == anew
     asked.clear()
-    gone = part.machines["vm-2"]
-    part.drop(next(iter(gone.live.values())), 2.2)
-    assert [busy.machine for busy in part.telling.picture(2.2).busy] == [
+    gone = shard.machines["vm-2"]
+    shard.drop(next(iter(gone.live.values())), 2.2)
+    assert [busy.machine for busy in shard.telling.picture(2.2).busy] == [
         "vm-0",
         "vm-1",
         "vm-3",
     ] and not asked
     # Given away and back within the time: another machine by the same name.
-    fresh = part.machines["vm-0"] = Machine(
+    fresh = shard.machines["vm-0"] = Machine(
         "vm-0", {"t": "g4", "z": "a", "s": False, "n": 1, "a": "x:1"}, 30, G4, 2.2
     )
-    fresh.live, fresh.version = part.machines["vm-1"].live, part.machines["vm-1"].version
-    part.telling.picture(2.3)
+    fresh.live, fresh.version = shard.machines["vm-1"].live, shard.machines["vm-1"].version
+    shard.telling.picture(2.3)
     assert asked == ["vm-0"]
 
 
 def test_machines_go_with_each_transaction() -> None:
-    """A hot part's own starts filled every transaction, and the machines that it was to pass on stood empty behind them."""
-    part = part_with([spec(n, shares=1) for n in range(1, 31)], "abc" * 6)
+    """A hot shard's own starts filled every transaction, and the machines that it was to pass on stood empty behind them."""
+    shard = shard_with([spec(n, shares=1) for n in range(1, 31)], "abc" * 6)
     for name in ("vm-9", "vm-10", "vm-11", "vm-12"):
-        part.reports.on_report(report(name, 1), 0.5, True)
-        part.telling.yield_machine(name, "blue", 0.5)
-    for name in sorted(set(part.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
-        part.reports.on_report(report(name, 1), 0.5, True)
-    part.passes.schedule(1.0)
+        shard.reports.on_report(report(name, 1), 0.5, True)
+        shard.telling.yield_machine(name, "blue", 0.5)
+    for name in sorted(set(shard.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
+        shard.reports.on_report(report(name, 1), 0.5, True)
+    shard.passes.schedule(1.0)
     writes = []
-    while (txn := part.ledger.next_txn(a_second=9.0)) is not None:
+    while (txn := shard.ledger.next_txn(a_second=9.0)) is not None:
         writes.append(txn.writes)
         for mark in txn.marks:
             mark(20 + len(writes))
@@ -1034,6 +1040,6 @@
     assert moved[:2] == [3, 1] and sum(moved) == 4 and max(map(len, writes)) <= 9
     assert all(
         placement.phase is Phase.COMMITTED
-        for job in part.jobs.values()
+        for job in shard.jobs.values()
         for placement in job.live.values()
     )
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -22,7 +22,7 @@
 from ashdock.questions import Questions
 from ashdock.wire import messages
 from tests import cost, scale
-from tests.test_core import commit, part_with, report, spec
+from tests.test_core import commit, report, shard_with, spec
 from tests.test_heads import served
 
 
@@ -36,33 +36,33 @@
     return int(pstats.Stats(profile).total_calls)  # type: ignore[attr-defined]
 
 
-def busy_part(jobs: int = 30, machines: int = 20) -> Any:
+def busy_shard(jobs: int = 30, machines: int = 20) -> Any:
     """Full machines, and jobs that wait."""
-    part = part_with(
+    shard = shard_with(
         [spec(number, shares=4) for number in range(1, jobs + 1)], "abc"[:1] * machines
     )
     for n in range(machines):
-        part.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
-    part.passes.schedule(1.0)
-    while part.ledger.next_txn() is not None:
-        commit(part, 20)
-    return part
+        shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+    shard.passes.schedule(1.0)
+    while shard.ledger.next_txn() is not None:
+        commit(shard, 20)
+    return shard
 
 
 def test_a_report_that_says_nothing_new() -> None:
-    part = busy_part()
-    machine = part.machines["vm-0"]
+    shard = busy_shard()
+    machine = shard.machines["vm-0"]
     tasks = [(f"{p.job}/{p.task}", p.attempt, "running", None) for p in machine.live.values()]
     assert len(tasks) == 4
     tally = iter(range(2, 10**6))
 
     def reports() -> None:
         for _ in range(100):
-            assert part.reports.on_report(report("vm-0", next(tally), tasks), 2.0, True) == []
+            assert shard.reports.on_report(report("vm-0", next(tally), tasks), 2.0, True) == []
 
     made = calls(lambda: [report("vm-0", 1, tasks) for _ in range(100)])
     assert (calls(reports) - made) / 100 <= 82  # 75
-    assert part.ledger.next_txn() is None
+    assert shard.ledger.next_txn() is None
 
 
 def test_a_request_over_a_kept_connection() -> None:
@@ -98,12 +98,12 @@
 
 
 def test_a_pass_over_what_has_not_changed() -> None:
-    part = busy_part()
-    part.passes.schedule(2.0)
-    waiting = sum(job.spec.tasks - len(job.live) for job in part.jobs.values())
+    shard = busy_shard()
+    shard.passes.schedule(2.0)
+    waiting = sum(job.spec.tasks - len(job.live) for job in shard.jobs.values())
     assert waiting == 96
     assert (
-        calls(lambda: part.passes.schedule(2.0)) <= 910
+        calls(lambda: shard.passes.schedule(2.0)) <= 910
     )  # 828, for 30 jobs that all wait and no room
 
 
@@ -111,12 +111,12 @@
     """Of 24 tasks on 20 machines, as many as the team may use, from the pass until each is durable."""
 
     def start() -> None:
-        busy_part()
+        busy_shard()
 
     def idle() -> None:
-        part = part_with([spec(number, shares=4) for number in range(1, 31)], "a" * 20)
+        shard = shard_with([spec(number, shares=4) for number in range(1, 31)], "a" * 20)
         for n in range(20):
-            part.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+            shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
 
     assert (calls(start) - calls(idle)) / 24 <= 197  # 179
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -393,20 +393,20 @@
         await service.submit(job(1, shares=8, expect_s=30.0))
         await asyncio.sleep(8)
         owner = next(c for c in service.controllers.values() if "red" in c.owners)
-        part = owner.owners["red"].part
-        assert part is not None
-        name = next(name for name, machine in part.machines.items() if machine.usable)
+        shard = owner.owners["red"].shard
+        assert shard is not None
+        name = next(name for name, machine in shard.machines.items() if machine.usable)
         term = owner.terms.highest
         owner._on_frame("n9", Termed(term - 1, Recalled("red", "blue", [name])))
         owner._on_frame(
             "n9", Recalled("red", "blue", [name])
         )  # without a term: of a process that has ended
-        assert part.machines[name].usable and owner.terms.refused == 1
+        assert shard.machines[name].usable and owner.terms.refused == 1
         owner._on_frame("n9", Termed(term, Recalled("red", "blue", [name])))
-        assert not part.machines[name].usable
+        assert not shard.machines[name].usable
         # Whoever comes after the one that called it back counts it as on its way.
         other = next(c for c in service.controllers.values() if c is not owner)
-        other._on_frame(owner.label, frames.Leaving("red", part.telling.leaving()))
+        other._on_frame(owner.label, frames.Leaving("red", shard.telling.leaving()))
         leader = service.controllers[await leading(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
         leader.allotment.vacating(other.leaving(), leader.house.now())
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -198,7 +198,7 @@
 
 BURDENS: list[
     tuple[float, dict[str, int], bool, dict[str, Other], tuple[str, str] | None]
-] = [  # our gap, our parts, leading, others -> what goes where
+] = [  # our gap, our shards, leading, others -> what goes where
     (0.6, {"red": 5, "blue": 9}, True, {"n1": Other(0.5, 0, False)}, None),
     (2.0, {"red": 5, "blue": 9}, True, {"n1": Other(0.5, 0, False)}, ("red", "n1")),
     (2.0, {"red": 5, "blue": 9}, False, {"n1": Other(0.5, 1, False)}, None),
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -84,18 +84,18 @@
 
 
 def packets(raw: bytes, at: int) -> list[bytes]:
-    return [part for part in (raw[:at], raw[at:]) if part]
+    return [shard for shard in (raw[:at], raw[at:]) if shard]
 
 
-async def come(reader: asyncio.StreamReader, parts: list[bytes]) -> None:
-    for part in parts:
-        reader.feed_data(part)
+async def come(reader: asyncio.StreamReader, shards: list[bytes]) -> None:
+    for shard in shards:
+        reader.feed_data(shard)
         for _ in range(8):
             await asyncio.sleep(0)
     reader.feed_eof()
 
 
-async def served(parts: list[bytes]) -> tuple[list[Request], bytes]:
+async def served(shards: list[bytes]) -> tuple[list[Request], bytes]:
     """What a server was asked over a connection, and what it said."""
     asked: list[Request] = []
 
@@ -106,16 +106,16 @@
     reader, writer = asyncio.StreamReader(), Writer()
     server = Server(handler, plain_connections(4))
 
-    await asyncio.gather(server._serve(reader, writer), come(reader, parts))  # type: ignore[arg-type]
+    await asyncio.gather(server._serve(reader, writer), come(reader, shards))  # type: ignore[arg-type]
     return asked, writer.out
 
 
-async def told(parts: list[bytes], monkeypatch: pytest.MonkeyPatch) -> tuple[Any, int]:
+async def told(shards: list[bytes], monkeypatch: pytest.MonkeyPatch) -> tuple[Any, int]:
     """What a client made of an answer, and how many connections it kept."""
 
     async def connect(host: str, port: int) -> Any:
         reader = asyncio.StreamReader()
-        tasks.append(asyncio.create_task(come(reader, parts)))
+        tasks.append(asyncio.create_task(come(reader, shards)))
         return reader, Writer()
 
     tasks: list[asyncio.Task[None]] = []
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -215,7 +215,7 @@
 def test_a_controller_that_is_behind_for_long_hands_a_part_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It owns both parts and leads. By work one of them is evened out; the other goes because it is behind, and what runs goes on."""
+    """It owns both shards and leads. By work one of them is evened out; the other goes because it is behind, and what runs goes on."""
 
     async def main(net: simtime.Net) -> None:
         service = Service(net, machines=8, capacity=8)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,7 +12,7 @@
 from tests import meetings
 from tests.meetings import Met
 from tests.simtime import spawn
-from tests.test_core import commit, part_with, queued, report, spec, started
+from tests.test_core import commit, queued, report, shard_with, spec, started
 from tests.test_restarts import owned
 from tests.test_whole import play
 from tests.whole import Service, job
@@ -260,7 +260,7 @@
     )
 
 
-# -- jobs cancelled in the seconds in which a part changes hands ------------------------------------------------------------
+# -- jobs cancelled in the seconds in which a shard changes hands ------------------------------------------------------------
 
 
 @pytest.mark.parametrize("door", ["old owner", "new owner", "third"])
@@ -335,19 +335,19 @@
 
 def test_an_old_report_takes_nothing_back() -> None:
     """A copy of one from before, of this session or an earlier one: neither what it holds nor what it lacks says anything."""
-    part = part_with([spec(shares=1)], "a")
-    started(part)
-    machine = part.machines["vm-0"]
+    shard = shard_with([spec(shares=1)], "a")
+    started(shard)
+    machine = shard.machines["vm-0"]
     task = ("req-000001/0", 1, "running", None)
-    part.reports.on_report(report("vm-0", 9, [task]), 4.0, True)
+    shard.reports.on_report(report("vm-0", 9, [task]), 4.0, True)
     for tally, tenure, tasks in (
         (3, 1, []),
         (90, 0, []),
         (4, 1, [("req-000001/0", 1, "pulling", None)]),
         (9, 1, [("req-000001/0", 1, "ended", "stopped")]),
     ):
-        assert part.reports.on_report(report("vm-0", tally, tasks, tenure=tenure), 5.0, True) == []
-    live = part.jobs["req-000001"].live[0]
+        assert shard.reports.on_report(report("vm-0", tally, tasks, tenure=tenure), 5.0, True) == []
+    live = shard.jobs["req-000001"].live[0]
     assert (
         live.status == "running"
         and (machine.tenure, machine.tally) == (1, 9)
@@ -385,7 +385,7 @@
     tenure: int, token: int, tasks: list[Any], counts: bool
 ) -> None:
     """Nothing is there to compare it with: of an earlier session, attempt or token, kept back until now, it proves an attempt's end at most."""
-    heir = part_with([], "", revision=50)
+    heir = shard_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", queued(spec(shares=1), 0.0), 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
@@ -403,16 +403,16 @@
 
 def test_a_start_is_committed_under_the_jobs_stamp_and_the_claim() -> None:
     """Whoever does not hear of a cancellation can't commit a start after it."""
-    part = part_with([spec(shares=2)], "a")
-    part.reports.on_report(report("vm-0", 1), 1.0, True)
-    part.passes.schedule(1.0)
-    txn = part.ledger.next_txn()
+    shard = shard_with([spec(shares=2)], "a")
+    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.passes.schedule(1.0)
+    txn = shard.ledger.next_txn()
     assert (
         txn is not None
         and {"work/red/req-000001/0": 0, "job/req-000001": 7, "part/red": 10}.items()
         <= txn.when.items()
     )
-    commit(part, 20)
+    commit(shard, 20)
 
 
 def test_a_claim_under_an_old_stamp_fails(monkeypatch: pytest.MonkeyPatch) -> None:
