--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -17,7 +17,7 @@
 from ashdock.core.job import JobPhase, fitting
 from ashdock.core.needs import NOTHING, Carried, Needs
 from ashdock.core.park import Parks
-from ashdock.core.part import Part
+from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, Phase, TaskState
 from ashdock.net.http import Client
 from ashdock.settings import NextLimits, Operators, StateLimits
@@ -27,20 +27,20 @@
 from ashdock.wire.messages import encode
 from tests import simtime, test_whole
 from tests.simtime import spawn
-from tests.test_core import G4, commit, part_with, queued, report, spec
+from tests.test_core import G4, commit, queued, report, shard_with, spec
 from tests.test_whole import crash_all, quiet, roll, state_down
 from tests.whole import Service, job, shared
 
 SMALL = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
 
 
-def new_part(team: str = "red", revision: int = 10, value_kb: float = 0.5, ops: int = 6) -> Part:
+def new_part(team: str = "red", revision: int = 10, value_kb: float = 0.5, ops: int = 6) -> Shard:
     """Of a controller that has seen the mark, within small limits."""
     limits = StateLimits(200, 200, 8.0, 48, NextLimits(value_kb=value_kb, txn_ops=ops))
     common = msgspec.structs.replace(shared(), state=limits)
     bounds = Bounds(limits)
     bounds.agree()
-    return Part(
+    return Shard(
         next(t for t in common.teams if t.name == team),
         revision,
         common,
@@ -138,59 +138,59 @@
     assert ladder.of("l0") == Carried(2, 800.0) and looked[0] <= 12 * 400
 
 
-# -- a part's waiting jobs ----------------------------------------------------------------------------------------
+# -- a shard's waiting jobs ----------------------------------------------------------------------------------------
 
 
 def test_a_waiting_job_holds_nothing_and_starts_when_the_last_is_done() -> None:
-    part = part_with(
+    shard = shard_with(
         [
             spec(1),
             spec(2, awaits=["req-000001", "req-000009"], shares=8, urgency="high", due_s=60.0),
         ]
     )
-    part.machines["vm-0"].came_up("x")
-    part.machines["vm-1"].came_up("x")
-    part.tick(1.0)
-    assert list(part.pipelines.unread) == ["req-000009"]
-    first, last = part.jobs["req-000001"], part.jobs["req-000002"]
+    shard.machines["vm-0"].came_up("x")
+    shard.machines["vm-1"].came_up("x")
+    shard.tick(1.0)
+    assert list(shard.pipelines.unread) == ["req-000009"]
+    first, last = shard.jobs["req-000001"], shard.jobs["req-000002"]
     assert last.waits and first.priority == last.spec.priority and first.due < last.due == 60.0
-    part.pipelines.settled("req-000009", "done", 3.0, 3.5)
-    part.passes.schedule(4.0)
+    shard.pipelines.settled("req-000009", "done", 3.0, 3.5)
+    shard.passes.schedule(4.0)
     assert (
         len(first.live) == 4
         and not last.live
-        and part.usage.gpus == 4
-        and not part.wants
-        and part.telling.picture(4.0).waiting == 0
+        and shard.usage.gpus == 4
+        and not shard.wants
+        and shard.telling.picture(4.0).waiting == 0
     )
-    commit(part, 20)
+    commit(shard, 20)
     for name in ("vm-0", "vm-1"):
-        part.reports.on_report(report(name, 1), 5.0, checkin=True)
+        shard.reports.on_report(report(name, 1), 5.0, checkin=True)
         ended = [
             (f"{p.job}/{p.task}", p.attempt, "ended", "done")
             for p in first.live.values()
             if p.machine == name
         ]
-        part.reports.on_report(report(name, 2, ended), 6.0, checkin=True)
-    part.passes.schedule(6.5)
+        shard.reports.on_report(report(name, 2, ended), 6.0, checkin=True)
+    shard.passes.schedule(6.5)
     assert first.phase is JobPhase.OVER and not last.live  # done in memory only
-    commit(part, 21)
-    part.passes.schedule(7.0)
+    commit(shard, 21)
+    shard.passes.schedule(7.0)
     assert not last.waits and len(last.live) == 8 and last.since >= 3.0
 
 
 def test_a_cancelled_job_takes_those_after_it_along() -> None:
-    part = part_with(
+    shard = shard_with(
         [spec(1), spec(2, awaits=["req-000001"]), spec(3, awaits=["req-000002"]), spec(4)]
     )
-    part.cancel("req-000001", 5.0, 30, 5.0)
-    assert {job.id: job.phase.value for job in part.jobs.values()} == {
+    shard.cancel("req-000001", 5.0, 30, 5.0)
+    assert {job.id: job.phase.value for job in shard.jobs.values()} == {
         "req-000001": "cancelled",
         "req-000002": "orphaned",
         "req-000003": "orphaned",
         "req-000004": "active",
     }
-    writes = commit(part, 31)
+    writes = commit(shard, 31)
     for number in (2, 3):
         record = json.loads(encode(writes[f"job/req-{number:06d}"]))
         assert (
@@ -198,30 +198,30 @@
             and "req-000001" in record["reason"]
             and writes[f"work/red/req-{number:06d}/job"] is None
         )
-    assert list(part.jobs) == ["req-000004"]
+    assert list(shard.jobs) == ["req-000004"]
     # One that comes later and names them: by the word of whoever read how they stand.
-    part.add_job(queued(spec(5, awaits=["req-000003"]), 6.0), 40)
-    part.tick(7.0)
-    assert list(part.pipelines.unread) == ["req-000003"]
-    part.pipelines.settled("req-000003", "withdrawn", None, 7.0)
-    assert part.jobs["req-000005"].phase is JobPhase.ORPHANED
+    shard.add_job(queued(spec(5, awaits=["req-000003"]), 6.0), 40)
+    shard.tick(7.0)
+    assert list(shard.pipelines.unread) == ["req-000003"]
+    shard.pipelines.settled("req-000003", "withdrawn", None, 7.0)
+    assert shard.jobs["req-000005"].phase is JobPhase.ORPHANED
 
 
 @pytest.mark.parametrize("first", ["users", "ours"])
 def test_a_user_and_an_owner_withdraw_at_once(first: str) -> None:
-    part = part_with([spec(2, awaits=["req-000001"])])
-    part.pipelines.settled("req-000001", "withdrawn", None, 5.0)
-    withdrawn = part.jobs["req-000002"].record() | {"cancelled_at": 5.0}
+    shard = shard_with([spec(2, awaits=["req-000001"])])
+    shard.pipelines.settled("req-000001", "withdrawn", None, 5.0)
+    withdrawn = shard.jobs["req-000002"].record() | {"cancelled_at": 5.0}
     if first == "users":
-        assert part.ledger.next_txn() is not None  # and its conditions fail
-        part.ledger.reread("job/req-000002", withdrawn, 50, 6.0)
-        part.ledger.reread("work/red/req-000002/job", withdrawn, 50, 6.0)
-        assert commit(part, 60) == {"work/red/req-000002/job": None}
+        assert shard.ledger.next_txn() is not None  # and its conditions fail
+        shard.ledger.reread("job/req-000002", withdrawn, 50, 6.0)
+        shard.ledger.reread("work/red/req-000002/job", withdrawn, 50, 6.0)
+        assert commit(shard, 60) == {"work/red/req-000002/job": None}
     else:
-        assert part.ledger.next_txn() is not None  # applied, and its answer lost
-        part.ledger.reread("job/req-000002", withdrawn, 50, 6.0)
-        part.ledger.reread("work/red/req-000002/job", None, 0, 6.0)
-    assert not part.jobs and part.ledger.next_txn() is None
+        assert shard.ledger.next_txn() is not None  # applied, and its answer lost
+        shard.ledger.reread("job/req-000002", withdrawn, 50, 6.0)
+        shard.ledger.reread("work/red/req-000002/job", None, 0, 6.0)
+    assert not shard.jobs and shard.ledger.next_txn() is None
 
 
 # -- what production wrote ------------------------------------------------------------------------------------------
@@ -334,7 +334,7 @@
 
 
 class Store:
-    """The part's keys, with revisions, and a transaction applied or refused as the state service does it."""
+    """The shard's keys, with revisions, and a transaction applied or refused as the state service does it."""
 
     def __init__(self, keys: dict[str, Any], bytes_: int = 1 << 20, ops: int = 1 << 10) -> None:
         self.keys = {path: (value, 5) for path, value in keys.items()}
@@ -346,16 +346,16 @@
         self.ledger = 10
         self.bytes, self.ops = bytes_, ops
 
-    def part(self, part: Part) -> Part:
-        self.keys[f"part/{part.name}"] = ({}, part.revision)
+    def shard(self, shard: Shard) -> Shard:
+        self.keys[f"part/{shard.name}"] = ({}, shard.revision)
         rows = [(path, value, revision) for path, (value, revision) in sorted(self.keys.items())]
-        part.load(
+        shard.load(
             [(path.split("/")[1], v, s) for path, v, s in rows if path.startswith("machine/")],
             [row for row in rows if row[0].startswith("work/")],
             [row for row in rows if row[0].startswith("park/")],
             20.0,
         )
-        return part
+        return shard
 
     def apply(self, txn: Any) -> bool:
         if any(
@@ -373,9 +373,9 @@
                 self.keys[path] = (json.loads(encode(value)), self.ledger)
         return True
 
-    def commit(self, part: Part) -> bool:
-        """Write the part's next transaction; whether there was one."""
-        txn = part.ledger.next_txn()
+    def commit(self, shard: Shard) -> bool:
+        """Write the shard's next transaction; whether there was one."""
+        txn = shard.ledger.next_txn()
         if txn is None:
             return False
         assert self.apply(txn)
@@ -391,7 +391,7 @@
     }
 
 
-def states(part: Part) -> dict[str, Any]:
+def states(shard: Shard) -> dict[str, Any]:
     return {
         job.id: (
             bytes(job.states),
@@ -399,12 +399,12 @@
             sorted(job.fails.items()),
             job.phase,
         )
-        for job in part.jobs.values()
+        for job in shard.jobs.values()
     }
 
 
 def test_production_s_values_are_read_as_they_were_meant() -> None:
-    old, new = Store(WAS).part(part_with([], "")), Store(WAS).part(new_part())
+    old, new = Store(WAS).shard(shard_with([], "")), Store(WAS).shard(new_part())
     assert states(old) == states(new)
     one, gang, gone = (new.jobs[f"req-00000{n}"] for n in (1, 2, 3))
     assert {task for task in range(150) if one.states[task] == TaskState.DONE} == {
@@ -478,21 +478,21 @@
         "p": [[task, "vm-000001", 1] for task in range(65, 125)],
     }
     store = Store(keys, bytes_=512, ops=4)
-    part = store.part(new_part(ops=4))
-    job = part.jobs["req-000001"]
+    shard = store.shard(new_part(ops=4))
+    job = shard.jobs["req-000001"]
     for placement in list(job.live.values())[:4]:  # what makes the values be written anew
         job.set_failure(placement.task, Failure(1, 2.0, "error on vm-000001"))
-    before = states(part)
+    before = states(shard)
     written = 0
-    while store.commit(part):
+    while store.commit(shard):
         written += 1
-        heir = store.part(new_part(revision=part.revision))
+        heir = store.shard(new_part(revision=shard.revision))
         at_heir, meant = states(heir)["req-000001"], before["req-000001"]
         assert at_heir[:2] == meant[:2] and {task for task, _ in at_heir[2]} <= {
             task for task, _ in meant[2]
         }
         assert heir.jobs["req-000001"].attempt_for(80) == job.attempt_for(80)
-    assert written > 2 and states(store.part(new_part()))["req-000001"] == before["req-000001"]
+    assert written > 2 and states(store.shard(new_part()))["req-000001"] == before["req-000001"]
     assert not [
         path
         for path in store.keys
@@ -502,28 +502,28 @@
     ]
     # An heir in the midst of it goes on, and ends at the same.
     store = Store(keys, bytes_=512, ops=4)
-    part = store.part(new_part(ops=4))
-    job = part.jobs["req-000001"]
+    shard = store.shard(new_part(ops=4))
+    job = shard.jobs["req-000001"]
     for placement in list(job.live.values())[:4]:
         job.set_failure(placement.task, Failure(1, 2.0, "error on vm-000001"))
-    txn = part.ledger.next_txn()
+    txn = shard.ledger.next_txn()
     assert txn is not None and store.apply(txn)
-    heir = store.part(new_part(revision=11, ops=4))
+    heir = store.shard(new_part(revision=11, ops=4))
     while store.commit(heir):
         pass
-    assert states(store.part(new_part()))["req-000001"][:2] == before["req-000001"][:2]
+    assert states(store.shard(new_part()))["req-000001"][:2] == before["req-000001"][:2]
 
 
 def test_a_late_transaction_of_an_ended_process_is_fenced() -> None:
     """Production's process had sent a placement when it was killed; it is applied after the new owner's claim, or never."""
     keys = only("req-000001")
     store = Store(keys)
-    old = store.part(part_with([], "", revision=9))
+    old = store.shard(shard_with([], "", revision=9))
     old.machines["vm-000001"].came_up("x")
     old.passes.schedule(20.0)
     late = old.ledger.next_txn()
     assert late is not None and any(path.endswith("/0") for path in late.writes)
-    store.part(new_part(revision=10))
+    store.shard(new_part(revision=10))
     assert not store.apply(late)
 
 
@@ -537,24 +537,24 @@
             if not path.startswith("work/") or path.endswith("/job")
         }
     store = Store(keys)
-    part = store.part(new_part(value_kb=8.0))
-    part.machines["vm-000001"].came_up("x")
-    part.passes.schedule(21.0)
-    late = part.ledger.next_txn()
+    shard = store.shard(new_part(value_kb=8.0))
+    shard.machines["vm-000001"].came_up("x")
+    shard.passes.schedule(21.0)
+    late = shard.ledger.next_txn()
     assert late is not None and any(path.endswith("/1") for path in late.writes)
-    meant = states(part)
-    part.jobs["req-000001"].narrow(20)
-    while store.commit(part):
+    meant = states(shard)
+    shard.jobs["req-000001"].narrow(20)
+    while store.commit(shard):
         pass
     assert (
         store.apply(late) is not chunks
     )  # a chunk of which nothing was known can still be created
-    assert states(store.part(new_part())) == meant
+    assert states(store.shard(new_part())) == meant
 
 
 def test_a_wide_gang_is_placed_in_several_transactions_and_no_start_before_the_last() -> None:
-    part = new_part(ops=4)
-    part.load(
+    shard = new_part(ops=4)
+    shard.load(
         [
             (f"vm-{n}", {"t": "g4", "z": "a", "s": False, "p": "red", "n": 1, "a": "x:1"}, 5)
             for n in range(8)
@@ -563,10 +563,10 @@
         [],
         0.0,
     )
-    part.add_job(queued(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7)
-    job = part.jobs["req-000001"]
+    shard.add_job(queued(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7)
+    job = shard.jobs["req-000001"]
     job.narrow(8)
-    part.passes.schedule(1.0)
+    shard.passes.schedule(1.0)
     assert len(job.live) == 120
     store = Store({}, bytes_=512, ops=4)
     store.keys |= {
@@ -575,12 +575,12 @@
         "work/red/req-000001/job": (queued(job.spec, 0.0), 7),
     }
     steps = 0
-    while (txn := part.ledger.next_txn()) is not None:
+    while (txn := shard.ledger.next_txn()) is not None:
         assert store.apply(txn) and not any(p.phase is Phase.COMMITTED for p in job.live.values())
         for mark in txn.marks:
             mark(store.ledger)
         steps += 1
-        heir = store.part(new_part(ops=4))
+        heir = store.shard(new_part(ops=4))
         if heir.jobs["req-000001"].live:
             stopped = all(p.phase is Phase.STOPPING for p in heir.jobs["req-000001"].live.values())
             assert stopped == (len(heir.jobs["req-000001"].live) < 120)
@@ -592,7 +592,7 @@
         revision,
     )
     assert all(
-        p.phase is Phase.STOPPING for p in store.part(new_part()).jobs["req-000001"].live.values()
+        p.phase is Phase.STOPPING for p in store.shard(new_part()).jobs["req-000001"].live.values()
     )
 
 
@@ -624,12 +624,12 @@
     for _ in range(20):
         bounds.refused(4, bounds.value_bytes)
     assert bounds.value_bytes == 512
-    part = new_part()
+    shard = new_part()
     long = spec(1, hulls=["g4", *(f"type-{n:03d}" for n in range(100))])
-    part.add_job(queued(long, 0.0), 7)
-    assert len(encode(part.jobs["req-000001"].record())) > 1000
-    part.cancel("req-000001", 1.0, 8, 1.0)
-    short = fitting(part.jobs["req-000001"].record(), 512)
+    shard.add_job(queued(long, 0.0), 7)
+    assert len(encode(shard.jobs["req-000001"].record())) > 1000
+    shard.cancel("req-000001", 1.0, 8, 1.0)
+    short = fitting(shard.jobs["req-000001"].record(), 512)
     assert len(encode(short)) <= 512 and short["status"] == "withdrawn" and short["spec"].tasks == 4
 
 
@@ -707,7 +707,7 @@
 def test_a_cancellation_passes_on_through_two_teams(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The owner of each part is killed as soon as the withdrawal of a job of its is durable, or the state service is down
+    """The owner of each shard is killed as soon as the withdrawal of a job of its is durable, or the state service is down
     just when the first has been told."""
 
     async def day(service: Service) -> None:
@@ -951,9 +951,9 @@
             )
         await asyncio.sleep(8)
         controller = next(c for c in service.controllers.values() if "red" in c.owners)
-        part = controller.owners["red"].part
-        assert part is not None
-        txn, schedule, passes = controller.store.txn, part.passes.schedule, [service.now()]
+        shard = controller.owners["red"].shard
+        assert shard is not None
+        txn, schedule, passes = controller.store.txn, shard.passes.schedule, [service.now()]
 
         async def slow(when: dict[str, int], writes: dict[str, Any], **more: Any) -> int:
             await asyncio.sleep(0.4 if "part/red" in when else 0.0)
@@ -965,14 +965,14 @@
             passes.append(service.now())
             return schedule(now)
 
-        monkeypatch.setattr(part.passes, "schedule", noted)
-        for one in part.jobs.values():
+        monkeypatch.setattr(shard.passes, "schedule", noted)
+        for one in shard.jobs.values():
             for chunk in one.chunks.values():
                 chunk.placed = chunk.touch()
                 one.changed()
-        part.stale = True
+        shard.stale = True
         await asyncio.sleep(0.5)
-        part.stale = True
+        shard.stale = True
         await asyncio.sleep(6)
         assert max(b - a for a, b in itertools.pairwise([*passes, service.now()])) < 1.2
         assert await service.until_final([f"req-{n:06d}" for n in range(1, 25)], 240) == []
@@ -984,7 +984,7 @@
     ("now", "stopped"), [(10.0, 0), (128.0, 2), (400.0, 0)], ids=["in time", "pressed", "too late"]
 )
 def test_a_carried_priority_stops_lower_work_only_when_it_helps(now: float, stopped: int) -> None:
-    part = part_with(
+    shard = shard_with(
         [
             spec(
                 1,
@@ -998,48 +998,48 @@
         ],
         "ab",
     )
-    for name in part.machines:
-        part.machines[name].came_up("x")
-    part.passes.schedule(0.5)
-    commit(part, 20)
-    for name in part.machines:
-        part.reports.on_report(report(name, 1), 1.0, checkin=True)
+    for name in shard.machines:
+        shard.machines[name].came_up("x")
+    shard.passes.schedule(0.5)
+    commit(shard, 20)
+    for name in shard.machines:
+        shard.reports.on_report(report(name, 1), 1.0, checkin=True)
         its = [
             (f"{p.job}/{p.task}", p.attempt, "running", None)
-            for p in part.jobs["req-000001"].live.values()
+            for p in shard.jobs["req-000001"].live.values()
             if p.machine == name
         ]
-        part.reports.on_report(report(name, 2, its), 2.0, checkin=True)
-    part.add_job(
+        shard.reports.on_report(report(name, 2, its), 2.0, checkin=True)
+    shard.add_job(
         queued(
             spec(2, shares=2, cpus=16.0, accelerators=0.0, urgency="best_effort", expect_s=8.0), 0.0
         ),
         30,
     )
-    part.add_job(
+    shard.add_job(
         queued(
             spec(3, shares=1, awaits=["req-000002"], urgency="high", expect_s=8.0, due_s=150.0), 0.0
         ),
         31,
     )
-    assert part.jobs["req-000002"].priority == 2
-    part.passes.schedule(now)
-    assert sum(p.phase is Phase.STOPPING for p in part.jobs["req-000001"].live.values()) == stopped
+    assert shard.jobs["req-000002"].priority == 2
+    shard.passes.schedule(now)
+    assert sum(p.phase is Phase.STOPPING for p in shard.jobs["req-000001"].live.values()) == stopped
 
 
 @pytest.mark.parametrize(("short", "most"), [(False, 18), (True, 6)])
 def test_where_changes_are_short_what_can_wait_goes_along_in_part_only(
     short: bool, most: int
 ) -> None:
-    part = new_part(value_kb=0.3, ops=48)
-    part.shared.state.write_rps = part.bounds.write_rps = 54.0
-    part.add_job(queued(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7)
-    job = part.jobs["req-000001"]
+    shard = new_part(value_kb=0.3, ops=48)
+    shard.shared.state.write_rps = shard.bounds.write_rps = 54.0
+    shard.add_job(queued(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7)
+    job = shard.jobs["req-000001"]
     for task in range(400):
         job.finish(task) if task < 399 else None
     assert len(job.chunks) > 20 and not job.pressing
-    part.add_machine("vm-1", {"t": "g4", "z": "a", "s": False, "p": "red"}, 5, 0.0)
-    part._doom(part.machines["vm-1"], "silent")  # this cannot wait
-    txn = part.ledger.next_txn(short)
+    shard.add_machine("vm-1", {"t": "g4", "z": "a", "s": False, "p": "red"}, 5, 0.0)
+    shard._doom(shard.machines["vm-1"], "silent")  # this cannot wait
+    txn = shard.ledger.next_txn(short)
     assert txn is not None and txn.urgent and "machine/vm-1" in txn.writes
     assert 1 + most - 2 <= len(txn.writes) <= most
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -361,8 +361,8 @@
         while not any(
             machine.outstanding
             for owner in service.controllers[n].owners.values()
-            if owner.part
-            for machine in owner.part.machines.values()
+            if owner.shard
+            for machine in owner.shard.machines.values()
         ):
             await asyncio.sleep(0.01)
         spawn(service.net, "users", service.withdraw("req-000002"))
@@ -412,7 +412,7 @@
 def test_a_takeover_that_meets_an_outage_leaves_the_workers_with_who_was_there(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The owner is refused for longer than its membership lasts; another claims the part, and can't read it any more."""
+    """The owner is refused for longer than its membership lasts; another claims the shard, and can't read it any more."""
 
     async def day(service: Service) -> None:
         n = await running(service, 1)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -136,7 +136,7 @@
 async def owned(service: Service, team: str = "red") -> int:
     while True:
         for n, controller in service.controllers.items():
-            if team in controller.owners and controller.owners[team].part is not None:
+            if team in controller.owners and controller.owners[team].shard is not None:
                 return n
         await asyncio.sleep(0.05)
 
@@ -266,7 +266,7 @@
         assert (
             beat is not None
             and beat.incarnation == 2
-            and controller.parts.entries["part/red"].revision < 1 << 40
+            and controller.shards.entries["part/red"].revision < 1 << 40
         )
         assert list(controller.mesh.links.values()).count("n1") == 1
 
@@ -285,12 +285,12 @@
             await asyncio.sleep(1.5)
         assert service.state.keys[f"life/n{owner}"][0]["ends"] >= 5
         assert not service.controllers[owner].owners and service.controllers[owner].leader is None
-        parts = {
+        shards = {
             path: value["owner"]
             for path, (value, _, _) in service.state.keys.items()
             if path.startswith("part/")
         }
-        assert f"n{owner}" not in parts.values()
+        assert f"n{owner}" not in shards.values()
         page = (await Client(f"10.0.0.{owner}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
             1
         ].decode()
@@ -309,7 +309,7 @@
 def test_where_all_keep_ending_work_goes_on_between_two_ends(
     every_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """None of them is fit then, and they neither fight for the parts nor leave them."""
+    """None of them is fit then, and they neither fight for the shards nor leave them."""
 
     async def day(service: Service) -> None:
         runs = [job(1, shares=8, expect_s=6.0), job(2, owner="blue", shares=6, expect_s=6.0)]
--- a/tests/test_stock.py
+++ b/tests/test_stock.py
@@ -34,25 +34,25 @@
     machines: list[Any], wants: list[Any]
 ) -> None:
     rows = [
-        ((float(loss), 0.0), priority, Lent(f"m{n:02}", part, "g4", zone, spot, 1, "", images))
-        for n, (part, zone, spot, priority, loss, images) in enumerate(machines)
+        ((float(loss), 0.0), priority, Lent(f"m{n:02}", shard, "g4", zone, spot, 1, "", images))
+        for n, (shard, zone, spot, priority, loss, images) in enumerate(machines)
     ]
     stock, left = Stock(rows), {machine.name: (key, machine) for key, _, machine in rows}
     for zone, image, most, by, number in wants:
 
         def suits(kind: Kind) -> bool:
-            return zone in ("", kind.zone) and kind.part != by
+            return zone in ("", kind.zone) and kind.shard != by
 
         def limit(kind: Kind) -> float:
-            return most if kind.part else math.inf
+            return most if kind.shard else math.inf
 
         fitting = sorted(
             (key, name)
             for name, (key, m) in left.items()
             if zone in ("", m.zone)
-            and m.part != by
+            and m.shard != by
             and (image is None or image in m.images)
-            and (key[0] <= most or not m.part)
+            and (key[0] <= most or not m.shard)
         )
         if image is None:
             assert sum(
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -460,9 +460,9 @@
         owner = next(c for c in service.controllers.values() if "red" in c.owners)
         other = next(c for c in service.controllers.values() if c is not owner)
         many = [(f"req-{n:06d}", 1, 2) for n in range(9000)]
-        part = owner.owners["red"].part
-        assert part is not None
-        monkeypatch.setattr(part.telling, "counts", lambda: many)
+        shard = owner.owners["red"].shard
+        assert shard is not None
+        monkeypatch.setattr(shard.telling, "counts", lambda: many)
         await asyncio.sleep(2)
         assert all(other.remote_counts[owner.label][name] == (1, 2) for name, _, _ in many)
         assert not owner.mesh.send(other.label, Relay(1, b"x" * frames.MOST)) and owner.mesh.send(
