--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -35,11 +35,11 @@
     WatchCache,
 )
 from ashdock.net.worker import WorkerClient
-from ashdock.owner import Owner, OwnerPhase
 from ashdock.recovery import Rise
 from ashdock.relays import Relays
 from ashdock.restarts.deputy import Deputy
 from ashdock.settings import Settings, Team, address
+from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from ashdock.upgrade import Upgrade
 from ashdock.vouching.word import OurWord
 from ashdock.wire.frames import (
@@ -121,7 +121,7 @@
         self.burden = Burden(self.mesh.beat_s, 2 * self.workers.lease_s)
         self.catalog: dict[str, MachineType] = {}
         self.kinds = Kinds(self)
-        self.owners: dict[str, Owner] = {}
+        self.owners: dict[str, ShardOwner] = {}
         self.charters = 0  # counted over all our reigns, since names are never reused
         self.incarnation = self.rng.getrandbits(48)
         seat = Seat("machines", "leader", self.label, self.incarnation)
@@ -189,7 +189,7 @@
     def owned_shard_count(self) -> int:
         return len(self.owners)
 
-    def let_go(self, owner: Owner) -> None:
+    def let_go(self, owner: ShardOwner) -> None:
         if self.owners.get(owner.team.name) is owner:
             del self.owners[owner.team.name]
 
@@ -385,7 +385,7 @@
         return [
             owner.shard
             for owner in self.owners.values()
-            if owner.phase is OwnerPhase.ACTIVE and owner.shard
+            if owner.phase is OwnershipPhase.ACTIVE and owner.shard
         ]
 
     def owner_label(self, team: str) -> str | None:
@@ -443,7 +443,7 @@
                 team.name
             ) == self.label:
                 if self.state_fresh():
-                    self.owners[team.name] = Owner(self, team, entry.revision if entry else 0)
+                    self.owners[team.name] = ShardOwner(self, team, entry.revision if entry else 0)
         return self.tick_s
 
     def _machine_changed(self, path: str, value: Any, revision: int) -> None:
--- a/ashdock/owner.py
+++ b/ashdock/shard_owner.py
@@ -24,13 +24,13 @@
 from ashdock.settings import Operators, Shared, Team, Workers
 from ashdock.wire.messages import MachineType, Order, Orders, Report
 
-log = logging.getLogger("ashdock.owner")
+log = logging.getLogger("ashdock.shard_owner")
 
 SAID = (200, 400, 409)  # by a worker that has dealt with orders, or refused them
 READS_AT_ONCE = 8  # of jobs that ours wait for, after a takeover
 
 
-class OwnerPhase(Enum):
+class OwnershipPhase(Enum):
     CLAIMING = "claiming"
     LOADING = "loading"
     ACTIVE = "active"
@@ -45,7 +45,7 @@
     async def outcome(self, job_id: str) -> tuple[str, float | None] | None: ...
 
 
-class OwnerHouse(Protocol):
+class ShardOwnerHouse(Protocol):
     """What of its controller the owner of a shard uses, and no more."""
 
     label: str
@@ -75,7 +75,7 @@
 
     def owned_shard_count(self) -> int: ...
 
-    def let_go(self, owner: Owner) -> None: ...
+    def let_go(self, owner: ShardOwner) -> None: ...
 
     def jobs_seen(self, path: str, value: Any, revision: int) -> None: ...
 
@@ -84,12 +84,12 @@
     def tell_leader(self, shard: Shard) -> None: ...
 
 
-class Owner:
-    def __init__(self, house: OwnerHouse, team: Team, revision: int) -> None:
+class ShardOwner:
+    def __init__(self, house: ShardOwnerHouse, team: Team, revision: int) -> None:
         self.house = house
         self.team = team
         self.claimed_from = revision
-        self.phase = OwnerPhase.CLAIMING
+        self.phase = OwnershipPhase.CLAIMING
         self.shard: Shard | None = None
         self.wake = asyncio.Event()
         self.ready = asyncio.Event()
@@ -112,7 +112,7 @@
     # -- changes of state ------------------------------------------------------------------------
 
     def _claimed(self, revision: int) -> None:
-        self.phase = OwnerPhase.LOADING
+        self.phase = OwnershipPhase.LOADING
         self.takeover.claimed(self.house.now())
         self.shard = Shard(
             self.team,
@@ -125,7 +125,7 @@
         )
 
     def _loaded(self) -> None:
-        self.phase = OwnerPhase.ACTIVE
+        self.phase = OwnershipPhase.ACTIVE
         assert self.shard
         self.takeover.read(self.shard.taken, self.house.now())
         for change in self.early:
@@ -142,10 +142,10 @@
         )
 
     def lost(self, why: str) -> None:
-        if self.phase is OwnerPhase.LOST:
+        if self.phase is OwnershipPhase.LOST:
             return
         log.info("part %s is no longer ours: %s", self.team.name, why)
-        self.phase = OwnerPhase.LOST
+        self.phase = OwnershipPhase.LOST
         self.house.let_go(self)
         self.wake.set()
 
@@ -153,17 +153,17 @@
 
     def note(self, change: Callable[[Shard], None]) -> None:
         """A change to take in, now or as soon as the shard is read."""
-        if self.phase is OwnerPhase.ACTIVE and self.shard:
+        if self.phase is OwnershipPhase.ACTIVE and self.shard:
             change(self.shard)
             self.wake.set()
-        elif self.phase is not OwnerPhase.LOST:
+        elif self.phase is not OwnershipPhase.LOST:
             self.early.append(change)
 
     def waits_for(self, job_id: str) -> bool:
         """Whether the outcome of a job is of any use here. While the shard is being read that is not known."""
         return (
             self.shard is None
-            or self.phase is not OwnerPhase.ACTIVE
+            or self.phase is not OwnershipPhase.ACTIVE
             or job_id in self.shard.pipelines.needs.after
         )
 
@@ -179,14 +179,14 @@
         return may
 
     async def report(self, report: Report) -> Orders | None:
-        if self.phase is not OwnerPhase.ACTIVE:
+        if self.phase is not OwnershipPhase.ACTIVE:
             try:
                 async with asyncio.timeout(self.house.workers.report_s / 2):
                     await self.ready.wait()
             except TimeoutError:
                 return None
         shard = self.shard
-        if self.phase is not OwnerPhase.ACTIVE or shard is None or not self._may_renew():
+        if self.phase is not OwnershipPhase.ACTIVE or shard is None or not self._may_renew():
             return None
         orders = shard.reports.on_report(report, self.house.now(), checkin=True)
         if orders is None:
@@ -201,7 +201,7 @@
     async def _run(self) -> None:
         try:
             await self._claim()
-            while self.phase is OwnerPhase.ACTIVE:
+            while self.phase is OwnershipPhase.ACTIVE:
                 self.wake.clear()
                 await self._turn()
                 try:
@@ -228,7 +228,7 @@
         value = {"owner": self.house.label}
         revision = await store.txn({path: self.claimed_from}, {path: value})
         self.house.shards.wrote(path, value, revision)
-        held(self.phase is OwnerPhase.CLAIMING, "given up while it was being claimed")
+        held(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
         self._claimed(revision)
         shard = self.shard
         assert shard
@@ -238,7 +238,7 @@
             store.under("machine/"), store.under(f"work/{name}/"), store.under(f"park/{name}/")
         )
         # Another may have claimed it meanwhile: one that let go here used to come back to life as nobody's owner.
-        held(self.phase is OwnerPhase.LOADING, "given up while it was being read")
+        held(self.phase is OwnershipPhase.LOADING, "given up while it was being read")
         mine = [
             (entry.path.split("/", 1)[1], entry.value, entry.revision)
             for entry in machines
@@ -285,7 +285,7 @@
         whatever the watch brings meanwhile."""
         jobs = self.house.jobs_known
         unread = shard.pipelines.unread
-        while unread and self.phase is OwnerPhase.ACTIVE:
+        while unread and self.phase is OwnershipPhase.ACTIVE:
             needs = list(unread)[:READS_AT_ONCE]
             try:
                 outcomes = await asyncio.gather(*map(jobs.outcome, needs))
@@ -326,7 +326,7 @@
         store = self.house.store
         for _ in range(16):
             txn = shard.ledger.next_txn(store.writes.short, store.writes.per_s)
-            if txn is None or self.phase is not OwnerPhase.ACTIVE:
+            if txn is None or self.phase is not OwnershipPhase.ACTIVE:
                 return
             try:
                 revision = await store.txn(
@@ -367,7 +367,7 @@
         fence = f"part/{shard.name}"
         for path in failed or [fence]:
             entry = await self.house.store.get(path)
-            held(self.phase is OwnerPhase.ACTIVE, "given up while it was being written")
+            held(self.phase is OwnershipPhase.ACTIVE, "given up while it was being written")
             revision = entry.revision if entry else 0
             if path == fence:
                 if revision != shard.revision:
@@ -382,7 +382,7 @@
 
     def _send_urgent(self, shard: Shard) -> None:
         urgent, shard.urgent = shard.urgent, {}
-        if self.phase is not OwnerPhase.ACTIVE or not self._may_renew():
+        if self.phase is not OwnershipPhase.ACTIVE or not self._may_renew():
             return
         for name in urgent:
             machine = shard.machines.get(name)
@@ -410,7 +410,7 @@
             if (
                 report is not None
                 and report.berth == machine.name
-                and self.phase is OwnerPhase.ACTIVE
+                and self.phase is OwnershipPhase.ACTIVE
             ):
                 shard.reports.on_report(report, self.house.now(), checkin=False)
             if status != 200:
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -198,7 +198,7 @@
     ("core/task.py", "writing"),
     ("core/park.py", "writing"),
     ("core/shard.py", "writing"),
-    ("owner.py", "writing"),
+    ("shard_owner.py", "writing"),
     ("questions.py", "questions"),
     ("front.py", "submissions and questions"),
     ("membership.py", "membership"),
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -13,11 +13,11 @@
 from ashdock.leader import Leader
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudTrouble
-from ashdock.owner import Owner, OwnerPhase
 from ashdock.settings import (
     Other,
     Team,
 )
+from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from ashdock.upgrade import Upgrade
 from ashdock.wire import messages
 from tests.forms.adapter.bodies import MACHINE_TYPE
@@ -81,9 +81,9 @@
 
 async def write_claim(store: Store, values: Plain) -> None:
     """Claim a shard, and give it to another controller."""
-    owner: Any = Owner.__new__(Owner)
+    owner: Any = ShardOwner.__new__(ShardOwner)
     owner.team, owner.claimed_from = Team("red"), values["revision"]
-    owner.phase = OwnerPhase.LOST  # the claim is written, and the shard is not read
+    owner.phase = OwnershipPhase.LOST  # the claim is written, and the shard is not read
     owner.house = house(store, shards=replica([]), let_go=lambda owner: None)
     try:
         await owner._claim()
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -9,7 +9,7 @@
 
 from ashdock.again import Overtaken, held, walk
 from ashdock.net.store import Entry, WatchCache
-from ashdock.owner import OwnerPhase
+from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Report
 from tests import simtime
 from tests.whole import Service, job
@@ -63,9 +63,9 @@
     play(monkeypatch, day)
 
 
-@pytest.mark.parametrize("phase", [OwnerPhase.CLAIMING, OwnerPhase.LOADING])
+@pytest.mark.parametrize("phase", [OwnershipPhase.CLAIMING, OwnershipPhase.LOADING])
 def test_an_owner_that_let_go_stays_gone(
-    phase: OwnerPhase, monkeypatch: pytest.MonkeyPatch
+    phase: OwnershipPhase, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Let go of while it was claimed or read, it came back to life beside its successor, in no table."""
 
@@ -81,7 +81,7 @@
             owner = controller.owners.get("red")
         controller._missed_jobs()
         await asyncio.sleep(1.5)
-        assert owner.phase is OwnerPhase.LOST and owner.task.done()
+        assert owner.phase is OwnershipPhase.LOST and owner.task.done()
         assert not await service.until_final(["req-000001"], 60)
 
     play(monkeypatch, day)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ashdock.owner import Owner, OwnerPhase
+from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from tests import meetings
 from tests.meetings import Met
 from tests.simtime import spawn
@@ -421,9 +421,9 @@
         n = await owned(service)
         before = service.state.keys["part/red"]
         other = service.controllers[(n + 1) % 3]
-        late = Owner(other, other.shared.teams[0], before[1] - 1)
+        late = ShardOwner(other, other.shared.teams[0], before[1] - 1)
         await asyncio.sleep(1)
-        assert late.phase is OwnerPhase.LOST and service.state.keys["part/red"] == before
+        assert late.phase is OwnershipPhase.LOST and service.state.keys["part/red"] == before
         assert await service.until_final(["req-000001"], 60) == []
 
     play(monkeypatch, 71, day)
