--- a/ashdock/duties/holder.py
+++ b/ashdock/duties/holder.py
@@ -38,7 +38,7 @@
 Held = TypeVar("Held", bound=Work)
 
 
-class HolderHouse(Protocol):
+class ElectorContext(Protocol):
     """What of its controller a holder uses, and no more."""
 
     label: str
@@ -63,7 +63,7 @@
 class Holder(Generic[Held]):
     def __init__(
         self,
-        house: HolderHouse,
+        context: ElectorContext,
         seat: Seat,
         replica: WatchCache,
         begin: Callable[[Seat], Held],
@@ -71,7 +71,7 @@
         settle_s: float,
     ) -> None:
         """`settle_s`: a seat is handed on for the sake of load at most once in that time, and given up trying after that."""
-        self.house = house
+        self.context = context
         self.seat = seat
         self.replica = replica
         self.begin = begin
@@ -81,8 +81,8 @@
         self.free_since: float | None = None
         self.named_at: float | None = None  # the next one is named and has not taken it
         self.handing_since = 0.0
-        self.held_s = Spans(house.ttl_s / 64, BOUNDS)
-        self.gap_s = Spans(house.ttl_s / 64, BOUNDS)
+        self.held_s = Spans(context.ttl_s / 64, BOUNDS)
+        self.gap_s = Spans(context.ttl_s / 64, BOUNDS)
 
     @property
     def entry(self) -> Entry | None:
@@ -93,7 +93,7 @@
         if not self.replica.ready.is_set():
             return
         self._look()
-        if self.house.hold is None:
+        if self.context.hold is None:
             return
         if self.seat.held:
             await self._keep()
@@ -108,8 +108,8 @@
             self.free_since = None
         elif self.free_since is None:
             self.free_since = now
-        if self.house.hold is not None:
-            seat.renewed(self.house.hold_began, self.house.ttl_s, now)
+        if self.context.hold is not None:
+            seat.renewed(self.context.hold_began, self.context.ttl_s, now)
         if seat.held and (entry is None or entry.revision > seat.term):
             self.lose(
                 "its lease is over" if entry is None else f"{entry.value.get('label')} has it"
@@ -133,11 +133,11 @@
     # -- taking it -----------------------------------------------------------------------------------------------
 
     async def _try(self) -> None:
-        house, seat, entry = self.house, self.seat, self.entry
+        context, seat, entry = self.context, self.seat, self.entry
         stands = seat.stands(entry.value if entry else None)
         if stands is Stands.OTHERS:
             return
-        if not house.may_serve():
+        if not context.may_serve():
             if entry is not None:
                 await self._drop(
                     entry.revision
@@ -149,14 +149,14 @@
 
     def _turn(self) -> bool:
         """Each tries a little later than the one it suits better, so that not all write at once."""
-        names = ranked(self.house.fit_members(), self.allowed, self.house.load())
-        place = names.index(self.house.label) if self.house.label in names else len(names)
+        names = ranked(self.context.fit_members(), self.allowed, self.context.load())
+        place = names.index(self.context.label) if self.context.label in names else len(names)
         free_s = time.monotonic() - (self.free_since or 0.0)
-        return free_s >= place * self.house.ttl_s / 8
+        return free_s >= place * self.context.ttl_s / 8
 
     async def _take(self, entry: Entry | None) -> None:
-        house, seat = self.house, self.seat
-        hold = house.hold
+        context, seat = self.context, self.seat
+        hold = context.hold
         # A key that names this very process is taken by a write like any other: it may be that of a lease that is over, of which the watch
         # has not told yet, or a write of ours that was applied after we had given up on it.
         why = (
@@ -170,7 +170,7 @@
         value = {"label": seat.label, "incarnation": seat.incarnation}
         seat.taking()
         try:
-            term = await house.store.txn(
+            term = await context.store.txn(
                 {seat.path: entry.revision if entry else 0}, {seat.path: value}, hold=hold
             )
         except CompareFailedError:
@@ -180,12 +180,12 @@
             seat.refused()
             raise
         self.replica.wrote(seat.path, value, term)
-        if house.hold != hold:  # our membership ended meanwhile, and the key with it
+        if context.hold != hold:  # our membership ended meanwhile, and the key with it
             seat.refused()
             return
         if gap_since is not None:
             self.gap_s.add(time.monotonic() - gap_since)
-        seat.taken(term, house.hold_began, house.ttl_s, time.monotonic())
+        seat.taken(term, context.hold_began, context.ttl_s, time.monotonic())
         self.named_at = None
         log.info("this controller leads, stamp %d: %s", term, why)
         self.work = self.begin(seat)
@@ -193,17 +193,17 @@
     # -- handing it on --------------------------------------------------------------------------------------------
 
     async def _keep(self) -> None:
-        house, seat = self.house, self.seat
+        context, seat = self.context, self.seat
         now = time.monotonic()
         if seat.phase is Phase.DOUBTFUL:
             return
-        if not house.may_serve():
+        if not context.may_serve():
             await self._hand(self._next())
             return
         if (
             seat.phase is Phase.HOLDING
             and now - seat.taken_at > self.settle_s
-            and house.names_next()
+            and context.names_next()
             and self._next() is not None
         ):
             self.handing_since = now
@@ -216,23 +216,23 @@
                 await self._hand(to)
 
     def _next(self) -> str | None:
-        house = self.house
-        others = [label for label in house.fit_members() if label != house.label]
-        if not house.may_serve():
-            return next(iter(ranked(others, self.allowed, house.load())), None)
-        return better(house.label, house.fit_members(), self.allowed, house.load())
+        context = self.context
+        others = [label for label in context.fit_members() if label != context.label]
+        if not context.may_serve():
+            return next(iter(ranked(others, self.allowed, context.load())), None)
+        return better(context.label, context.fit_members(), self.allowed, context.load())
 
     async def _hand(self, to: str | None) -> None:
         """Name the next one, which takes the seat on seeing it. The key stays on our own lease until then: should the one named not come,
         it ends with that lease, or is dropped before."""
         seat = self.seat
-        if to is None or not self.house.names_next():
+        if to is None or not self.context.names_next():
             await self._drop(seat.term)
             return
         value: dict[str, Any] = {"label": to, "incarnation": 0, "by": seat.label}
         try:
-            revision = await self.house.store.txn(
-                {seat.path: seat.term}, {seat.path: value}, hold=self.house.hold
+            revision = await self.context.store.txn(
+                {seat.path: seat.term}, {seat.path: value}, hold=self.context.hold
             )
         except CompareFailedError:
             return  # the watch will tell who has it
@@ -243,7 +243,7 @@
     async def _drop(self, revision: int) -> None:
         path = self.seat.path
         try:
-            gone = await self.house.store.txn({path: revision}, {path: None})
+            gone = await self.context.store.txn({path: revision}, {path: None})
         except CompareFailedError:
             return
         self.lose("given up")
@@ -254,6 +254,6 @@
         entry = self.entry
         if self.named_at is None or entry is None or entry.value.get("by") != self.seat.label:
             self.named_at = None
-        elif time.monotonic() - self.named_at > self.house.ttl_s:
+        elif time.monotonic() - self.named_at > self.context.ttl_s:
             self.named_at = None
             await self._drop(entry.revision)
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -87,7 +87,7 @@
     token: int
 
 
-class FrontHouse(Protocol):
+class FrontContext(Protocol):
     """What of its controller the front uses, and no more."""
 
     label: str
@@ -136,12 +136,12 @@
 
 
 class Front:
-    def __init__(self, house: FrontHouse) -> None:
-        self.house = house
+    def __init__(self, context: FrontContext) -> None:
+        self.context = context
         self.finals: OrderedDict[str, Final] = OrderedDict()
         self.reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.looking: set[str] = set()  # jobs that others need, being looked up to tell who asks
-        self.questions = Questions(house.store, ANSWER_S, self.saw, house.admission.memory.jobs)
+        self.questions = Questions(context.store, ANSWER_S, self.saw, context.admission.memory.jobs)
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
         self.answered: dict[str, float] = {}  # worker: when an owner here last answered it
@@ -158,7 +158,7 @@
                 else error(405, "POST only")
             )
         if path == "/ready":
-            return Answer(200, b"{}") if self.house.ready() else error(503, "not ready", 1)
+            return Answer(200, b"{}") if self.context.ready() else error(503, "not ready", 1)
         if path == "/v2/runs":
             return (
                 await self.submit(request.body)
@@ -166,7 +166,7 @@
                 else error(405, "POST only")
             )
         if path == "/metrics":
-            return self.house.metrics()
+            return self.context.metrics()
         match = JOB.match(path)
         if match is None:
             return error(404, "no such page")
@@ -184,17 +184,17 @@
             spec = messages.spec_of(messages.decode_run(body))
         except Malformed as why:
             return error(400, str(why))
-        house = self.house
+        context = self.context
         final = self.finals.get(spec.id)
         if final:
             return Answer(200, self._final(spec.id, final))
-        if not house.catalog:
+        if not context.catalog:
             return error(503, "the machine types are not known yet", 1)
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
-        writes = house.store.writes
-        refusal_now = house.admission.submission(
+        writes = context.store.writes
+        refusal_now = context.admission.submission(
             writes.behind_s(Turn.USER, spec.team),
             time.monotonic(),
             spec.team,
@@ -202,17 +202,17 @@
         )
         if refusal_now:
             return refused(refusal_now)
-        now = house.now()
+        now = context.now()
         record = job_record(spec, round(now, 3))
         refusal: Answer | None = None
         never = self.never(spec)
         if never:
             refusal = error(422, never)
-        elif len(messages.encode(record)) + RECORD_GROWS > house.bounds.declared_bytes:
+        elif len(messages.encode(record)) + RECORD_GROWS > context.bounds.declared_bytes:
             refusal = error(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
-        elif spec.needs and not house.bounds.agreed:
+        elif spec.needs and not context.bounds.agreed:
             # A controller of the version before may own the shard, now or soon, and would start the job at once.
             refusal = error(
                 503, "jobs that need others are taken once every controller has the new version", 1
@@ -230,7 +230,7 @@
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
             revision = await self._bounded(
-                house.store.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team)
+                context.store.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team)
             )
         except CompareFailedError:
             try:
@@ -250,7 +250,7 @@
             spec.tasks,
             spec.priority,
         )
-        house.jobs_seen(path, record, revision)
+        context.jobs_seen(path, record, revision)
         return Answer(201, messages.encode({"id": spec.id, "status": "queued"}))
 
     async def _needs_refused(self, spec: Spec) -> Answer | None:
@@ -280,13 +280,13 @@
 
     def never(self, spec: Spec) -> str | None:
         """Why the job can never run, if so."""
-        house = self.house
-        team = next((team for team in house.shared.teams if team.name == spec.team), None)
+        context = self.context
+        team = next((team for team in context.shared.teams if team.name == spec.team), None)
         if team is None:
             return f"no team {spec.team!r}"
         fits = [
             shape
-            for shape in house.catalog.values()
+            for shape in context.catalog.values()
             if (spec.types is None or shape.label in spec.types)
             and (spec.zone is None or spec.zone in shape.yards)
             and capacity(shape, spec.cpus, spec.gpus, spec.memory_gb) > 0
@@ -308,7 +308,7 @@
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         remembered = self.questions.known.get(job_id)
-        behind = self.house.admission.question(
+        behind = self.context.admission.question(
             time.monotonic(), remembered.team if remembered else ""
         )
         if behind:
@@ -329,7 +329,7 @@
         return Answer(200, self._unfinished(job_id, known))
 
     async def withdraw(self, job_id: str) -> Answer:
-        house = self.house
+        context = self.context
         for _ in range(4):
             final = self.finals.get(job_id)
             if final:
@@ -346,15 +346,15 @@
                 record = {
                     **entry.value,
                     "status": "withdrawn",
-                    "cancelled_at": round(house.now(), 3),
+                    "cancelled_at": round(context.now(), 3),
                 }
-                record = fitting(record, house.bounds.value_bytes)
+                record = fitting(record, context.bounds.value_bytes)
                 path = entry.path
                 team = spec_of_record(record).team
                 head = f"work/{team}/{job_id}/job"
                 # Durable first. Every start names the job's revision, so none can be committed after this.
                 revision = await self._bounded(
-                    house.store.txn(
+                    context.store.txn(
                         {path: entry.revision},
                         {path: record, head: record},
                         turn=Turn.USER,
@@ -362,7 +362,7 @@
                     )
                 )
                 log.info("job %s withdrawn", job_id)
-                house.jobs_seen(path, record, revision)
+                context.jobs_seen(path, record, revision)
             except CompareFailedError:
                 continue
             except StoreUnavailableError:
@@ -371,11 +371,13 @@
 
     def _state_usable(self) -> bool:
         """While the state service is known not to answer, users are told so at once."""
-        store = self.house.store
-        return store.bad_since is None or time.monotonic() - store.bad_since < self.house.ttl_s / 8
+        store = self.context.store
+        return (
+            store.bad_since is None or time.monotonic() - store.bad_since < self.context.ttl_s / 8
+        )
 
     def _retry_after(self) -> int:
-        return 1 if self.house.state_fresh() else 2
+        return 1 if self.context.state_fresh() else 2
 
     async def _bounded(self, call: Any) -> Any:
         """Given up in time for the user to hear of it: a poll waits 2 s."""
@@ -400,7 +402,7 @@
         # Only readers who come before the request is sent share it: an answer on its way may be too old.
         await asyncio.sleep(0)
         self.reads.pop(job_id, None)
-        return await self.house.store.get(f"job/{job_id}", turn=Turn.USER)
+        return await self.context.store.get(f"job/{job_id}", turn=Turn.USER)
 
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """A record of it came by."""
@@ -415,8 +417,8 @@
                 job_id, Final(value["status"], tasks, value.get("reason"), value.get("done_at"))
             )
             if value["status"] == "withdrawn" and not told:
-                self.house.tell_withdrawn(
-                    job_id, team, revision, value.get("cancelled_at", self.house.now())
+                self.context.tell_withdrawn(
+                    job_id, team, revision, value.get("cancelled_at", self.context.now())
                 )
 
     def heard_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> bool:
@@ -426,12 +428,12 @@
             return False
         self.questions.over(job_id)
         self._over(job_id, Final("withdrawn", 0, None, None))
-        self.house.tell_withdrawn(job_id, team, revision, at)
+        self.context.tell_withdrawn(job_id, team, revision, at)
         return True
 
     def _over(self, job_id: str, final: Final) -> None:
         self.finals[job_id] = final
-        if len(self.finals) > self.house.admission.memory.jobs:  # the rest are read again
+        if len(self.finals) > self.context.admission.memory.jobs:  # the rest are read again
             self.finals.popitem(last=False)
 
     def is_final(self, job_id: str) -> bool:
@@ -445,7 +447,7 @@
         """How a job ended and when, as far as that was noted; None if it has not."""
         final = self.finals.get(job_id)
         if final is None:
-            entry = await self.house.store.get(f"job/{job_id}")
+            entry = await self.context.store.get(f"job/{job_id}")
             if entry is not None:
                 self.saw(job_id, entry.value, entry.revision)
             final = self.finals.get(job_id)
@@ -466,7 +468,7 @@
         )
 
     def _unfinished(self, job_id: str, known: Known) -> bytes:
-        done, running = self.house.counts(known.team, job_id)
+        done, running = self.context.counts(known.team, job_id)
         reason = known.reason or (self._waits(known.needs) if not done and not running else None)
         return messages.status_answer(
             job_id, "running" if running else "queued", done, running, reason
@@ -482,7 +484,7 @@
                 and len(self.looking) < NEEDS_AT_ONCE
             ):
                 self.looking.add(need)
-                self.house.spawn(self._look_up(need))
+                self.context.spawn(self._look_up(need))
         left = [need for need in left if need in self.questions.known]
         more = f" and {len(left) - NEEDS_NAMED} more" if len(left) > NEEDS_NAMED else ""
         return f"waits for {', '.join(left[:NEEDS_NAMED])}{more}" if left else None
@@ -502,14 +504,14 @@
             report = messages.decode_report(body)
         except Malformed as why:
             return error(400, str(why))
-        house = self.house
+        context = self.context
         if not relayed:
-            house.heard_worker()
-        entry = house.machines.entries.get(f"machine/{report.berth}")
+            context.heard_worker()
+        entry = context.machines.entries.get(f"machine/{report.berth}")
         if entry is None or entry.value["p"] == "":
             return self._ownerless(report, known=entry is not None)
         team = entry.value["p"]
-        owner = house.owners.get(team)
+        owner = context.owners.get(team)
         if owner is not None:
             orders = await owner.report(report)
             if orders is not None:
@@ -519,10 +521,10 @@
                 self.answered[report.berth] = time.monotonic()
                 return Answer(200, messages.encode(orders))
             # It waited for a shard that was being read: the machine may have gone to another team meanwhile.
-            entry = house.machines.entries.get(f"machine/{report.berth}")
+            entry = context.machines.entries.get(f"machine/{report.berth}")
             team = entry.value["p"] if entry else ""
-        label = house.owner_label(team)
-        if label is None or label == house.label or relayed:
+        label = context.owner_label(team)
+        if label is None or label == context.label or relayed:
             # An owner that may not renew must not do so as its own deputy.
             return (self._deputise(report) if owner is None and not relayed else None) or error(
                 503, "not the owner"
@@ -533,21 +535,21 @@
         """Of a machine that is lent to nobody the leader keeps the lease, as long as it sees what is recorded and the machine holds
         nothing. Sent on by everybody, such a worker asked five times as often, its lease ran out all the same, and a task
         started there a moment before was killed with it. Told the token that it has, it is as free for its next owner as before."""
-        leader = self.house.leader
+        leader = self.context.leader
         if leader:
             leader.hear(report, known)
-            if self.house.state_fresh() and not report.shares:
+            if self.context.state_fresh() and not report.shares:
                 self.answered[report.berth] = time.monotonic()
                 return Answer(200, messages.encode(messages.Orders(report.warrant, [])))
-        label = self.house.leader_label()
-        if leader is None and label and label != self.house.label:
+        label = self.context.leader_label()
+        if leader is None and label and label != self.context.label:
             return Answer(421, messages.encode({"harbour": label}))
         return error(503, "lent to nobody yet")
 
     def _deputise(self, report: messages.Report) -> Answer | None:
         """Keep a worker's lease while nobody can own it."""
         now = time.monotonic()
-        if self.house.state_fresh() or not self.house.deputy.may_renew(report, now):
+        if self.context.state_fresh() or not self.context.deputy.may_renew(report, now):
             return None
         if report.berth not in self.deputised:
             log.info(
@@ -564,10 +566,10 @@
         self, report: messages.Report, body: bytes, label: str, team: str
     ) -> Answer:
         """Send a worker to its owner; if it is back here soon, it can't reach the owner, so pass its report on."""
-        house = self.house
+        context = self.context
         now = time.monotonic()
-        lease = house.workers.lease_s
-        token = house.token_of(report.berth)
+        lease = context.workers.lease_s
+        token = context.token_of(report.berth)
         # What we remember holds for one claim. An owner that ended twice within a lease had all its workers here twice: taken for
         # unable to reach it, hundreds were relayed for, and each of their reports was computed by two controllers.
         sent, since = self.redirected.get(report.berth), self.relaying.get(report.berth)
@@ -582,14 +584,14 @@
         # One that knows the token of the owner in office has been there, and would not be here had it been answered.
         # Sent back, it would wait out another report there, and by then its lease is over. But one that we answered a
         # report ago has not left us: its machine has just gone to another shard, whose orders told it the token.
-        stayed = now - self.answered.get(report.berth, -1e9) < 1.5 * house.workers.report_s
+        stayed = now - self.answered.get(report.berth, -1e9) < 1.5 * context.workers.report_s
         was_there = not stayed and report.warrant >= token
-        hears = house.mesh.hears(label, house.ttl_s)
+        hears = context.mesh.hears(label, context.ttl_s)
         # Relayed for as long as a lease lasts, it tries its owner again.
         home = since is not None and now - since.at >= lease
         relays = not home and ((was_there and hears) or came_back or since is not None)
         if relays:
-            answer = await house.relay(label, body)
+            answer = await context.relay(label, body)
             if answer is not None and answer.status == 200:
                 if since is None:
                     log.info("passing on the reports of %s to %s", report.berth, label)
@@ -598,7 +600,7 @@
                     self.relaying[report.berth] = Sent(now, label, token)
                 return Answer(200, answer.body)
             # Up to two seconds have gone by: whoever did not answer may have been replaced.
-            label = house.owner_label(team) or label
+            label = context.owner_label(team) or label
         if relays or not hears:
             answer_ours = self._deputise(report)
             if answer_ours is not None:
@@ -606,7 +608,7 @@
         self.relaying.pop(report.berth, None)
         if was_there and not hears and (sent is None or now - sent.at > lease / 2):
             # We are on the wrong side ourselves: another may hear its owner.
-            label = house.mesh.other_than(label, house.ttl_s) or label
+            label = context.mesh.other_than(label, context.ttl_s) or label
         self.redirected[report.berth] = Sent(now, label, token)
         if len(self.redirected) > 5000:
             self.redirected.clear()
--- a/ashdock/kinds.py
+++ b/ashdock/kinds.py
@@ -15,7 +15,7 @@
 LEARN_S = 60.0  # until they are asked for again
 
 
-class KindsHouse(Protocol):
+class CatalogContext(Protocol):
     """What of its controller this uses, and no more."""
 
     tick_s: float
@@ -29,32 +29,32 @@
 
 
 class Kinds:
-    def __init__(self, house: KindsHouse) -> None:
-        self.house = house
+    def __init__(self, context: CatalogContext) -> None:
+        self.context = context
 
     async def learn(self) -> float:
         """Ask, and keep for others what was answered; seconds until that is due again."""
-        house = self.house
+        context = self.context
         try:
-            house.catalog.update(await house.cloud.catalog())
+            context.catalog.update(await context.cloud.catalog())
         except CloudTrouble:
-            if not house.catalog:
-                entries, _ = await house.store.under("catalog")
+            if not context.catalog:
+                entries, _ = await context.store.under("catalog")
                 for entry in entries:
-                    house.catalog.update(msgspec.convert(entry.value, dict[str, MachineType]))
-            return house.tick_s * 4
-        if house.leader or not await house.store.get("catalog", turn=Turn.PATIENT):
+                    context.catalog.update(msgspec.convert(entry.value, dict[str, MachineType]))
+            return context.tick_s * 4
+        if context.leader or not await context.store.get("catalog", turn=Turn.PATIENT):
             for path, value in self.values().items():
                 # Without a condition: whoever wrote them last, and however late, they are the cloud's.
-                await house.store.txn({}, {path: value}, turn=Turn.PATIENT)
+                await context.store.txn({}, {path: value}, turn=Turn.PATIENT)
         return LEARN_S
 
     def values(self) -> dict[str, Any]:
         """One value, as long as the state service takes it; beyond that as many as they need."""
-        shapes = msgspec.to_builtins(self.house.catalog)
+        shapes = msgspec.to_builtins(self.context.catalog)
         if (
-            not self.house.bounds.agreed
-            or len(msgspec.json.encode(shapes)) <= self.house.bounds.value_bytes
+            not self.context.bounds.agreed
+            or len(msgspec.json.encode(shapes)) <= self.context.bounds.value_bytes
         ):
             return {"catalog": shapes}
         return {f"catalog/{label}": {label: shape} for label, shape in shapes.items()}
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -58,7 +58,7 @@
     return max((now - rented[name] - age for name, age in listed if name in rented), default=0.0)
 
 
-class LeaderHouse(Protocol):
+class LeaderContext(Protocol):
     """What of its controller the leader uses, and no more."""
 
     label: str
@@ -92,11 +92,11 @@
     """The machines' duty, for one term. Its writes name the seat's key, its words and charters hold the term, and its calls to the cloud
     rest on what is durable and on names never used twice (docs/duties.md)."""
 
-    def __init__(self, house: LeaderHouse, seat: Seat) -> None:
-        self.house = house
+    def __init__(self, context: LeaderContext, seat: Seat) -> None:
+        self.context = context
         self.seat = seat
         self.revision = seat.term
-        self.allotment = Allotment(house.shared, house.operators.renting, house.catalog)
+        self.allotment = Allotment(context.shared, context.operators.renting, context.catalog)
         self.strays: dict[
             str, tuple[Report, float]
         ] = {}  # reported and not recorded, and since when
@@ -115,14 +115,14 @@
         ] = {}  # charters broken off while our lease was in doubt
         self.undeleted: dict[str, int] = {}  # charters carried out, and their revisions
         self.charters_before = (
-            house.charters
+            context.charters
         )  # a reign of ours that an outage ended may have left some
         self.listed: dict[str, float] = {}  # machine: when the cloud first listed it
         self.marking: set[str] = set()  # machines that are being given up
         self.lending: set[str] = set()  # machines whose loan is being written
         self.releasing = False
         self.unrecorded: dict[str, float] = {}  # machine: since when it is listed without a record
-        self.lag_s = house.shared.cloud.list_lag_s  # of the cloud's list, as far as it shows
+        self.lag_s = context.shared.cloud.list_lag_s  # of the cloud's list, as far as it shows
         self.over = False
         self.jobs: set[asyncio.Task[None]] = set()
         self.tasks = [
@@ -150,7 +150,7 @@
             task.cancel()
 
     async def _guard(self, loop: Any) -> None:
-        pause = self.house.tick_s * 2
+        pause = self.context.tick_s * 2
         while not self.over:
             try:
                 again: float | None = await loop()
@@ -183,12 +183,12 @@
         strays = [
             Lent(name, "", report.hull, report.yard, report.loaners, 0, "")
             for name, (report, _) in self.strays.items()
-            if f"machine/{name}" not in self.house.machines.entries
+            if f"machine/{name}" not in self.context.machines.entries
         ]
         # Read anew only where a record has changed: thousands of lists of images, looked through several times a second, were most
         # of what leading cost.
         before, self.lent = self.lent, {}
-        for path, entry in self.house.machines.entries.items():
+        for path, entry in self.context.machines.entries.items():
             known = before.get(path)
             self.lent[path] = (
                 known
@@ -212,27 +212,27 @@
         )
 
     async def _choose(self) -> float:
-        house = self.house
-        now = house.now()
-        if not house.state_fresh() or not house.machines.ready.is_set():
-            return house.tick_s
+        context = self.context
+        now = context.now()
+        if not context.state_fresh() or not context.machines.ready.is_set():
+            return context.tick_s
         if not self.seat.may_choose(time.monotonic(), self.revision):
-            return house.tick_s / 4
-        pictures: dict[str, Picture] = house.pictures()
-        if time.monotonic() - self.seat.taken_at < house.workers.lease_s:
-            self.allotment.vacating(house.leaving(), now)
-        owners = {team.name: house.owner_label(team.name) or "" for team in house.shared.teams}
+            return context.tick_s / 4
+        pictures: dict[str, Picture] = context.pictures()
+        if time.monotonic() - self.seat.taken_at < context.workers.lease_s:
+            self.allotment.vacating(context.leaving(), now)
+        owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
         decisions = self.allotment.decide(self._lent(), pictures, now)
         lend: dict[str, str] = {}
         for decision in decisions + self.allotment.balance(
-            owners, house.fit_members(), pictures, now
+            owners, context.fit_members(), pictures, now
         ):
             match decision:
                 case Rent():
                     self._spawn(self._rent(decision))
                 case Move(shard, machine, to):
                     if shard:
-                        house.to_owner(shard, Yield(shard, machine, to), self.revision)
+                        context.to_owner(shard, Yield(shard, machine, to), self.revision)
                     else:
                         lend[machine] = to
                 case Recalled():
@@ -242,7 +242,7 @@
                         ",".join(decision.machines),
                         decision.to,
                     )
-                    house.to_owner(decision.shard, decision, self.revision)
+                    context.to_owner(decision.shard, decision, self.revision)
                 case Owed():
                     log.info(
                         "team %s is to pass on %d to %s as they come free",
@@ -250,36 +250,36 @@
                         decision.number,
                         decision.to,
                     )
-                    house.to_owner(decision.shard, decision, self.revision)
+                    context.to_owner(decision.shard, decision, self.revision)
                 case MoveShard(shard, to):
                     log.info("part %s is to go to controller %s", shard, to)
-                    house.to_owner(shard, Give(shard, to), self.revision)
+                    context.to_owner(shard, Give(shard, to), self.revision)
                 case Release(machines):
                     self._spawn(self._mark_all(machines, "returned"))
         if lend:
             # What is not written now is neither lent nor on its way: counted as that, it stood there for half a lease.
-            most = 0 if self.lending else max(1, int(LOANS_S * self.house.store.writes.per_s))
+            most = 0 if self.lending else max(1, int(LOANS_S * self.context.store.writes.per_s))
             self.allotment.not_lent(list(lend)[most:])
             if most:
                 self._spawn(self._assign(dict(list(lend.items())[:most])))
-        return max(house.tick_s, pause_s(house.now() - now, CHOOSING))
+        return max(context.tick_s, pause_s(context.now() - now, CHOOSING))
 
     def _entry(self, name: str) -> Entry | None:
-        return self.house.machines.entries.get(f"machine/{name}")
+        return self.context.machines.entries.get(f"machine/{name}")
 
     async def _write_all(self, records: dict[str, tuple[int, dict[str, Any] | None]]) -> list[str]:
         """Write machines' records (None deletes) that still have the revisions given, many to a transaction; those written."""
         names = list(records)
         written: list[str] = []
         while names:
-            most = max(1, min(self.house.bounds.ops, int(self.house.store.writes.per_s / 2)))
+            most = max(1, min(self.context.bounds.ops, int(self.context.store.writes.per_s / 2)))
             written += await self._write_some({name: records[name] for name in names[:most]})
             names = names[most:]
         return written
 
     async def _write_some(self, records: dict[str, tuple[int, dict[str, Any] | None]]) -> list[str]:
-        store = self.house.store
-        most = self.house.bounds.value_bytes
+        store = self.context.store
+        most = self.context.bounds.value_bytes
         left = {
             name: (revision, value and trimmed(value, most))
             for name, (revision, value) in records.items()
@@ -304,7 +304,7 @@
                 left = {name: record for name, record in left.items() if name not in lost}
                 continue
             for name, (_, value) in left.items():
-                self.house.machines.wrote(f"machine/{name}", value, revision)
+                self.context.machines.wrote(f"machine/{name}", value, revision)
             return list(left)
         return []
 
@@ -327,7 +327,7 @@
             elif entry is None and name in self.strays:
                 report, _ = self.strays.pop(name)
                 value = self._value(
-                    report.hull, report.yard, report.loaners, report.address, to, self.house.now()
+                    report.hull, report.yard, report.loaners, report.address, to, self.context.now()
                 )
                 records[name] = (
                     0,
@@ -342,7 +342,7 @@
     def _word_of(self, name: str) -> dict[str, Any]:
         """Where a machine of the pool is and in which session, if it has just told: its next owner need not wait for its report."""
         report, at = self.pooled.pop(name, (None, 0.0))
-        if report is None or self.house.now() - at > 2 * self.house.workers.report_s:
+        if report is None or self.context.now() - at > 2 * self.context.workers.report_s:
             return {}
         return {"a": report.address, "n": report.tenure}
 
@@ -375,10 +375,10 @@
     # -- renting ---------------------------------------------------------------------------------------
 
     async def _rent(self, rent: Rent) -> None:
-        house = self.house
-        house.charters += 1
+        context = self.context
+        context.charters += 1
         # Unique for good: no other process has led with this revision, and in ours the number only grows.
-        name = f"{house.label}.{self.revision}.{house.charters}"
+        name = f"{context.label}.{self.revision}.{context.charters}"
         path = f"charter/{name}"
         value = {
             "teams": [list(team) for team in rent.teams],
@@ -390,13 +390,13 @@
         try:
             if not self._may():
                 raise StoreUnavailableError("not ours at the moment")
-            revision = await house.store.txn(
+            revision = await context.store.txn(
                 {path: 0, self.seat.path: self.revision}, {path: value}
             )
         except (CompareFailedError, StoreUnavailableError) as why:
             log.debug("charter %s not written: %s", name, why)
             self.renting_names.discard(name)
-            self.allotment.not_rented(rent, house.now(), no_capacity=False)
+            self.allotment.not_rented(rent, context.now(), no_capacity=False)
             return
         await self._carry_out(name, value, revision, ours=rent)
 
@@ -404,14 +404,14 @@
         self, name: str, value: dict[str, Any], revision: int, ours: Rent | None
     ) -> None:
         """`ours`: counted as on its way until it is known what came of it."""
-        house = self.house
+        context = self.context
         names: list[str] | None = None
         refused = False
         rent = rent_of(value)
         try:
             for _ in range(5):
                 try:
-                    names = await house.cloud.rent(
+                    names = await context.cloud.rent(
                         name, rent.type, rent.zone, rent.spot, rent.number, self._guard_call
                     )
                     break
@@ -421,7 +421,7 @@
                 except CloudTrouble as why:
                     # The name makes a repeated request harmless: it rents nothing twice.
                     log.debug("charter %s: %s", name, why)
-                    await asyncio.sleep(house.workers.lease_s / 10)
+                    await asyncio.sleep(context.workers.lease_s / 10)
             log.info(
                 "charter %s: %s of %s %s in %s for %s: %s",
                 name,
@@ -432,7 +432,7 @@
                 ",".join(team for team, _ in rent.teams),
                 names or ("no capacity" if refused else "no answer"),
             )
-            now = house.now()
+            now = context.now()
             if ours and names is not None:
                 self.allotment.rented(ours, names, now)
                 ours = None
@@ -446,7 +446,7 @@
             raise
         finally:
             if ours:
-                self.allotment.not_rented(ours, house.now(), refused)
+                self.allotment.not_rented(ours, context.now(), refused)
             self.renting_names.discard(name)
 
     async def _forget_charters(self) -> None:
@@ -454,7 +454,7 @@
         again though it was returned long ago."""
         for name, revision in walk(self.undeleted):
             try:
-                await self.house.store.txn(
+                await self.context.store.txn(
                     {f"charter/{name}": revision, self.seat.path: self.revision},
                     {f"charter/{name}": None},
                     turn=Turn.PATIENT,
@@ -481,20 +481,22 @@
                 await self._write_all(left)  # type: ignore[arg-type]
                 return
             except StoreUnavailableError:
-                await asyncio.sleep(self.house.tick_s)
+                await asyncio.sleep(self.context.tick_s)
                 left = {name: record for name, record in left.items() if self._entry(name) is None}
 
     def _ours(self, name: str) -> bool:
         """Whether we have set out to rent it ourselves, since this reign began."""
         head, _, number = name.rpartition(".")
-        return head == f"{self.house.label}.{self.revision}" and int(number) > self.charters_before
+        return (
+            head == f"{self.context.label}.{self.revision}" and int(number) > self.charters_before
+        )
 
     async def _settle(self) -> float:
         """What earlier terms set out to rent. All of it is counted as on its way before anything is chosen: machines that a holder before
         had asked for were asked for again. Then the same request again tells what came of it."""
         self._guard_call()
         await self._forget_charters()
-        entries, _ = await self.house.store.under("charter/")
+        entries, _ = await self.context.store.under("charter/")
         # Our own may have been written, carried out and removed since this was read: repeated, the cloud names machines again that
         # may have been released meanwhile, and each would be recorded once more.
         left = {e.path.split("/", 1)[1]: (e.value, e.revision) for e in entries}
@@ -508,47 +510,47 @@
             if name not in self.undeleted and name not in self.renting_names
         }
         rents = {name: rent_of(value) for name, (value, _) in left.items()}
-        known = {name: rent for name, rent in rents.items() if rent.type in self.house.catalog}
+        known = {name: rent for name, rent in rents.items() if rent.type in self.context.catalog}
         self.allotment.renting_now += known.values()
         self.renting_names.update(rents)
         self.seat.settled(self.revision)
         for name, (value, revision) in left.items():
             self._spawn(self._carry_out(name, value, revision, known.get(name)))
-        return 2 * self.house.workers.lease_s
+        return 2 * self.context.workers.lease_s
 
     # -- releasing, strays and the cloud's list ----------------------------------------------------------
 
     async def _clean(self) -> float:
         """Release what was given up. The answer proves that the machine and all on it are gone."""
-        house = self.house
+        context = self.context
         doomed = [
             (e.path.split("/", 1)[1], e.revision)
-            for e in house.machines.entries.values()
+            for e in context.machines.entries.values()
             if e.value.get("x")
         ]
-        if doomed and house.state_fresh():
-            doomed = doomed[: min(100, house.bounds.ops)]
+        if doomed and context.state_fresh():
+            doomed = doomed[: min(100, context.bounds.ops)]
             self.releasing = True
             try:
-                await house.cloud.release([name for name, _ in doomed], self._guard_call)
-                now = house.now()
+                await context.cloud.release([name for name, _ in doomed], self._guard_call)
+                now = context.now()
                 self.released.update((name, now) for name, _ in doomed)
                 await self._write_all({name: (revision, None) for name, revision in doomed})
             finally:
                 self.releasing = False
             log.info("released %s", ",".join(name for name, _ in doomed))
         await self._adopt_strays()
-        return max(house.tick_s, 1 / house.shared.cloud.rps)
+        return max(context.tick_s, 1 / context.shared.cloud.rps)
 
     def hear(self, report: Report, known: bool) -> None:
         """A machine that is lent to nobody reported. `known`: it is recorded, in the pool."""
-        now = self.house.now()
+        now = self.context.now()
         if known:
             self.pooled[report.berth] = (report, now)
         elif (
             report.berth not in self.lending
             and len(self.strays) < 2000
-            and report.hull in self.house.catalog
+            and report.hull in self.context.catalog
             and not self._late(report.berth, now)
         ):
             _, since = self.strays.get(report.berth, (None, now))
@@ -556,7 +558,7 @@
 
     def _late(self, name: str, now: float) -> bool:
         """Whether it may be a word of a machine that was released a moment ago."""
-        return now - self.released.get(name, -1e9) < 4 * self.lag_s + self.house.workers.lease_s
+        return now - self.released.get(name, -1e9) < 4 * self.lag_s + self.context.workers.lease_s
 
     @staticmethod
     def _value(
@@ -566,7 +568,7 @@
 
     async def _adopt_strays(self) -> None:
         """What nobody has wanted for a while is recorded all the same: nothing unrecorded is ever returned."""
-        now = self.house.now()
+        now = self.context.now()
         # Adopting waits, and meanwhile a stray may be lent and so recorded: a list made before ended this loop with a KeyError.
         for name, (report, since) in walk(self.strays):
             if self._entry(name) is not None:
@@ -577,37 +579,37 @@
 
     async def _adopt(self, name: str, kind: str, zone: str, spot: bool, where: str) -> None:
         path = f"machine/{name}"
-        house = self.house
-        now = house.now()
-        if path in house.machines.entries or kind not in house.catalog:
+        context = self.context
+        now = context.now()
+        if path in context.machines.entries or kind not in context.catalog:
             return
         if self._late(name, now):
             return
         value = self._value(kind, zone, spot, where, "", now)
         try:
-            revision = await house.store.txn(
+            revision = await context.store.txn(
                 {path: 0, self.seat.path: self.revision}, {path: value}
             )
             log.info("machine %s adopted", name)
-            house.machines.wrote(path, value, revision)
+            context.machines.wrote(path, value, revision)
         except CompareFailedError:
             pass
 
     async def _look(self) -> float:
-        house = self.house
-        asked = house.now()
+        context = self.context
+        asked = context.now()
         self._guard_call()
-        hosts = await house.cloud.hosts()
-        now = house.now()
+        hosts = await context.cloud.hosts()
+        now = context.now()
         rented = {
             e.path.split("/", 1)[1]: e.value["at"]
-            for e in house.machines.entries.values()
+            for e in context.machines.entries.values()
             if e.value.get("r")
         }
         self.lag_s = max(
             self.lag_s * 0.9,
             lag_of([(host.id, host.age_s) for host in hosts], rented, now),
-            house.shared.cloud.list_lag_s,
+            context.shared.cloud.list_lag_s,
         )
         sure_s = 3 * self.lag_s
         for name in gone_from(self.listed, [host.id for host in hosts], now, sure_s):
@@ -636,4 +638,4 @@
         for name, at in list(self.released.items()):
             if now - at > 20 * self.lag_s + 60:
                 del self.released[name]
-        return max(house.shared.cloud.list_lag_s, 8 / house.shared.cloud.rps)
+        return max(context.shared.cloud.list_lag_s, 8 / context.shared.cloud.rps)
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -17,7 +17,7 @@
 log = logging.getLogger("ashdock.controller")
 
 
-class MemberHouse(Protocol):
+class MembershipContext(Protocol):
     """What of its controller its membership uses, and no more."""
 
     label: str
@@ -40,55 +40,57 @@
 
 
 class Membership:
-    def __init__(self, house: MemberHouse, lease_s: float) -> None:
-        self.house = house
+    def __init__(self, context: MembershipContext, lease_s: float) -> None:
+        self.context = context
         self.hold: int | None = None
         self.began = self.until = (
             0.0  # when its last good renewal was sent, and how long it lasts at least; by the steady clock
         )
         self.fit = True  # as our entry says
-        self.lives = Lives(house.ttl_s, lease_s)
+        self.lives = Lives(context.ttl_s, lease_s)
 
     async def keep(self) -> float:
         """Join, or renew; the seconds until that is due again."""
-        house = self.house
-        pause = house.ttl_s / 4
-        await house.upgrade.known.wait()  # what is written with our name depends on it
+        context = self.context
+        pause = context.ttl_s / 4
+        await context.upgrade.known.wait()  # what is written with our name depends on it
         started = time.monotonic()
         try:
             if self.hold is None:
                 await self._join()
             else:
-                await house.store.renew(self.hold, timeout=house.ttl_s / 2)
-                self.lives.look(house.now())
+                await context.store.renew(self.hold, timeout=context.ttl_s / 2)
+                self.lives.look(context.now())
                 if self.fit is not self._sound():
                     await self._say_fit(not self.fit)
-            house.rise.joined(time.monotonic())
-            self.began, self.until = started, started + house.ttl_s
-            house.renewed()
+            context.rise.joined(time.monotonic())
+            self.began, self.until = started, started + context.ttl_s
+            context.renewed()
         except LeaseLostError:
             self.lost()
             return 0.0
         except StoreUnavailableError:
-            house.doubted()
+            context.doubted()
             return pause / 2
         return pause
 
     def lost(self) -> None:
         log.info("our membership had ended; joining again")
         self.hold = None
-        self.house.membership_lost()
+        self.context.membership_lost()
 
     async def _join(self) -> None:
-        house = self.house
-        store = house.store
-        path, life = f"member/{house.label}", f"life/{house.label}"
+        context = self.context
+        store = context.store
+        path, life = f"member/{context.label}", f"life/{context.label}"
         hold, entry, (lives, _) = await asyncio.gather(
-            store.hold(int(house.ttl_s * 1000)), store.get(path), store.under("life/")
+            store.hold(int(context.ttl_s * 1000)), store.get(path), store.under("life/")
         )
         kept = next((other for other in lives if other.path == life), None)
         record = self.lives.begun(
-            kept and kept.value, [other.value for other in lives if other.path != life], house.now()
+            kept and kept.value,
+            [other.value for other in lives if other.path != life],
+            context.now(),
         )
         if not self.lives.steady:
             log.info(
@@ -99,25 +101,25 @@
         fit = self._sound()
         when = {path: entry.revision if entry else 0}
         writes: dict[str, Any] = {path: self._entry(fit)}
-        if house.upgrade.agreed:
+        if context.upgrade.agreed:
             when[life] = kept.revision if kept else 0
             writes[life] = msgspec.to_builtins(record)
         revision = await store.txn(when, writes, hold=hold, stays=(life,))
-        house.members.wrote(path, writes[path], revision)
+        context.members.wrote(path, writes[path], revision)
         self.hold = hold  # only now: a hold without our name on it would make us no member
         self.fit = fit
 
     def _entry(self, fit: bool) -> dict[str, Any]:
-        return {"incarnation": self.house.incarnation, "fit": fit}
+        return {"incarnation": self.context.incarnation, "fit": fit}
 
     def _sound(self) -> bool:
         """Whether shards and lead may be ours, as far as we are concerned."""
-        return self.lives.steady and not self.house.cut_off()
+        return self.lives.steady and not self.context.cut_off()
 
     async def _say_fit(self, fit: bool) -> None:
-        house = self.house
-        path = f"member/{house.label}"
-        entry = house.members.entries.get(path)
+        context = self.context
+        path = f"member/{context.label}"
+        entry = context.members.entries.get(path)
         if entry is None:
             return
         log.info(
@@ -127,8 +129,8 @@
             else "hears nobody but the state service: parts and lead are for others",
         )
         value = self._entry(fit)
-        revision = await house.store.txn({path: entry.revision}, {path: value}, hold=self.hold)
-        house.members.wrote(path, value, revision)
+        revision = await context.store.txn({path: entry.revision}, {path: value}, hold=self.hold)
+        context.members.wrote(path, value, revision)
         self.fit = fit
 
     def fit_members(self) -> list[str]:
@@ -136,9 +138,9 @@
         claimed every shard from one another."""
         names = {
             path.split("/", 1)[1]: entry.value.get("fit", True)
-            for path, entry in self.house.members.entries.items()
+            for path, entry in self.context.members.entries.items()
         }
         return sorted(name for name, fit in names.items() if fit) or sorted(names)
 
     def may_serve(self) -> bool:
-        return self.fit or self.house.label in self.fit_members()
+        return self.fit or self.context.label in self.fit_members()
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -72,35 +72,35 @@
 
 
 class Picture(Collector):
-    def __init__(self, house: Seen) -> None:
-        self.house = house
+    def __init__(self, context: Seen) -> None:
+        self.context = context
 
     def collect(self) -> Iterable[Metric]:
-        house = self.house
+        context = self.context
         plain = {
-            "ashdock_ready": ("1 while this controller takes requests", float(house.ready())),
-            "ashdock_leads": ("1 while this controller leads", float(house.leader is not None)),
+            "ashdock_ready": ("1 while this controller takes requests", float(context.ready())),
+            "ashdock_leads": ("1 while this controller leads", float(context.leader is not None)),
             "ashdock_all_upgraded": (
                 "1 once every controller is known to be of the new version",
-                float(house.upgrade.agreed),
+                float(context.upgrade.agreed),
             ),
             "ashdock_fit": (
                 "1 while parts and lead may be this controller's",
-                float(house.membership.fit),
+                float(context.membership.fit),
             ),
             "ashdock_ends_of_late": (
                 "ends of this controller's processes in quick succession",
-                float(house.membership.lives.record.ends),
+                float(context.membership.lives.record.ends),
             ),
             "ashdock_state_age_seconds": (
                 "since the state service last answered",
-                house.store.silent_for,
+                context.store.silent_for,
             ),
             "ashdock_cancellations_known_age_seconds": (
                 "since when cancellations confirmed elsewhere may be unknown here",
-                house.cancellations_age(),
+                context.cancellations_age(),
             ),
-            "ashdock_user_connections": ("open connections", float(len(house.server.open))),
+            "ashdock_user_connections": ("open connections", float(len(context.server.open))),
         }
         for name, (text, value) in plain.items():
             yield GaugeMetricFamily(name, text, value=value)
@@ -112,7 +112,7 @@
             "ashdock_machines", "machines lent to the parts owned here", labels=["team", "phase"]
         )
         tokens = GaugeMetricFamily("ashdock_part_token", "stamp of the claim", labels=["team"])
-        for team, owner in house.owners.items():
+        for team, owner in context.owners.items():
             shard = owner.shard
             if shard is None:
                 continue
@@ -143,7 +143,7 @@
 
     def _duties(self) -> Iterable[Metric]:
         """Of the duties that only one controller may do, as this one has had them."""
-        duty, terms = self.house.duty, self.house.terms
+        duty, terms = self.context.duty, self.context.terms
         state = GaugeMetricFamily(
             "ashdock_duty_state",
             "1 for the state in which this controller is",
@@ -193,7 +193,7 @@
             "from when a task could start until it ran",
             labels=["team", "class"],
         )
-        for team, owner in self.house.owners.items():
+        for team, owner in self.context.owners.items():
             if owner.shard is None:
                 continue
             classes = owner.shard.classes
@@ -212,7 +212,7 @@
         hot = GaugeMetricFamily(
             "ashdock_team_hot", "1 while a team submits more than its share here", labels=["team"]
         )
-        admission = self.house.admission
+        admission = self.context.admission
         for team in admission.rush.teams:
             away.add_metric([team], admission.turned_away[team])
             hot.add_metric([team], float(admission.rush.hot(team)))
@@ -224,29 +224,33 @@
             "in each state since the start of the process",
             labels=["state"],
         )
-        for state, seconds in self.house.rise.took.items():
+        for state, seconds in self.context.rise.took.items():
             rise.add_metric([state], seconds)
         took = GaugeMetricFamily(
             "ashdock_takeover_seconds",
             "in each state of the takeover of a part",
             labels=["team", "state"],
         )
-        for team, owner in self.house.owners.items():
+        for team, owner in self.context.owners.items():
             for state, seconds in owner.takeover.took.items():
                 took.add_metric([team, state], seconds)
         yield from (rise, took)
 
     def _admission(self) -> Iterable[Metric]:
         """Who has what of what can run short, and who was told to come back."""
-        house = self.house
-        admission, connections, now = house.admission, house.admission.connections, time.monotonic()
+        context = self.context
+        admission, connections, now = (
+            context.admission,
+            context.admission.connections,
+            time.monotonic(),
+        )
         held = {use: connections.count(use) for use in (Use.NEW, Use.USER, Use.PROBE, Use.WORKER)}
         held |= {
-            Use.MESH: len(house.mesh.links)
-            + sum(peer.writer is not None for peer in house.mesh.peers.values()),
-            Use.STATE: house.store.sockets,
-            Use.CLOUD: house.cloud.client.sockets,
-            Use.ORDERS: house.worker_client.sockets,
+            Use.MESH: len(context.mesh.links)
+            + sum(peer.writer is not None for peer in context.mesh.peers.values()),
+            Use.STATE: context.store.sockets,
+            Use.CLOUD: context.cloud.client.sockets,
+            Use.ORDERS: context.worker_client.sockets,
         }
         most = {
             **admission.shares.certain,
@@ -272,7 +276,7 @@
         )
         for (asked, of), number in admission.refused.items():
             refused.add_metric([asked, of.value], number)
-        refused.add_metric(["order", "sockets"], house.worker_client.refused)
+        refused.add_metric(["order", "sockets"], context.worker_client.refused)
         short = GaugeMetricFamily("ashdock_short", "1 while something runs short", labels=["of"])
         for of, shortage in admission.shortages.items():
             short.add_metric([of.value], float(shortage.began is not None))
@@ -282,7 +286,7 @@
             labels=["turn"],
         )
         for turn in Turn:
-            behind.add_metric([turn.name.lower()], house.store.writes.behind_s(turn))
+            behind.add_metric([turn.name.lower()], context.store.writes.behind_s(turn))
         yield from (sockets, shares, ended, refused, short, behind)
         yield GaugeMetricFamily(
             "ashdock_processor_late_seconds",
@@ -291,7 +295,7 @@
         )
 
 
-def page(house: Seen) -> bytes:
+def page(context: Seen) -> bytes:
     registry = CollectorRegistry()
-    registry.register(Picture(house))
+    registry.register(Picture(context))
     return generate_latest(registry)
--- a/ashdock/relays.py
+++ b/ashdock/relays.py
@@ -20,7 +20,7 @@
     async def checkin(self, body: bytes, relayed: bool = False) -> Answer: ...
 
 
-class RelayHouse(Protocol):
+class ForwarderContext(Protocol):
     """What of its controller this uses, and no more."""
 
     mesh: Mesh
@@ -33,18 +33,18 @@
 
 
 class Relays:
-    def __init__(self, house: RelayHouse) -> None:
-        self.house = house
+    def __init__(self, context: ForwarderContext) -> None:
+        self.context = context
         self.waiting: dict[int, asyncio.Future[Relayed]] = {}
         self.number = 0
 
     def heard(self, label: str, frame: Relay) -> None:
-        if len(self.house.background) < UNDER_WAY:
-            self.house.spawn(self._answer(label, frame))
+        if len(self.context.background) < UNDER_WAY:
+            self.context.spawn(self._answer(label, frame))
 
     async def _answer(self, label: str, frame: Relay) -> None:
-        answer = await self.house.front.checkin(frame.body, relayed=True)
-        self.house.mesh.send(label, Relayed(frame.number, answer.status, answer.body))
+        answer = await self.context.front.checkin(frame.body, relayed=True)
+        self.context.mesh.send(label, Relayed(frame.number, answer.status, answer.body))
 
     def answered(self, frame: Relayed) -> None:
         future = self.waiting.pop(frame.number, None)
@@ -58,7 +58,7 @@
         future: asyncio.Future[Relayed] = asyncio.get_running_loop().create_future()
         self.waiting[number] = future
         try:
-            if not self.house.mesh.send(label, Relay(number, body)):
+            if not self.context.mesh.send(label, Relay(number, body)):
                 return None
             async with asyncio.timeout(PATIENCE_S):
                 return await future
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -45,7 +45,7 @@
     async def outcome(self, job_id: str) -> tuple[str, float | None] | None: ...
 
 
-class ShardOwnerHouse(Protocol):
+class ShardOwnerContext(Protocol):
     """What of its controller the owner of a shard uses, and no more."""
 
     label: str
@@ -85,8 +85,8 @@
 
 
 class ShardOwner:
-    def __init__(self, house: ShardOwnerHouse, team: Team, revision: int) -> None:
-        self.house = house
+    def __init__(self, context: ShardOwnerContext, team: Team, revision: int) -> None:
+        self.context = context
         self.team = team
         self.claimed_from = revision
         self.phase = OwnershipPhase.CLAIMING
@@ -106,28 +106,28 @@
         self.passed_at = -1e9  # when the last scheduling pass began
         self.turned_at = -1e9  # when the turn under way began
         self.pass_after = 0.0  # a pass that took long is not followed by another at once
-        self.takeover = Takeover(team.name, house.now())
+        self.takeover = Takeover(team.name, context.now())
         self.task = asyncio.create_task(self._run())
 
     # -- changes of state ------------------------------------------------------------------------
 
     def _claimed(self, revision: int) -> None:
         self.phase = OwnershipPhase.LOADING
-        self.takeover.claimed(self.house.now())
+        self.takeover.claimed(self.context.now())
         self.shard = Shard(
             self.team,
             revision,
-            self.house.shared,
-            self.house.operators,
-            self.house.catalog,
-            random.Random(self.house.rng.random()),
-            self.house.bounds,
+            self.context.shared,
+            self.context.operators,
+            self.context.catalog,
+            random.Random(self.context.rng.random()),
+            self.context.bounds,
         )
 
     def _loaded(self) -> None:
         self.phase = OwnershipPhase.ACTIVE
         assert self.shard
-        self.takeover.read(self.shard.taken, self.house.now())
+        self.takeover.read(self.shard.taken, self.context.now())
         for change in self.early:
             change(self.shard)
         self.early.clear()
@@ -146,7 +146,7 @@
             return
         log.info("part %s is no longer ours: %s", self.team.name, why)
         self.phase = OwnershipPhase.LOST
-        self.house.let_go(self)
+        self.context.let_go(self)
         self.wake.set()
 
     # -- what others tell us -----------------------------------------------------------------------
@@ -168,7 +168,7 @@
         )
 
     def _may_renew(self) -> bool:
-        may = self.house.may_renew(self.read_at)
+        may = self.context.may_renew(self.read_at)
         if may is not self.renews:
             self.renews = may
             log.info(
@@ -181,17 +181,17 @@
     async def report(self, report: Report) -> Orders | None:
         if self.phase is not OwnershipPhase.ACTIVE:
             try:
-                async with asyncio.timeout(self.house.workers.report_s / 2):
+                async with asyncio.timeout(self.context.workers.report_s / 2):
                     await self.ready.wait()
             except TimeoutError:
                 return None
         shard = self.shard
         if self.phase is not OwnershipPhase.ACTIVE or shard is None or not self._may_renew():
             return None
-        orders = shard.reports.on_report(report, self.house.now(), checkin=True)
+        orders = shard.reports.on_report(report, self.context.now(), checkin=True)
         if orders is None:
             return None
-        self.takeover.heard(self.house.now())
+        self.takeover.heard(self.context.now())
         if shard.stale or shard.ledger.touched or shard.ledger.changing or shard.urgent:
             self.wake.set()  # most reports say nothing new, and call for no turn
         return Orders(shard.token(shard.machines[report.berth]), orders)
@@ -208,7 +208,7 @@
                     async with asyncio.timeout(self._pause()):
                         await self.wake.wait()
                         # Things come in bunches: what arrives together is decided and written together.
-                        await asyncio.sleep(self.house.gather_s)
+                        await asyncio.sleep(self.context.gather_s)
                 except TimeoutError:
                     pass
         except CompareFailedError as why:
@@ -224,10 +224,10 @@
     async def _claim(self) -> None:
         name = self.team.name
         path = f"part/{name}"
-        store = self.house.store
-        value = {"owner": self.house.label}
+        store = self.context.store
+        value = {"owner": self.context.label}
         revision = await store.txn({path: self.claimed_from}, {path: value})
-        self.house.shards.wrote(path, value, revision)
+        self.context.shards.wrote(path, value, revision)
         held(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
         self._claimed(revision)
         shard = self.shard
@@ -244,13 +244,13 @@
             for entry in machines
             if entry.value["p"] == name
         ]
-        shard.load(mine, list(work), list(parks), self.house.now())
+        shard.load(mine, list(work), list(parks), self.context.now())
         for job in shard.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
-                self.house.jobs_known.saw(job.id, job.record(), job.revision)
+                self.context.jobs_known.saw(job.id, job.record(), job.revision)
         shard.seen = max(shard.seen, seen)
         self._loaded()
-        self.house.tell_claims()
+        self.context.tell_claims()
 
     async def _turn(self) -> None:
         shard = self.shard
@@ -258,32 +258,34 @@
         if self.give_to is not None:
             await self._give(shard, self.give_to)
             return
-        now = self.turned_at = self.house.now()
+        now = self.turned_at = self.context.now()
         shard.tick(now)
         if shard.pipelines.unread and (self.reading is None or self.reading.done()):
             self.reading = asyncio.create_task(self._read_needs(shard))
-        if not self.house.state_fresh():
+        if not self.context.state_fresh():
             shard.wants = []
         elif self._pass_due(shard, now):
             self.passed_at = now
             shard.passes.schedule(now)
-            self.takeover.passed(shard.placed > 0, self.house.now())
+            self.takeover.passed(shard.placed > 0, self.context.now())
             # No more than its share of the processor goes into passes, however large the shard.
-            ended = self.house.now()
+            ended = self.context.now()
             self.pass_after = ended + pause_s(
-                ended - now, pass_share(self.house.owned_shard_count())
+                ended - now, pass_share(self.context.owned_shard_count())
             )
-        self.house.tell_leader(shard)
+        self.context.tell_leader(shard)
         await self._commit(shard)
         self._send_urgent(shard)
 
     def _pass_due(self, shard: Shard, now: float) -> bool:
-        return now >= self.pass_after and (shard.stale or now - self.passed_at > self.house.tick_s)
+        return now >= self.pass_after and (
+            shard.stale or now - self.passed_at > self.context.tick_s
+        )
 
     async def _read_needs(self, shard: Shard) -> None:
         """The watch brings every outcome from here on; what was over before has to be looked up. Its word goes for good,
         whatever the watch brings meanwhile."""
-        jobs = self.house.jobs_known
+        jobs = self.context.jobs_known
         unread = shard.pipelines.unread
         while unread and self.phase is OwnershipPhase.ACTIVE:
             needs = list(unread)[:READS_AT_ONCE]
@@ -294,36 +296,36 @@
             for need, outcome in zip(needs, outcomes, strict=True):
                 unread.pop(need, None)
                 if outcome is not None:
-                    shard.pipelines.settled(need, *outcome, self.house.now())
+                    shard.pipelines.settled(need, *outcome, self.context.now())
                     self.wake.set()
 
     def _pause(self) -> float:
         """Until the next turn, if nothing wakes us: sooner where a pass had to be put off."""
         shard = self.shard
-        tick_s = self.house.tick_s
+        tick_s = self.context.tick_s
         if shard and shard.stale:
-            return min(tick_s, max(self.pass_after - self.house.now(), tick_s / 16))
+            return min(tick_s, max(self.pass_after - self.context.now(), tick_s / 16))
         return tick_s
 
     async def _give(self, shard: Shard, to: str) -> None:
         """Name the next owner in the shard's key, between two of our own transactions. It claims on seeing that."""
         self.give_to = None
-        if to not in self.house.fit_members() or any(
+        if to not in self.context.fit_members() or any(
             machine.sending for machine in shard.machines.values()
         ):
             return
         path = f"part/{shard.name}"
         value = {"owner": to}
         try:
-            revision = await self.house.store.txn({path: shard.revision}, {path: value})
+            revision = await self.context.store.txn({path: shard.revision}, {path: value})
         except StoreUnavailableError:
             # It may yet be applied. Until we know, the fence tells: our next write fails if it was.
             return
-        self.house.shards.wrote(path, value, revision)
+        self.context.shards.wrote(path, value, revision)
         self.lost(f"given to {to}")
 
     async def _commit(self, shard: Shard) -> None:
-        store = self.house.store
+        store = self.context.store
         for _ in range(16):
             txn = shard.ledger.next_txn(store.writes.short, store.writes.per_s)
             if txn is None or self.phase is not OwnershipPhase.ACTIVE:
@@ -345,13 +347,13 @@
                 mark(revision)
             self._publish(txn.writes, revision)
             if shard.placed:
-                self.takeover.durable(self.house.now())
+                self.takeover.durable(self.context.now())
             # Starts go out between transactions, not after the last of them.
             self._send_urgent(shard)
             # Nor is what could start meanwhile, or is late, to wait for the last: where the state service takes few changes a
             # second, sixteen transactions took nine seconds, and no pass was made (cvbc rollout: 5 s a step of a pipeline).
-            now = self.house.now()
-            if now - self.turned_at > self.house.workers.report_s / 4 and self._pass_due(
+            now = self.context.now()
+            if now - self.turned_at > self.context.workers.report_s / 4 and self._pass_due(
                 shard, now
             ):
                 return
@@ -359,14 +361,14 @@
     def _publish(self, writes: dict[str, Any], revision: int) -> None:
         for path, value in writes.items():
             if path.startswith("machine/"):
-                self.house.machines.wrote(path, value, revision)
+                self.context.machines.wrote(path, value, revision)
             elif path.startswith("job/"):
-                self.house.jobs_seen(path, value, revision)
+                self.context.jobs_seen(path, value, revision)
 
     async def _reread(self, shard: Shard, failed: list[str]) -> bool:
         fence = f"part/{shard.name}"
         for path in failed or [fence]:
-            entry = await self.house.store.get(path)
+            entry = await self.context.store.get(path)
             held(self.phase is OwnershipPhase.ACTIVE, "given up while it was being written")
             revision = entry.revision if entry else 0
             if path == fence:
@@ -375,7 +377,7 @@
                     return False
                 continue
             log.info("part %s: %s had changed; taken in", shard.name, path)
-            shard.ledger.reread(path, entry.value if entry else None, revision, self.house.now())
+            shard.ledger.reread(path, entry.value if entry else None, revision, self.context.now())
         return True
 
     # -- orders sent directly --------------------------------------------------------------------------
@@ -391,7 +393,7 @@
             if machine.sending:
                 shard.urgent[name] = None
                 continue
-            orders = shard.direct(machine, self.house.now())
+            orders = shard.direct(machine, self.context.now())
             if orders:
                 machine.sending = True
                 task = asyncio.create_task(self._send(shard, machine, orders, shard.token(machine)))
@@ -402,7 +404,7 @@
         # Under the token that the starts are noted with. It may rise before this runs; sent under the higher one, a start that
         # arrives late would be taken though it counted as harmless.
         try:
-            status, report = await self.house.worker_client.orders(
+            status, report = await self.context.worker_client.orders(
                 machine.address, token, machine.tenure, orders
             )
             # Anything else was not said by the worker, which may still carry them out.
@@ -412,7 +414,7 @@
                 and report.berth == machine.name
                 and self.phase is OwnershipPhase.ACTIVE
             ):
-                shard.reports.on_report(report, self.house.now(), checkin=False)
+                shard.reports.on_report(report, self.context.now(), checkin=False)
             if status != 200:
                 log.debug("machine %s did not take orders: %d", machine.name, status)
         except NoAnswer as why:
--- a/ashdock/upgrade.py
+++ b/ashdock/upgrade.py
@@ -24,7 +24,7 @@
 MARK = f"{UNDER}mark"
 
 
-class UpgradeHouse(Protocol):
+class ClusterVersionContext(Protocol):
     """What of its controller the mark concerns."""
 
     label: str
@@ -35,8 +35,8 @@
 
 
 class Upgrade:
-    def __init__(self, house: UpgradeHouse) -> None:
-        self.house = house
+    def __init__(self, context: ClusterVersionContext) -> None:
+        self.context = context
         self.known = asyncio.Event()  # how it stands: before, our own limits may be too large
         self.missing: list[str] | None = None
         self.forms = 1  # that all controllers are known to know
@@ -47,7 +47,7 @@
 
     @property
     def agreed(self) -> bool:
-        return self.house.bounds.agreed
+        return self.context.bounds.agreed
 
     @property
     def termed(self) -> bool:
@@ -60,8 +60,8 @@
         return self.forms >= 4
 
     async def look(self) -> float | None:
-        house = self.house
-        store = house.store
+        context = self.context
+        store = context.store
         entries, _ = await store.under(UNDER)
         found = {entry.path: entry for entry in entries}
         if MARK in found:
@@ -69,14 +69,14 @@
         self.known.set()
         if self.forms >= FORMS:
             return None
-        ours = f"{UNDER}node/{house.label}"
+        ours = f"{UNDER}node/{context.label}"
         if ours not in found or found[ours].value["forms"] < FORMS:
             await store.txn(
                 {ours: found[ours].revision if ours in found else 0}, {ours: {"forms": FORMS}}
             )
             log.info("announced that this controller is of the new version")
             return 0.0
-        names = sorted({house.label, *(other.label for other in house.others)})
+        names = sorted({context.label, *(other.label for other in context.others)})
         announced = {name: found.get(f"{UNDER}node/{name}") for name in names}
         common = min(int(entry.value["forms"]) if entry else 1 for entry in announced.values())
         if common > self.forms:
@@ -97,14 +97,14 @@
         if missing != self.missing:
             log.info("not yet of the new version: %s", ", ".join(missing))
             self.missing = missing
-        return house.ttl_s / 2
+        return context.ttl_s / 2
 
     def _agree(self, forms: int, why: str) -> None:
         """In force from here on, in this process; the others find the mark when they look next."""
-        house = self.house
-        if forms >= 2 and not house.bounds.agreed:
-            house.bounds.agree()
-            house.store.keep_within()
+        context = self.context
+        if forms >= 2 and not context.bounds.agreed:
+            context.bounds.agree()
+            context.store.keep_within()
         if forms > self.forms:
             self.forms = forms
             if forms >= FORMS:
--- a/ashdock/vouching/word.py
+++ b/ashdock/vouching/word.py
@@ -19,7 +19,7 @@
     def heard_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> bool: ...
 
 
-class WordHouse(Protocol):
+class BroadcasterContext(Protocol):
     """What of its controller this uses, and no more."""
 
     workers: Workers
@@ -36,31 +36,31 @@
 
 
 class OurWord:
-    def __init__(self, house: WordHouse) -> None:
-        self.house = house
-        self.vouched = Vouched(house.workers, house.mesh.peers, house.rng.getrandbits(48))
+    def __init__(self, context: BroadcasterContext) -> None:
+        self.context = context
+        self.vouched = Vouched(context.workers, context.mesh.peers, context.rng.getrandbits(48))
         self.numbers: dict[
             str, int
         ] = {}  # of the others: the last that each sent us, to be sent back
 
     def tell(self, job_id: str, team: str, revision: int, at: float) -> None:
-        if self.house.upgrade.vouched:
-            self.house.mesh.tell(Cancelled([(job_id, team, revision, at)]))
+        if self.context.upgrade.vouched:
+            self.context.mesh.tell(Cancelled([(job_id, team, revision, at)]))
 
     def heard(self, cancelled: Cancelled) -> None:
         """Durable, or it would not have been told: an owner that the state service refuses stops just these jobs, and in time."""
-        house = self.house
+        context = self.context
         for job_id, team, revision, at in cancelled.jobs:
-            if house.front.heard_withdrawn(job_id, team, revision, at):
-                house.cancelled(job_id, team, revision, at)
-                house.settled(job_id, "withdrawn", None)
+            if context.front.heard_withdrawn(job_id, team, revision, at):
+                context.cancelled(job_id, team, revision, at)
+                context.settled(job_id, "withdrawn", None)
 
     def vouch(self, now: float) -> None:
         """With each beat: all that we have learnt of was told before this, on the same link."""
-        if self.house.upgrade.vouched:
+        if self.context.upgrade.vouched:
             number = self.vouched.ask(now)
-            for label in self.house.mesh.peers:
-                self.house.mesh.send(label, Vouch(number, self.numbers.get(label, 0)))
+            for label in self.context.mesh.peers:
+                self.context.mesh.send(label, Vouch(number, self.numbers.get(label, 0)))
 
     def heard_vouch(self, label: str, vouch: Vouch) -> None:
         self.numbers[label] = vouch.number
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -19,7 +19,7 @@
     from_bytes,
     to_bytes,
 )
-from tests.forms.adapter.writers import house, replica
+from tests.forms.adapter.writers import context, replica
 
 
 def front_house(store: Store, values: Plain) -> Any:
@@ -45,7 +45,7 @@
         submission=lambda *words: None,
         question=lambda *words: None,
     )
-    home = house(
+    home = context(
         store,
         admission=admission,
         catalog={} if values.get("no_catalog") else {"g4": machine_type("g4")},
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -104,12 +104,12 @@
 
 def read_final(job_id: str, record: dict[str, Any]) -> Plain:
     """What a front remembers of a job that is over, and what it tells the others."""
-    house = RecordReader()
+    context = RecordReader()
     front: Any = Front.__new__(Front)
-    front.house, front.questions, front.finals = house, house, {}
+    front.context, front.questions, front.finals = context, context, {}
     front.saw(job_id, record, REVISION)
     final = front.finals.get(job_id)
-    return {"final": plain(final), "told": house.told}
+    return {"final": plain(final), "told": context.told}
 
 
 def read_job_record(body: Plain) -> Plain:
@@ -308,7 +308,7 @@
     """`member/<label>`: who may own shards and lead."""
     entries = entries_by_path(values)
     membership: Any = Membership.__new__(Membership)
-    membership.house = SimpleNamespace(members=SimpleNamespace(entries=entries))
+    membership.context = SimpleNamespace(members=SimpleNamespace(entries=entries))
     return membership.fit_members()
 
 
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -44,7 +44,7 @@
     )
 
 
-def house(store: Store, **more: Any) -> Any:
+def context(store: Store, **more: Any) -> Any:
     """What of a controller the writers use."""
     shared = shared_settings()
     client = store_client(store)
@@ -73,7 +73,7 @@
     upgrade = SimpleNamespace(agreed=values["agreed"])
     path = "member/n1"
     entries = [[path, {"incarnation": 5, "fit": True}, 3]]
-    membership = Membership(house(store, upgrade=upgrade, members=replica(entries)), 6.0)
+    membership = Membership(context(store, upgrade=upgrade, members=replica(entries)), 6.0)
     await membership._join()
     store.entries[path] = (None, 3)
     await membership._say_fit(False)
@@ -84,7 +84,7 @@
     owner: Any = ShardOwner.__new__(ShardOwner)
     owner.team, owner.claimed_from = Team("red"), values["revision"]
     owner.phase = OwnershipPhase.LOST  # the claim is written, and the shard is not read
-    owner.house = house(store, shards=replica([]), let_go=lambda owner: None)
+    owner.context = context(store, shards=replica([]), let_go=lambda owner: None)
     try:
         await owner._claim()
     except Exception as error:
@@ -98,7 +98,7 @@
     """Take the leader's key, name the next leader, and drop it."""
     seat = Seat("machines", "leader", "n1", 5)
     holder: Any = Holder.__new__(Holder)
-    holder.house, holder.seat, holder.replica = house(store), seat, replica([])
+    holder.context, holder.seat, holder.replica = context(store), seat, replica([])
     holder.begin, holder.work, holder.free_since, holder.named_at = (
         (lambda seat: None),
         None,
@@ -115,7 +115,7 @@
 
 async def write_upgrade(store: Store, values: Plain) -> None:
     """Look at the announcements and the mark, and write what is due."""
-    await Upgrade(house(store)).look()
+    await Upgrade(context(store)).look()
 
 
 async def write_catalog_records(store: Store, values: Plain) -> None:
@@ -124,7 +124,7 @@
     async def catalog() -> dict[str, messages.MachineType]:
         return {label: machine_type(label) for label in values["labels"]}
 
-    home = house(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
+    home = context(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
     if values["limit"]:
         home.bounds.agreed, home.bounds.value_bytes = True, values["limit"]
     await Kinds(home).learn()
@@ -137,7 +137,7 @@
         """What follows the write is not part of the form."""
 
     leader: Any = Leader.__new__(Leader)
-    leader.house, leader.revision, leader.renting_names = house(store, charters=0), 41, set()
+    leader.context, leader.revision, leader.renting_names = context(store, charters=0), 41, set()
     leader.seat = SimpleNamespace(path="leader", may=lambda now, term: True)
     leader._carry_out = carry_out
     teams = tuple((team, number) for team, number in values["teams"])
@@ -149,7 +149,7 @@
     leader: Any = Leader.__new__(Leader)
     catalog = {"g4": machine_type("g4")}
     pool = [[path, value, revision] for path, (value, revision) in store.entries.items()]
-    leader.house = house(store, machines=replica(pool), catalog=catalog)
+    leader.context = context(store, machines=replica(pool), catalog=catalog)
     leader.revision, leader.seat = 41, SimpleNamespace(path="leader")
     leader.lending, leader.strays, leader.marking, leader.released = {}, {}, set(), {}
     leader.lending, leader.lag_s = set(), 1.0
@@ -225,7 +225,7 @@
     """`upgrade/`: the version that all controllers know, and what follows from it."""
 
     async def run() -> Plain:
-        home = house(Store(entries))
+        home = context(Store(entries))
         upgrade = Upgrade(home)
         await upgrade.look()
         return {
@@ -246,7 +246,7 @@
         raise CloudTrouble("no answer", True)
 
     async def run() -> Plain:
-        home = house(Store(entries), catalog={}, leader=None)
+        home = context(Store(entries), catalog={}, leader=None)
         home.cloud = SimpleNamespace(catalog=catalog)
         await Kinds(home).learn()
         return {label: attributes_of(kind, MACHINE_TYPE) for label, kind in home.catalog.items()}
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -92,8 +92,8 @@
         await service.submit(job(1))
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
-        label, revision = leader.house.label, leader.revision
-        leader.house.charters = leader.charters_before + 5
+        label, revision = leader.context.label, leader.revision
+        leader.context.charters = leader.charters_before + 5
         value = {"teams": [["red", 1]], "t": "g4", "z": "a", "s": False}
         for name in (
             f"{label}.{revision}.{leader.charters_before + 3}",
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -409,7 +409,7 @@
         other._on_frame(owner.label, frames.Leaving("red", shard.telling.leaving()))
         leader = service.controllers[await leading(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
-        leader.allotment.vacating(other.leaving(), leader.house.now())
+        leader.allotment.vacating(other.leaving(), leader.context.now())
         assert leader.allotment.recalling[name][0] == "blue"
         assert await service.until_final(["req-000001"], 120) == []
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -369,7 +369,7 @@
         leader.strays = {
             name: (msgspec.structs.replace(report, berth=name), service.now()) for name in names
         }
-        most = int(LOANS_S * leader.house.store.all.writes)  # shares of it come and go
+        most = int(LOANS_S * leader.context.store.all.writes)  # shares of it come and go
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
         while not begun:
             await asyncio.sleep(0.1)
