--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -15,9 +15,9 @@
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
 from ashdock.core.telling import Owed, Picture, Recalled
-from ashdock.duties.fence import Terms
-from ashdock.duties.holder import Holder
-from ashdock.duties.seat import Seat
+from ashdock.election.election import Election
+from ashdock.election.elector import LeaderElector
+from ashdock.election.fencing import TermFence
 from ashdock.fairness.burden import Burden, Other, Pace
 from ashdock.front import Front, refused, use_of
 from ashdock.kinds import Kinds
@@ -124,17 +124,19 @@
         self.owners: dict[str, ShardOwner] = {}
         self.charters = 0  # counted over all our reigns, since names are never reused
         self.incarnation = self.rng.getrandbits(48)
-        seat = Seat("machines", "leader", self.label, self.incarnation)
-        self.duty: Holder[Leader] = Holder(
+        election = Election("machines", "leader", self.label, self.incarnation)
+        self.elector: LeaderElector[Leader] = LeaderElector(
             self,
-            seat,
+            election,
             self.leaders,
-            lambda seat: Leader(self, seat),
+            lambda election: Leader(self, election),
             settings.operators.duties.machines,
             2 * self.workers.lease_s,
         )
-        self.terms = Terms()
-        self.seats_stir = asyncio.Event()  # something has changed that the seats may follow from
+        self.terms = TermFence()
+        self.election_changed = (
+            asyncio.Event()
+        )  # something has changed that the seats may follow from
         self.remote_pictures: dict[str, tuple[float, Picture]] = {}
         self.remote_leaving: dict[str, tuple[float, Leaving]] = {}
         self.remote_counts: dict[str, dict[str, tuple[int, int]]] = {}
@@ -163,9 +165,9 @@
 
     @property
     def leader(self) -> Leader | None:
-        return self.duty.work
+        return self.elector.work
 
-    def names_next(self) -> bool:
+    def names_successor(self) -> bool:
         return self.upgrade.termed
 
     def load(self) -> dict[str, int]:
@@ -209,7 +211,7 @@
         self.machines.on_change(self._machine_changed)
         self.jobs.on_change(self.jobs_seen)
         self.jobs.on_gap = self._missed_jobs
-        self.leaders.on_change(self._seat_changed)
+        self.leaders.on_change(self._leader_key_changed)
         await self.server.start(*address(self.settings.bind, "bind"))
         await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
         log.info(
@@ -222,7 +224,7 @@
             self.kinds.learn,
             self.upgrade.look,
             self._pace,
-            self._seats,
+            self._run_election,
         ]
         tasks = [
             asyncio.create_task(replica.run())
@@ -234,7 +236,7 @@
         finally:
             for task in tasks:
                 task.cancel()
-            self.duty.lose("it ends")
+            self.elector.lose("it ends")
             for owner in list(self.owners.values()):
                 owner.task.cancel()
             await self.mesh.stop()
@@ -340,31 +342,31 @@
         return self.membership.may_serve()
 
     def renewed(self) -> None:
-        self.seats_stir.set()
+        self.election_changed.set()
 
     def doubted(self) -> None:
-        self.duty.doubt()
+        self.elector.doubt()
 
     def membership_lost(self) -> None:
-        self.duty.lose("our membership had ended")
+        self.elector.lose("our membership had ended")
 
-    async def _seats(self) -> float:
+    async def _run_election(self) -> float:
         """Look at them whenever something they rest on has changed, and now and then."""
         try:
             async with asyncio.timeout(self.ttl_s / 8):
-                await self.seats_stir.wait()
+                await self.election_changed.wait()
         except TimeoutError:
             pass
-        self.seats_stir.clear()
+        self.election_changed.clear()
         if self.catalog:
             try:
-                await self.duty.tend()
+                await self.elector.tend()
             except LeaseLostError:
                 self.membership.lost()
         return 0.0
 
-    def _seat_changed(self, path: str, value: Any, revision: int) -> None:
-        self.seats_stir.set()
+    def _leader_key_changed(self, path: str, value: Any, revision: int) -> None:
+        self.election_changed.set()
         if value is not None and path == "leader":
             self.terms.saw(revision)
             # It chooses nothing before it has heard of every shard, and would hear with our next beat.
--- a/ashdock/duties/spread.py
+++ b/ashdock/election/candidates.py
@@ -8,19 +8,21 @@
 from collections.abc import Collection, Iterable, Mapping
 
 
-def ranked(fit: Iterable[str], allowed: Collection[str], load: Mapping[str, int]) -> list[str]:
+def rank_candidates(
+    fit: Iterable[str], allowed: Collection[str], load: Mapping[str, int]
+) -> list[str]:
     """Who should take the seat, the best first: those that operators allow, then those with the least to do. Where none of the allowed
     is fit all others may: a duty that nobody does costs more than one done in the wrong place."""
     names = sorted(fit, key=lambda label: (load.get(label, 0), label))
     return [label for label in names if not allowed or label in allowed] or names
 
 
-def better(
+def better_candidate(
     label: str, fit: Collection[str], allowed: Collection[str], load: Mapping[str, int]
 ) -> str | None:
     """Whom the holder had better hand its seat to, if to anybody: out of a place that operators do not allow; or from the one with the
     most to do to one that has no more than half of that. Less is not worth a change of hands."""
-    names = ranked(fit, allowed, load)
+    names = rank_candidates(fit, allowed, load)
     if not names or names[0] == label:
         return None
     if label not in names:
--- a/ashdock/duties/seat.py
+++ b/ashdock/election/election.py
@@ -13,33 +13,33 @@
 DRIFT = 1e-3  # a steady clock is off by 0.05%, ours one way and the service's the other
 
 
-class Phase(Enum):
-    OPEN = "open"  # not ours
-    TAKING = "taking"  # our claim is being written
-    SETTLING = "settling"  # ours: what earlier terms left under way is being taken in
-    HOLDING = "holding"
-    DOUBTFUL = "doubtful"  # our lease may have ended: nothing is done until it has been renewed
-    HANDING = (
+class ElectionState(Enum):
+    FOLLOWER = "open"  # not ours
+    CANDIDATE = "taking"  # our claim is being written
+    RECONCILING = "settling"  # ours: what earlier terms left under way is being taken in
+    LEADER = "holding"
+    SUSPENDED = "doubtful"  # our lease may have ended: nothing is done until it has been renewed
+    TRANSFERRING = (
         "handing"  # nothing new is begun; once what is under way is over the next one is named
     )
 
 
-class Stands(Enum):
+class KeyHolder(Enum):
     """What the seat's key says."""
 
-    FREE = "free"
-    FOR_US = "for us"  # names us: it was handed to us, the process before this one took it, or this one on a lease that is over
-    OTHERS = "others"
+    NOBODY = "free"
+    US = "for us"  # names us: it was handed to us, the process before this one took it, or this one on a lease that is over
+    ANOTHER = "others"
 
 
-class Seat:
+class Election:
     def __init__(self, duty: str, path: str, label: str, incarnation: int) -> None:
         """`incarnation`: of this process, for whoever reads the key."""
         self.duty = duty
         self.path = path
         self.label = label
         self.incarnation = incarnation
-        self.phase = Phase.OPEN
+        self.phase = ElectionState.FOLLOWER
         self.term = 0
         self.until = -math.inf  # by our own steady clock; the lease ends no sooner
         self.settled_term = 0
@@ -49,7 +49,7 @@
 
     @property
     def held(self) -> bool:
-        return self.phase not in (Phase.OPEN, Phase.TAKING)
+        return self.phase not in (ElectionState.FOLLOWER, ElectionState.CANDIDATE)
 
     def may(self, now: float, term: int, takes_s: float = 0.0) -> bool:
         """Whether an effect of that term that takes so long may begin. Asked again after each await: whoever stood still meanwhile, or
@@ -57,33 +57,33 @@
         return (
             self.term == term
             and self.held
-            and self.phase is not Phase.DOUBTFUL
+            and self.phase is not ElectionState.SUSPENDED
             and now + takes_s < self.until
         )
 
     def may_choose(self, now: float, term: int) -> bool:
         """Whether something new may be begun: not before what earlier terms began is known, nor once the seat is being handed on."""
-        return self.phase is Phase.HOLDING and self.may(now, term)
+        return self.phase is ElectionState.LEADER and self.may(now, term)
 
-    def stands(self, value: dict[str, Any] | None) -> Stands:
+    def stands(self, value: dict[str, Any] | None) -> KeyHolder:
         if value is None:
-            return Stands.FREE
-        return Stands.FOR_US if value.get("label") == self.label else Stands.OTHERS
+            return KeyHolder.NOBODY
+        return KeyHolder.US if value.get("label") == self.label else KeyHolder.ANOTHER
 
     # -- changes of state -------------------------------------------------------------------------------------
 
     def taking(self) -> None:
-        if self.phase is Phase.OPEN:
-            self.phase = Phase.TAKING
+        if self.phase is ElectionState.FOLLOWER:
+            self.phase = ElectionState.CANDIDATE
 
     def refused(self) -> None:
         """Somebody was quicker, or it is not known what came of it: if it was written, the key will say so."""
-        if self.phase is Phase.TAKING:
-            self.phase = Phase.OPEN
+        if self.phase is ElectionState.CANDIDATE:
+            self.phase = ElectionState.FOLLOWER
 
     def taken(self, term: int, lease_began: float, lease_s: float, now: float) -> None:
-        if self.phase in (Phase.OPEN, Phase.TAKING):
-            self.phase = Phase.SETTLING
+        if self.phase in (ElectionState.FOLLOWER, ElectionState.CANDIDATE):
+            self.phase = ElectionState.RECONCILING
             self.term = term
             self.taken_at = now
             self.renewed(lease_began, lease_s, now)
@@ -92,30 +92,38 @@
         """What earlier terms left is known and counted."""
         if self.term == term:
             self.settled_term = term
-            if self.phase is Phase.SETTLING:
-                self.phase = Phase.HOLDING
+            if self.phase is ElectionState.RECONCILING:
+                self.phase = ElectionState.LEADER
 
     def renewed(self, lease_began: float, lease_s: float, now: float) -> None:
         """Our lease has been renewed by a request that we sent at `lease_began`."""
         self.until = max(self.until, lease_began + lease_s * (1 - DRIFT))
-        if self.phase is Phase.DOUBTFUL and now < self.until:
-            self.phase = Phase.HOLDING if self.settled_term == self.term else Phase.SETTLING
+        if self.phase is ElectionState.SUSPENDED and now < self.until:
+            self.phase = (
+                ElectionState.LEADER
+                if self.settled_term == self.term
+                else ElectionState.RECONCILING
+            )
 
     def look(self, now: float) -> None:
-        if self.phase in (Phase.SETTLING, Phase.HOLDING, Phase.HANDING) and now >= self.until:
-            self.phase = Phase.DOUBTFUL
+        if (
+            self.phase
+            in (ElectionState.RECONCILING, ElectionState.LEADER, ElectionState.TRANSFERRING)
+            and now >= self.until
+        ):
+            self.phase = ElectionState.SUSPENDED
 
     def handing(self) -> None:
-        if self.phase is Phase.HOLDING:
-            self.phase = Phase.HANDING
+        if self.phase is ElectionState.LEADER:
+            self.phase = ElectionState.TRANSFERRING
 
     def kept(self) -> None:
         """It was to be handed on, and is not."""
-        if self.phase is Phase.HANDING:
-            self.phase = Phase.HOLDING
+        if self.phase is ElectionState.TRANSFERRING:
+            self.phase = ElectionState.LEADER
 
     def lost(self, now: float) -> None:
         """Taken by another, handed on, or its lease is over."""
         if self.held:
-            self.phase = Phase.OPEN
+            self.phase = ElectionState.FOLLOWER
             self.until = -math.inf
--- a/ashdock/duties/holder.py
+++ b/ashdock/election/elector.py
@@ -8,8 +8,8 @@
 from typing import Any, Generic, Protocol, TypeVar
 
 from ashdock.core.spans import Spans
-from ashdock.duties.seat import Phase, Seat, Stands
-from ashdock.duties.spread import better, ranked
+from ashdock.election.candidates import better_candidate, rank_candidates
+from ashdock.election.election import Election, ElectionState, KeyHolder
 from ashdock.net.store import (
     CompareFailedError,
     Entry,
@@ -57,22 +57,22 @@
 
     def load(self) -> Mapping[str, int]: ...
 
-    def names_next(self) -> bool: ...
+    def names_successor(self) -> bool: ...
 
 
-class Holder(Generic[Held]):
+class LeaderElector(Generic[Held]):
     def __init__(
         self,
         context: ElectorContext,
-        seat: Seat,
+        election: Election,
         replica: WatchCache,
-        begin: Callable[[Seat], Held],
+        begin: Callable[[Election], Held],
         allowed: Collection[str],
         settle_s: float,
     ) -> None:
         """`settle_s`: a seat is handed on for the sake of load at most once in that time, and given up trying after that."""
         self.context = context
-        self.seat = seat
+        self.election = election
         self.replica = replica
         self.begin = begin
         self.allowed = allowed
@@ -86,7 +86,7 @@
 
     @property
     def entry(self) -> Entry | None:
-        return self.replica.entries.get(self.seat.path)
+        return self.replica.entries.get(self.election.path)
 
     async def tend(self) -> None:
         """Look at the key, our lease and the others, and do what follows. Raises HoldLost, Unavailable."""
@@ -95,7 +95,7 @@
         self._look()
         if self.context.hold is None:
             return
-        if self.seat.held:
+        if self.election.held:
             await self._keep()
         else:
             await self._reclaim()
@@ -103,39 +103,39 @@
 
     def _look(self) -> None:
         now = time.monotonic()
-        seat, entry = self.seat, self.entry
+        election, entry = self.election, self.entry
         if entry is not None:
             self.free_since = None
         elif self.free_since is None:
             self.free_since = now
         if self.context.hold is not None:
-            seat.renewed(self.context.hold_began, self.context.ttl_s, now)
-        if seat.held and (entry is None or entry.revision > seat.term):
+            election.renewed(self.context.hold_began, self.context.ttl_s, now)
+        if election.held and (entry is None or entry.revision > election.term):
             self.lose(
                 "its lease is over" if entry is None else f"{entry.value.get('label')} has it"
             )
-        seat.look(now)
+        election.look(now)
 
     def doubt(self) -> None:
         """Time has gone by without a renewal."""
-        self.seat.look(time.monotonic())
+        self.election.look(time.monotonic())
 
     def lose(self, why: str) -> None:
         if self.work is not None:
             self.work.stop()
             self.work = None
-        if self.seat.held:
+        if self.election.held:
             now = time.monotonic()
             log.info("this controller no longer leads: %s", why)
-            self.held_s.add(now - self.seat.taken_at)
-            self.seat.lost(now)
+            self.held_s.add(now - self.election.taken_at)
+            self.election.lost(now)
 
     # -- taking it -----------------------------------------------------------------------------------------------
 
     async def _try(self) -> None:
-        context, seat, entry = self.context, self.seat, self.entry
-        stands = seat.stands(entry.value if entry else None)
-        if stands is Stands.OTHERS:
+        context, election, entry = self.context, self.election, self.entry
+        stands = election.stands(entry.value if entry else None)
+        if stands is KeyHolder.ANOTHER:
             return
         if not context.may_serve():
             if entry is not None:
@@ -143,19 +143,19 @@
                     entry.revision
                 )  # for others, and they need not wait for the lease of our last life
             return
-        if stands is Stands.FREE and not self._turn():
+        if stands is KeyHolder.NOBODY and not self._turn():
             return
         await self._take(entry)
 
     def _turn(self) -> bool:
         """Each tries a little later than the one it suits better, so that not all write at once."""
-        names = ranked(self.context.fit_members(), self.allowed, self.context.load())
+        names = rank_candidates(self.context.fit_members(), self.allowed, self.context.load())
         place = names.index(self.context.label) if self.context.label in names else len(names)
         free_s = time.monotonic() - (self.free_since or 0.0)
         return free_s >= place * self.context.ttl_s / 8
 
     async def _take(self, entry: Entry | None) -> None:
-        context, seat = self.context, self.seat
+        context, election = self.context, self.election
         hold = context.hold
         # A key that names this very process is taken by a write like any other: it may be that of a lease that is over, of which the watch
         # has not told yet, or a write of ours that was applied after we had given up on it.
@@ -167,51 +167,51 @@
             else "it was ours before"
         )
         gap_since = self.free_since if entry is None else None
-        value = {"label": seat.label, "incarnation": seat.incarnation}
-        seat.taking()
+        value = {"label": election.label, "incarnation": election.incarnation}
+        election.taking()
         try:
             term = await context.store.txn(
-                {seat.path: entry.revision if entry else 0}, {seat.path: value}, hold=hold
+                {election.path: entry.revision if entry else 0}, {election.path: value}, hold=hold
             )
         except CompareFailedError:
-            seat.refused()
+            election.refused()
             return
         except (LeaseLostError, StoreUnavailableError):
-            seat.refused()
+            election.refused()
             raise
-        self.replica.wrote(seat.path, value, term)
+        self.replica.wrote(election.path, value, term)
         if context.hold != hold:  # our membership ended meanwhile, and the key with it
-            seat.refused()
+            election.refused()
             return
         if gap_since is not None:
             self.gap_s.add(time.monotonic() - gap_since)
-        seat.taken(term, context.hold_began, context.ttl_s, time.monotonic())
+        election.taken(term, context.hold_began, context.ttl_s, time.monotonic())
         self.named_at = None
         log.info("this controller leads, stamp %d: %s", term, why)
-        self.work = self.begin(seat)
+        self.work = self.begin(election)
 
     # -- handing it on --------------------------------------------------------------------------------------------
 
     async def _keep(self) -> None:
-        context, seat = self.context, self.seat
+        context, election = self.context, self.election
         now = time.monotonic()
-        if seat.phase is Phase.DOUBTFUL:
+        if election.phase is ElectionState.SUSPENDED:
             return
         if not context.may_serve():
             await self._hand(self._next())
             return
         if (
-            seat.phase is Phase.HOLDING
-            and now - seat.taken_at > self.settle_s
-            and context.names_next()
+            election.phase is ElectionState.LEADER
+            and now - election.taken_at > self.settle_s
+            and context.names_successor()
             and self._next() is not None
         ):
             self.handing_since = now
-            seat.handing()
-        if seat.phase is Phase.HANDING:
+            election.handing()
+        if election.phase is ElectionState.TRANSFERRING:
             to = self._next()
             if to is None or now - self.handing_since > self.settle_s:
-                seat.kept()
+                election.kept()
             elif self.work is None or not self.work.under_way:
                 await self._hand(to)
 
@@ -219,29 +219,29 @@
         context = self.context
         others = [label for label in context.fit_members() if label != context.label]
         if not context.may_serve():
-            return next(iter(ranked(others, self.allowed, context.load())), None)
-        return better(context.label, context.fit_members(), self.allowed, context.load())
+            return next(iter(rank_candidates(others, self.allowed, context.load())), None)
+        return better_candidate(context.label, context.fit_members(), self.allowed, context.load())
 
     async def _hand(self, to: str | None) -> None:
         """Name the next one, which takes the seat on seeing it. The key stays on our own lease until then: should the one named not come,
         it ends with that lease, or is dropped before."""
-        seat = self.seat
-        if to is None or not self.context.names_next():
-            await self._drop(seat.term)
+        election = self.election
+        if to is None or not self.context.names_successor():
+            await self._drop(election.term)
             return
-        value: dict[str, Any] = {"label": to, "incarnation": 0, "by": seat.label}
+        value: dict[str, Any] = {"label": to, "incarnation": 0, "by": election.label}
         try:
             revision = await self.context.store.txn(
-                {seat.path: seat.term}, {seat.path: value}, hold=self.context.hold
+                {election.path: election.term}, {election.path: value}, hold=self.context.hold
             )
         except CompareFailedError:
             return  # the watch will tell who has it
         self.lose(f"handed on to {to}")
         self.named_at = time.monotonic()
-        self.replica.wrote(seat.path, value, revision)
+        self.replica.wrote(election.path, value, revision)
 
     async def _drop(self, revision: int) -> None:
-        path = self.seat.path
+        path = self.election.path
         try:
             gone = await self.context.store.txn({path: revision}, {path: None})
         except CompareFailedError:
@@ -252,7 +252,7 @@
     async def _reclaim(self) -> None:
         """The one we named has not come: free the seat for all."""
         entry = self.entry
-        if self.named_at is None or entry is None or entry.value.get("by") != self.seat.label:
+        if self.named_at is None or entry is None or entry.value.get("by") != self.election.label:
             self.named_at = None
         elif time.monotonic() - self.named_at > self.context.ttl_s:
             self.named_at = None
--- a/ashdock/duties/fence.py
+++ b/ashdock/election/fencing.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 
-class NotHeld(Exception):
+class NotLeaderError(Exception):
     """The duty is not ours at this moment: what was about to be done is not done."""
 
 
-class Terms:
+class TermFence:
     """The highest term that we know of, from the seat's key or from a word that was given under it. Words of lower ones are refused."""
 
     def __init__(self) -> None:
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -14,8 +14,8 @@
 from ashdock.core.machine import images_of, trimmed
 from ashdock.core.stock import Lent
 from ashdock.core.telling import Owed, Picture, Recalled
-from ashdock.duties.fence import NotHeld
-from ashdock.duties.seat import Seat
+from ashdock.election.election import Election
+from ashdock.election.fencing import NotLeaderError
 from ashdock.net.budget import Turn
 from ashdock.net.cloud import CloudClient, CloudTrouble, NoCapacity
 from ashdock.net.store import (
@@ -92,10 +92,10 @@
     """The machines' duty, for one term. Its writes name the seat's key, its words and charters hold the term, and its calls to the cloud
     rest on what is durable and on names never used twice (docs/duties.md)."""
 
-    def __init__(self, context: LeaderContext, seat: Seat) -> None:
+    def __init__(self, context: LeaderContext, election: Election) -> None:
         self.context = context
-        self.seat = seat
-        self.revision = seat.term
+        self.election = election
+        self.revision = election.term
         self.allotment = Allotment(context.shared, context.operators.renting, context.catalog)
         self.strays: dict[
             str, tuple[Report, float]
@@ -133,12 +133,12 @@
     # -- what of it is ours to do -------------------------------------------------------------------------
 
     def _may(self) -> bool:
-        return self.seat.may(time.monotonic(), self.revision)
+        return self.election.may(time.monotonic(), self.revision)
 
     def _guard_call(self) -> None:
         """Before each call to the cloud, which knows no fence: one who stood still for a minute carried on in the middle of it."""
         if not self._may():
-            raise NotHeld
+            raise NotLeaderError
 
     @property
     def under_way(self) -> bool:
@@ -157,7 +157,7 @@
                 if again is None:
                     return
                 await asyncio.sleep(again)
-            except (StoreUnavailableError, CloudTrouble, CompareFailedError, NotHeld) as why:
+            except (StoreUnavailableError, CloudTrouble, CompareFailedError, NotLeaderError) as why:
                 log.debug("%s: %s", loop.__name__, why or "not ours at the moment")
                 await asyncio.sleep(pause)
             except Exception:
@@ -173,7 +173,7 @@
     async def _if_held(job: Any) -> None:
         try:
             await job
-        except NotHeld:
+        except NotLeaderError:
             log.debug("left to the next holder")
 
     # -- choosing ------------------------------------------------------------------------------------
@@ -216,10 +216,10 @@
         now = context.now()
         if not context.state_fresh() or not context.machines.ready.is_set():
             return context.tick_s
-        if not self.seat.may_choose(time.monotonic(), self.revision):
+        if not self.election.may_choose(time.monotonic(), self.revision):
             return context.tick_s / 4
         pictures: dict[str, Picture] = context.pictures()
-        if time.monotonic() - self.seat.taken_at < context.workers.lease_s:
+        if time.monotonic() - self.election.taken_at < context.workers.lease_s:
             self.allotment.vacating(context.leaving(), now)
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
         decisions = self.allotment.decide(self._lent(), pictures, now)
@@ -287,15 +287,15 @@
         while left:
             try:
                 when = {
-                    self.seat.path: self.revision,
+                    self.election.path: self.revision,
                     **{f"machine/{name}": revision for name, (revision, _) in left.items()},
                 }
                 revision = await store.txn(
                     when, {f"machine/{name}": value for name, (_, value) in left.items()}
                 )
             except CompareFailedError as why:
-                if self.seat.path in why.failed:
-                    raise NotHeld from None
+                if self.election.path in why.failed:
+                    raise NotLeaderError from None
                 # Somebody was quicker with some of them: the others are written without.
                 lost = {path.split("/", 1)[1] for path in why.failed} & set(left)
                 log.debug("machines changed meanwhile: %s", ",".join(sorted(lost)))
@@ -391,7 +391,7 @@
             if not self._may():
                 raise StoreUnavailableError("not ours at the moment")
             revision = await context.store.txn(
-                {path: 0, self.seat.path: self.revision}, {path: value}
+                {path: 0, self.election.path: self.revision}, {path: value}
             )
         except (CompareFailedError, StoreUnavailableError) as why:
             log.debug("charter %s not written: %s", name, why)
@@ -440,7 +440,7 @@
                 await self._record(rent, names, now)
             self.undeleted[name] = revision
             await self._forget_charters()
-        except NotHeld:
+        except NotLeaderError:
             # It stands in the state service: we go on with it once our lease is renewed, or whoever comes after us does.
             self.again[name] = (value, revision)
             raise
@@ -455,13 +455,13 @@
         for name, revision in walk(self.undeleted):
             try:
                 await self.context.store.txn(
-                    {f"charter/{name}": revision, self.seat.path: self.revision},
+                    {f"charter/{name}": revision, self.election.path: self.revision},
                     {f"charter/{name}": None},
                     turn=Turn.PATIENT,
                 )
             except CompareFailedError as why:
-                if self.seat.path in why.failed:
-                    raise NotHeld from None
+                if self.election.path in why.failed:
+                    raise NotLeaderError from None
             except StoreUnavailableError as why:
                 log.debug("charter %s not removed: %s", name, why)
                 return
@@ -513,7 +513,7 @@
         known = {name: rent for name, rent in rents.items() if rent.type in self.context.catalog}
         self.allotment.renting_now += known.values()
         self.renting_names.update(rents)
-        self.seat.settled(self.revision)
+        self.election.settled(self.revision)
         for name, (value, revision) in left.items():
             self._spawn(self._carry_out(name, value, revision, known.get(name)))
         return 2 * self.context.workers.lease_s
@@ -588,7 +588,7 @@
         value = self._value(kind, zone, spot, where, "", now)
         try:
             revision = await context.store.txn(
-                {path: 0, self.seat.path: self.revision}, {path: value}
+                {path: 0, self.election.path: self.revision}, {path: value}
             )
             log.info("machine %s adopted", name)
             context.machines.wrote(path, value, revision)
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -17,8 +17,8 @@
 from ashdock.admission.shares import Use
 from ashdock.core.shard import Shard
 from ashdock.core.spans import Spans
-from ashdock.duties.fence import Terms
-from ashdock.duties.seat import Seat
+from ashdock.election.election import Election
+from ashdock.election.fencing import TermFence
 from ashdock.membership import Membership
 from ashdock.net.budget import Turn
 from ashdock.net.cloud import CloudClient
@@ -38,7 +38,7 @@
 
 
 class Duty(Protocol):
-    seat: Seat
+    election: Election
     held_s: Spans
     gap_s: Spans
 
@@ -55,10 +55,10 @@
     upgrade: Upgrade
     worker_client: WorkerClient
     membership: Membership
-    terms: Terms
+    terms: TermFence
 
     @property
-    def duty(self) -> Duty: ...
+    def elector(self) -> Duty: ...
 
     @property
     def owners(self) -> Mapping[str, Owning]: ...
@@ -143,31 +143,31 @@
 
     def _duties(self) -> Iterable[Metric]:
         """Of the duties that only one controller may do, as this one has had them."""
-        duty, terms = self.context.duty, self.context.terms
+        elector, terms = self.context.elector, self.context.terms
         state = GaugeMetricFamily(
             "ashdock_duty_state",
             "1 for the state in which this controller is",
             labels=["duty", "state"],
         )
-        state.add_metric([duty.seat.duty, duty.seat.phase.value], 1.0)
+        state.add_metric([elector.election.duty, elector.election.phase.value], 1.0)
         term = GaugeMetricFamily("ashdock_duty_term", "the highest that is known", labels=["duty"])
-        term.add_metric([duty.seat.duty], float(terms.highest))
+        term.add_metric([elector.election.duty], float(terms.highest))
         refused = CounterMetricFamily(
             "ashdock_duty_words_refused", "of holders that were replaced", labels=["duty"]
         )
-        refused.add_metric([duty.seat.duty], terms.refused)
+        refused.add_metric([elector.election.duty], terms.refused)
         held = HistogramMetricFamily(
             "ashdock_duty_held_seconds",
             "how long this controller held it, each time",
             labels=["duty"],
         )
-        held.add_metric([duty.seat.duty], duty.held_s.rows(), duty.held_s.sum_s)
+        held.add_metric([elector.election.duty], elector.held_s.rows(), elector.held_s.sum_s)
         gap = HistogramMetricFamily(
             "ashdock_duty_gap_seconds",
             "how long nobody held it before this controller did",
             labels=["duty"],
         )
-        gap.add_metric([duty.seat.duty], duty.gap_s.rows(), duty.gap_s.sum_s)
+        gap.add_metric([elector.election.duty], elector.gap_s.rows(), elector.gap_s.sum_s)
         yield from (state, term, refused, held, gap)
 
     def _fairness(self) -> Iterable[Metric]:
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -182,7 +182,7 @@
     ("fairness/served.py", "passes"),
     ("core/allotment.py", "leader's choices"),
     ("leader.py", "leader's choices"),
-    ("duties/", "leader's choices"),
+    ("election/", "leader's choices"),
     ("fairness/", "leader's choices"),
     ("core/losses.py", "leader's choices"),
     ("kinds.py", "leader's choices"),
--- a/tests/courses.py
+++ b/tests/courses.py
@@ -123,7 +123,7 @@
                 self.fleet.boot(holder)
             elif change == "handed on":
                 for controller in self.fleet.controllers.values():
-                    controller.duty.allowed = [f"n{(holder + 1) % 3}"]
+                    controller.elector.allowed = [f"n{(holder + 1) % 3}"]
             elif change == "stood still":
                 self.freeze(host, CHANGE_S / 2)
             else:
@@ -133,7 +133,7 @@
             await asyncio.sleep(max(self.began + CHANGE_S - self._now(), 0.0))
             self.rows.append((change, self.claimed, self.effect))
             for controller in self.fleet.controllers.values():
-                controller.duty.allowed = []
+                controller.elector.allowed = []
 
 
 def filled(text: str, zones: list[str], seed: int | None = None) -> str:
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -15,7 +15,7 @@
 from ashdock.core.park import Park, Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, TaskState
-from ashdock.duties.seat import Seat, Stands
+from ashdock.election.election import Election, KeyHolder
 from ashdock.front import Front
 from ashdock.leader import Leader, rent_of
 from ashdock.membership import Membership
@@ -84,7 +84,7 @@
 
 
 class RecordReader:
-    """Stands in for a front's house and questions: notes what a job's record says."""
+    """KeyHolder in for a front's house and questions: notes what a job's record says."""
 
     def __init__(self) -> None:
         self.told: list[Plain] = []
@@ -320,13 +320,13 @@
     return controller.owner_label("red")
 
 
-LEADERSHIP = {Stands.FREE: "free", Stands.FOR_US: "ours", Stands.OTHERS: "another's"}
+LEADERSHIP = {KeyHolder.NOBODY: "free", KeyHolder.US: "ours", KeyHolder.ANOTHER: "another's"}
 
 
 def read_seat(values: Plain) -> Plain:
     """`leader`: whose it is, seen by a controller."""
-    seat = Seat("machines", "leader", values["label"], 5)
-    return LEADERSHIP[seat.stands(msgspec.json.decode(to_bytes(values["value"])))]
+    election = Election("machines", "leader", values["label"], 5)
+    return LEADERSHIP[election.stands(msgspec.json.decode(to_bytes(values["value"])))]
 
 
 def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from ashdock.core.allotment import Rent
-from ashdock.duties.holder import Holder
-from ashdock.duties.seat import Seat
+from ashdock.election.election import Election
+from ashdock.election.elector import LeaderElector
 from ashdock.kinds import Kinds
 from ashdock.leader import Leader
 from ashdock.membership import Membership
@@ -63,7 +63,7 @@
         "now": lambda: NOW,
         "cut_off": lambda: False,
         "fit_members": lambda: ["n1", "n2"],
-        "names_next": lambda: True,
+        "names_successor": lambda: True,
     }
     return SimpleNamespace(**(base | more))
 
@@ -96,11 +96,11 @@
 
 async def write_leadership(store: Store, values: Plain) -> None:
     """Take the leader's key, name the next leader, and drop it."""
-    seat = Seat("machines", "leader", "n1", 5)
-    holder: Any = Holder.__new__(Holder)
-    holder.context, holder.seat, holder.replica = context(store), seat, replica([])
+    election = Election("machines", "leader", "n1", 5)
+    holder: Any = LeaderElector.__new__(LeaderElector)
+    holder.context, holder.election, holder.replica = context(store), election, replica([])
     holder.begin, holder.work, holder.free_since, holder.named_at = (
-        (lambda seat: None),
+        (lambda election: None),
         None,
         None,
         None,
@@ -138,7 +138,7 @@
 
     leader: Any = Leader.__new__(Leader)
     leader.context, leader.revision, leader.renting_names = context(store, charters=0), 41, set()
-    leader.seat = SimpleNamespace(path="leader", may=lambda now, term: True)
+    leader.election = SimpleNamespace(path="leader", may=lambda now, term: True)
     leader._carry_out = carry_out
     teams = tuple((team, number) for team, number in values["teams"])
     await leader._rent(Rent(teams, values["type"], values["zone"], values["spot"]))
@@ -150,7 +150,7 @@
     catalog = {"g4": machine_type("g4")}
     pool = [[path, value, revision] for path, (value, revision) in store.entries.items()]
     leader.context = context(store, machines=replica(pool), catalog=catalog)
-    leader.revision, leader.seat = 41, SimpleNamespace(path="leader")
+    leader.revision, leader.election = 41, SimpleNamespace(path="leader")
     leader.lending, leader.strays, leader.marking, leader.released = {}, {}, set(), {}
     leader.lending, leader.lag_s = set(), 1.0
     store.entries["leader"] = (None, 41)
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -439,7 +439,7 @@
             owner = service.state.keys.get("part/blue")
             if leads is not None and owner is not None:
                 for controller in service.controllers.values():
-                    controller.duty.allowed = [f"n{(int(owner[0]['owner'][1:]) + leads) % 3}"]
+                    controller.elector.allowed = [f"n{(int(owner[0]['owner'][1:]) + leads) % 3}"]
             await troubles_by_name[one.name](service, luck, one.for_s)
 
         async def cancel(number: int, at_s: float) -> str | None:
--- a/tests/seats.py
+++ b/tests/seats.py
@@ -1,6 +1,6 @@
 """A model of the seat of a duty: controllers, their leases, a store, and effects that arrive late, in every order.
 
-The controllers' side is the program's own `Seat` and `Terms`; the store, the leases and the network are modelled. Times are told from now on,
+The controllers' side is the program's own `Election` and `TermFence`; the store, the leases and the network are modelled. Times are told from now on,
 so states that differ in nothing but the hour are one. `search` walks through all reachable states breadth first and says what was
 violated, with the shortest course that leads there. `without` takes one fence away.
 """
@@ -12,8 +12,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from ashdock.duties.fence import Terms
-from ashdock.duties.seat import Phase, Seat, Stands
+from ashdock.election.election import Election, ElectionState, KeyHolder
+from ashdock.election.fencing import TermFence
 
 LEASE = 2  # ticks
 FENCES = ("lease", "condition", "words", "settling", "stamp", "handing")
@@ -25,7 +25,7 @@
     incarnation: int
     lease: int  # ticks that the store gives its hold from now on; 0: it has none
     believes: bool = False  # that it has one
-    phase: Phase = Phase.OPEN
+    phase: ElectionState = ElectionState.FOLLOWER
     term: int = 0
     until: float = 0.0
     settled: int = 0
@@ -66,29 +66,29 @@
         )
 
     @staticmethod
-    def _put(state: State, n: int, seat: Seat | None = None, **more: Any) -> State:
+    def _put(state: State, n: int, election: Election | None = None, **more: Any) -> State:
         process = state.processes[n]
-        if seat is not None:
+        if election is not None:
             process = process._replace(
-                phase=seat.phase,
-                term=seat.term,
-                until=max(seat.until, 0.0),
-                settled=seat.settled_term,
+                phase=election.phase,
+                term=election.term,
+                until=max(election.until, 0.0),
+                settled=election.settled_term,
             )
         process = process._replace(**more)
         return state._replace(processes=(*state.processes[:n], process, *state.processes[n + 1 :]))
 
     @staticmethod
-    def _seat(state: State, n: int) -> Seat:
+    def _seat(state: State, n: int) -> Election:
         process = state.processes[n]
-        seat = Seat("machines", "leader", str(n), process.incarnation)
-        seat.phase, seat.term, seat.until, seat.settled_term = (
+        election = Election("machines", "leader", str(n), process.incarnation)
+        election.phase, election.term, election.until, election.settled_term = (
             process.phase,
             process.term,
             process.until,
             process.settled,
         )
-        return seat
+        return election
 
     def steps(self, state: State) -> Iterator[tuple[str, State, str]]:
         """What may happen next, the state after it, and what that violates."""
@@ -114,21 +114,25 @@
     def _membership(
         self, state: State, n: int, process: Process
     ) -> Iterator[tuple[str, State, str]]:
-        seat = self._seat(state, n)
+        election = self._seat(state, n)
         if not process.believes:
             yield f"{n} joins", self._put(state, n, lease=LEASE, believes=True), ""
             return
         if process.lease:
-            seat.renewed(0, LEASE, 0)
-            yield f"{n} renews", self._put(state, n, seat, lease=LEASE), ""
+            election.renewed(0, LEASE, 0)
+            yield f"{n} renews", self._put(state, n, election, lease=LEASE), ""
         else:
-            seat.lost(0)
-            yield f"{n} hears that its lease is over", self._put(state, n, seat, believes=False), ""
-        seat = self._seat(state, n)
+            election.lost(0)
+            yield (
+                f"{n} hears that its lease is over",
+                self._put(state, n, election, believes=False),
+                "",
+            )
+        election = self._seat(state, n)
         if process.seen != state.key:
-            if seat.held and (state.key is None or state.key[2] > seat.term):
-                seat.lost(0)
-            yield f"{n} sees the key", self._put(state, n, seat, seen=state.key), ""
+            if election.held and (state.key is None or state.key[2] > election.term):
+                election.lost(0)
+            yield f"{n} sees the key", self._put(state, n, election, seen=state.key), ""
         if state.crashes < self.crashes:
             orphaned = state._replace(on=-1, orphan=process.lease) if state.on == n else state
             born = Process(process.incarnation + 1, 0, seen=state.key)
@@ -139,35 +143,35 @@
             )
 
     def _duty(self, state: State, n: int, process: Process) -> Iterator[tuple[str, State, str]]:
-        seat = self._seat(state, n)
-        stands = seat.stands(
+        election = self._seat(state, n)
+        stands = election.stands(
             None
             if process.seen is None
             else {"label": str(process.seen[0]), "incarnation": process.seen[1]}
         )
         if (
-            seat.phase is Phase.OPEN
-            and stands in (Stands.FREE, Stands.FOR_US)
+            election.phase is ElectionState.FOLLOWER
+            and stands in (KeyHolder.NOBODY, KeyHolder.US)
             and process.lease
             and state.last < self.takes
         ):
             revision = process.seen[2] if process.seen else 0
             if self.without == "stamp" or revision == (state.key[2] if state.key else 0):
                 key = (n, process.incarnation, state.last + 1)
-                seat.taken(key[2], process.lease - LEASE, LEASE, 0)
+                election.taken(key[2], process.lease - LEASE, LEASE, 0)
                 yield (
                     f"{n} takes it",
-                    self._put(state._replace(key=key, on=n, last=key[2]), n, seat, seen=key),
+                    self._put(state._replace(key=key, on=n, last=key[2]), n, election, seen=key),
                     "",
                 )
             return
-        if not seat.held:
+        if not election.held:
             return
         if self.without == "lease":
-            seat.until = 99.0
-        seat.look(0)
+            election.until = 99.0
+        election.look(0)
         ours = state.key == (n, process.incarnation, process.term)
-        if seat.may(0, process.term):
+        if election.may(0, process.term):
             yield (
                 f"{n} calls the cloud",
                 state,
@@ -175,11 +179,11 @@
                 if ours
                 else f"{n} called the cloud in term {process.term}, and the key says {state.key}",
             )
-        chooses = seat.may_choose(0, process.term) or (
-            seat.may(0, process.term)
+        chooses = election.may_choose(0, process.term) or (
+            election.may(0, process.term)
             and (
                 self.without == "settling"
-                or (self.without == "handing" and seat.phase is Phase.HANDING)
+                or (self.without == "handing" and election.phase is ElectionState.TRANSFERRING)
             )
         )
         effect = Effect(self.kind, process.term)
@@ -189,30 +193,30 @@
                 if process.settled == process.term
                 else f"{n} chose before it knew what was under way"
             )
-            if process.phase is Phase.HANDING:
+            if process.phase is ElectionState.TRANSFERRING:
                 told = f"{n} began something new while handing on"
             yield (
                 f"{n} sends a {self.kind}",
                 state._replace(late=tuple(sorted((*state.late, effect)))),
                 told,
             )
-        if seat.phase is Phase.SETTLING and seat.may(0, seat.term):
-            seat.settled(seat.term)
-            yield f"{n} has settled", self._put(state, n, seat), ""
-        elif seat.phase is Phase.HOLDING and seat.may(0, seat.term):
-            seat.handing()
-            yield f"{n} is about to hand on", self._put(state, n, seat), ""
+        if election.phase is ElectionState.RECONCILING and election.may(0, election.term):
+            election.settled(election.term)
+            yield f"{n} has settled", self._put(state, n, election), ""
+        elif election.phase is ElectionState.LEADER and election.may(0, election.term):
+            election.handing()
+            yield f"{n} is about to hand on", self._put(state, n, election), ""
         elif (
-            seat.phase is Phase.HANDING
+            election.phase is ElectionState.TRANSFERRING
             and ours
             and state.last < self.takes
-            and seat.may(0, seat.term)
+            and election.may(0, election.term)
         ):
             key = ((n + 1) % self.controllers, 0, state.last + 1)
-            seat.lost(0)
+            election.lost(0)
             yield (
                 f"{n} names the next",
-                self._put(state._replace(key=key, last=key[2]), n, seat, seen=key),
+                self._put(state._replace(key=key, last=key[2]), n, election, seen=key),
                 "",
             )
 
@@ -228,7 +232,7 @@
                 else "",
             )
             return
-        terms = Terms()
+        terms = TermFence()
         terms.highest = state.heard
         admitted = self.without == "words" or terms.admit(effect.term)
         broken = (
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,9 +11,9 @@
 
 from ashdock.core.allotment import Rent
 from ashdock.core.telling import Recalled
-from ashdock.duties.fence import NotHeld, Terms
-from ashdock.duties.seat import Phase, Seat, Stands
-from ashdock.duties.spread import better, ranked
+from ashdock.election.candidates import better_candidate, rank_candidates
+from ashdock.election.election import Election, ElectionState, KeyHolder
+from ashdock.election.fencing import NotLeaderError, TermFence
 from ashdock.settings import SettingsError, load
 from ashdock.upgrade import FORMS
 from ashdock.wire import frames
@@ -41,42 +41,52 @@
 
 
 COURSES: list[
-    tuple[list[tuple[Any, ...]], Phase, bool, bool]
+    tuple[list[tuple[Any, ...]], ElectionState, bool, bool]
 ] = [  # -> phase, may it act, may it choose, at 10
-    ([("taking",), ("refused",)], Phase.OPEN, False, False),
-    ([("taking",), ("taken", 7, 9.0, 3.0, 9.1)], Phase.SETTLING, True, False),
-    ([("taken", 7, 9.0, 3.0, 9.1), ("settled", 7)], Phase.HOLDING, True, True),
-    ([("taken", 7, 9.0, 3.0, 9.1), ("settled", 6)], Phase.SETTLING, True, False),
-    ([("taken", 7, 6.9, 3.0, 7.0), ("settled", 7), ("look", 10.0)], Phase.DOUBTFUL, False, False),
+    ([("taking",), ("refused",)], ElectionState.FOLLOWER, False, False),
+    ([("taking",), ("taken", 7, 9.0, 3.0, 9.1)], ElectionState.RECONCILING, True, False),
+    ([("taken", 7, 9.0, 3.0, 9.1), ("settled", 7)], ElectionState.LEADER, True, True),
+    ([("taken", 7, 9.0, 3.0, 9.1), ("settled", 6)], ElectionState.RECONCILING, True, False),
+    (
+        [("taken", 7, 6.9, 3.0, 7.0), ("settled", 7), ("look", 10.0)],
+        ElectionState.SUSPENDED,
+        False,
+        False,
+    ),
     (
         [("taken", 7, 6.9, 3.0, 7.0), ("settled", 7), ("look", 10.0), ("renewed", 9.9, 3.0, 10.0)],
-        Phase.HOLDING,
+        ElectionState.LEADER,
         True,
         True,
     ),
     (
         [("taken", 7, 6.9, 3.0, 7.0), ("look", 10.0), ("renewed", 9.9, 3.0, 10.0)],
-        Phase.SETTLING,
+        ElectionState.RECONCILING,
+        True,
+        False,
+    ),
+    (
+        [("taken", 7, 9.0, 3.0, 9.1), ("settled", 7), ("handing",)],
+        ElectionState.TRANSFERRING,
         True,
         False,
     ),
-    ([("taken", 7, 9.0, 3.0, 9.1), ("settled", 7), ("handing",)], Phase.HANDING, True, False),
     (
         [("taken", 7, 9.0, 3.0, 9.1), ("settled", 7), ("handing",), ("kept",)],
-        Phase.HOLDING,
+        ElectionState.LEADER,
         True,
         True,
     ),
     (
         [("taken", 7, 9.0, 3.0, 9.1), ("handing",)],
-        Phase.SETTLING,
+        ElectionState.RECONCILING,
         True,
         False,
     ),  # not before it is settled
-    ([("taken", 7, 9.0, 3.0, 9.1), ("lost", 9.5)], Phase.OPEN, False, False),
+    ([("taken", 7, 9.0, 3.0, 9.1), ("lost", 9.5)], ElectionState.FOLLOWER, False, False),
     (
         [("taken", 6, 8.0, 3.0, 8.1), ("lost", 9.5), ("taken", 9, 9.5, 3.0, 9.6), ("settled", 9)],
-        Phase.HOLDING,
+        ElectionState.LEADER,
         False,
         False,
     ),  # another term
@@ -84,19 +94,25 @@
 
 
 @pytest.mark.parametrize(("course", "phase", "may", "chooses"), COURSES)
-def test_a_seat(course: list[tuple[Any, ...]], phase: Phase, may: bool, chooses: bool) -> None:
-    seat = Seat("machines", "leader", "n1", 5)
+def test_a_seat(
+    course: list[tuple[Any, ...]], phase: ElectionState, may: bool, chooses: bool
+) -> None:
+    election = Election("machines", "leader", "n1", 5)
     for what, *words in course:
-        getattr(seat, what)(*words)
-    assert seat.phase is phase and seat.may(10.0, 7) is may and seat.may_choose(10.0, 7) is chooses
-    assert not seat.may(10.0, 7, takes_s=5.0)
+        getattr(election, what)(*words)
+    assert (
+        election.phase is phase
+        and election.may(10.0, 7) is may
+        and election.may_choose(10.0, 7) is chooses
+    )
+    assert not election.may(10.0, 7, takes_s=5.0)
     keys = [
-        (None, Stands.FREE),
-        ({"label": "n2"}, Stands.OTHERS),
-        ({"label": "n1", "incarnation": 5}, Stands.FOR_US),
+        (None, KeyHolder.NOBODY),
+        ({"label": "n2"}, KeyHolder.ANOTHER),
+        ({"label": "n1", "incarnation": 5}, KeyHolder.US),
     ]
-    for value, stands in [*keys, ({"label": "n1", "incarnation": 0, "by": "n2"}, Stands.FOR_US)]:
-        assert seat.stands(value) is stands
+    for value, stands in [*keys, ({"label": "n1", "incarnation": 0, "by": "n2"}, KeyHolder.US)]:
+        assert election.stands(value) is stands
 
 
 @pytest.mark.parametrize(
@@ -115,7 +131,10 @@
 def test_who_had_better_have_it(
     fit: list[str], allowed: list[str], load: dict[str, int], rank: list[str], next_: str | None
 ) -> None:
-    assert ranked(fit, allowed, load) == rank and better("a", fit, allowed, load) == next_
+    assert (
+        rank_candidates(fit, allowed, load) == rank
+        and better_candidate("a", fit, allowed, load) == next_
+    )
 
 
 def test_words_carry_their_term_and_lower_ones_are_refused() -> None:
@@ -136,7 +155,7 @@
     ):
         with pytest.raises(BadFrame):
             frames.unpack(FrameKind.TERMED, frames.U64.pack(7) + inner)
-    terms = Terms()
+    terms = TermFence()
     assert [terms.admit(term) for term in (5, 5, 4, 9, 5)] == [
         True,
         True,
@@ -175,7 +194,10 @@
 async def leading(service: Service) -> int:
     while service.now() < 300:
         for n, controller in service.controllers.items():
-            if controller.leader is not None and controller.duty.seat.phase is Phase.HOLDING:
+            if (
+                controller.leader is not None
+                and controller.elector.election.phase is ElectionState.LEADER
+            ):
                 return n
         await asyncio.sleep(0.02)
     raise AssertionError("nobody leads")
@@ -245,21 +267,21 @@
         await asyncio.sleep(4)
         first = await leading(service)
         controller = service.controllers[first]
-        leader, seat = controller.leader, controller.duty.seat
+        leader, election = controller.leader, controller.elector.election
         assert leader is not None
-        before, calls = seat.term, len(service.world.charters)
+        before, calls = election.term, len(service.world.charters)
         # As if all of it had slept: its clock has gone on, and nothing of it has run since.
-        seat.until = time.monotonic() - asleep_s
-        with pytest.raises(NotHeld):
+        election.until = time.monotonic() - asleep_s
+        with pytest.raises(NotLeaderError):
             await controller.cloud.rent("late", "g4", "a", False, 1, leader._guard_call)
-        with pytest.raises(NotHeld):
+        with pytest.raises(NotLeaderError):
             leader._guard_call()
         leader._spawn(leader._rent(rent := Rent((("red", 1),), "g4", "a", False)))
         leader.allotment.renting_now.append(rent)
         await asyncio.sleep(0.01)
         assert len(service.world.charters) == calls and rent not in leader.allotment.renting_now
         # Renewed in time, it goes on in its term; replaced, what it still writes fails by the condition.
-        assert await leading(service) == first and seat.term == before
+        assert await leading(service) == first and election.term == before
         service.state.keys["leader"] = (
             {"label": "n9", "incarnation": 1},
             service.state.ledger + 1,
@@ -267,7 +289,7 @@
         )
         await service.state._apply([])
         path = next(path for path in service.state.keys if path.startswith("machine/"))
-        with pytest.raises(NotHeld):
+        with pytest.raises(NotLeaderError):
             await leader._write_some(
                 {path.removeprefix("machine/"): (service.state.keys[path][1], None)}
             )
@@ -296,7 +318,7 @@
             "two parts, three controllers: the third leads"
         )
         for controller in service.controllers.values():
-            controller.duty.allowed = [f"n{(holder + 1) % 3}"]
+            controller.elector.allowed = [f"n{(holder + 1) % 3}"]
         await asyncio.sleep(14)
         assert await leading(service) == (holder + 1) % 3
         named = [i for i in range(1, len(taken)) if taken[i][1] == taken[i - 1][1]]
@@ -322,7 +344,7 @@
         controller = service.controllers[holder]
         gone = (holder + 1) % 3
         service.crash(gone, 60.0)
-        await controller.duty._hand(f"n{gone}")
+        await controller.elector._hand(f"n{gone}")
         assert controller.leader is None
         began = service.now()
         await leading(service)
@@ -430,7 +452,7 @@
         await asyncio.sleep(4)
         assert service.state.keys["upgrade/mark"][0]["forms"] == 2
         assert all(
-            c.upgrade.agreed and not c.upgrade.termed and not c.names_next()
+            c.upgrade.agreed and not c.upgrade.termed and not c.names_successor()
             for c in service.controllers.values()
         )
         service.boot(2)
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -227,7 +227,7 @@
         await asyncio.sleep(12)
         slow = service.controllers[0]
         assert set(slow.owners) == {"red", "blue"} and slow.leader is not None
-        slow.duty.allowed = ["n0"]  # else the lead goes first, to one that owns nothing
+        slow.elector.allowed = ["n0"]  # else the lead goes first, to one that owns nothing
         slow.mesh.beat_s *= 4  # each round of its loop takes four times as long as it is meant to
         await asyncio.sleep(50)
         assert slow.leader is not None and [
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -184,7 +184,7 @@
     owner = await owned(service)
     if course.leads is not None:
         for controller in service.controllers.values():
-            controller.duty.allowed = [f"n{owner if course.leads else (owner + 1) % 3}"]
+            controller.elector.allowed = [f"n{owner if course.leads else (owner + 1) % 3}"]
         await asyncio.sleep(3 * LEASE_S)
         assert (service.controllers[owner].leader is not None) is course.leads
     sessions = {name: worker.tenure for name, worker in service.world.workers.items()}
