--- a/tests/forms/adapter/__init__.py
+++ b/tests/forms/adapter/__init__.py
@@ -30,6 +30,7 @@
     write_status_answer,
     write_submission,
 )
+from tests.forms.adapter.changes import read_again, watch_changes
 from tests.forms.adapter.exchanges import exchange
 from tests.forms.adapter.frames import (
     FRAME_BODY_LIMIT,
@@ -61,6 +62,7 @@
     write_parks,
 )
 from tests.forms.adapter.settings import read_operators, read_settings
+from tests.forms.adapter.takeovers import take_over_leadership, take_over_part
 from tests.forms.adapter.values import Plain, attempt
 from tests.forms.adapter.writers import read_kept_catalog, read_upgrade, transactions
 
@@ -123,6 +125,10 @@
         read_seat,
         read_upgrade,
         read_kept_catalog,
+        watch_changes,
+        read_again,
+        take_over_part,
+        take_over_leadership,
         exchange,
         transactions,
         front_answer,
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -84,7 +84,7 @@
 
 
 class RecordReader:
-    """KeyHolder in for a front's house and questions: notes what a job's record says."""
+    """Stands in for a front's house and questions: notes what a job's record says."""
 
     def __init__(self) -> None:
         self.told: list[Plain] = []
@@ -118,7 +118,8 @@
     job = make_part().add_job(record, REVISION)
     spec = attributes_of(spec_of_record(record), SPEC)
     known = known_of(record, REVISION)
-    read = {"spec": spec, "at": job.submitted, "known": plain(known)}
+    owned = [job.active, job.reason, job.cancelled_at]
+    read = {"spec": spec, "at": job.submitted, "owned": owned, "known": plain(known)}
     return read | read_final(spec["id"], record)
 
 
@@ -326,7 +327,11 @@
 def read_seat(values: Plain) -> Plain:
     """`leader`: whose it is, seen by a controller."""
     election = Election("machines", "leader", values["label"], 5)
-    return LEADERSHIP[election.stands(msgspec.json.decode(to_bytes(values["value"])))]
+    value = msgspec.json.decode(to_bytes(values["value"]))
+    entries = {} if value is None else {"leader": Entry("leader", value, REVISION)}
+    controller: Any = Controller.__new__(Controller)
+    controller.leaders = SimpleNamespace(entries=entries)
+    return [LEADERSHIP[election.stands(value)], controller.leader_label()]
 
 
 def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from ashdock.core.allotment import Rent
+from ashdock.core.shard import Shard
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.kinds import Kinds
@@ -21,6 +22,7 @@
 from ashdock.upgrade import Upgrade
 from ashdock.wire import messages
 from tests.forms.adapter.bodies import MACHINE_TYPE
+from tests.forms.adapter.changes import loaded_part
 from tests.forms.adapter.exchanges import Store, bounded, store_client
 from tests.forms.adapter.records import (
     NOW,
@@ -165,30 +167,21 @@
 
 async def write_part_changes(store: Store, values: Plain) -> None:
     """A shard's own transactions: load it, tell it of reports, and write what is not durable."""
-    shard = make_part()
-    if "limit" in values:
-        shard.bounds.agreed, shard.bounds.value_bytes = True, values["limit"]
-    held = {path: (value, revision) for path, (value, revision) in store.entries.items()}
-
-    def under(prefix: str) -> list[tuple[str, Any, int]]:
-        return [
-            (path, value, revision)
-            for path, (value, revision) in held.items()
-            if path.startswith(prefix)
-        ]
-
-    machines = [
-        (path.split("/", 1)[1], value, revision) for path, value, revision in under("machine/")
-    ]
-    shard.load(machines, under("work/red/"), under("park/red/"), NOW)
+    entries = [[path, value, revision] for path, (value, revision) in store.entries.items()]
+    shard = loaded_part(entries, values.get("limit"))
     shard.tick(NOW)
     shard.passes.schedule(NOW)
-    store.entries["part/red"] = (None, REVISION)
     for report in values.get("reports", ()):
         found = messages.decode_report(to_bytes(report))
         shard.reports.on_report(found, NOW + 1, checkin=True)
     for job_id in values.get("cancelled", ()):
-        shard.cancel(job_id, NOW, held[f"job/{job_id}"][1], NOW)
+        shard.cancel(job_id, NOW, store.entries[f"job/{job_id}"][1], NOW)
+    store.entries["part/red"] = (None, REVISION)
+    await write_all(shard, store)
+
+
+async def write_all(shard: Shard, store: Store) -> None:
+    """Transactions until all is durable."""
     client = store_client(store)
     while (txn := shard.ledger.next_txn()) is not None:
         revision = await client.txn(txn.when, txn.writes)
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -11,16 +11,17 @@
 from typing import Any
 
 from tests.forms import adapter
-from tests.forms.cases import FILES, MISSING, Case, replay
+from tests.forms.cases import FILES, MISSING, RENAMED, Case, replay
 
 Plain = Any
 Given = tuple[str, str, Plain]  # name, operation, input
 OPERATORS = "ashdock.hcl"
-SETTINGS = [
+VARIED_SETTINGS = [
     "settings/three_controllers.toml",
     "settings/single_controller.toml",
     "settings/falling_limits.toml",
 ]
+SETTINGS = [*VARIED_SETTINGS, "settings/five_controllers.toml"]
 OTHER_FILES = [*SETTINGS, OPERATORS]
 
 
@@ -580,6 +581,14 @@
         ("one unfit", [["member/n1", now, 1], ["member/n2", now | {"fit": False}, 2]]),
         ("all unfit", [["member/n1", now | {"fit": False}, 1]]),
         ("before fitness was noted", [["member/n1", {"incarnation": 5}, 1]]),
+        (
+            "one before fitness was noted, one unfit",
+            [["member/n1", {"incarnation": 5}, 1], ["member/n2", now | {"fit": False}, 2]],
+        ),
+        (
+            "one before fitness was noted",
+            [["member/n1", {"incarnation": 5}, 1], ["member/n2", now, 2]],
+        ),
         ("none", []),
     ):
         yield f"members, {name}", "read_members", entries
@@ -828,6 +837,92 @@
     yield case("no head", "part", {}, [[place, running, 7]])
 
 
+# -- changes of records ----------------------------------------------------------------------------
+
+
+def change_cases() -> Iterator[Given]:
+    """What the watch brings, and what is read again after a condition failed."""
+    machine = {"t": "g4", "z": "a", "s": True, "a": "10.1.0.1:9000", "p": "red", "at": AT, "n": 3}
+    queued = json.loads(replay("write_job_record", {"spec": PLAIN_SPEC, "at": AT}))
+    other = json.loads(json.dumps(queued))
+    other["spec"]["id"] = "req-000002"
+    head, place, park = "work/red/req-000001/job", "work/red/req-000001/0", "park/red/0"
+    chunk = {"a": 2, "p": [[3, "vm-1", 2]]}
+    store: list[Plain] = [["machine/vm-1", machine, 5], [head, queued, 6], [place, chunk, 7]]
+    withdrawn = queued | {"status": "withdrawn"}
+    parked = [["req-000001", 7, 9, AT + 60, 2, AT, "error", 0]]
+    blue = json.loads(json.dumps(other))
+    blue["spec"]["team"] = "blue"
+    changes: list[tuple[str, str, Plain]] = [
+        ("a new job", "job/req-000002", other),
+        ("a new job of another team", "job/req-000002", blue),
+        ("a reason", "job/req-000001", queued | {"reason": "no room"}),
+        ("withdrawn", "job/req-000001", withdrawn | {"cancelled_at": AT + 3}),
+        ("withdrawn, before times were noted", "job/req-000001", withdrawn),
+        ("done", "job/req-000001", queued | {"status": "done", "done_at": AT + 9}),
+        ("done, before times were noted", "job/req-000001", queued | {"status": "done"}),
+        ("deleted", "job/req-000001", None),
+        ("a new machine", "machine/vm-2", machine),
+        ("a machine of an unknown type", "machine/vm-2", machine | {"t": "g9"}),
+        ("a machine of another part", "machine/vm-2", machine | {"p": "blue"}),
+        ("a machine given up", "machine/vm-1", machine | {"x": "failed"}),
+        ("a machine lent on", "machine/vm-1", machine | {"p": "blue"}),
+        ("a machine gone", "machine/vm-1", None),
+        ("a machine without a part", "machine/vm-2", {"t": "g4", "z": "a", "s": True}),
+        ("no status", "job/req-000001", {"spec": queued["spec"], "at": AT}),
+    ]
+    for name, path, value in changes:
+        given = {"store": store, "changes": [[path, value, 20]]}
+        yield f"{name}, by the watch", "watch_changes", given
+        yield f"{name}, read again", "read_again", given
+    for path, value in (
+        (place, chunk),
+        (place, None),
+        (f"{place}w8", chunk),
+        (head, None),
+        (park, parked),
+        (park, None),
+    ):
+        given = {"store": store, "changes": [[path, value, 20]]}
+        yield f"{path}: {value}, read again", "read_again", given
+
+
+def takeover_cases() -> Iterator[Given]:
+    """What a controller finds that takes over a part, or the leadership."""
+    machine = {"t": "g4", "z": "a", "s": True, "a": "10.1.0.1:9000", "p": "red", "at": AT, "n": 3}
+    queued = json.loads(replay("write_job_record", {"spec": PLAIN_SPEC, "at": AT, "reason": "r"}))
+    withdrawn = json.loads(json.dumps(queued | {"status": "withdrawn", "cancelled_at": AT + 3}))
+    withdrawn["spec"]["id"] = "req-000002"
+    part: list[Plain] = [
+        ["part/red", {"owner": "n2"}, 4],
+        ["machine/vm-1", machine, 5],
+        ["machine/vm-2", machine | {"p": "blue"}, 5],
+        ["machine/vm-3", machine | {"p": ""}, 5],
+        ["machine/vm-4", machine | {"x": "failed"}, 5],
+        ["work/red/req-000001/job", queued, 6],
+        ["work/red/req-000001/0", {"a": 2, "d": [[0, 2]], "p": [[3, "vm-1", 2]]}, 7],
+        ["work/red/req-000002/job", withdrawn, 8],
+        ["work/red/req-000002/0", {"a": 1, "p": [[0, "vm-1", 1]]}, 9],
+        ["work/blue/req-000003/0", {"a": 1}, 9],
+        ["park/red/0", [["req-000001", 7, 9, AT + 60, 2, AT, "error", 0]], 10],
+        ["park/blue/0", [["req-000003", 7, 9, AT + 60, 2, AT, "error", 0]], 10],
+    ]
+    yield "part", "take_over_part", part
+    yield "part, nothing in it", "take_over_part", part[:1]
+    intent = {"teams": [["red", 2], ["blue", 1]], "t": "g4", "z": "a", "s": True}
+    older = {"team": "red", "n": 3, "t": "g4", "z": "b", "s": False}
+    led: list[Plain] = [
+        ["leader", {"label": "n1", "incarnation": 5}, 41],
+        ["charter/n2.33.1", intent, 5],
+        ["charter/n2.33.2", older, 6],
+        ["charter/n2.33.3", intent | {"t": "g9"}, 7],
+        ["charter/n1.41.1", intent, 8],
+        *part[1:5],
+    ]
+    yield "leadership", "take_over_leadership", led
+    yield "leadership, nothing left", "take_over_leadership", led[:1]
+
+
 # -- what the front answers ------------------------------------------------------------------------
 
 
@@ -946,18 +1041,18 @@
 
 # -- settings --------------------------------------------------------------------------------------
 
-WRONG_TOML = [MISSING, "-1", "0", "1", "2.5", '"x"', "true", "[]", "{}", "inf", "nan", ""]
-WRONG_HCL = [MISSING, "-1", "0", "1", "2.5", '"x"', "true", "[]", "null", ""]
+WRONG_TOML = [MISSING, RENAMED, "-1", "0", "1", "2.5", '"x"', "true", "[]", "{}", "inf", "nan", ""]
+WRONG_HCL = [MISSING, RENAMED, "-1", "0", "1", "2.5", '"x"', "true", "[]", "null", ""]
 
 
 def settings_cases() -> Iterator[Given]:
-    """Each settings file as a whole, and each of its lines wrong or missing."""
+    """Each settings file as a whole, and each line of some of them wrong or missing."""
     for file in SETTINGS:
         yield file, "read_settings", {"file": file}
     yield "with the operators' file", "read_settings", {"file": SETTINGS[0], "operators": OPERATORS}
     for file in SETTINGS[1:]:
         yield f"{file}, others' operators", "read_settings", {"file": file, "operators": OPERATORS}
-    for file in SETTINGS:
+    for file in VARIED_SETTINGS:
         yield from line_cases(file, "vary_settings", WRONG_TOML)
 
 
@@ -983,6 +1078,8 @@
     "records.json": record_cases,
     "exchanges.json": exchange_cases,
     "transactions.json": transaction_cases,
+    "changes.json": change_cases,
+    "takeovers.json": takeover_cases,
     "answers.json": answer_cases,
     "settings.json": settings_cases,
     "operators.json": operators_cases,
