--- a/tests/forms/adapter/__init__.py
+++ b/tests/forms/adapter/__init__.py
@@ -30,6 +30,7 @@
     write_status_answer,
     write_submission,
 )
+from tests.forms.adapter.changes import read_again, watch_changes
 from tests.forms.adapter.exchanges import exchange
 from tests.forms.adapter.frames import (
     FRAME_BODY_LIMIT,
@@ -123,6 +124,8 @@
         read_seat,
         read_upgrade,
         read_kept_catalog,
+        watch_changes,
+        read_again,
         exchange,
         transactions,
         front_answer,
--- /dev/null
+++ b/tests/forms/adapter/changes.py
@@ -0,0 +1,80 @@
+"""Changes of records as a controller hears of them: by its watch, or by a write of its own that failed."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+from typing import Any
+
+from ashdock.controller import Controller
+from ashdock.core.job import JobPhase
+from ashdock.core.part import Part
+from tests.forms.adapter.records import MACHINE_PHASES, NOW, make_part
+from tests.forms.adapter.values import Plain, plain
+
+JOB_PHASES = {
+    JobPhase.ACTIVE: "active",
+    JobPhase.CANCELLED: "cancelled",
+    JobPhase.OVER: "done, not written",
+    JobPhase.ORPHANED: "cancelled with what it needs, not written",
+    JobPhase.FINAL: "written",
+}
+
+
+def part_to_values(part: Part) -> Plain:
+    """What a part holds: jobs with their chunks' revisions, and machines."""
+    jobs = {
+        name: {
+            "phase": JOB_PHASES[job.phase],
+            "revision": job.stamp,
+            "at": job.submitted,
+            "reason": job.reason,
+            "cancelled_at": job.cancelled_at,
+            "chunks": {job.path(chunk.n): chunk.stamp for chunk in job.chunks.values()},
+            "wider": plain(job.wider),
+        }
+        for name, job in part.jobs.items()
+    }
+    machines = {
+        name: [MACHINE_PHASES[machine.phase], machine.why, machine.stamp]
+        for name, machine in part.machines.items()
+    }
+    return {"jobs": jobs, "machines": machines, "parks": part.parks.stamps}
+
+
+def loaded_part(entries: Plain, limit: int | None = None) -> Part:
+    """A part rebuilt from entries; `limit`: bytes of a value, once all controllers are upgraded."""
+
+    def under(prefix: str) -> list[tuple[str, Any, int]]:
+        return [(path, value, stamp) for path, value, stamp in entries if path.startswith(prefix)]
+
+    part = make_part()
+    if limit is not None:
+        part.bounds.agreed, part.bounds.value_bytes = True, limit
+    machines = [(path.split("/", 1)[1], value, stamp) for path, value, stamp in under("machine/")]
+    part.load(machines, under("work/red/"), under("park/red/"), NOW)
+    return part
+
+
+def watch_changes(values: Plain) -> Plain:
+    """Changes brought by the watch: what the part then holds, and what is passed on."""
+    part = loaded_part(values["store"])
+    told: list[Plain] = []
+    controller: Any = Controller.__new__(Controller)
+    owner = SimpleNamespace(team=SimpleNamespace(name="red"), note=lambda change: change(part))
+    controller.owners = {"red": owner}
+    controller.front = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
+    controller.now = lambda: NOW
+    controller.cancelled = lambda *words: told.append(["cancelled", *plain(words)])
+    controller.settled = lambda *words: told.append(["settled", *plain(words)])
+    for path, value, stamp in values["changes"]:
+        hear = controller._machine_changed if path.startswith("machine/") else controller.jobs_seen
+        hear(path, value, stamp)
+    return {"part": part_to_values(part), "told": told}
+
+
+def read_again(values: Plain) -> Plain:
+    """Keys of which a condition of ours failed, read again: what the part then holds."""
+    part = loaded_part(values["store"])
+    for path, value, stamp in values["changes"]:
+        part.ledger.reread(path, value, stamp, NOW)
+    return {"part": part_to_values(part)}
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from ashdock.core.allotment import Rent
+from ashdock.core.part import Part
 from ashdock.duties.holder import Holder
 from ashdock.duties.seat import Seat
 from ashdock.kinds import Kinds
@@ -21,6 +22,7 @@
 from ashdock.upgrade import Upgrade
 from ashdock.wire import messages
 from tests.forms.adapter.bodies import MACHINE_TYPE
+from tests.forms.adapter.changes import loaded_part
 from tests.forms.adapter.exchanges import Store, bounded, store_client
 from tests.forms.adapter.records import (
     NOW,
@@ -165,26 +167,21 @@
 
 async def write_part_changes(store: Store, values: Plain) -> None:
     """A part's own transactions: load it, tell it of reports, and write what is not durable."""
-    part = make_part()
-    if "limit" in values:
-        part.bounds.agreed, part.bounds.value_bytes = True, values["limit"]
-    held = {path: (value, stamp) for path, (value, stamp) in store.entries.items()}
-
-    def under(prefix: str) -> list[tuple[str, Any, int]]:
-        return [
-            (path, value, stamp) for path, (value, stamp) in held.items() if path.startswith(prefix)
-        ]
-
-    machines = [(path.split("/", 1)[1], value, stamp) for path, value, stamp in under("machine/")]
-    part.load(machines, under("work/red/"), under("park/red/"), NOW)
+    entries = [[path, value, stamp] for path, (value, stamp) in store.entries.items()]
+    part = loaded_part(entries, values.get("limit"))
     part.tick(NOW)
     part.passes.schedule(NOW)
-    store.entries["part/red"] = (None, REVISION)
     for report in values.get("reports", ()):
         found = messages.decode_report(to_bytes(report))
         part.reports.on_report(found, NOW + 1, checkin=True)
     for job_id in values.get("cancelled", ()):
-        part.cancel(job_id, NOW, held[f"job/{job_id}"][1], NOW)
+        part.cancel(job_id, NOW, store.entries[f"job/{job_id}"][1], NOW)
+    store.entries["part/red"] = (None, REVISION)
+    await write_all(part, store)
+
+
+async def write_all(part: Part, store: Store) -> None:
+    """Transactions until all is durable."""
     client = store_client(store)
     while (txn := part.ledger.next_txn()) is not None:
         revision = await client.txn(txn.when, txn.writes)
--- a/tests/forms/cases.py
+++ b/tests/forms/cases.py
@@ -17,6 +17,7 @@
 
 Plain = Any
 MISSING = {"missing": True}  # among the values of a variation: the field is left out
+RENAMED = {"renamed": True}  # the line sets a field that nobody knows instead
 FILES = Path(__file__).resolve().parent.parent / "data" / "forms"
 
 
@@ -102,7 +103,12 @@
     key = lines[place].partition("=")[0].strip()
     outcomes = []
     for value in given["values"]:
-        changed = "" if value == MISSING else f"{indent}{key} = {value}"
+        if value == MISSING:
+            changed = ""
+        elif value == RENAMED:
+            changed = lines[place].replace(key, "unknown_field", 1)
+        else:
+            changed = f"{indent}{key} = {value}"
         text = "\n".join([*lines[:place], changed, *lines[place + 1 :]]) + "\n"
         outcomes.append(difference(usual, read_text(given["file"], text, read)))
     return outcomes
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from tests.forms import adapter
-from tests.forms.cases import FILES, MISSING, Case, replay
+from tests.forms.cases import FILES, MISSING, RENAMED, Case, replay
 
 Plain = Any
 Given = tuple[str, str, Plain]  # name, operation, input
@@ -580,6 +580,14 @@
         ("one unfit", [["member/n1", now, 1], ["member/n2", now | {"fit": False}, 2]]),
         ("all unfit", [["member/n1", now | {"fit": False}, 1]]),
         ("before fitness was noted", [["member/n1", {"incarnation": 5}, 1]]),
+        (
+            "one before fitness was noted, one unfit",
+            [["member/n1", {"incarnation": 5}, 1], ["member/n2", now | {"fit": False}, 2]],
+        ),
+        (
+            "one before fitness was noted",
+            [["member/n1", {"incarnation": 5}, 1], ["member/n2", now, 2]],
+        ),
         ("none", []),
     ):
         yield f"members, {name}", "read_members", entries
@@ -828,6 +836,56 @@
     yield case("no head", "part", {}, [[place, running, 7]])
 
 
+# -- changes of records ----------------------------------------------------------------------------
+
+
+def change_cases() -> Iterator[Given]:
+    """What the watch brings, and what is read again after a condition failed."""
+    machine = {"t": "g4", "z": "a", "s": True, "a": "10.1.0.1:9000", "p": "red", "at": AT, "n": 3}
+    queued = json.loads(replay("write_job_record", {"spec": PLAIN_SPEC, "at": AT}))
+    other = json.loads(json.dumps(queued))
+    other["spec"]["id"] = "req-000002"
+    head, place, park = "work/red/req-000001/job", "work/red/req-000001/0", "park/red/0"
+    chunk = {"a": 2, "p": [[3, "vm-1", 2]]}
+    store: list[Plain] = [["machine/vm-1", machine, 5], [head, queued, 6], [place, chunk, 7]]
+    withdrawn = queued | {"status": "withdrawn"}
+    parked = [["req-000001", 7, 9, AT + 60, 2, AT, "error", 0]]
+    blue = json.loads(json.dumps(other))
+    blue["spec"]["team"] = "blue"
+    changes: list[tuple[str, str, Plain]] = [
+        ("a new job", "job/req-000002", other),
+        ("a new job of another team", "job/req-000002", blue),
+        ("a reason", "job/req-000001", queued | {"reason": "no room"}),
+        ("withdrawn", "job/req-000001", withdrawn | {"cancelled_at": AT + 3}),
+        ("withdrawn, before times were noted", "job/req-000001", withdrawn),
+        ("done", "job/req-000001", queued | {"status": "done", "done_at": AT + 9}),
+        ("done, before times were noted", "job/req-000001", queued | {"status": "done"}),
+        ("deleted", "job/req-000001", None),
+        ("a new machine", "machine/vm-2", machine),
+        ("a machine of an unknown type", "machine/vm-2", machine | {"t": "g9"}),
+        ("a machine of another part", "machine/vm-2", machine | {"p": "blue"}),
+        ("a machine given up", "machine/vm-1", machine | {"x": "failed"}),
+        ("a machine lent on", "machine/vm-1", machine | {"p": "blue"}),
+        ("a machine gone", "machine/vm-1", None),
+        ("a machine without a part", "machine/vm-2", {"t": "g4", "z": "a", "s": True}),
+        ("no status", "job/req-000001", {"spec": queued["spec"], "at": AT}),
+    ]
+    for name, path, value in changes:
+        given = {"store": store, "changes": [[path, value, 20]]}
+        yield f"{name}, by the watch", "watch_changes", given
+        yield f"{name}, read again", "read_again", given
+    for path, value in (
+        (place, chunk),
+        (place, None),
+        (f"{place}w8", chunk),
+        (head, None),
+        (park, parked),
+        (park, None),
+    ):
+        given = {"store": store, "changes": [[path, value, 20]]}
+        yield f"{path}: {value}, read again", "read_again", given
+
+
 # -- what the front answers ------------------------------------------------------------------------
 
 
@@ -946,8 +1004,8 @@
 
 # -- settings --------------------------------------------------------------------------------------
 
-WRONG_TOML = [MISSING, "-1", "0", "1", "2.5", '"x"', "true", "[]", "{}", "inf", "nan", ""]
-WRONG_HCL = [MISSING, "-1", "0", "1", "2.5", '"x"', "true", "[]", "null", ""]
+WRONG_TOML = [MISSING, RENAMED, "-1", "0", "1", "2.5", '"x"', "true", "[]", "{}", "inf", "nan", ""]
+WRONG_HCL = [MISSING, RENAMED, "-1", "0", "1", "2.5", '"x"', "true", "[]", "null", ""]
 
 
 def settings_cases() -> Iterator[Given]:
@@ -983,6 +1041,7 @@
     "records.json": record_cases,
     "exchanges.json": exchange_cases,
     "transactions.json": transaction_cases,
+    "changes.json": change_cases,
     "answers.json": answer_cases,
     "settings.json": settings_cases,
     "operators.json": operators_cases,
