--- a/tests/forms/adapter/__init__.py
+++ b/tests/forms/adapter/__init__.py
@@ -62,6 +62,7 @@
     write_parks,
 )
 from tests.forms.adapter.settings import read_operators, read_settings
+from tests.forms.adapter.takeovers import take_over_leadership, take_over_part
 from tests.forms.adapter.values import Plain, attempt
 from tests.forms.adapter.writers import read_kept_catalog, read_upgrade, transactions
 
@@ -126,6 +127,8 @@
         read_kept_catalog,
         watch_changes,
         read_again,
+        take_over_part,
+        take_over_leadership,
         exchange,
         transactions,
         front_answer,
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -52,17 +52,18 @@
     def __init__(self, entries: Iterable[Plain] = ()) -> None:
         super().__init__()
         self.entries = {path: (value, stamp) for path, value, stamp in entries}
-        self.fails: list[str] = []  # paths whose condition fails, once
+        self.reads: list[str] = []
 
     async def request(
         self, method: str, target: str, body: bytes = b"", timeout: float = 0.0, **more: Any
     ) -> tuple[int, bytes]:
-        """Answer as the store does; transactions are noted, and reads are not."""
+        """Answer as the store does; transactions and reads are noted apart."""
         if target == "/holds":
             return 200, b'{"permit":9}'
         if target == "/txn":
             self.requests.append([method, target, from_bytes(body)])
             return self._transaction(msgspec.json.decode(body))
+        self.reads.append(target)
         if target.startswith("/store/"):
             return self._one(target.removeprefix("/store/"))
         under = target.partition("under=")[2].partition("&")[0]
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -118,7 +118,8 @@
     job = make_part().add_job(record, REVISION)
     spec = attributes_of(spec_of_record(record), SPEC)
     known = known_of(record, REVISION)
-    read = {"spec": spec, "at": job.submitted, "known": plain(known)}
+    owned = [job.active, job.reason, job.cancelled_at]
+    read = {"spec": spec, "at": job.submitted, "owned": owned, "known": plain(known)}
     return read | read_final(spec["id"], record)
 
 
@@ -326,7 +327,11 @@
 def read_seat(values: Plain) -> Plain:
     """`leader`: whose it is, seen by a controller."""
     seat = Seat("machines", "leader", values["label"], 5)
-    return LEADERSHIP[seat.stands(msgspec.json.decode(to_bytes(values["value"])))]
+    value = msgspec.json.decode(to_bytes(values["value"]))
+    entries = {} if value is None else {"leader": Entry("leader", value, REVISION)}
+    controller: Any = Controller.__new__(Controller)
+    controller.leaders = SimpleNamespace(entries=entries)
+    return [LEADERSHIP[seat.stands(value)], controller.leader_label()]
 
 
 def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
--- /dev/null
+++ b/tests/forms/adapter/takeovers.py
@@ -0,0 +1,97 @@
+"""Records as a controller finds them when it takes over: a part, or the leadership."""
+
+from __future__ import annotations
+
+from collections.abc import Coroutine
+from types import SimpleNamespace
+from typing import Any
+
+from ashdock.core.allotment import Rent
+from ashdock.leader import Leader
+from ashdock.owner import Owner, OwnerPhase
+from ashdock.recovery import Takeover
+from ashdock.settings import Operators, Team
+from tests.forms.adapter.changes import part_to_values
+from tests.forms.adapter.exchanges import Store, bounded
+from tests.forms.adapter.records import NOW, machine_type
+from tests.forms.adapter.values import Plain, plain
+from tests.forms.adapter.writers import house, replica
+
+
+def take_over_part(entries: Plain) -> Plain:
+    """Claim a part that another owned, and read all that it holds."""
+
+    async def run() -> Plain:
+        store = Store(entries)
+        seen: list[Plain] = []
+        home = house(
+            store,
+            operators=Operators(),
+            catalog={"g4": machine_type("g4")},
+            rng=SimpleNamespace(random=lambda: 0.5),
+            parts=replica([]),
+            jobs_known=SimpleNamespace(saw=lambda job, record, stamp: seen.append([job, stamp])),
+            tell_claims=lambda: None,
+        )
+        owner: Any = Owner.__new__(Owner)
+        owner.house, owner.team, owner.phase = home, Team("red"), OwnerPhase.CLAIMING
+        owner.claimed_from = next(stamp for path, _, stamp in entries if path == "part/red")
+        owner.early, owner.takeover = [], Takeover("red", NOW)
+        owner.ready = SimpleNamespace(set=lambda: None)
+        await owner._claim()
+        parks = [plain(park) for park in owner.part.parks.items]
+        found = part_to_values(owner.part) | {"parked": parks, "known": seen}
+        return {"part": found, "reads": store.reads}
+
+    return bounded(run())
+
+
+def take_over_leadership(entries: Plain) -> Plain:
+    """What an earlier leader set out to rent, and machines that it gave up."""
+
+    async def run() -> Plain:
+        store = Store(entries)
+        released: list[Plain] = []
+        left: list[Coroutine[Any, Any, None]] = []
+
+        async def release(names: list[str], guard: Any) -> None:
+            released.extend(names)
+
+        machines = [entry for entry in entries if entry[0].startswith("machine/")]
+        leader: Any = Leader.__new__(Leader)
+        leader.house = house(
+            store,
+            charters=0,
+            catalog={"g4": machine_type("g4")},
+            machines=replica(machines),
+            cloud=SimpleNamespace(release=release),
+            state_fresh=lambda: True,
+        )
+        leader.stamp, leader.charters_before = 41, 0
+        leader.seat = SimpleNamespace(
+            path="leader", may=lambda now, term: True, settled=lambda term: None
+        )
+        leader.allotment = SimpleNamespace(renting_now=[], settle_s=1.0)
+        leader.again, leader.undeleted, leader.released, leader.strays = {}, {}, {}, {}
+        leader.renting_names, leader._spawn = set(), left.append
+        await leader._settle()
+        await leader._clean()
+        for carried_out in left:
+            carried_out.close()
+        renting = [rent_to_values(rent) for rent in leader.allotment.renting_now]
+        transactions = [body for _, _, body in store.requests]
+        names = sorted(leader.renting_names)
+        return {
+            "renting": renting,
+            "names": names,
+            "released": released,
+            "transactions": transactions,
+            "reads": store.reads,
+        }
+
+    return bounded(run())
+
+
+def rent_to_values(rent: Rent) -> Plain:
+    """A request to the cloud."""
+    return [plain(rent.teams), rent.type, rent.zone, rent.spot]
--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -886,6 +886,42 @@
         yield f"{path}: {value}, read again", "read_again", given
 
 
+def takeover_cases() -> Iterator[Given]:
+    """What a controller finds that takes over a part, or the leadership."""
+    machine = {"t": "g4", "z": "a", "s": True, "a": "10.1.0.1:9000", "p": "red", "at": AT, "n": 3}
+    queued = json.loads(replay("write_job_record", {"spec": PLAIN_SPEC, "at": AT, "reason": "r"}))
+    withdrawn = json.loads(json.dumps(queued | {"status": "withdrawn", "cancelled_at": AT + 3}))
+    withdrawn["spec"]["id"] = "req-000002"
+    part: list[Plain] = [
+        ["part/red", {"owner": "n2"}, 4],
+        ["machine/vm-1", machine, 5],
+        ["machine/vm-2", machine | {"p": "blue"}, 5],
+        ["machine/vm-3", machine | {"p": ""}, 5],
+        ["machine/vm-4", machine | {"x": "failed"}, 5],
+        ["work/red/req-000001/job", queued, 6],
+        ["work/red/req-000001/0", {"a": 2, "d": [[0, 2]], "p": [[3, "vm-1", 2]]}, 7],
+        ["work/red/req-000002/job", withdrawn, 8],
+        ["work/red/req-000002/0", {"a": 1, "p": [[0, "vm-1", 1]]}, 9],
+        ["work/blue/req-000003/0", {"a": 1}, 9],
+        ["park/red/0", [["req-000001", 7, 9, AT + 60, 2, AT, "error", 0]], 10],
+        ["park/blue/0", [["req-000003", 7, 9, AT + 60, 2, AT, "error", 0]], 10],
+    ]
+    yield "part", "take_over_part", part
+    yield "part, nothing in it", "take_over_part", part[:1]
+    intent = {"teams": [["red", 2], ["blue", 1]], "t": "g4", "z": "a", "s": True}
+    older = {"team": "red", "n": 3, "t": "g4", "z": "b", "s": False}
+    led: list[Plain] = [
+        ["leader", {"label": "n1", "incarnation": 5}, 41],
+        ["charter/n2.33.1", intent, 5],
+        ["charter/n2.33.2", older, 6],
+        ["charter/n2.33.3", intent | {"t": "g9"}, 7],
+        ["charter/n1.41.1", intent, 8],
+        *part[1:5],
+    ]
+    yield "leadership", "take_over_leadership", led
+    yield "leadership, nothing left", "take_over_leadership", led[:1]
+
+
 # -- what the front answers ------------------------------------------------------------------------
 
 
@@ -1042,6 +1078,7 @@
     "exchanges.json": exchange_cases,
     "transactions.json": transaction_cases,
     "changes.json": change_cases,
+    "takeovers.json": takeover_cases,
     "answers.json": answer_cases,
     "settings.json": settings_cases,
     "operators.json": operators_cases,
