--- a/tests/forms/samples.py
+++ b/tests/forms/samples.py
@@ -16,11 +16,12 @@
 Plain = Any
 Given = tuple[str, str, Plain]  # name, operation, input
 OPERATORS = "ashdock.hcl"
-SETTINGS = [
+VARIED_SETTINGS = [
     "settings/three_controllers.toml",
     "settings/single_controller.toml",
     "settings/falling_limits.toml",
 ]
+SETTINGS = [*VARIED_SETTINGS, "settings/five_controllers.toml"]
 OTHER_FILES = [*SETTINGS, OPERATORS]
 
 
@@ -1045,13 +1046,13 @@
 
 
 def settings_cases() -> Iterator[Given]:
-    """Each settings file as a whole, and each of its lines wrong or missing."""
+    """Each settings file as a whole, and each line of some of them wrong or missing."""
     for file in SETTINGS:
         yield file, "read_settings", {"file": file}
     yield "with the operators' file", "read_settings", {"file": SETTINGS[0], "operators": OPERATORS}
     for file in SETTINGS[1:]:
         yield f"{file}, others' operators", "read_settings", {"file": file, "operators": OPERATORS}
-    for file in SETTINGS:
+    for file in VARIED_SETTINGS:
         yield from line_cases(file, "vary_settings", WRONG_TOML)
 
 
