--- a/ashdock/vouching/word.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -6,17 +6,17 @@
 import time
 from typing import Protocol
 
+from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.mesh import Mesh
 from ashdock.settings import Workers
 from ashdock.upgrade import Upgrade
-from ashdock.vouching.vouched import Vouched
 from ashdock.wire.frames import Cancelled, Vouch
 
 
-class Over(Protocol):
+class FinishedJobs(Protocol):
     """What this controller remembers of jobs that are over."""
 
-    def heard_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> bool: ...
+    def cancellation_received(self, job_id: str, team: str, revision: int, at: float) -> bool: ...
 
 
 class BroadcasterContext(Protocol):
@@ -28,17 +28,19 @@
     rng: random.Random
 
     @property
-    def front(self) -> Over: ...
+    def front(self) -> FinishedJobs: ...
 
     def cancelled(self, job_id: str, team: str, revision: int, at: float) -> None: ...
 
     def settled(self, job_id: str, status: str, done_at: float | None) -> None: ...
 
 
-class OurWord:
+class CancellationBroadcaster:
     def __init__(self, context: BroadcasterContext) -> None:
         self.context = context
-        self.vouched = Vouched(context.workers, context.mesh.peers, context.rng.getrandbits(48))
+        self.watermark = CancellationWatermark(
+            context.workers, context.mesh.peers, context.rng.getrandbits(48)
+        )
         self.numbers: dict[
             str, int
         ] = {}  # of the others: the last that each sent us, to be sent back
@@ -51,17 +53,17 @@
         """Durable, or it would not have been told: an owner that the state service refuses stops just these jobs, and in time."""
         context = self.context
         for job_id, team, revision, at in cancelled.jobs:
-            if context.front.heard_withdrawn(job_id, team, revision, at):
+            if context.front.cancellation_received(job_id, team, revision, at):
                 context.cancelled(job_id, team, revision, at)
                 context.settled(job_id, "withdrawn", None)
 
     def vouch(self, now: float) -> None:
         """With each beat: all that we have learnt of was told before this, on the same link."""
         if self.context.upgrade.vouched:
-            number = self.vouched.ask(now)
+            number = self.watermark.ask(now)
             for label in self.context.mesh.peers:
                 self.context.mesh.send(label, Vouch(number, self.numbers.get(label, 0)))
 
-    def heard_vouch(self, label: str, vouch: Vouch) -> None:
+    def echo_received(self, label: str, vouch: Vouch) -> None:
         self.numbers[label] = vouch.number
-        self.vouched.answered(label, vouch.back, time.monotonic())
+        self.watermark.answered(label, vouch.back, time.monotonic())
--- a/ashdock/restarts/deputy.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.settings import Workers
-from ashdock.vouching.vouched import Vouched
 from ashdock.wire.messages import Report, split_task
 
 
@@ -27,21 +27,25 @@
     known_at: float
 
 
-class Deputy:
+class OrphanLeaseRenewer:
     """Times are of the steady clock, in seconds."""
 
     def __init__(
-        self, workers: Workers, jobs: Watched, withdrawn: Callable[[str], bool], vouched: Vouched
+        self,
+        workers: Workers,
+        jobs: Watched,
+        withdrawn: Callable[[str], bool],
+        watermark: CancellationWatermark,
     ) -> None:
         self.workers = workers
         self.jobs = jobs
         self.withdrawn = withdrawn
-        self.vouched = vouched
+        self.watermark = watermark
 
     def may_renew(self, report: Report, now: float) -> bool:
         """Whether a worker's lease may be kept by us, who do not own it."""
         # By the state service's word alone: what others vouch for says nothing of a start that the owner which is gone had sent.
-        if now - self.jobs.whole_since < self.workers.cancel_s or not self.vouched.within(
+        if now - self.jobs.whole_since < self.workers.cancel_s or not self.watermark.within(
             self.jobs.known_at, now
         ):
             return False
--- a/ashdock/vouching/vouched.py
+++ b/ashdock/cancellation/watermark.py
@@ -22,20 +22,20 @@
 
 from ashdock.settings import Workers
 
-DRIFT = (
+CLOCK_DRIFT_SHARE = (
     0.002  # of cancel_s: two steady clocks that are off by 0.05% each, with as much again to spare
 )
 LINKS_KEPT = 8  # stretches of each controller's word that are remembered; one that is forgotten only lowers the bound
 
 
-class Word(Enum):
+class LinkState(Enum):
     """How the word of another controller stands on the link that it has to us now."""
 
     UNASKED = "unasked"  # no number of ours is back on it yet
     UNBROKEN = "unbroken"  # all that it has confirmed since the first one came back was told
 
 
-class Stretch:
+class Interval:
     """Of one link: all confirmed from `since` until `upto` was told over it."""
 
     __slots__ = ("since", "upto")
@@ -45,39 +45,39 @@
         self.upto = upto
 
 
-class Link:
+class PeerLink:
     def __init__(self) -> None:
-        self.word = Word.UNASKED
-        self.stretches: deque[Stretch] = deque(maxlen=LINKS_KEPT)
+        self.state = LinkState.UNASKED
+        self.intervals: deque[Interval] = deque(maxlen=LINKS_KEPT)
 
     def renewed(self) -> None:
         """It has made another link to us: whatever was on the one before may be lost."""
-        self.word = Word.UNASKED
+        self.state = LinkState.UNASKED
 
     def answered(self, asked: float, now: float) -> None:
         """A number that we sent at `asked` is back."""
-        if self.word is Word.UNASKED:
-            self.word = Word.UNBROKEN
-            self.stretches.append(Stretch(now, asked))
+        if self.state is LinkState.UNASKED:
+            self.state = LinkState.UNBROKEN
+            self.intervals.append(Interval(now, asked))
         else:
-            self.stretches[-1].upto = max(self.stretches[-1].upto, asked)
+            self.intervals[-1].upto = max(self.intervals[-1].upto, asked)
 
     def carried(self, base: float) -> float:
         """Up to when its confirmations are known, where all were until `base`."""
-        for stretch in self.stretches:
-            if stretch.since <= base:
-                base = max(base, stretch.upto)
+        for interval in self.intervals:
+            if interval.since <= base:
+                base = max(base, interval.upto)
         return base
 
 
-class Vouched:
+class CancellationWatermark:
     """Times are of the steady clock, in seconds. `first`: the number to begin with, drawn anew by each process, so that none answers to
     what one before it asked."""
 
     def __init__(self, workers: Workers, peers: Iterable[str], first: int) -> None:
-        self.bound_s = workers.cancel_s - workers.lease_s - DRIFT * workers.cancel_s
+        self.bound_s = workers.cancel_s - workers.lease_s - CLOCK_DRIFT_SHARE * workers.cancel_s
         self.kept_s = workers.cancel_s
-        self.links = {label: Link() for label in peers}
+        self.links = {label: PeerLink() for label in peers}
         self.number = first
         self.asked: OrderedDict[int, float] = OrderedDict()
 
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -11,6 +11,8 @@
 
 from ashdock.admission.control import Admission
 from ashdock.admission.shares import Use
+from ashdock.cancellation.broadcaster import CancellationBroadcaster
+from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.core.bounds import Bounds
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
@@ -37,11 +39,9 @@
 from ashdock.net.worker import WorkerClient
 from ashdock.recovery import Rise
 from ashdock.relays import Relays
-from ashdock.restarts.deputy import Deputy
 from ashdock.settings import Settings, Team, address
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from ashdock.upgrade import Upgrade
-from ashdock.vouching.word import OurWord
 from ashdock.wire.frames import (
     Ahead,
     Beat,
@@ -103,9 +103,9 @@
             peers,
             self._on_frame,
             beat_s=self.ttl_s / 5,
-            on_link=lambda label: self.word.vouched.linked(label),
+            on_link=lambda label: self.cancellations.watermark.linked(label),
         )
-        self.word: OurWord = OurWord(self)
+        self.cancellations: CancellationBroadcaster = CancellationBroadcaster(self)
         self.machines = WatchCache(self.store, "machine/")
         self.shards = WatchCache(self.store, "part/")
         self.members = WatchCache(self.store, "member/")
@@ -145,8 +145,11 @@
         self.last_report = self.started = time.monotonic()
         self.rise = Rise(self.started)
         self.membership = Membership(self, self.workers.lease_s)
-        self.deputy = Deputy(
-            self.workers, self.jobs, lambda job: self.front.is_withdrawn(job), self.word.vouched
+        self.orphan_leases = OrphanLeaseRenewer(
+            self.workers,
+            self.jobs,
+            lambda job: self.front.is_withdrawn(job),
+            self.cancellations.watermark,
         )
         self.front: Front = Front(self)
         admission = self.admission
@@ -185,8 +188,8 @@
     def jobs_known(self) -> Front:
         return self.front
 
-    def tell_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> None:
-        self.word.tell(job_id, team, revision, at)
+    def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None:
+        self.cancellations.tell(job_id, team, revision, at)
 
     def owned_shard_count(self) -> int:
         return len(self.owners)
@@ -285,11 +288,13 @@
     def may_renew(self, read_at: float) -> bool:
         """Whether running work of a shard that was read at `read_at` may be kept alive: what could have been cancelled without our
         knowledge will be gone in time all the same."""
-        return self.word.vouched.may_renew(max(read_at, self.jobs.known_at), time.monotonic())
+        return self.cancellations.watermark.may_renew(
+            max(read_at, self.jobs.known_at), time.monotonic()
+        )
 
     def cancellations_age(self) -> float:
         now = time.monotonic()
-        return now - self.word.vouched.known_until(self.jobs.known_at, now)
+        return now - self.cancellations.watermark.known_until(self.jobs.known_at, now)
 
     def alone_without_state(self) -> bool:
         """Others are served, or may be: users had better ask them. Where nobody is heard either we are most likely cut off; one that went on
@@ -509,7 +514,7 @@
             *self.store.demand,
         )
         self.mesh.broadcast(beat)
-        self.word.vouch(now)
+        self.cancellations.vouch(now)
         self.tell_claims()
         counts: list[tuple[str, int, int]] = []
         for shard in self._active_shards():
@@ -694,9 +699,9 @@
                     known.clear()  # jobs long over: the next beat names all that are not
                 known.update((job, (done, running)) for job, done, running in jobs)
             case Cancelled():
-                self.word.heard(frame)
+                self.cancellations.heard(frame)
             case Vouch():
-                self.word.heard_vouch(label, frame)
+                self.cancellations.echo_received(label, frame)
             case Relay():
                 self.relays.heard(label, frame)
             case Relayed():
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -12,6 +12,7 @@
 
 from ashdock.admission.control import Admission, Refusal
 from ashdock.admission.shares import Use
+from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.core.bounds import Bounds
 from ashdock.core.job import fitting, job_record, spec_of_record
 from ashdock.core.machine import capacity
@@ -27,7 +28,6 @@
     WatchCache,
 )
 from ashdock.questions import Busy, Known, Questions, known_of
-from ashdock.restarts.deputy import Deputy
 from ashdock.settings import Shared, Workers
 from ashdock.wire import messages
 from ashdock.wire.frames import Relayed
@@ -100,7 +100,7 @@
     store: StoreClient
     machines: WatchCache
     mesh: Mesh
-    deputy: Deputy
+    orphan_leases: OrphanLeaseRenewer
 
     @property
     def owners(self) -> Mapping[str, Answering]: ...
@@ -128,7 +128,7 @@
 
     def metrics(self) -> Answer: ...
 
-    def tell_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> None: ...
+    def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None: ...
 
     def spawn(self, job: Coroutine[Any, Any, Any]) -> None: ...
 
@@ -145,7 +145,7 @@
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
         self.answered: dict[str, float] = {}  # worker: when an owner here last answered it
-        self.deputised: set[str] = (
+        self.orphans_renewed: set[str] = (
             set()
         )  # workers whose leases were kept for an owner that is gone, as the log has told
 
@@ -417,18 +417,18 @@
                 job_id, Final(value["status"], tasks, value.get("reason"), value.get("done_at"))
             )
             if value["status"] == "withdrawn" and not told:
-                self.context.tell_withdrawn(
+                self.context.broadcast_cancellation(
                     job_id, team, revision, value.get("cancelled_at", self.context.now())
                 )
 
-    def heard_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> bool:
+    def cancellation_received(self, job_id: str, team: str, revision: int, at: float) -> bool:
         """Another controller knows it to be withdrawn; whether that is new to us. We tell it on before a user hears it from us: one who
         does not hear the other may hear us."""
         if job_id in self.finals:
             return False
         self.questions.over(job_id)
         self._over(job_id, Final("withdrawn", 0, None, None))
-        self.context.tell_withdrawn(job_id, team, revision, at)
+        self.context.broadcast_cancellation(job_id, team, revision, at)
         return True
 
     def _over(self, job_id: str, final: Final) -> None:
@@ -526,9 +526,9 @@
         label = context.owner_label(team)
         if label is None or label == context.label or relayed:
             # An owner that may not renew must not do so as its own deputy.
-            return (self._deputise(report) if owner is None and not relayed else None) or error(
-                503, "not the owner"
-            )
+            return (
+                self._renew_orphan_lease(report) if owner is None and not relayed else None
+            ) or error(503, "not the owner")
         return await self._elsewhere(report, body, label, team)
 
     def _ownerless(self, report: messages.Report, known: bool) -> Answer:
@@ -546,19 +546,19 @@
             return Answer(421, messages.encode({"harbour": label}))
         return error(503, "lent to nobody yet")
 
-    def _deputise(self, report: messages.Report) -> Answer | None:
+    def _renew_orphan_lease(self, report: messages.Report) -> Answer | None:
         """Keep a worker's lease while nobody can own it."""
         now = time.monotonic()
-        if self.context.state_fresh() or not self.context.deputy.may_renew(report, now):
+        if self.context.state_fresh() or not self.context.orphan_leases.may_renew(report, now):
             return None
-        if report.berth not in self.deputised:
+        if report.berth not in self.orphans_renewed:
             log.info(
                 "keeping the lease of %s, whose owner is gone, while the state service does not answer",
                 report.berth,
             )
-            if len(self.deputised) > 5000:
-                self.deputised.clear()
-            self.deputised.add(report.berth)
+            if len(self.orphans_renewed) > 5000:
+                self.orphans_renewed.clear()
+            self.orphans_renewed.add(report.berth)
         self.answered[report.berth] = now
         return Answer(200, messages.encode(messages.Orders(report.warrant, [])))
 
@@ -602,7 +602,7 @@
             # Up to two seconds have gone by: whoever did not answer may have been replaced.
             label = context.owner_label(team) or label
         if relays or not hears:
-            answer_ours = self._deputise(report)
+            answer_ours = self._renew_orphan_lease(report)
             if answer_ours is not None:
                 return answer_ours
         self.relaying.pop(report.berth, None)
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -60,7 +60,7 @@
         state_fresh=lambda: True,
         ready=lambda: values.get("ready", True),
         heard_worker=lambda: None,
-        tell_withdrawn=lambda *words: None,
+        broadcast_cancellation=lambda *words: None,
         counts=lambda team, job: tuple(values.get("counts", (0, 0))),
     )
     home.bounds.agreed = not values.get("old_controllers")
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -97,7 +97,7 @@
         """The time of day, where a record has none."""
         return NOW
 
-    def tell_withdrawn(self, job_id: str, team: str, revision: int, at: float) -> None:
+    def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None:
         """A cancellation is passed on."""
         self.told.append([job_id, team, revision, at])
 
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.mesh import BACKLOG
-from ashdock.vouching.vouched import Vouched
 from tests.simtime import spawn
 from tests.standins import STATE
 from tests.test_restarts import owned
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize(("what", "base", "said", "known"), KNOWN)
 def test_known_until(what: str, base: float, said: list[Said], known: float) -> None:
-    vouched = Vouched(shared().workers, PEERS, 1 << 40)
+    watermark = CancellationWatermark(shared().workers, PEERS, 1 << 40)
     numbers: dict[float, int] = {}
     for at, one in sorted(
         [(one.at, one) for one in said]
@@ -82,36 +82,36 @@
         key=lambda row: row[0],
     ):
         if one is None:
-            numbers.setdefault(at, vouched.ask(at))
+            numbers.setdefault(at, watermark.ask(at))
         elif one.asked is None:
-            vouched.linked(one.label)
+            watermark.linked(one.label)
         else:
-            vouched.answered(one.label, numbers[one.asked], at)
-    assert vouched.known_until(base, 51.0) == known
+            watermark.answered(one.label, numbers[one.asked], at)
+    assert watermark.known_until(base, 51.0) == known
     bound = BOUND_S - 0.002 * CANCEL_S
-    assert vouched.may_renew(base, known + bound - 0.001) and not vouched.may_renew(
+    assert watermark.may_renew(base, known + bound - 0.001) and not watermark.may_renew(
         base, known + bound
     )
 
 
 @pytest.mark.parametrize("number", [0, 1, (1 << 40) + 9, 1 << 63])
 def test_a_number_that_was_not_asked_lifts_nothing(number: int) -> None:
-    vouched = Vouched(shared().workers, PEERS, 1 << 40)
-    vouched.ask(10.0)
+    watermark = CancellationWatermark(shared().workers, PEERS, 1 << 40)
+    watermark.ask(10.0)
     for label in (*PEERS, "n9"):
-        vouched.answered(label, number, 11.0)
-        vouched.answered(label, number, 40.0)
-    assert vouched.known_until(10.0, 41.0) == 10.0
+        watermark.answered(label, number, 11.0)
+        watermark.answered(label, number, 40.0)
+    assert watermark.known_until(10.0, 41.0) == 10.0
     assert (
-        Vouched(shared().workers, (), 0).known_until(10.0, 41.0) == 41.0
+        CancellationWatermark(shared().workers, (), 0).known_until(10.0, 41.0) == 41.0
     )  # alone, only we confirm
 
 
 def test_old_numbers_are_forgotten() -> None:
-    vouched = Vouched(shared().workers, PEERS, 0)
+    watermark = CancellationWatermark(shared().workers, PEERS, 0)
     for second in range(1000):
-        vouched.ask(float(second))
-    assert len(vouched.asked) <= CANCEL_S + 2
+        watermark.ask(float(second))
+    assert len(watermark.asked) <= CANCEL_S + 2
 
 
 # -- the day, with whole controllers ---------------------------------------------------------------------------
@@ -283,10 +283,10 @@
         owner = await running(service, 1)
         await asyncio.sleep(8)
         heard, teller = service.controllers[owner], service.controllers[(owner + 1) % 3]
-        link = heard.word.vouched.links[teller.label]
-        stretches = len(link.stretches)
+        link = heard.cancellations.watermark.links[teller.label]
+        intervals = len(link.intervals)
         writer = teller.mesh.peers[heard.label].writer
-        assert writer is not None and stretches == 1
+        assert writer is not None and intervals == 1
         service.state.refusing = {f"10.0.0.{owner}"}
         known = heard.jobs.known_at
         if lost == "full":
@@ -304,17 +304,18 @@
         until = link.carried(known)
         if lost == "nothing":
             assert (
-                len(link.stretches) == stretches
+                len(link.intervals) == intervals
                 and until > service.now() - 2
                 and not service.rules.on.get(("req-000001", 0))
             )
         else:
-            assert len(link.stretches) == stretches + 1 and until < service.now() - 2.5
+            assert len(link.intervals) == intervals + 1 and until < service.now() - 2.5
         service.state.refusing = set()
         service.doors = [0, 1, 2]
         await asyncio.sleep(3)
         assert (
-            heard.word.vouched.known_until(heard.jobs.known_at, service.now()) > service.now() - 2
+            heard.cancellations.watermark.known_until(heard.jobs.known_at, service.now())
+            > service.now() - 2
         )
 
     play(monkeypatch, 62, day)
@@ -333,9 +334,9 @@
         await asyncio.sleep(2 * CANCEL_S)
         assert not service.controllers[owner].front.is_withdrawn("req-000001")
         assert all(
-            not link.stretches
+            not link.intervals
             for c in service.controllers.values()
-            for link in c.word.vouched.links.values()
+            for link in c.cancellations.watermark.links.values()
         )
         service.state.down, service.state.refusing = False, set()
         await asyncio.sleep(LEASE_S)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
+from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.http import Client
-from ashdock.restarts.deputy import Deputy
 from ashdock.restarts.lives import Life, Lives
-from ashdock.vouching.vouched import Vouched
 from ashdock.wire import frames
 from ashdock.wire.frames import Beat, Claims, Hello
 from ashdock.wire.messages import Held, Report
@@ -112,11 +112,11 @@
 def test_whose_lease_a_deputy_may_keep(
     whole_since: float, known_at: float, holds: list[str], may: bool
 ) -> None:
-    deputy = Deputy(
+    orphan_leases = OrphanLeaseRenewer(
         shared().workers,
         Jobs(100 + whole_since, 100 + known_at),
         lambda job: job == "req-9",
-        Vouched(shared().workers, ["n1"], 0),
+        CancellationWatermark(shared().workers, ["n1"], 0),
     )
     report = Report(
         "vm-1",
@@ -130,7 +130,7 @@
         None,
         [Held(share, 1, "running") for share in holds],
     )
-    assert deputy.may_renew(report, 100.0) is may
+    assert orphan_leases.may_renew(report, 100.0) is may
 
 
 async def owned(service: Service, team: str = "red") -> int:
