--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -7,9 +7,9 @@
 from typing import Protocol
 
 from ashdock.cancellation.watermark import CancellationWatermark
+from ashdock.cluster_version import ClusterVersion
 from ashdock.net.mesh import Mesh
 from ashdock.settings import Workers
-from ashdock.upgrade import Upgrade
 from ashdock.wire.frames import Cancelled, Vouch
 
 
@@ -24,7 +24,7 @@
 
     workers: Workers
     mesh: Mesh
-    upgrade: Upgrade
+    cluster_version: ClusterVersion
     rng: random.Random
 
     @property
@@ -46,7 +46,7 @@
         ] = {}  # of the others: the last that each sent us, to be sent back
 
     def tell(self, job_id: str, team: str, revision: int, at: float) -> None:
-        if self.context.upgrade.vouched:
+        if self.context.cluster_version.broadcasts_cancellations:
             self.context.mesh.tell(Cancelled([(job_id, team, revision, at)]))
 
     def heard(self, cancelled: Cancelled) -> None:
@@ -59,7 +59,7 @@
 
     def vouch(self, now: float) -> None:
         """With each beat: all that we have learnt of was told before this, on the same link."""
-        if self.context.upgrade.vouched:
+        if self.context.cluster_version.broadcasts_cancellations:
             number = self.watermark.ask(now)
             for label in self.context.mesh.peers:
                 self.context.mesh.send(label, Vouch(number, self.numbers.get(label, 0)))
--- a/ashdock/cli.py
+++ b/ashdock/cli.py
@@ -121,20 +121,20 @@
     set_up_logging()
     import asyncio
 
-    from ashdock import garbage
+    from ashdock import garbage_collection
     from ashdock.controller import Controller
 
     async def run() -> None:
         controller = Controller(settings)
         later = asyncio.create_task(
-            garbage.begin_later(controller.ready, settings.settings.workers.lease_s)
+            garbage_collection.begin_later(controller.ready, settings.settings.workers.lease_s)
         )
         try:
             await controller.run()
         finally:
             later.cancel()
 
-    garbage.put_off()
+    garbage_collection.put_off()
     try:
         asyncio.run(run())
     except KeyboardInterrupt:
--- a/ashdock/upgrade.py
+++ b/ashdock/cluster_version.py
@@ -15,11 +15,11 @@
 from ashdock.net.store import StoreClient
 from ashdock.settings import Other
 
-log = logging.getLogger("ashdock.upgrade")
+log = logging.getLogger("ashdock.cluster_version")
 
 # Of what is written and sent: 1 is all that came before announcements; 2 brought jobs that wait and narrower chunks; 3 words under a
 # term, and a next holder named; 4 cancellations told over the mesh, and vouched for.
-FORMS = 4
+CURRENT_FORMS = 4
 UNDER = "upgrade/"  # no version before reads anything there
 MARK = f"{UNDER}mark"
 
@@ -34,7 +34,7 @@
     store: StoreClient
 
 
-class Upgrade:
+class ClusterVersion:
     def __init__(self, context: ClusterVersionContext) -> None:
         self.context = context
         self.known = asyncio.Event()  # how it stands: before, our own limits may be too large
@@ -46,16 +46,16 @@
         return self.known.is_set()
 
     @property
-    def agreed(self) -> bool:
+    def supports_dependencies(self) -> bool:
         return self.context.bounds.agreed
 
     @property
-    def termed(self) -> bool:
+    def fences_commands(self) -> bool:
         """Whether words go out under a term, and those without one are of a process that has ended."""
         return self.forms >= 3
 
     @property
-    def vouched(self) -> bool:
+    def broadcasts_cancellations(self) -> bool:
         """Whether all controllers tell one another of cancellations."""
         return self.forms >= 4
 
@@ -67,12 +67,13 @@
         if MARK in found:
             self._agree(int(found[MARK].value["forms"]), "as the mark says")
         self.known.set()
-        if self.forms >= FORMS:
+        if self.forms >= CURRENT_FORMS:
             return None
         ours = f"{UNDER}node/{context.label}"
-        if ours not in found or found[ours].value["forms"] < FORMS:
+        if ours not in found or found[ours].value["forms"] < CURRENT_FORMS:
             await store.txn(
-                {ours: found[ours].revision if ours in found else 0}, {ours: {"forms": FORMS}}
+                {ours: found[ours].revision if ours in found else 0},
+                {ours: {"forms": CURRENT_FORMS}},
             )
             log.info("announced that this controller is of the new version")
             return 0.0
@@ -87,12 +88,12 @@
                 {MARK: {"forms": common, "of": names}},
             )
             self._agree(common, "as all have announced it")
-            if common >= FORMS:
+            if common >= CURRENT_FORMS:
                 return None
         missing = [
             name
             for name, entry in announced.items()
-            if entry is None or entry.value["forms"] < FORMS
+            if entry is None or entry.value["forms"] < CURRENT_FORMS
         ]
         if missing != self.missing:
             log.info("not yet of the new version: %s", ", ".join(missing))
@@ -107,7 +108,7 @@
             context.store.keep_within()
         if forms > self.forms:
             self.forms = forms
-            if forms >= FORMS:
+            if forms >= CURRENT_FORMS:
                 self.missing = []
                 log.info("all controllers are of the new version, %s", why)
             else:
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -13,6 +13,7 @@
 from ashdock.admission.shares import Use
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
+from ashdock.cluster_version import ClusterVersion
 from ashdock.core.bounds import Bounds
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
@@ -22,8 +23,9 @@
 from ashdock.election.fencing import TermFence
 from ashdock.fairness.burden import Burden, Other, Pace
 from ashdock.front import Front, refused, use_of
-from ashdock.kinds import Kinds
+from ashdock.heartbeat_forwarder import HeartbeatForwarder
 from ashdock.leader import Leader
+from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
 from ashdock.net.budget import Demand
 from ashdock.net.cloud import CloudClient, CloudTrouble
@@ -37,11 +39,9 @@
     WatchCache,
 )
 from ashdock.net.worker import WorkerClient
-from ashdock.recovery import Rise
-from ashdock.relays import Relays
 from ashdock.settings import Settings, Team, address
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
-from ashdock.upgrade import Upgrade
+from ashdock.timelines import StartupTimeline
 from ashdock.wire.frames import (
     Ahead,
     Beat,
@@ -80,7 +80,7 @@
         self.tick_s = min(self.workers.report_s / 4, self.ttl_s / 8)
         self.gather_s = self.tick_s / 16
         self.bounds = Bounds(self.shared.state)
-        self.upgrade = Upgrade(self)
+        self.cluster_version = ClusterVersion(self)
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
         places = self.admission.shares.certain
@@ -120,7 +120,7 @@
         self.pace = Pace(self.mesh.beat_s)
         self.burden = Burden(self.mesh.beat_s, 2 * self.workers.lease_s)
         self.catalog: dict[str, MachineType] = {}
-        self.kinds = Kinds(self)
+        self.machine_type_catalog = MachineTypeCatalog(self)
         self.owners: dict[str, ShardOwner] = {}
         self.charters = 0  # counted over all our reigns, since names are never reused
         self.incarnation = self.rng.getrandbits(48)
@@ -140,10 +140,10 @@
         self.remote_pictures: dict[str, tuple[float, Picture]] = {}
         self.remote_leaving: dict[str, tuple[float, Leaving]] = {}
         self.remote_counts: dict[str, dict[str, tuple[int, int]]] = {}
-        self.relays = Relays(self)
+        self.heartbeat_forwarder = HeartbeatForwarder(self)
         self.told_ahead: set[str] = set()  # parts whose jobs need others', as last told
         self.last_report = self.started = time.monotonic()
-        self.rise = Rise(self.started)
+        self.startup_timeline = StartupTimeline(self.started)
         self.membership = Membership(self, self.workers.lease_s)
         self.orphan_leases = OrphanLeaseRenewer(
             self.workers,
@@ -171,7 +171,7 @@
         return self.elector.work
 
     def names_successor(self) -> bool:
-        return self.upgrade.termed
+        return self.cluster_version.fences_commands
 
     def load(self) -> dict[str, int]:
         """How many machines the shards of each controller hold."""
@@ -224,8 +224,8 @@
             self.membership.keep,
             self._ownership,
             self._gossip,
-            self.kinds.learn,
-            self.upgrade.look,
+            self.machine_type_catalog.learn,
+            self.cluster_version.look,
             self._pace,
             self._run_election,
         ]
@@ -410,13 +410,13 @@
         replicas = (self.shards, self.members, self.machines, self.jobs)
         if not (
             self.catalog
-            and self.upgrade.looked
+            and self.cluster_version.looked
             and all(replica.ready.is_set() for replica in replicas)
         ):
             return self.tick_s / 4
         if self.hold is None or time.monotonic() > self.membership.until:
             return self.tick_s
-        self.rise.learnt(time.monotonic())
+        self.startup_timeline.learnt(time.monotonic())
         alive = {*self.fit_members(), *([self.label] if self.may_serve() else [])} or {self.label}
         load = dict.fromkeys(sorted(alive), 0)
         orphans: list[Team] = []
@@ -559,7 +559,7 @@
 
     def _tell_ahead(self) -> None:
         """What our shards' jobs make of other shards' jobs that they need: said anew with each beat, as long as there is any."""
-        if not self.upgrade.agreed:
+        if not self.cluster_version.supports_dependencies:
             return
         for shard in self._active_shards():
             rows = shard.pipelines.needs.abroad(shard.jobs)
@@ -614,7 +614,7 @@
         if not leader or leader == self.label:
             return
         self.mesh.send(leader, shard.telling.picture(self.now()))
-        leaving = shard.telling.leaving() if self.upgrade.termed else []
+        leaving = shard.telling.leaving() if self.cluster_version.fences_commands else []
         if leaving:
             self.mesh.send(leader, Leaving(shard.name, leaving))
 
@@ -648,7 +648,9 @@
         if team in self.owners:
             self._told(term, word)
         elif label:
-            self.mesh.send(label, Termed(term, word) if self.upgrade.termed else word)
+            self.mesh.send(
+                label, Termed(term, word) if self.cluster_version.fences_commands else word
+            )
 
     def _told(self, term: int, word: Word) -> None:
         """Refused if a later holder is known: a loan that one decided before it stood still reached the owner after its successor's."""
@@ -687,7 +689,7 @@
             case Termed(term, word):
                 self._told(term, word)
             case Yield() | Recalled() | Give() | Owed():
-                if not self.upgrade.termed:
+                if not self.cluster_version.fences_commands:
                     self._for_shard(frame)
             case Claims():
                 self._claims_of(label, frame)
@@ -703,14 +705,14 @@
             case Vouch():
                 self.cancellations.echo_received(label, frame)
             case Relay():
-                self.relays.heard(label, frame)
+                self.heartbeat_forwarder.heard(label, frame)
             case Relayed():
-                self.relays.answered(frame)
+                self.heartbeat_forwarder.answered(frame)
             case _:
                 pass
 
     async def relay(self, label: str, body: bytes) -> Relayed | None:
-        return await self.relays.relay(label, body)
+        return await self.heartbeat_forwarder.relay(label, body)
 
     def counts(self, team: str, job: str) -> tuple[int, int]:
         owner = self.owners.get(team)
--- a/ashdock/restarts/lives.py
+++ b/ashdock/crash_loop.py
@@ -18,71 +18,71 @@
 import msgspec
 from msgspec import Struct
 
-ENDS_BORNE = 2  # in quick succession: a roll, or an accident and what followed from it
-CALM_LEASES = (
+TOLERATED_RESTARTS = 2  # in quick succession: a roll, or an accident and what followed from it
+FORGET_AFTER_LEASES = (
     2  # workers' leases for which a process has to live until one of its ends is forgotten
 )
-BOUND_LEASES = 2  # workers' leases that a probation lasts at most
+LONGEST_PROBATION_LEASES = 2  # workers' leases that a probation lasts at most
 
 
-class Record(Struct):
+class RestartRecord(Struct):
     """As it is kept: ends in quick succession before this life, and when it began (time of day, seconds)."""
 
     ends: int = 0
     at: float = 0.0
 
 
-class Life(Enum):
+class StabilityState(Enum):
     UNKNOWN = "unknown"  # not yet read how the lives before ended
     PROBATION = "probation"  # shards and lead are for others
     STEADY = "steady"
 
 
-class Lives:
+class CrashLoopDetector:
     """`ttl_s`: of a member's lease; a first probation lasts two of them, each further one twice as long."""
 
     def __init__(self, ttl_s: float, lease_s: float) -> None:
         self.first_s = 2 * ttl_s
-        self.calm_s = CALM_LEASES * lease_s
-        self.bound_s = BOUND_LEASES * lease_s
-        self.state = Life.UNKNOWN
-        self.record = Record()
+        self.calm_s = FORGET_AFTER_LEASES * lease_s
+        self.bound_s = LONGEST_PROBATION_LEASES * lease_s
+        self.state = StabilityState.UNKNOWN
+        self.record = RestartRecord()
         self.until = 0.0  # time of day when the probation is over
 
     @property
     def steady(self) -> bool:
-        return self.state is not Life.PROBATION
+        return self.state is not StabilityState.PROBATION
 
     def probation_s(self) -> float:
         """How long this life has to last before shards and lead are for it as well."""
-        over = self.record.ends - ENDS_BORNE
+        over = self.record.ends - TOLERATED_RESTARTS
         return min(self.first_s * 2.0 ** min(over - 1, 32), self.bound_s) if over > 0 else 0.0
 
-    def begun(self, kept: Any, others: Iterable[Any], now: float) -> Record:
+    def process_started(self, kept: Any, others: Iterable[Any], now: float) -> RestartRecord:
         """A life has begun; `kept` is what the one before left (None: there was none), `others` what other controllers have kept.
         What is to be kept from now on."""
-        if self.state is Life.UNKNOWN:
+        if self.state is StabilityState.UNKNOWN:
             if kept is not None:
-                before = _record_of(kept)
+                before = _decoded(kept)
                 lived_s = max(now - before.at, 0.0)
                 self.record.ends = max(before.ends - int(lived_s / self.calm_s), 0) + 1
             self.record.at = round(now, 3)
             alone = not any(
-                record.ends and now - record.at < self.calm_s for record in map(_record_of, others)
+                record.ends and now - record.at < self.calm_s for record in map(_decoded, others)
             )
             self.until = now + (self.probation_s() if alone else 0.0)
-            self.state = Life.PROBATION if self.until > now else Life.STEADY
+            self.state = StabilityState.PROBATION if self.until > now else StabilityState.STEADY
         return self.record
 
     def look(self, now: float) -> None:
         """Time has gone by."""
-        if self.state is Life.PROBATION and now >= self.until:
-            self.state = Life.STEADY
+        if self.state is StabilityState.PROBATION and now >= self.until:
+            self.state = StabilityState.STEADY
 
 
-def _record_of(kept: Any) -> Record:
+def _decoded(kept: Any) -> RestartRecord:
     """What cannot be read counts as a life that ended well: it must keep nobody from serving."""
     try:
-        return msgspec.convert(kept, Record)
+        return msgspec.convert(kept, RestartRecord)
     except msgspec.ValidationError:
-        return Record()
+        return RestartRecord()
--- a/ashdock/fairness/served.py
+++ b/ashdock/fairness/served.py
@@ -63,11 +63,11 @@
     aim_s: float  # math.inf: no aim for its start
     due_at: float  # math.inf: no deadline
     accepted: bool = False
-    begun: int = 0
+    process_started: int = 0
     in_time: int = 0
 
     def row(self, now: float, done: bool = False) -> Row:
-        by_aim = now >= self.made_at + self.aim_s or self.begun >= self.tasks
+        by_aim = now >= self.made_at + self.aim_s or self.process_started >= self.tasks
         by_deadline = done or now >= self.due_at
         no_aim = math.isinf(self.aim_s) and math.isinf(self.due_at)
         due = (by_aim and not math.isinf(self.aim_s)) or (
@@ -78,7 +78,7 @@
         return Row(
             1,
             int(self.accepted),
-            int(self.begun >= self.tasks),
+            int(self.process_started >= self.tasks),
             int(done),
             int(due),
             served if due else 0.0,
@@ -114,9 +114,9 @@
     def started(self, job: str, tasks: int, at: float) -> None:
         """So many more of its tasks run. A task that starts again does not count again beyond the job's number."""
         known = self.open.get(job)
-        if known is None or known.begun >= known.tasks:
+        if known is None or known.process_started >= known.tasks:
             return
-        known.begun += tasks
+        known.process_started += tasks
         waited = at - known.made_at
         if waited <= known.aim_s:
             known.in_time += tasks
@@ -134,7 +134,9 @@
     def withdrawn(self, job: str) -> None:
         known = self.open.pop(job, None)
         if known is not None:
-            self._close(known, Row(1, int(known.accepted), int(known.begun >= known.tasks)))
+            self._close(
+                known, Row(1, int(known.accepted), int(known.process_started >= known.tasks))
+            )
 
     def _close(self, known: _Open, row: Row) -> None:
         key = known.job_class, known.team
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -589,8 +589,8 @@
         hears = context.mesh.hears(label, context.ttl_s)
         # Relayed for as long as a lease lasts, it tries its owner again.
         home = since is not None and now - since.at >= lease
-        relays = not home and ((was_there and hears) or came_back or since is not None)
-        if relays:
+        heartbeat_forwarder = not home and ((was_there and hears) or came_back or since is not None)
+        if heartbeat_forwarder:
             answer = await context.relay(label, body)
             if answer is not None and answer.status == 200:
                 if since is None:
@@ -601,7 +601,7 @@
                 return Answer(200, answer.body)
             # Up to two seconds have gone by: whoever did not answer may have been replaced.
             label = context.owner_label(team) or label
-        if relays or not hears:
+        if heartbeat_forwarder or not hears:
             answer_ours = self._renew_orphan_lease(report)
             if answer_ours is not None:
                 return answer_ours
--- a/ashdock/relays.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -32,7 +32,7 @@
     def spawn(self, job: Coroutine[Any, Any, Any]) -> None: ...
 
 
-class Relays:
+class HeartbeatForwarder:
     def __init__(self, context: ForwarderContext) -> None:
         self.context = context
         self.waiting: dict[int, asyncio.Future[Relayed]] = {}
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from ashdock.admission.processor import CHOOSING, pause_s
-from ashdock.again import walk
+from ashdock.concurrency import iterate_live
 from ashdock.core.allotment import Allotment, Move, MoveShard, Release, Rent
 from ashdock.core.bounds import Bounds
 from ashdock.core.machine import images_of, trimmed
@@ -452,7 +452,7 @@
     async def _forget_charters(self) -> None:
         """Those that are carried out. One left over would be carried out once more by the next holder, and what it had rented be recorded
         again though it was returned long ago."""
-        for name, revision in walk(self.undeleted):
+        for name, revision in iterate_live(self.undeleted):
             try:
                 await self.context.store.txn(
                     {f"charter/{name}": revision, self.election.path: self.revision},
@@ -570,7 +570,7 @@
         """What nobody has wanted for a while is recorded all the same: nothing unrecorded is ever returned."""
         now = self.context.now()
         # Adopting waits, and meanwhile a stray may be lent and so recorded: a list made before ended this loop with a KeyError.
-        for name, (report, since) in walk(self.strays):
+        for name, (report, since) in iterate_live(self.strays):
             if self._entry(name) is not None:
                 self.strays.pop(name, None)
             elif now - since > self.allotment.settle_s:
--- a/ashdock/kinds.py
+++ b/ashdock/machine_type_catalog.py
@@ -28,7 +28,7 @@
     def leader(self) -> object | None: ...
 
 
-class Kinds:
+class MachineTypeCatalog:
     def __init__(self, context: CatalogContext) -> None:
         self.context = context
 
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
+from ashdock.cluster_version import ClusterVersion
+from ashdock.crash_loop import CrashLoopDetector
 from ashdock.net.store import LeaseLostError, StoreClient, StoreUnavailableError, WatchCache
-from ashdock.recovery import Rise
-from ashdock.restarts.lives import Lives
-from ashdock.upgrade import Upgrade
+from ashdock.timelines import StartupTimeline
 
 log = logging.getLogger("ashdock.controller")
 
@@ -25,8 +25,8 @@
     incarnation: int
     store: StoreClient
     members: WatchCache
-    upgrade: Upgrade
-    rise: Rise
+    cluster_version: ClusterVersion
+    startup_timeline: StartupTimeline
 
     def now(self) -> float: ...
 
@@ -47,23 +47,23 @@
             0.0  # when its last good renewal was sent, and how long it lasts at least; by the steady clock
         )
         self.fit = True  # as our entry says
-        self.lives = Lives(context.ttl_s, lease_s)
+        self.crash_loop = CrashLoopDetector(context.ttl_s, lease_s)
 
     async def keep(self) -> float:
         """Join, or renew; the seconds until that is due again."""
         context = self.context
         pause = context.ttl_s / 4
-        await context.upgrade.known.wait()  # what is written with our name depends on it
+        await context.cluster_version.known.wait()  # what is written with our name depends on it
         started = time.monotonic()
         try:
             if self.hold is None:
                 await self._join()
             else:
                 await context.store.renew(self.hold, timeout=context.ttl_s / 2)
-                self.lives.look(context.now())
+                self.crash_loop.look(context.now())
                 if self.fit is not self._sound():
                     await self._say_fit(not self.fit)
-            context.rise.joined(time.monotonic())
+            context.startup_timeline.joined(time.monotonic())
             self.began, self.until = started, started + context.ttl_s
             context.renewed()
         except LeaseLostError:
@@ -83,25 +83,25 @@
         context = self.context
         store = context.store
         path, life = f"member/{context.label}", f"life/{context.label}"
-        hold, entry, (lives, _) = await asyncio.gather(
+        hold, entry, (crash_loop, _) = await asyncio.gather(
             store.hold(int(context.ttl_s * 1000)), store.get(path), store.under("life/")
         )
-        kept = next((other for other in lives if other.path == life), None)
-        record = self.lives.begun(
+        kept = next((other for other in crash_loop if other.path == life), None)
+        record = self.crash_loop.process_started(
             kept and kept.value,
-            [other.value for other in lives if other.path != life],
+            [other.value for other in crash_loop if other.path != life],
             context.now(),
         )
-        if not self.lives.steady:
+        if not self.crash_loop.steady:
             log.info(
                 "this controller has ended %d times of late: parts and lead are for others for %.1f s",
                 record.ends,
-                self.lives.probation_s(),
+                self.crash_loop.probation_s(),
             )
         fit = self._sound()
         when = {path: entry.revision if entry else 0}
         writes: dict[str, Any] = {path: self._entry(fit)}
-        if context.upgrade.agreed:
+        if context.cluster_version.supports_dependencies:
             when[life] = kept.revision if kept else 0
             writes[life] = msgspec.to_builtins(record)
         revision = await store.txn(when, writes, hold=hold, stays=(life,))
@@ -114,7 +114,7 @@
 
     def _sound(self) -> bool:
         """Whether shards and lead may be ours, as far as we are concerned."""
-        return self.lives.steady and not self.context.cut_off()
+        return self.crash_loop.steady and not self.context.cut_off()
 
     async def _say_fit(self, fit: bool) -> None:
         context = self.context
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -15,6 +15,7 @@
 
 from ashdock.admission.control import Admission
 from ashdock.admission.shares import Use
+from ashdock.cluster_version import ClusterVersion
 from ashdock.core.shard import Shard
 from ashdock.core.spans import Spans
 from ashdock.election.election import Election
@@ -26,15 +27,14 @@
 from ashdock.net.mesh import Mesh
 from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
-from ashdock.recovery import Rise, Takeover
-from ashdock.upgrade import Upgrade
+from ashdock.timelines import FailoverTimeline, StartupTimeline
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class Owning(Protocol):
     shard: Shard | None
-    takeover: Takeover
+    failover_timeline: FailoverTimeline
 
 
 class Duty(Protocol):
@@ -51,8 +51,8 @@
     mesh: Mesh
     server: Server
     store: StoreClient
-    rise: Rise
-    upgrade: Upgrade
+    startup_timeline: StartupTimeline
+    cluster_version: ClusterVersion
     worker_client: WorkerClient
     membership: Membership
     terms: TermFence
@@ -82,7 +82,7 @@
             "ashdock_leads": ("1 while this controller leads", float(context.leader is not None)),
             "ashdock_all_upgraded": (
                 "1 once every controller is known to be of the new version",
-                float(context.upgrade.agreed),
+                float(context.cluster_version.supports_dependencies),
             ),
             "ashdock_fit": (
                 "1 while parts and lead may be this controller's",
@@ -90,7 +90,7 @@
             ),
             "ashdock_ends_of_late": (
                 "ends of this controller's processes in quick succession",
-                float(context.membership.lives.record.ends),
+                float(context.membership.crash_loop.record.ends),
             ),
             "ashdock_state_age_seconds": (
                 "since the state service last answered",
@@ -219,22 +219,22 @@
         yield from (share, due, largest, rises, waits, away, hot)
 
     def _recovery(self) -> Iterable[Metric]:
-        rise = GaugeMetricFamily(
+        startup_timeline = GaugeMetricFamily(
             "ashdock_start_seconds",
             "in each state since the start of the process",
             labels=["state"],
         )
-        for state, seconds in self.context.rise.took.items():
-            rise.add_metric([state], seconds)
+        for state, seconds in self.context.startup_timeline.took.items():
+            startup_timeline.add_metric([state], seconds)
         took = GaugeMetricFamily(
             "ashdock_takeover_seconds",
             "in each state of the takeover of a part",
             labels=["team", "state"],
         )
         for team, owner in self.context.owners.items():
-            for state, seconds in owner.takeover.took.items():
+            for state, seconds in owner.failover_timeline.took.items():
                 took.add_metric([team, state], seconds)
-        yield from (rise, took)
+        yield from (startup_timeline, took)
 
     def _admission(self) -> Iterable[Metric]:
         """Who has what of what can run short, and who was told to come back."""
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from ashdock.admission.processor import pass_share, pause_s
-from ashdock.again import Overtaken, held
+from ashdock.concurrency import StaleContextError, ensure_current
 from ashdock.core.bounds import Bounds
 from ashdock.core.machine import Machine
 from ashdock.core.shard import Shard
@@ -20,8 +20,8 @@
 from ashdock.net.http import NoAnswer
 from ashdock.net.store import CompareFailedError, StoreClient, StoreUnavailableError, WatchCache
 from ashdock.net.worker import WorkerClient
-from ashdock.recovery import Takeover
 from ashdock.settings import Operators, Shared, Team, Workers
+from ashdock.timelines import FailoverTimeline
 from ashdock.wire.messages import MachineType, Order, Orders, Report
 
 log = logging.getLogger("ashdock.shard_owner")
@@ -106,14 +106,14 @@
         self.passed_at = -1e9  # when the last scheduling pass began
         self.turned_at = -1e9  # when the turn under way began
         self.pass_after = 0.0  # a pass that took long is not followed by another at once
-        self.takeover = Takeover(team.name, context.now())
+        self.failover_timeline = FailoverTimeline(team.name, context.now())
         self.task = asyncio.create_task(self._run())
 
     # -- changes of state ------------------------------------------------------------------------
 
     def _claimed(self, revision: int) -> None:
         self.phase = OwnershipPhase.LOADING
-        self.takeover.claimed(self.context.now())
+        self.failover_timeline.claimed(self.context.now())
         self.shard = Shard(
             self.team,
             revision,
@@ -127,7 +127,7 @@
     def _loaded(self) -> None:
         self.phase = OwnershipPhase.ACTIVE
         assert self.shard
-        self.takeover.read(self.shard.taken, self.context.now())
+        self.failover_timeline.read(self.shard.taken, self.context.now())
         for change in self.early:
             change(self.shard)
         self.early.clear()
@@ -191,7 +191,7 @@
         orders = shard.reports.on_report(report, self.context.now(), checkin=True)
         if orders is None:
             return None
-        self.takeover.heard(self.context.now())
+        self.failover_timeline.heard(self.context.now())
         if shard.stale or shard.ledger.touched or shard.ledger.changing or shard.urgent:
             self.wake.set()  # most reports say nothing new, and call for no turn
         return Orders(shard.token(shard.machines[report.berth]), orders)
@@ -215,7 +215,7 @@
             self.lost(f"claimed by another ({why})")
         except StoreUnavailableError as why:
             self.lost(f"the state service: {why}")
-        except Overtaken as why:
+        except StaleContextError as why:
             log.debug("part %s: %s", self.team.name, why)
         except Exception:
             log.exception("part %s", self.team.name)
@@ -228,7 +228,7 @@
         value = {"owner": self.context.label}
         revision = await store.txn({path: self.claimed_from}, {path: value})
         self.context.shards.wrote(path, value, revision)
-        held(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
+        ensure_current(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
         self._claimed(revision)
         shard = self.shard
         assert shard
@@ -238,7 +238,7 @@
             store.under("machine/"), store.under(f"work/{name}/"), store.under(f"park/{name}/")
         )
         # Another may have claimed it meanwhile: one that let go here used to come back to life as nobody's owner.
-        held(self.phase is OwnershipPhase.LOADING, "given up while it was being read")
+        ensure_current(self.phase is OwnershipPhase.LOADING, "given up while it was being read")
         mine = [
             (entry.path.split("/", 1)[1], entry.value, entry.revision)
             for entry in machines
@@ -267,7 +267,7 @@
         elif self._pass_due(shard, now):
             self.passed_at = now
             shard.passes.schedule(now)
-            self.takeover.passed(shard.placed > 0, self.context.now())
+            self.failover_timeline.passed(shard.placed > 0, self.context.now())
             # No more than its share of the processor goes into passes, however large the shard.
             ended = self.context.now()
             self.pass_after = ended + pause_s(
@@ -347,7 +347,7 @@
                 mark(revision)
             self._publish(txn.writes, revision)
             if shard.placed:
-                self.takeover.durable(self.context.now())
+                self.failover_timeline.durable(self.context.now())
             # Starts go out between transactions, not after the last of them.
             self._send_urgent(shard)
             # Nor is what could start meanwhile, or is late, to wait for the last: where the state service takes few changes a
@@ -369,7 +369,9 @@
         fence = f"part/{shard.name}"
         for path in failed or [fence]:
             entry = await self.context.store.get(path)
-            held(self.phase is OwnershipPhase.ACTIVE, "given up while it was being written")
+            ensure_current(
+                self.phase is OwnershipPhase.ACTIVE, "given up while it was being written"
+            )
             revision = entry.revision if entry else 0
             if path == fence:
                 if revision != shard.revision:
--- a/ashdock/recovery.py
+++ b/ashdock/timelines.py
@@ -10,10 +10,10 @@
 import logging
 from enum import Enum
 
-log = logging.getLogger("ashdock.recovery")
+log = logging.getLogger("ashdock.timelines")
 
 
-class Rising(Enum):
+class StartupState(Enum):
     """A controller, since its process began."""
 
     JOINING = "joining"  # no member yet
@@ -21,7 +21,7 @@
     OWNING = "owning"  # may claim parts
 
 
-class Taking(Enum):
+class FailoverState(Enum):
     """A shard, since this controller set out to claim it."""
 
     CLAIMING = "claiming"
@@ -46,61 +46,61 @@
         return ", ".join(f"{state} {seconds:.2f}" for state, seconds in self.took.items())
 
 
-class Rise(_Timed):
+class StartupTimeline(_Timed):
     def __init__(self, now: float) -> None:
         super().__init__(now)
-        self.state = Rising.JOINING
+        self.state = StartupState.JOINING
 
     def joined(self, now: float) -> None:
         """It is a member; also when it has become one again."""
-        if self.state is Rising.JOINING:
+        if self.state is StartupState.JOINING:
             self._leave(self.state, now)
-            self.state = Rising.LEARNING
+            self.state = StartupState.LEARNING
 
     def learnt(self, now: float) -> None:
-        if self.state is Rising.LEARNING:
+        if self.state is StartupState.LEARNING:
             self._leave(self.state, now)
-            self.state = Rising.OWNING
+            self.state = StartupState.OWNING
             log.info("may own parts %.2f s after its start (%s)", now - self.began, self.words())
 
 
-class Takeover(_Timed):
+class FailoverTimeline(_Timed):
     def __init__(self, team: str, now: float) -> None:
         super().__init__(now)
         self.team = team
-        self.state = Taking.CLAIMING
+        self.state = FailoverState.CLAIMING
         self.machines = 0  # that were up for the owner before
 
     def claimed(self, now: float) -> None:
-        if self.state is Taking.CLAIMING:
+        if self.state is FailoverState.CLAIMING:
             self._leave(self.state, now)
-            self.state = Taking.READING
+            self.state = FailoverState.READING
 
     def read(self, machines: int, now: float) -> None:
         """Where no machine was up there is nobody to wait for."""
-        if self.state is Taking.READING:
+        if self.state is FailoverState.READING:
             self._leave(self.state, now)
             self.machines = machines
-            self.state = Taking.HEARING if machines else Taking.PASSING
+            self.state = FailoverState.HEARING if machines else FailoverState.PASSING
 
     def heard(self, now: float) -> None:
-        if self.state is Taking.HEARING:
+        if self.state is FailoverState.HEARING:
             self._leave(self.state, now)
-            self.state = Taking.PASSING
+            self.state = FailoverState.PASSING
 
     def passed(self, placed: bool, now: float) -> None:
         """A pass has ended. One that placed something before any worker reported had machines that stood ready."""
-        if self.state is Taking.HEARING and placed:
+        if self.state is FailoverState.HEARING and placed:
             self.heard(now)
-        if self.state is Taking.PASSING:
+        if self.state is FailoverState.PASSING:
             self._leave(self.state, now)
-            self.state = Taking.PLACING
+            self.state = FailoverState.PLACING
 
     def durable(self, now: float) -> None:
         """Something that we placed is durable: it may start."""
-        if self.state is Taking.PLACING:
+        if self.state is FailoverState.PLACING:
             self._leave(self.state, now)
-            self.state = Taking.RECOVERED
+            self.state = FailoverState.RECOVERED
             log.info(
                 "part %s places again %.2f s after we set out to claim it (%s), %d machines taken over",
                 self.team,
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -15,6 +15,7 @@
 from ashdock.core.park import Park, Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, TaskState
+from ashdock.crash_loop import CrashLoopDetector
 from ashdock.election.election import Election, KeyHolder
 from ashdock.front import Front
 from ashdock.leader import Leader, rent_of
@@ -23,7 +24,6 @@
     Entry,
 )
 from ashdock.questions import known_of
-from ashdock.restarts.lives import Lives
 from ashdock.settings import (
     CloudLimits,
     Operators,
@@ -300,9 +300,9 @@
 
 def read_life(body: Plain) -> Plain:
     """`life/<label>`: the count that the next life of a controller starts from."""
-    lives = Lives(1.0, 6.0)
-    record = lives.begun(msgspec.json.decode(to_bytes(body)), [], NOW)
-    return {"ends": record.ends, "at": record.at, "steady": lives.steady}
+    crash_loop = CrashLoopDetector(1.0, 6.0)
+    record = crash_loop.process_started(msgspec.json.decode(to_bytes(body)), [], NOW)
+    return {"ends": record.ends, "at": record.at, "steady": crash_loop.steady}
 
 
 def read_members(values: Plain) -> Plain:
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -8,9 +8,9 @@
 
 from ashdock.core.allotment import Rent
 from ashdock.leader import Leader
-from ashdock.recovery import Takeover
 from ashdock.settings import Operators, Team
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
+from ashdock.timelines import FailoverTimeline
 from tests.forms.adapter.changes import part_to_values
 from tests.forms.adapter.exchanges import Store, bounded
 from tests.forms.adapter.records import NOW, machine_type
@@ -38,7 +38,7 @@
         owner: Any = ShardOwner.__new__(ShardOwner)
         owner.context, owner.team, owner.phase = home, Team("red"), OwnershipPhase.CLAIMING
         owner.claimed_from = next(revision for path, _, revision in entries if path == "part/red")
-        owner.early, owner.takeover = [], Takeover("red", NOW)
+        owner.early, owner.failover_timeline = [], FailoverTimeline("red", NOW)
         owner.ready = SimpleNamespace(set=lambda: None)
         await owner._claim()
         parks = [plain(park) for park in owner.shard.parks.items]
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -6,12 +6,13 @@
 from types import SimpleNamespace
 from typing import Any
 
+from ashdock.cluster_version import ClusterVersion
 from ashdock.core.allotment import Rent
 from ashdock.core.shard import Shard
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
-from ashdock.kinds import Kinds
 from ashdock.leader import Leader
+from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudTrouble
 from ashdock.settings import (
@@ -19,7 +20,6 @@
     Team,
 )
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
-from ashdock.upgrade import Upgrade
 from ashdock.wire import messages
 from tests.forms.adapter.bodies import MACHINE_TYPE
 from tests.forms.adapter.changes import loaded_part
@@ -72,10 +72,12 @@
 
 async def write_membership(store: Store, values: Plain) -> None:
     """Join, and then say once more whether this controller is fit."""
-    upgrade = SimpleNamespace(agreed=values["agreed"])
+    cluster_version = SimpleNamespace(supports_dependencies=values["agreed"])
     path = "member/n1"
     entries = [[path, {"incarnation": 5, "fit": True}, 3]]
-    membership = Membership(context(store, upgrade=upgrade, members=replica(entries)), 6.0)
+    membership = Membership(
+        context(store, cluster_version=cluster_version, members=replica(entries)), 6.0
+    )
     await membership._join()
     store.entries[path] = (None, 3)
     await membership._say_fit(False)
@@ -90,7 +92,7 @@
     try:
         await owner._claim()
     except Exception as error:
-        if type(error).__name__ != "Overtaken":
+        if type(error).__name__ != "StaleContextError":
             raise
     store.entries["part/red"] = (None, REVISION)
     await owner._give(make_part(), "n2")
@@ -117,7 +119,7 @@
 
 async def write_upgrade(store: Store, values: Plain) -> None:
     """Look at the announcements and the mark, and write what is due."""
-    await Upgrade(context(store)).look()
+    await ClusterVersion(context(store)).look()
 
 
 async def write_catalog_records(store: Store, values: Plain) -> None:
@@ -129,7 +131,7 @@
     home = context(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
     if values["limit"]:
         home.bounds.agreed, home.bounds.value_bytes = True, values["limit"]
-    await Kinds(home).learn()
+    await MachineTypeCatalog(home).learn()
 
 
 async def write_charter(store: Store, values: Plain) -> None:
@@ -219,14 +221,14 @@
 
     async def run() -> Plain:
         home = context(Store(entries))
-        upgrade = Upgrade(home)
-        await upgrade.look()
+        cluster_version = ClusterVersion(home)
+        await cluster_version.look()
         return {
-            "version": upgrade.forms,
-            "missing": upgrade.missing,
-            "narrow_chunks": upgrade.agreed,
-            "terms": upgrade.termed,
-            "cancellations_told": upgrade.vouched,
+            "version": cluster_version.forms,
+            "missing": cluster_version.missing,
+            "narrow_chunks": cluster_version.supports_dependencies,
+            "terms": cluster_version.fences_commands,
+            "cancellations_told": cluster_version.broadcasts_cancellations,
         }
 
     return bounded(run())
@@ -241,7 +243,7 @@
     async def run() -> Plain:
         home = context(Store(entries), catalog={}, leader=None)
         home.cloud = SimpleNamespace(catalog=catalog)
-        await Kinds(home).learn()
+        await MachineTypeCatalog(home).learn()
         return {label: attributes_of(kind, MACHINE_TYPE) for label, kind in home.catalog.items()}
 
     return bounded(run())
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ashdock.again import Overtaken, held, walk
+from ashdock.concurrency import StaleContextError, ensure_current, iterate_live
 from ashdock.net.store import Entry, WatchCache
 from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Report
@@ -18,14 +18,14 @@
 def test_a_walk_passes_over_what_is_gone_and_tells_what_is_there_now() -> None:
     table = {"a": 1, "b": 2, "c": 3}
     seen = []
-    for key, value in walk(table):
+    for key, value in iterate_live(table):
         seen.append((key, value))
         table.pop("b", None)
         table["c"] = 4
         table["d"] = 5
     assert seen == [("a", 1), ("c", 4)]
-    with pytest.raises(Overtaken):
-        held(False, "gone")
+    with pytest.raises(StaleContextError):
+        ensure_current(False, "gone")
 
 
 def play(monkeypatch: pytest.MonkeyPatch, day: Any) -> None:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -18,7 +18,7 @@
 import msgspec
 import pytest
 
-from ashdock import garbage
+from ashdock import garbage_collection
 from ashdock.questions import Questions
 from ashdock.wire import messages
 from tests import cost, scale
@@ -162,7 +162,7 @@
 
 
 def _imported() -> list[str]:
-    words = "import sys; from ashdock import cli; import ashdock.controller, ashdock.garbage; print(*sys.modules)"
+    words = "import sys; from ashdock import cli; import ashdock.controller, ashdock.garbage_collection; print(*sys.modules)"
     return subprocess.run(
         [sys.executable, "-c", words], cwd=cost.ROOT, capture_output=True, text=True, check=True
     ).stdout.split()
@@ -187,11 +187,11 @@
     before, enabled = gc.get_threshold(), gc.isenabled()
     ready = [False]
     try:
-        garbage.put_off()
+        garbage_collection.put_off()
         assert not gc.isenabled()
 
         async def later() -> None:
-            task = asyncio.create_task(garbage.begin_later(lambda: ready[0], 0.1))
+            task = asyncio.create_task(garbage_collection.begin_later(lambda: ready[0], 0.1))
             await asyncio.sleep(0.05)
             assert not gc.isenabled()
             ready[0] = True
@@ -200,10 +200,13 @@
         asyncio.run(later())
         assert (
             gc.isenabled()
-            and gc.get_threshold() == (garbage.YOUNG, garbage.OLDER, garbage.OLDER)
+            and gc.get_threshold()
+            == (garbage_collection.YOUNG, garbage_collection.OLDER, garbage_collection.OLDER)
             and gc.get_freeze_count() > 0
         )
-        asyncio.run(garbage.begin_later(lambda: False, 0.01))  # not ready for long: all the same
+        asyncio.run(
+            garbage_collection.begin_later(lambda: False, 0.01)
+        )  # not ready for long: all the same
     finally:
         gc.unfreeze()
         gc.set_threshold(*before)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,13 +9,13 @@
 
 import pytest
 
+from ashdock.cluster_version import CURRENT_FORMS
 from ashdock.core.allotment import Rent
 from ashdock.core.telling import Recalled
 from ashdock.election.candidates import better_candidate, rank_candidates
 from ashdock.election.election import Election, ElectionState, KeyHolder
 from ashdock.election.fencing import NotLeaderError, TermFence
 from ashdock.settings import SettingsError, load
-from ashdock.upgrade import FORMS
 from ashdock.wire import frames
 from ashdock.wire.frames import BadFrame, FrameKind, Give, Termed, Yield
 from tests.seats import FENCES, Model, search, walks
@@ -237,12 +237,12 @@
         seen = [0]
 
         def hook(writes: list[dict[str, Any]]) -> None:
-            kinds = [
+            machine_type_catalog = [
                 ("" if "set" in write else "delete ") + (write.get("set") or write["delete"])
                 for write in writes
             ]
             holder = next((n for n, c in service.controllers.items() if c.leader is not None), None)
-            if holder is not None and any(kind.startswith(step) for kind in kinds):
+            if holder is not None and any(kind.startswith(step) for kind in machine_type_catalog):
                 seen[0] += 1
                 if seen[0] == nth:
                     service.crash(holder, back_s)
@@ -452,13 +452,15 @@
         await asyncio.sleep(4)
         assert service.state.keys["upgrade/mark"][0]["forms"] == 2
         assert all(
-            c.upgrade.agreed and not c.upgrade.termed and not c.names_successor()
+            c.cluster_version.supports_dependencies
+            and not c.cluster_version.fences_commands
+            and not c.names_successor()
             for c in service.controllers.values()
         )
         service.boot(2)
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == FORMS and all(
-            c.upgrade.termed for c in service.controllers.values()
+        assert service.state.keys["upgrade/mark"][0]["forms"] == CURRENT_FORMS and all(
+            c.cluster_version.fences_commands for c in service.controllers.values()
         )
         assert await service.until_final(["req-000001"], 60) == []
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -356,10 +356,10 @@
         await asyncio.sleep(3)
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
-        begun: list[list[str]] = []
+        process_started: list[list[str]] = []
 
         async def write(lend: dict[str, str]) -> None:
-            begun.append(sorted(lend))
+            process_started.append(sorted(lend))
             await asyncio.sleep(5.0)
 
         inner = leader._assign_now
@@ -371,9 +371,9 @@
         }
         most = int(LOANS_S * leader.context.store.all.writes)  # shares of it come and go
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
-        while not begun:
+        while not process_started:
             await asyncio.sleep(0.1)
-        lent = set(begun[0])
+        lent = set(process_started[0])
         assert 0 < len(lent) <= most
         for name in lent:
             leader.strays.pop(name, None)
@@ -382,7 +382,7 @@
             )  # it goes on reporting meanwhile
         assert not lent & set(leader.strays)
         await asyncio.sleep(3.0)
-        assert len(begun) == 1
+        assert len(process_started) == 1
         assert not (set(names) - lent) & set(leader.allotment.coming)  # the rest stays to be lent
         leader.strays.clear()
         monkeypatch.setattr(leader, "_assign_now", inner)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -13,6 +13,7 @@
 import msgspec
 import pytest
 
+from ashdock.cluster_version import CURRENT_FORMS
 from ashdock.core.bounds import Bounds
 from ashdock.core.job import JobPhase, fitting
 from ashdock.core.needs import NOTHING, Carried, Needs
@@ -21,7 +22,6 @@
 from ashdock.core.task import Failure, Phase, TaskState
 from ashdock.net.http import Client
 from ashdock.settings import NextLimits, Operators, StateLimits
-from ashdock.upgrade import FORMS
 from ashdock.wire import frames
 from ashdock.wire.frames import Beat, Claims, Counts, Give, Hello, Yield
 from ashdock.wire.messages import encode
@@ -859,7 +859,7 @@
             assert not any("done_at" in str(value) for value, _, _ in service.state.keys.values())
         boot(2)
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == FORMS
+        assert service.state.keys["upgrade/mark"][0]["forms"] == CURRENT_FORMS
         service.crash(1, 0.5)  # one that has announced stays counted
         service.crash(2, 0.5)
         await asyncio.sleep(3)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,19 +9,19 @@
 import pytest
 
 from ashdock.net.http import Client
-from ashdock.recovery import Rise, Rising, Takeover, Taking
+from ashdock.timelines import FailoverState, FailoverTimeline, StartupState, StartupTimeline
 from tests import simtime
 from tests.whole import Service, job
 
-COURSES: list[tuple[list[tuple[Any, ...]], Taking, dict[str, float]]] = [
+COURSES: list[tuple[list[tuple[Any, ...]], FailoverState, dict[str, float]]] = [
     (
         [("claimed", 1), ("read", 0, 3), ("passed", False, 4)],
-        Taking.PLACING,
+        FailoverState.PLACING,
         {"claiming": 1, "reading": 2, "passing": 1},
     ),
     (
         [("claimed", 1), ("read", 5, 3), ("passed", False, 4)],
-        Taking.HEARING,
+        FailoverState.HEARING,
         {"claiming": 1, "reading": 2},
     ),
     (
@@ -34,35 +34,40 @@
             ("durable", 8),
             ("durable", 9),
         ],
-        Taking.RECOVERED,
+        FailoverState.RECOVERED,
         {"claiming": 1, "reading": 2, "hearing": 2, "passing": 1, "placing": 2},
     ),
     # A machine that was lent to it while up needs no report: something is placed there before any has come.
     (
         [("claimed", 1), ("read", 5, 3), ("passed", True, 4), ("durable", 5)],
-        Taking.RECOVERED,
+        FailoverState.RECOVERED,
         {"claiming": 1, "reading": 2, "hearing": 1, "passing": 0, "placing": 1},
     ),
-    ([("heard", 1), ("durable", 2), ("passed", True, 3)], Taking.CLAIMING, {}),
+    ([("heard", 1), ("durable", 2), ("passed", True, 3)], FailoverState.CLAIMING, {}),
 ]
 
 
 @pytest.mark.parametrize(("course", "state", "took"), COURSES)
-def test_a_takeover(course: list[tuple[Any, ...]], state: Taking, took: dict[str, float]) -> None:
-    takeover = Takeover("red", 0.0)
+def test_a_takeover(
+    course: list[tuple[Any, ...]], state: FailoverState, took: dict[str, float]
+) -> None:
+    failover_timeline = FailoverTimeline("red", 0.0)
     for what, *words in course:
-        getattr(takeover, what)(*words)
-    assert takeover.state is state and takeover.took == took
+        getattr(failover_timeline, what)(*words)
+    assert failover_timeline.state is state and failover_timeline.took == took
 
 
 def test_a_start() -> None:
-    rise = Rise(10.0)
-    rise.learnt(11.0)  # not before it is a member
-    rise.joined(12.0)
-    rise.joined(13.0)
-    rise.learnt(15.0)
-    rise.learnt(16.0)
-    assert rise.state is Rising.OWNING and rise.took == {"joining": 2.0, "learning": 3.0}
+    startup_timeline = StartupTimeline(10.0)
+    startup_timeline.learnt(11.0)  # not before it is a member
+    startup_timeline.joined(12.0)
+    startup_timeline.joined(13.0)
+    startup_timeline.learnt(15.0)
+    startup_timeline.learnt(16.0)
+    assert startup_timeline.state is StartupState.OWNING and startup_timeline.took == {
+        "joining": 2.0,
+        "learning": 3.0,
+    }
 
 
 def test_a_crash_is_told_state_by_state(
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -10,8 +10,8 @@
 
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.cancellation.watermark import CancellationWatermark
+from ashdock.crash_loop import CrashLoopDetector, StabilityState
 from ashdock.net.http import Client
-from ashdock.restarts.lives import Life, Lives
 from ashdock.wire import frames
 from ashdock.wire.frames import Beat, Claims, Hello
 from ashdock.wire.messages import Held, Report
@@ -47,10 +47,12 @@
     kept: dict[str, Any] | None = None
     now = 1000.0
     for seconds in [*lived, 0.0]:
-        life = Lives(TTL_S, LEASE_S)
-        assert life.steady and life.state is Life.UNKNOWN
-        record = life.begun(kept, [], now)
-        assert life.begun(kept, [], now + 1) == record  # its membership ended, the process did not
+        life = CrashLoopDetector(TTL_S, LEASE_S)
+        assert life.steady and life.state is StabilityState.UNKNOWN
+        record = life.process_started(kept, [], now)
+        assert (
+            life.process_started(kept, [], now + 1) == record
+        )  # its membership ended, the process did not
         kept = {"ends": record.ends, "at": record.at}
         now += seconds
     assert record.ends == counted and life.probation_s() == pytest.approx(probation_s)
@@ -61,8 +63,8 @@
 
 @pytest.mark.parametrize("kept", [{"ends": "three"}, [], "x", {"ends": 1, "at": None}])
 def test_a_count_that_cannot_be_read_keeps_nobody_from_serving(kept: Any) -> None:
-    life = Lives(TTL_S, LEASE_S)
-    life.begun(kept, [kept], 1000.0)
+    life = CrashLoopDetector(TTL_S, LEASE_S)
+    life.process_started(kept, [kept], 1000.0)
     assert life.steady
 
 
@@ -73,8 +75,10 @@
 def test_where_others_end_as_well_it_is_nobodys_fault(
     others: list[tuple[int, float]], steady: bool
 ) -> None:
-    life = Lives(TTL_S, LEASE_S)
-    life.begun({"ends": 5, "at": 998.0}, [{"ends": ends, "at": at} for ends, at in others], 1000.0)
+    life = CrashLoopDetector(TTL_S, LEASE_S)
+    life.process_started(
+        {"ends": 5, "at": 998.0}, [{"ends": ends, "at": at} for ends, at in others], 1000.0
+    )
     assert life.steady is steady
 
 
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -50,7 +50,7 @@
 CONTENT_LENGTH = re.compile(rb"(?im)^content-length: *\d+\r\n")
 
 SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
-FORMS = "ashdock.upgrade.FORMS"  # what a controller announces: patched to play the version before
+FORMS = "ashdock.cluster_version.CURRENT_FORMS"  # what a controller announces: patched to play the version before
 ROLL_PAUSE_S = 3.0  # between the restarts of an upgrade
 
 
@@ -187,9 +187,9 @@
 
 
 def _forms() -> int:
-    from ashdock import upgrade
+    from ashdock import cluster_version
 
-    return upgrade.FORMS
+    return cluster_version.CURRENT_FORMS
 
 
 # -- what is recorded of it ----------------------------------------------------------------------------------
