--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -10,7 +10,7 @@
 from ashdock.cluster_version import ClusterVersion
 from ashdock.net.mesh import Mesh
 from ashdock.settings import Workers
-from ashdock.wire.frames import Cancelled, Vouch
+from ashdock.wire.frames import CancelledJobs, WatermarkEcho
 
 
 class FinishedJobs(Protocol):
@@ -47,9 +47,9 @@
 
     def tell(self, job_id: str, team: str, revision: int, at: float) -> None:
         if self.context.cluster_version.broadcasts_cancellations:
-            self.context.mesh.tell(Cancelled([(job_id, team, revision, at)]))
+            self.context.mesh.tell(CancelledJobs([(job_id, team, revision, at)]))
 
-    def heard(self, cancelled: Cancelled) -> None:
+    def heard(self, cancelled: CancelledJobs) -> None:
         """Durable, or it would not have been told: an owner that the state service refuses stops just these jobs, and in time."""
         context = self.context
         for job_id, team, revision, at in cancelled.jobs:
@@ -62,8 +62,8 @@
         if self.context.cluster_version.broadcasts_cancellations:
             number = self.watermark.ask(now)
             for label in self.context.mesh.peers:
-                self.context.mesh.send(label, Vouch(number, self.numbers.get(label, 0)))
+                self.context.mesh.send(label, WatermarkEcho(number, self.numbers.get(label, 0)))
 
-    def echo_received(self, label: str, vouch: Vouch) -> None:
+    def echo_received(self, label: str, vouch: WatermarkEcho) -> None:
         self.numbers[label] = vouch.number
         self.watermark.answered(label, vouch.back, time.monotonic())
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -17,7 +17,7 @@
 from ashdock.core.bounds import Bounds
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
-from ashdock.core.telling import Owed, Picture, Recalled
+from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.election.fencing import TermFence
@@ -43,20 +43,20 @@
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from ashdock.timelines import StartupTimeline
 from ashdock.wire.frames import (
-    Ahead,
-    Beat,
-    Cancelled,
-    Claims,
-    Counts,
+    CancelledJobs,
+    FencedCommand,
+    ForwardedHeartbeat,
+    ForwardReply,
     Frame,
-    Give,
-    Leaving,
-    Relay,
-    Relayed,
-    Termed,
-    Vouch,
-    Word,
-    Yield,
+    OwnershipClaims,
+    PeerHeartbeat,
+    PriorityInheritance,
+    ReclaimsInProgress,
+    ShardCommand,
+    TaskCounts,
+    TransferMachine,
+    TransferShard,
+    WatermarkEcho,
 )
 from ashdock.wire.messages import MachineType
 
@@ -137,11 +137,11 @@
         self.election_changed = (
             asyncio.Event()
         )  # something has changed that the seats may follow from
-        self.remote_pictures: dict[str, tuple[float, Picture]] = {}
-        self.remote_leaving: dict[str, tuple[float, Leaving]] = {}
+        self.remote_statuses: dict[str, tuple[float, ShardStatus]] = {}
+        self.remote_reclaims: dict[str, tuple[float, ReclaimsInProgress]] = {}
         self.remote_counts: dict[str, dict[str, tuple[int, int]]] = {}
         self.heartbeat_forwarder = HeartbeatForwarder(self)
-        self.told_ahead: set[str] = set()  # parts whose jobs need others', as last told
+        self.inheritance_sent: set[str] = set()  # parts whose jobs need others', as last told
         self.last_report = self.started = time.monotonic()
         self.startup_timeline = StartupTimeline(self.started)
         self.membership = Membership(self, self.workers.lease_s)
@@ -376,7 +376,7 @@
             self.terms.saw(revision)
             # It chooses nothing before it has heard of every shard, and would hear with our next beat.
             for shard in self._active_shards():
-                self._tell_picture(shard)
+                self._send_shard_status(shard)
 
     def leader_label(self) -> str | None:
         entry = self.leaders.entries.get("leader")
@@ -496,7 +496,7 @@
 
     def _job_news(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
         if job_id not in shard.jobs and not self.front.is_final(job_id):
-            shard.telling.came(shard.add_job(value, revision), self.now())
+            shard.status_reporter.came(shard.add_job(value, revision), self.now())
 
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
@@ -505,7 +505,7 @@
         self.pace.beat(now)
         self._hand_on(now)
         self._share()
-        beat = Beat(
+        beat = PeerHeartbeat(
             self.incarnation,
             self.store.silent_for,
             now - self.last_report,
@@ -515,15 +515,15 @@
         )
         self.mesh.broadcast(beat)
         self.cancellations.vouch(now)
-        self.tell_claims()
+        self.send_claims()
         counts: list[tuple[str, int, int]] = []
         for shard in self._active_shards():
-            counts += shard.telling.counts()
-            self._tell_picture(shard)
-        self._tell_ahead()
+            counts += shard.status_reporter.counts()
+            self._send_shard_status(shard)
+        self._send_inherited_priorities()
         # As many frames as they need; each other controller keeps what it was told of jobs that still count.
         for at in range(0, len(counts), COUNTS_AT_ONCE):
-            self.mesh.broadcast(Counts(counts[at : at + COUNTS_AT_ONCE]))
+            self.mesh.broadcast(TaskCounts(counts[at : at + COUNTS_AT_ONCE]))
         self.worker_client.sweep()
         return self.mesh.beat_s
 
@@ -555,33 +555,33 @@
                 team,
                 label,
             )
-            self._for_shard(Give(team, label))
+            self._for_shard(TransferShard(team, label))
 
-    def _tell_ahead(self) -> None:
+    def _send_inherited_priorities(self) -> None:
         """What our shards' jobs make of other shards' jobs that they need: said anew with each beat, as long as there is any."""
         if not self.cluster_version.supports_dependencies:
             return
         for shard in self._active_shards():
             rows = shard.pipelines.needs.abroad(shard.jobs)
-            if rows or shard.name in self.told_ahead:
-                ahead = Ahead(shard.name, rows[:COUNTS_AT_ONCE])
+            if rows or shard.name in self.inheritance_sent:
+                ahead = PriorityInheritance(shard.name, rows[:COUNTS_AT_ONCE])
                 self.mesh.broadcast(ahead)
-                self._heard_ahead(ahead)
-            (self.told_ahead.add if rows else self.told_ahead.discard)(shard.name)
+                self._inherit_priorities(ahead)
+            (self.inheritance_sent.add if rows else self.inheritance_sent.discard)(shard.name)
 
-    def _heard_ahead(self, ahead: Ahead) -> None:
+    def _inherit_priorities(self, ahead: PriorityInheritance) -> None:
         for team, owner in self.owners.items():
             if team != ahead.shard:
                 owner.note(lambda shard: shard.pipelines.hear(*ahead))
 
-    def tell_claims(self) -> None:
+    def send_claims(self) -> None:
         # Once they are read: told at the claim, one that the state service refuses let go of its workers, the reading met an outage, and
         # nobody could answer them (109 tasks on a day of refusals and outages). Until then it can write nothing any more.
         claims = [(shard.name, shard.revision) for shard in self._active_shards()]
         if claims:
-            self.mesh.broadcast(Claims(claims))
+            self.mesh.broadcast(OwnershipClaims(claims))
 
-    def _claims_of(self, label: str, claims: Claims) -> None:
+    def _claims_received(self, label: str, claims: OwnershipClaims) -> None:
         """A claim that the state service did not tell us of. One controller that it refused alone went on answering
         the workers of a shard that had gone to another; that one heard none of them and gave up their machines."""
         for team, revision in claims.shards:
@@ -605,54 +605,54 @@
 
     def tell_leader(self, shard: Shard) -> None:
         """At once when a shard comes to lack something; what it no longer lacks can wait for the next beat."""
-        if shard.wants and not shard.wanted_before:
-            self._tell_picture(shard)
-        shard.wanted_before = bool(shard.wants)
+        if shard.resource_requests and not shard.lacked_room_before:
+            self._send_shard_status(shard)
+        shard.lacked_room_before = bool(shard.resource_requests)
 
-    def _tell_picture(self, shard: Shard) -> None:
+    def _send_shard_status(self, shard: Shard) -> None:
         leader = self.leader_label()
         if not leader or leader == self.label:
             return
-        self.mesh.send(leader, shard.telling.picture(self.now()))
-        leaving = shard.telling.leaving() if self.cluster_version.fences_commands else []
+        self.mesh.send(leader, shard.status_reporter.shard_status(self.now()))
+        leaving = shard.status_reporter.leaving() if self.cluster_version.fences_commands else []
         if leaving:
-            self.mesh.send(leader, Leaving(shard.name, leaving))
+            self.mesh.send(leader, ReclaimsInProgress(shard.name, leaving))
 
     def leaving(self) -> list[tuple[str, str]]:
         """What is being vacated in all parts, as far as we were told of late."""
         now = time.monotonic()
         out = [
             row
-            for at, frame in self.remote_leaving.values()
+            for at, frame in self.remote_reclaims.values()
             if now - at < self.mesh.beat_s * 2
             for row in frame.machines
         ]
         for shard in self._active_shards():
-            out += shard.telling.leaving()
+            out += shard.status_reporter.leaving()
         return out
 
-    def pictures(self) -> dict[str, Picture]:
+    def shard_statuses(self) -> dict[str, ShardStatus]:
         now = time.monotonic()
         out = {
-            team: picture
-            for team, (at, picture) in self.remote_pictures.items()
+            team: shard_status
+            for team, (at, shard_status) in self.remote_statuses.items()
             if now - at < self.ttl_s
         }
         for shard in self._active_shards():
-            out[shard.name] = shard.telling.picture(self.now())
+            out[shard.name] = shard.status_reporter.shard_status(self.now())
         return out
 
-    def to_owner(self, team: str, word: Word, term: int) -> None:
+    def to_owner(self, team: str, word: ShardCommand, term: int) -> None:
         """What the holder of the machines' duty asks, under its term."""
         label = self.owner_label(team)
         if team in self.owners:
-            self._told(term, word)
+            self._command_received(term, word)
         elif label:
             self.mesh.send(
-                label, Termed(term, word) if self.cluster_version.fences_commands else word
+                label, FencedCommand(term, word) if self.cluster_version.fences_commands else word
             )
 
-    def _told(self, term: int, word: Word) -> None:
+    def _command_received(self, term: int, word: ShardCommand) -> None:
         """Refused if a later holder is known: a loan that one decided before it stood still reached the owner after its successor's."""
         if self.terms.admit(term):
             self._for_shard(word)
@@ -664,54 +664,56 @@
                 self.terms.highest,
             )
 
-    def _for_shard(self, frame: Word) -> None:
+    def _for_shard(self, frame: ShardCommand) -> None:
         owner = self.owners.get(frame.shard)
         if owner is None:
             return
-        if isinstance(frame, Yield):
+        if isinstance(frame, TransferMachine):
             owner.note(
-                lambda shard: shard.telling.yield_machine(frame.machine, frame.to, self.now())
+                lambda shard: shard.status_reporter.transfer_machine(
+                    frame.machine, frame.to, self.now()
+                )
             )
-        elif isinstance(frame, Owed):
-            owner.note(lambda shard: shard.telling.owe(frame, self.now()))
-        elif isinstance(frame, Give):
+        elif isinstance(frame, Rebalance):
+            owner.note(lambda shard: shard.status_reporter.owe(frame, self.now()))
+        elif isinstance(frame, TransferShard):
             owner.give_to = frame.to
             owner.wake.set()
         else:
-            owner.note(lambda shard: shard.telling.recall(frame, self.now()))
+            owner.note(lambda shard: shard.status_reporter.recall(frame, self.now()))
 
     def _on_frame(self, label: str, frame: Frame) -> None:
         match frame:
-            case Picture():
-                self.remote_pictures[frame.team] = (time.monotonic(), frame)
-            case Leaving():
-                self.remote_leaving[frame.shard] = (time.monotonic(), frame)
-            case Termed(term, word):
-                self._told(term, word)
-            case Yield() | Recalled() | Give() | Owed():
+            case ShardStatus():
+                self.remote_statuses[frame.team] = (time.monotonic(), frame)
+            case ReclaimsInProgress():
+                self.remote_reclaims[frame.shard] = (time.monotonic(), frame)
+            case FencedCommand(term, word):
+                self._command_received(term, word)
+            case TransferMachine() | Reclaim() | TransferShard() | Rebalance():
                 if not self.cluster_version.fences_commands:
                     self._for_shard(frame)
-            case Claims():
-                self._claims_of(label, frame)
-            case Ahead():
-                self._heard_ahead(frame)
-            case Counts(jobs):
+            case OwnershipClaims():
+                self._claims_received(label, frame)
+            case PriorityInheritance():
+                self._inherit_priorities(frame)
+            case TaskCounts(jobs):
                 known = self.remote_counts.setdefault(label, {})
                 if len(known) > 20 * COUNTS_AT_ONCE:
                     known.clear()  # jobs long over: the next beat names all that are not
                 known.update((job, (done, running)) for job, done, running in jobs)
-            case Cancelled():
+            case CancelledJobs():
                 self.cancellations.heard(frame)
-            case Vouch():
+            case WatermarkEcho():
                 self.cancellations.echo_received(label, frame)
-            case Relay():
+            case ForwardedHeartbeat():
                 self.heartbeat_forwarder.heard(label, frame)
-            case Relayed():
+            case ForwardReply():
                 self.heartbeat_forwarder.answered(frame)
             case _:
                 pass
 
-    async def relay(self, label: str, body: bytes) -> Relayed | None:
+    async def relay(self, label: str, body: bytes) -> ForwardReply | None:
         return await self.heartbeat_forwarder.relay(label, body)
 
     def counts(self, team: str, job: str) -> tuple[int, int]:
--- a/ashdock/core/allotment.py
+++ b/ashdock/core/allotment.py
@@ -12,8 +12,8 @@
 
 from ashdock.core.machine import capacity
 from ashdock.core.placement import Barren, Slots
+from ashdock.core.status_reporter import Rebalance, Reclaim, ResourceRequest, ShardStatus
 from ashdock.core.stock import Kind, Lent, Stock
-from ashdock.core.telling import Owed, Picture, Recalled, Want
 from ashdock.settings import Renting, Shared
 from ashdock.wire.messages import MachineType
 
@@ -59,7 +59,7 @@
 MOST_TEAMS = 10  # that share one request, so that its record stays a small value; the others' turn comes with the next round
 ANY_NEED = (0.0, 0.0, 0.0)  # what is to be recalled does not depend on how much a task takes
 
-Decision = Rent | Move | Recalled | Release | MoveShard | Owed
+Decision = Rent | Move | Reclaim | Release | MoveShard | Rebalance
 
 
 class Allotment:
@@ -119,13 +119,13 @@
     # -- choosing -------------------------------------------------------------------------------
 
     def decide(
-        self, machines: Iterable[Lent], pictures: dict[str, Picture], now: float
+        self, machines: Iterable[Lent], shard_statuses: dict[str, ShardStatus], now: float
     ) -> list[Decision]:
         lent = {machine.name: machine for machine in machines if not machine.doomed}
-        if any(team.name not in pictures for team in self.shared.teams):
+        if any(team.name not in shard_statuses for team in self.shared.teams):
             # An owner unheard of may want all that stands empty: neither lend, rent nor return before it is heard.
             return []
-        self._forget_settled(lent, pictures, now)
+        self._forget_settled(lent, shard_statuses, now)
         pool = {name: m for name, m in lent.items() if m.shard == "" and name not in self.coming}
         self.sent_back &= set(lent)
         for name in list(self.pool_since):
@@ -135,9 +135,9 @@
             self.pool_since.setdefault(name, now)
         idle = {
             name: (lent[name], idle_s)
-            for picture in pictures.values()
-            for name, idle_s in picture.idle
-            if name in lent and lent[name].shard == picture.team and name not in self.coming
+            for shard_status in shard_statuses.values()
+            for name, idle_s in shard_status.idle
+            if name in lent and lent[name].shard == shard_status.team and name not in self.coming
         }
         empty = Stock(
             # The cheap kind first, since it is the one to keep.
@@ -151,10 +151,10 @@
         )
         busy = Stock(
             ((item.loss_s, 0.0), item.priority, lent[item.machine])
-            for picture in pictures.values()
-            for item in picture.busy
+            for shard_status in shard_statuses.values()
+            for item in shard_status.busy
             if item.machine in lent
-            and lent[item.machine].shard == picture.team
+            and lent[item.machine].shard == shard_status.team
             and item.machine not in self.recalling
             and lent[item.machine].type in self.catalog
         )
@@ -162,11 +162,15 @@
         out: list[Decision] = []
         small = {
             team
-            for team, picture in pictures.items()
-            if picture.machines * 2 * len(pictures) < len(lent)
+            for team, shard_status in shard_statuses.items()
+            if shard_status.machines * 2 * len(shard_statuses) < len(lent)
         }
-        wants = sorted(
-            ((picture.team, want) for picture in pictures.values() for want in picture.wants),
+        resource_requests = sorted(
+            (
+                (shard_status.team, request)
+                for shard_status in shard_statuses.values()
+                for request in shard_status.resource_requests
+            ),
             # Beyond guarantees, a team with less than half its equal part of the machines goes before like work of the rest:
             # behind others' overdue work a guest was never served at all.
             key=lambda item: (
@@ -179,60 +183,70 @@
         )
         on_the_way = self._virtual(lent)
         rents: dict[tuple[str, str, str, bool], int] = {}
-        unmet: list[tuple[str, Want, int]] = []
-        spare = {picture.team: picture.spare_beyond for picture in pictures.values()}
+        unmet: list[tuple[str, ResourceRequest, int]] = []
+        spare = {
+            shard_status.team: shard_status.spare_beyond for shard_status in shard_statuses.values()
+        }
         total = len(lent) + sum(rent.number for rent in self.renting_now)
         self.barren = Barren()
         self.pers.clear()
-        for team, want in wants:
-            left = self._use_virtual(on_the_way[team], want) if team in on_the_way else want.tasks
-            if want.together and left > 0 and (want.whole or not want.zone):
-                scores = self._zones(team, want._replace(zone=""), empty, busy, spare)
-                if scores.get(want.zone, 0.0) < left:
+        for team, request in resource_requests:
+            left = (
+                self._use_virtual(on_the_way[team], request)
+                if team in on_the_way
+                else request.tasks
+            )
+            if request.together and left > 0 and (request.whole or not request.zone):
+                scores = self._zones(team, request._replace(zone=""), empty, busy, spare)
+                if scores.get(request.zone, 0.0) < left:
                     # The rest of the gang is not to be had where its owner would have it.
                     zone = max(sorted(scores), key=lambda zone: scores[zone], default="")
-                    if zone != want.zone:
-                        left = max(left, want.whole)
-                        want = want._replace(zone=zone, tasks=left)
+                    if zone != request.zone:
+                        left = max(left, request.whole)
+                        request = request._replace(zone=zone, tasks=left)
             # Calling back a machine that has the image is sooner than fetching it on one that stands empty.
-            left = self._lend(team, want, left, empty, out, now, cached=True)
-            left = self._recall(team, want, left, busy, spare, out, cached=True)
-            left = self._lend(team, want, left, empty, out, now)
-            left = self._recall(team, want, left, busy, spare, out)
+            left = self._lend(team, request, left, empty, out, now, cached=True)
+            left = self._recall(team, request, left, busy, spare, out, cached=True)
+            left = self._lend(team, request, left, empty, out, now)
+            left = self._recall(team, request, left, busy, spare, out)
             # With enough requests on their way, the rest is asked for together once those are answered.
             while left > 0 and len(self.renting_now) < self.most_requests:
-                offer = self._offer(want, left, rents, now)
+                offer = self._offer(request, left, rents, now)
                 if (
                     offer is None
-                    and want.idle
+                    and request.idle
                     and not (
-                        pictures[team].machines
+                        shard_statuses[team].machines
                         or team in on_the_way
                         or any(key[0] == team for key in rents)
                     )
                 ):
                     # The cheap kind is not to be had: one of the other, so that such work does not starve.
-                    want = want._replace(idle=False, tasks=1)
+                    request = request._replace(idle=False, tasks=1)
                     left = 1
-                    offer = self._offer(want, left, rents, now)
+                    offer = self._offer(request, left, rents, now)
                 most = self.renting.most_machines
                 if offer is None or (most and total >= most):
                     break
                 shape, zone, spot = offer
-                per = max(1, capacity(shape, want.cpus, want.gpus, want.memory))
+                per = max(1, capacity(shape, request.cpus, request.gpus, request.memory))
                 key = (team, shape.label, zone, spot)
                 rents[key] = rents.get(key, 0) + 1
                 total += 1
                 left -= per
                 if left < 0:
                     on_the_way.setdefault(team, Slots()).add_rest(
-                        shape, zone, spot, (want.cpus, want.gpus, want.memory), per + left
+                        shape, zone, spot, (request.cpus, request.gpus, request.memory), per + left
                     )
             if left > 0:
-                unmet.append((team, want, left))
+                unmet.append((team, request, left))
         out += self._debts(
             unmet,
-            {team: picture for team, picture in pictures.items() if team not in small},
+            {
+                team: shard_status
+                for team, shard_status in shard_statuses.items()
+                if team not in small
+            },
             lent,
             now,
         )
@@ -242,7 +256,7 @@
         for name in empty.taken:
             pool.pop(name, None)
             idle.pop(name, None)
-        out += self._returns(pool, idle, wants, now)
+        out += self._returns(pool, idle, resource_requests, now)
         return out
 
     def vacating(self, machines: Iterable[tuple[str, str]], now: float) -> None:
@@ -268,8 +282,8 @@
 
     def _debts(
         self,
-        unmet: list[tuple[str, Want, int]],
-        pictures: dict[str, Picture],
+        unmet: list[tuple[str, ResourceRequest, int]],
+        shard_statuses: dict[str, ShardStatus],
         lent: dict[str, Lent],
         now: float,
     ) -> list[Decision]:
@@ -283,39 +297,50 @@
                 kinds.setdefault(machine.shard, set()).add(
                     (machine.type, machine.zone, machine.spot)
                 )
-        for team, want, left in unmet:
-            lender, most_slack = "", want.slack_s + self.boot_s / 2
-            for shard, picture in pictures.items():
+        for team, request, left in unmet:
+            lender, most_slack = "", request.slack_s + self.boot_s / 2
+            for shard, shard_status in shard_statuses.items():
                 if shard == team or now - self.owed_at.get((shard, team), -1e9) < self.settle_s:
                     continue
                 # Nor does higher work give way to lower: gangs passed machines on to overdue arrays, and had to recall them.
-                like = [other for other in picture.wants if other.priority >= want.priority]
-                if any(other.priority > want.priority for other in like):
+                like = [
+                    other
+                    for other in shard_status.resource_requests
+                    if other.priority >= request.priority
+                ]
+                if any(other.priority > request.priority for other in like):
                     continue
                 # A shard with no such work waiting has its empty machines lent as it is, but for those kept at hand.
-                if not like or any(other.guaranteed and not want.guaranteed for other in like):
+                if not like or any(other.guaranteed and not request.guaranteed for other in like):
                     continue
                 slack = min(other.slack_s for other in like)
                 if slack > most_slack and any(
-                    self._suits(want, *kind) for kind in kinds.get(shard, ())
+                    self._suits(request, *kind) for kind in kinds.get(shard, ())
                 ):
                     lender, most_slack = shard, slack
             if lender:
                 self.owed_at[lender, team] = now
                 per = max(
                     (
-                        capacity(shape, want.cpus, want.gpus, want.memory)
+                        capacity(shape, request.cpus, request.gpus, request.memory)
                         for shape in self.catalog.values()
                     ),
                     default=1,
                 )
                 out.append(
-                    Owed(lender, team, -(-left // max(per, 1)), want.types, want.zone, want.spot)
+                    Rebalance(
+                        lender,
+                        team,
+                        -(-left // max(per, 1)),
+                        request.types,
+                        request.zone,
+                        request.spot,
+                    )
                 )
         return out
 
     def _forget_settled(
-        self, lent: dict[str, Lent], pictures: dict[str, Picture], now: float
+        self, lent: dict[str, Lent], shard_statuses: dict[str, ShardStatus], now: float
     ) -> None:
         patience = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
         for name, (team, since) in list(self.recalling.items()):
@@ -325,8 +350,13 @@
                 del self.recalling[name]
         for name, (team, since) in list(self.coming.items()):
             record = lent.get(name)
-            picture = pictures.get(team)
-            seen = record and picture and record.shard == team and picture.seen >= record.revision
+            shard_status = shard_statuses.get(team)
+            seen = (
+                record
+                and shard_status
+                and record.shard == team
+                and shard_status.seen >= record.revision
+            )
             if seen or now - since > self.settle_s:
                 del self.coming[name]
 
@@ -346,24 +376,26 @@
                 )
         return out
 
-    def _use_virtual(self, rooms: Slots, want: Want) -> int:
+    def _use_virtual(self, rooms: Slots, request: ResourceRequest) -> int:
         """The tasks for which there is nothing on its way."""
 
         def suits(label: str, zone: str, spot: bool) -> bool:
-            return self._suits(want, label, zone, spot)
+            return self._suits(request, label, zone, spot)
 
-        return want.tasks - rooms.take(suits, (want.cpus, want.gpus, want.memory), want.tasks)
+        return request.tasks - rooms.take(
+            suits, (request.cpus, request.gpus, request.memory), request.tasks
+        )
 
     @staticmethod
-    def _suits(want: Want, kind: str, zone: str, spot: bool) -> bool:
-        if want.types and kind not in want.types:
+    def _suits(request: ResourceRequest, kind: str, zone: str, spot: bool) -> bool:
+        if request.types and kind not in request.types:
             return False
-        if want.zone and zone != want.zone:
+        if request.zone and zone != request.zone:
             return False
-        return want.spot or not spot
+        return request.spot or not spot
 
     def _zones(
-        self, team: str, want: Want, empty: Stock, busy: Stock, spare: dict[str, int]
+        self, team: str, request: ResourceRequest, empty: Stock, busy: Stock, spare: dict[str, int]
     ) -> dict[str, float]:
         """How many more of a gang's tasks each zone would take: on what stands empty, can be recalled, or rented."""
         score: dict[str, float] = {}
@@ -371,35 +403,45 @@
         def add(kind: Kind, number: int, worth: float) -> None:
             if number:
                 score[kind.zone] = score.get(kind.zone, 0.0) + number * worth * self._per(
-                    kind.type, want
+                    kind.type, request
                 )
 
         for shelf in empty.shelves_for(
-            lambda kind: kind.shard != team and self._suits(want, kind.type, kind.zone, kind.spot)
+            lambda kind: (
+                kind.shard != team and self._suits(request, kind.type, kind.zone, kind.spot)
+            )
         ):
             add(shelf.kind, empty.count(shelf, math.inf), 1.0)
         for shelf in busy.shelves_for(
-            lambda kind: self._suits(want, kind.type, kind.zone, kind.spot)
+            lambda kind: self._suits(request, kind.type, kind.zone, kind.spot)
         ):
-            add(shelf.kind, busy.count(shelf, self._most_loss(team, want, shelf.kind, spare)), 0.99)
+            add(
+                shelf.kind,
+                busy.count(shelf, self._most_loss(team, request, shelf.kind, spare)),
+                0.99,
+            )
         for shape in self.catalog.values():
             for zone in shape.yards:
-                kinds = (True, False) if want.spot else (False,)
+                kinds = (True, False) if request.spot else (False,)
                 if any(
                     self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
                     for spot in kinds
                 ):
-                    score[zone] = score.get(zone, 0.0) + 0.9 * max(want.tasks, want.whole)
+                    score[zone] = score.get(zone, 0.0) + 0.9 * max(request.tasks, request.whole)
         return score
 
-    def _per(self, type_: str, want: Want) -> int:
-        key = (type_, want.cpus, want.gpus, want.memory)
+    def _per(self, type_: str, request: ResourceRequest) -> int:
+        key = (type_, request.cpus, request.gpus, request.memory)
         per = self.pers.get(key)
         if per is None:
-            per = self.pers[key] = capacity(self.catalog[type_], want.cpus, want.gpus, want.memory)
+            per = self.pers[key] = capacity(
+                self.catalog[type_], request.cpus, request.gpus, request.memory
+            )
         return per
 
-    def _most_loss(self, team: str, want: Want, kind: Kind, spare: dict[str, int]) -> float:
+    def _most_loss(
+        self, team: str, request: ResourceRequest, kind: Kind, spare: dict[str, int]
+    ) -> float:
         """Up to what loss a machine of that class may be recalled; -1: not at all. A guarantee is regained from teams beyond theirs,
         as far as they are beyond it, and work of higher priority takes the place of lower where less is lost by it than a boot's
         wait would cost. But nobody's work beyond his own guarantee takes the place of what another runs within his: a hot team's
@@ -407,18 +449,18 @@
         if kind.shard == team:
             return -1.0
         beyond = spare[kind.shard] > 0
-        if want.guaranteed and beyond:
+        if request.guaranteed and beyond:
             return math.inf
-        if not (want.guaranteed or beyond):
+        if not (request.guaranteed or beyond):
             return -1.0
         boot_s = self.catalog[kind.type].boot_s
-        steps = want.priority - kind.priority
-        return boot_s * steps if steps > 0 and want.slack_s < boot_s else -1.0
+        steps = request.priority - kind.priority
+        return boot_s * steps if steps > 0 and request.slack_s < boot_s else -1.0
 
     def _recall(
         self,
         team: str,
-        want: Want,
+        request: ResourceRequest,
         left: int,
         busy: Stock,
         spare: dict[str, int],
@@ -430,25 +472,25 @@
         alike = (
             "recall",
             team,
-            want.types,
-            want.zone,
-            want.spot,
-            want.priority,
-            want.guaranteed,
-            want.slack_s < self.boot_s,
-            want.image if cached else None,
+            request.types,
+            request.zone,
+            request.spot,
+            request.priority,
+            request.guaranteed,
+            request.slack_s < self.boot_s,
+            request.image if cached else None,
         )
         if left <= 0 or not busy or self.barren.holds(alike, ANY_NEED, 1):
             return left
         shelves = busy.shelves_for(
-            lambda kind: self._suits(want, kind.type, kind.zone, kind.spot),
-            want.image if cached else None,
+            lambda kind: self._suits(request, kind.type, kind.zone, kind.spot),
+            request.image if cached else None,
         )
-        for machine in busy.take(shelves, lambda kind: self._most_loss(team, want, kind, spare)):
-            out.append(Recalled(machine.shard, team, [machine.name]))
+        for machine in busy.take(shelves, lambda kind: self._most_loss(team, request, kind, spare)):
+            out.append(Reclaim(machine.shard, team, [machine.name]))
             self.recalling[machine.name] = (team, self.now)
             spare[machine.shard] -= 1
-            left -= max(1, self._per(machine.type, want))
+            left -= max(1, self._per(machine.type, request))
             if left <= 0:
                 return left
         self.barren.note(alike, ANY_NEED, 1)
@@ -457,7 +499,7 @@
     def _lend(
         self,
         team: str,
-        want: Want,
+        request: ResourceRequest,
         left: int,
         empty: Stock,
         out: list[Decision],
@@ -468,57 +510,61 @@
         alike = (
             "lend",
             team,
-            want.types,
-            want.zone,
-            want.spot,
-            want.idle,
-            want.image if cached else None,
+            request.types,
+            request.zone,
+            request.spot,
+            request.idle,
+            request.image if cached else None,
         )
-        need = (want.cpus, want.gpus, want.memory)
+        need = (request.cpus, request.gpus, request.memory)
         if left <= 0 or not empty or self.barren.holds(alike, need, 1):
             return left
-        only_cheap = want.idle and self._cheap(want)
+        only_cheap = request.idle and self._cheap(request)
 
         def suits(kind: Kind) -> bool:
             if (
                 kind.shard == team
                 or (only_cheap and not kind.spot)
-                or not self._suits(want, kind.type, kind.zone, kind.spot)
+                or not self._suits(request, kind.type, kind.zone, kind.spot)
             ):
                 return False
-            return self._per(kind.type, want) > 0
+            return self._per(kind.type, request) > 0
 
         for machine in empty.take(
-            empty.shelves_for(suits, want.image if cached else None), lambda kind: math.inf
+            empty.shelves_for(suits, request.image if cached else None), lambda kind: math.inf
         ):
             out.append(Move(machine.shard, machine.name, team))
             self.coming[machine.name] = (team, now)
-            left -= self._per(machine.type, want)
+            left -= self._per(machine.type, request)
             if left <= 0:
                 return left
         self.barren.note(alike, need, 1)
         return left
 
-    def _cheap(self, want: Want) -> bool:
+    def _cheap(self, request: ResourceRequest) -> bool:
         """Whether it may use the cheap kind. What was promised nothing then uses no other: machines that cost four times as
         much were rented for idle-time scans, and kept from work that had been promised them."""
-        return want.spot and self.renting.spot
+        return request.spot and self.renting.spot
 
     def _offer(
-        self, want: Want, left: int, rents: dict[tuple[str, str, str, bool], int], now: float
+        self,
+        request: ResourceRequest,
+        left: int,
+        rents: dict[tuple[str, str, str, bool], int],
+        now: float,
     ) -> tuple[MachineType, str, bool] | None:
         """The cheapest kind that suits and was not refused of late; a gang's zone stays one."""
         best: tuple[tuple[float, ...], tuple[MachineType, str, bool]] | None = None
         for shape in self.catalog.values():
-            per = capacity(shape, want.cpus, want.gpus, want.memory)
-            if per <= 0 or (want.types and shape.label not in want.types):
+            per = capacity(shape, request.cpus, request.gpus, request.memory)
+            if per <= 0 or (request.types and shape.label not in request.types):
                 continue
             for zone in shape.yards:
-                if want.zone and zone != want.zone:
+                if request.zone and zone != request.zone:
                     continue
                 for spot in (True, False):
-                    if (spot and not self._cheap(want)) or (
-                        not spot and want.idle and self._cheap(want)
+                    if (spot and not self._cheap(request)) or (
+                        not spot and request.idle and self._cheap(request)
                     ):
                         continue
                     if self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
@@ -529,17 +575,24 @@
                         for key, count in rents.items()
                         if key[1:] == (shape.label, zone, spot)
                     )
-                    key = (price, float(-asked if want.together else asked), shape.boot_s)
+                    key = (price, float(-asked if request.together else asked), shape.boot_s)
                     if best is None or key < best[0]:
                         best = key, (shape, zone, spot)
         return best[1] if best else None
 
     def balance(
-        self, owners: dict[str, str], alive: list[str], pictures: dict[str, Picture], now: float
+        self,
+        owners: dict[str, str],
+        alive: list[str],
+        shard_statuses: dict[str, ShardStatus],
+        now: float,
     ) -> list[Decision]:
         """Parts go from the controller with most work to the one with least, where that evens them out.
         Rarely, since a shard's workers must find its new owner."""
-        load = {team: picture.waiting + picture.machines + 1 for team, picture in pictures.items()}
+        load = {
+            team: shard_status.waiting + shard_status.machines + 1
+            for team, shard_status in shard_statuses.items()
+        }
         held = dict.fromkeys(alive, 0)
         for team, label in owners.items():
             if label not in held or team not in load:
@@ -566,7 +619,7 @@
         self,
         pool: dict[str, Lent],
         idle: dict[str, tuple[Lent, float]],
-        wants: list[tuple[str, Want]],
+        resource_requests: list[tuple[str, ResourceRequest]],
         now: float,
     ) -> list[Decision]:
         out: list[Decision] = []
@@ -581,9 +634,9 @@
             kind = (machine.type, machine.zone, machine.spot)
             if kind not in wanted:
                 wanted[kind] = any(
-                    self._suits(want, *kind)
-                    and (machine.spot or not (want.idle and self._cheap(want)))
-                    for _, want in wants
+                    self._suits(request, *kind)
+                    and (machine.spot or not (request.idle and self._cheap(request)))
+                    for _, request in resource_requests
                 )
             if not wanted[kind]:
                 out.append(Move(machine.shard, machine.name, ""))
--- a/ashdock/core/passes.py
+++ b/ashdock/core/passes.py
@@ -13,8 +13,8 @@
 from ashdock.core.losses import loss
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.quota import Usage, guaranteed
+from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Phase, Placement
-from ashdock.core.telling import Telling, Want
 from ashdock.core.worth import Worth
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Shared, Team, Workers
@@ -23,7 +23,7 @@
 log = logging.getLogger("ashdock.shard")
 
 FETCHES_AHEAD = 4  # how many fetches longer a job may have waited that is overtaken by one whose image is at hand
-MOST_WANTS = (
+MOST_REQUESTS = (
     100  # told to the leader at a time, the first in rank: once those are served the next are told
 )
 
@@ -41,7 +41,7 @@
     worth: Worth
     classes: Classes
     strange: dict[str, set[str]]
-    wants: list[Want]
+    resource_requests: list[ResourceRequest]
     reserved: set[str]
     seen: int
     looked: int
@@ -100,10 +100,12 @@
 
 
 class Passes:
-    def __init__(self, shard: Placed, estimates: Estimates, telling: Telling) -> None:
+    def __init__(
+        self, shard: Placed, estimates: Estimates, status_reporter: StatusReporter
+    ) -> None:
         self.shard = shard
         self.estimates = estimates
-        self.telling = telling
+        self.status_reporter = status_reporter
         self.aims: dict[str, list[float]] = {}  # by class: within what times its jobs are to start
 
     def waiting(self, now: float, look: _Pass | None = None) -> list[Job]:
@@ -231,8 +233,8 @@
         self.shard.looked = self.shard.seen
         short: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
-        if self.telling.owed:
-            self.telling.pass_on(now)
+        if self.status_reporter.owed:
+            self.status_reporter.pass_on(now)
         look = _Pass(self.shard.machines.values(), now)
         for job in self.waiting(now, look):
             missing = self._try_place(job, look, now)
@@ -258,7 +260,7 @@
                 if job.priority not in lower:
                     lower[job.priority] = self._lower_work(job.priority)
                 self._make_room(job, missing, zone, lower[job.priority], now)
-        self.shard.wants = self._net_wants(short, look, now)
+        self.shard.resource_requests = self._missing_room(short, look, now)
 
     def _some_live(self) -> Iterable[Placement]:
         """One placement of each job that has any: they share the job's priority."""
@@ -390,10 +392,12 @@
                 kept += room
         return best, min(kept, spec.tasks)
 
-    def _net_wants(self, short: list[tuple[Job, int, str]], look: _Pass, now: float) -> list[Want]:
+    def _missing_room(
+        self, short: list[tuple[Job, int, str]], look: _Pass, now: float
+    ) -> list[ResourceRequest]:
         """What is lacking once the machines still booting are counted in."""
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
-        out: list[Want] = []
+        out: list[ResourceRequest] = []
         for job, missing, zone in short:
             spec = job.spec
             if not guaranteed(
@@ -409,9 +413,9 @@
                 return zone in ("", where) and placing.permits(spec, label, where, spot)
 
             missing -= look.coming.take(suits, (spec.cpus, spec.gpus, spec.memory_gb), missing)
-            if missing > 0 and len(out) < MOST_WANTS:
+            if missing > 0 and len(out) < MOST_REQUESTS:
                 out.append(
-                    Want(
+                    ResourceRequest(
                         spec.cpus,
                         spec.gpus,
                         spec.memory_gb,
--- a/ashdock/core/pipelines.py
+++ b/ashdock/core/pipelines.py
@@ -14,7 +14,7 @@
 from ashdock.core.estimates import Estimates
 from ashdock.core.job import Job, JobPhase
 from ashdock.core.needs import Carried, Needs
-from ashdock.core.telling import Telling
+from ashdock.core.status_reporter import StatusReporter
 from ashdock.settings import Workers
 from ashdock.wire.messages import MachineType, Spec
 
@@ -28,7 +28,7 @@
     catalog: dict[str, MachineType]
     jobs: dict[str, Job]
     estimates: Estimates
-    telling: Telling
+    status_reporter: StatusReporter
     stale: bool
 
 
@@ -82,7 +82,7 @@
                 job.released(since)
                 self.shard.stale = True
                 log.info("job %s may start: the last that it needs is done (%s)", job_id, need)
-                self.shard.telling.came(job, now)
+                self.shard.status_reporter.came(job, now)
         else:
             for job_id in self.needs.cancelled(need):
                 log.info("job %s is cancelled with %s, which it needs", job_id, need)
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -73,9 +73,9 @@
 
 
 def select(
-    job: Job, options: list[Choice], want: int, zone_of: Callable[[str], str]
+    job: Job, options: list[Choice], request: int, zone_of: Callable[[str], str]
 ) -> list[Machine]:
-    """Machines for up to `want` more tasks of the job, one entry a task; for a gang all or none."""
+    """Machines for up to `request` more tasks of the job, one entry a task; for a gang all or none."""
     if not options:
         return []
     spec = job.spec
@@ -89,34 +89,34 @@
         best: tuple[tuple[float, float], list[Machine]] | None = None
         for zone in zones:
             picked, price = _fill(
-                [c for c in options if c.machine.zone == zone], used, want, zone_cap(spec)
+                [c for c in options if c.machine.zone == zone], used, request, zone_cap(spec)
             )
-            if not picked or (spec.kind == "gang" and len(picked) < want):
+            if not picked or (spec.kind == "gang" and len(picked) < request):
                 continue
             key = (-float(len(picked)), price)
             if best is None or key < best[0]:
                 best = key, picked
         return best[1] if best else []
-    picked, _ = _fill(options, used, want, zone_cap(spec))
-    if spec.kind == "gang" and len(picked) < want:
+    picked, _ = _fill(options, used, request, zone_cap(spec))
+    if spec.kind == "gang" and len(picked) < request:
         return []
     return picked
 
 
 def _fill(
-    options: list[Choice], used: dict[str, int], want: int, cap: int
+    options: list[Choice], used: dict[str, int], request: int, cap: int
 ) -> tuple[list[Machine], float]:
     used = dict(used)
     picked: list[Machine] = []
     worst = 0.0
     for price, machine, room in options:
-        take = min(room, want - len(picked), cap - used.get(machine.zone, 0))
+        take = min(room, request - len(picked), cap - used.get(machine.zone, 0))
         if take <= 0:
             continue
         picked += [machine] * take
         used[machine.zone] = used.get(machine.zone, 0) + take
         worst = max(worst, price)
-        if len(picked) >= want:
+        if len(picked) >= request:
             break
     return picked, worst
 
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -23,8 +23,8 @@
 from ashdock.core.pipelines import Pipelines
 from ashdock.core.quota import Usage
 from ashdock.core.reports import Reports
+from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
-from ashdock.core.telling import Telling, Want
 from ashdock.core.worth import Worth
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
@@ -75,8 +75,8 @@
         )  # as the versions before had it, whatever the limits come to be
         self.pipelines = Pipelines(self)
         self.strange: dict[str, set[str]] = {}  # job: machines where it runs without a placement
-        self.wants: list[Want] = []
-        self.wanted_before = False
+        self.resource_requests: list[ResourceRequest] = []
+        self.lacked_room_before = False
         self.reserved: set[str] = set()  # empty machines kept for a gang that lacks others
         self.seen = revision
         self.looked = revision  # what was seen when the last pass began
@@ -95,8 +95,8 @@
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
         self.reports = Reports(self, self.estimates)
-        self.telling = Telling(self)
-        self.passes = Passes(self, self.estimates, self.telling)
+        self.status_reporter = StatusReporter(self)
+        self.passes = Passes(self, self.estimates, self.status_reporter)
 
     # -- taking over --------------------------------------------------------------------------
 
--- a/ashdock/core/telling.py
+++ b/ashdock/core/status_reporter.py
@@ -21,7 +21,7 @@
 BOOTS_BACK = 4  # how many boots' time of arrivals tells what is to be expected
 
 
-class Want(NamedTuple):
+class ResourceRequest(NamedTuple):
     """Room that a shard lacks, as its owner tells the leader."""
 
     cpus: float
@@ -42,7 +42,7 @@
     idle: bool = False  # nothing was promised: no guarantee, no deadline, no aim
 
 
-class Recalled(NamedTuple):
+class Reclaim(NamedTuple):
     """Machines that a shard is to vacate for another team."""
 
     shard: str
@@ -50,7 +50,7 @@
     machines: list[str]
 
 
-class Owed(NamedTuple):
+class Rebalance(NamedTuple):
     """Machines that a shard is to pass on as they come free, to a team whose like work has waited longer."""
 
     shard: str
@@ -61,7 +61,7 @@
     spot: bool
 
 
-class Busy(NamedTuple):
+class BusyMachine(NamedTuple):
     """A machine at work: what stopping it would cost."""
 
     machine: str
@@ -69,14 +69,14 @@
     loss_s: float  # work lost, in seconds of the whole machine
 
 
-class Picture(NamedTuple):
+class ShardStatus(NamedTuple):
     """What the leader is told of a shard."""
 
     team: str
     seen: int  # the latest assignment of a machine that this picture takes in
-    wants: list[Want]
+    resource_requests: list[ResourceRequest]
     idle: list[tuple[str, float]]  # empty machines, and for how long
-    busy: list[Busy]
+    busy: list[BusyMachine]
     machines: int
     waiting: int
     spare_beyond: int  # machines held beyond the guarantee
@@ -88,10 +88,10 @@
     machine: Machine
     version: int
     until: float
-    busy: Busy
+    busy: BusyMachine
 
 
-class Told(Protocol):
+class ReportedShard(Protocol):
     """What of a shard goes into its picture, and what the leader's wishes may touch."""
 
     name: str
@@ -101,7 +101,7 @@
     jobs: dict[str, Job]
     machines: dict[str, Machine]
     usage: Usage
-    wants: list[Want]
+    resource_requests: list[ResourceRequest]
     reserved: set[str]
     looked: int
     classes: Classes
@@ -111,10 +111,10 @@
     def note_machine(self, name: str) -> None: ...
 
 
-class Telling:
-    def __init__(self, shard: Told) -> None:
+class StatusReporter:
+    def __init__(self, shard: ReportedShard) -> None:
         self.shard = shard
-        self.owed: dict[str, tuple[Owed, float]] = {}  # by team, and until when
+        self.owed: dict[str, tuple[Rebalance, float]] = {}  # by team, and until when
         self.rows: dict[str, _Row] = {}
         self.arrived: deque[tuple[float, int, Spec]] = (
             deque()
@@ -169,7 +169,7 @@
                 out.add(machine.name)
         return out
 
-    def picture(self, now: float) -> Picture:
+    def shard_status(self, now: float) -> ShardStatus:
         # A machine that came after the last pass is not idle: nobody has looked yet at what it is for. Told as idle, with the
         # wants of that pass, it was lent back to where it came from; so two parts of one controller handed their machines
         # to each other for a minute, and nothing ran.
@@ -194,10 +194,10 @@
                 name: row for name, row in self.rows.items() if name in self.shard.machines
             }
         waiting = sum(job.ready for job in self.shard.jobs.values() if job.active and not job.waits)
-        return Picture(
+        return ShardStatus(
             self.shard.name,
             self.shard.looked,
-            self.shard.wants,
+            self.shard.resource_requests,
             idle,
             busy,
             len(self.shard.machines),
@@ -213,7 +213,7 @@
             if m.to is not None and m.phase is MachinePhase.LEAVING
         ]
 
-    def _row(self, machine: Machine, now: float) -> Busy:
+    def _row(self, machine: Machine, now: float) -> BusyMachine:
         """A machine at work. What stopping it costs changes with what runs there, or slowly: it is worked out anew for each report, not
         for each picture. Of a large shard, pictures cost more than passes."""
         known = self.rows.get(machine.name)
@@ -226,13 +226,13 @@
             priority = max(
                 self.shard.jobs[placement.job].priority for placement in machine.live.values()
             )
-            busy = Busy(machine.name, priority, machine_loss(self.shard.jobs, machine, now))
+            busy = BusyMachine(machine.name, priority, machine_loss(self.shard.jobs, machine, now))
             known = self.rows[machine.name] = _Row(
                 machine, machine.version, now + self.shard.workers.report_s, busy
             )
         return known.busy
 
-    def _beyond(self, busy: list[Busy]) -> int:
+    def _beyond(self, busy: list[BusyMachine]) -> int:
         """How many machines' work the team runs beyond its guarantee. Machines that stand empty or boot do not
         count: taking running work for those made machines go round between teams that were all within theirs."""
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
@@ -256,7 +256,7 @@
             or (team.cpus > 0 and cpus < team.cpus - 1e-6)
         )
 
-    def yield_machine(self, name: str, to: str, now: float) -> None:
+    def transfer_machine(self, name: str, to: str, now: float) -> None:
         """The leader wants it elsewhere. It goes if empty, by a write under our fence."""
         machine = self.shard.machines.get(name)
         if machine is not None and machine.usable and machine.empty and to != self.shard.name:
@@ -264,7 +264,7 @@
             machine.leave("moves")
             self.shard.note_machine(name)
 
-    def recall(self, order: Recalled, now: float) -> None:
+    def recall(self, order: Reclaim, now: float) -> None:
         """Vacate machines for a team that lacks its guarantee, or for work of higher priority."""
         for name in order.machines:
             machine = self.shard.machines.get(name)
@@ -275,7 +275,7 @@
                 self.shard.note_machine(name)
                 self.shard.drain(machine, now)
 
-    def owe(self, order: Owed, now: float) -> None:
+    def owe(self, order: Rebalance, now: float) -> None:
         self.owed[order.to] = (order, now + self.shard.workers.lease_s)
 
     def pass_on(self, now: float) -> None:
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -27,10 +27,10 @@
     StoreUnavailableError,
     WatchCache,
 )
-from ashdock.questions import Busy, Known, Questions, known_of
+from ashdock.questions import Known, Questions, StatusReaderBusyError, known_of
 from ashdock.settings import Shared, Workers
 from ashdock.wire import messages
-from ashdock.wire.frames import Relayed
+from ashdock.wire.frames import ForwardReply
 from ashdock.wire.messages import Malformed, Spec
 
 log = logging.getLogger("ashdock.front")
@@ -132,7 +132,7 @@
 
     def spawn(self, job: Coroutine[Any, Any, Any]) -> None: ...
 
-    async def relay(self, label: str, body: bytes) -> Relayed | None: ...
+    async def relay(self, label: str, body: bytes) -> ForwardReply | None: ...
 
 
 class Front:
@@ -315,7 +315,7 @@
             return refused(behind)
         try:
             known = await self._bounded(self.questions.ask(job_id))
-        except Busy:
+        except StatusReaderBusyError:
             return error(429, "too many questions at once", self._retry_after())
         except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
@@ -587,7 +587,7 @@
         stayed = now - self.answered.get(report.berth, -1e9) < 1.5 * context.workers.report_s
         was_there = not stayed and report.warrant >= token
         hears = context.mesh.hears(label, context.ttl_s)
-        # Relayed for as long as a lease lasts, it tries its owner again.
+        # ForwardReply for as long as a lease lasts, it tries its owner again.
         home = since is not None and now - since.at >= lease
         heartbeat_forwarder = not home and ((was_there and hears) or came_back or since is not None)
         if heartbeat_forwarder:
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -8,7 +8,7 @@
 
 from ashdock.net.http import Answer
 from ashdock.net.mesh import Mesh
-from ashdock.wire.frames import Relay, Relayed
+from ashdock.wire.frames import ForwardedHeartbeat, ForwardReply
 
 UNDER_WAY = 500  # things that may be under way here before a report passed on to us is dropped
 PATIENCE_S = 2.0  # half of what a worker waits
@@ -35,30 +35,30 @@
 class HeartbeatForwarder:
     def __init__(self, context: ForwarderContext) -> None:
         self.context = context
-        self.waiting: dict[int, asyncio.Future[Relayed]] = {}
+        self.waiting: dict[int, asyncio.Future[ForwardReply]] = {}
         self.number = 0
 
-    def heard(self, label: str, frame: Relay) -> None:
+    def heard(self, label: str, frame: ForwardedHeartbeat) -> None:
         if len(self.context.background) < UNDER_WAY:
             self.context.spawn(self._answer(label, frame))
 
-    async def _answer(self, label: str, frame: Relay) -> None:
+    async def _answer(self, label: str, frame: ForwardedHeartbeat) -> None:
         answer = await self.context.front.checkin(frame.body, relayed=True)
-        self.context.mesh.send(label, Relayed(frame.number, answer.status, answer.body))
+        self.context.mesh.send(label, ForwardReply(frame.number, answer.status, answer.body))
 
-    def answered(self, frame: Relayed) -> None:
+    def answered(self, frame: ForwardReply) -> None:
         future = self.waiting.pop(frame.number, None)
         if future and not future.done():
             future.set_result(frame)
 
-    async def relay(self, label: str, body: bytes) -> Relayed | None:
+    async def relay(self, label: str, body: bytes) -> ForwardReply | None:
         """Pass a worker's report on to its owner; None if nothing came back in time."""
         self.number = (self.number + 1) & 0xFFFFFFFF
         number = self.number
-        future: asyncio.Future[Relayed] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[ForwardReply] = asyncio.get_running_loop().create_future()
         self.waiting[number] = future
         try:
-            if not self.context.mesh.send(label, Relay(number, body)):
+            if not self.context.mesh.send(label, ForwardedHeartbeat(number, body)):
                 return None
             async with asyncio.timeout(PATIENCE_S):
                 return await future
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -12,8 +12,8 @@
 from ashdock.core.allotment import Allotment, Move, MoveShard, Release, Rent
 from ashdock.core.bounds import Bounds
 from ashdock.core.machine import images_of, trimmed
+from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
 from ashdock.core.stock import Lent
-from ashdock.core.telling import Owed, Picture, Recalled
 from ashdock.election.election import Election
 from ashdock.election.fencing import NotLeaderError
 from ashdock.net.budget import Turn
@@ -26,7 +26,7 @@
     WatchCache,
 )
 from ashdock.settings import Operators, Shared, Workers
-from ashdock.wire.frames import Give, Word, Yield
+from ashdock.wire.frames import ShardCommand, TransferMachine, TransferShard
 from ashdock.wire.messages import MachineType, Report
 
 log = logging.getLogger("ashdock.leader")
@@ -81,11 +81,11 @@
 
     def owner_label(self, team: str) -> str | None: ...
 
-    def pictures(self) -> dict[str, Picture]: ...
+    def shard_statuses(self) -> dict[str, ShardStatus]: ...
 
     def leaving(self) -> list[tuple[str, str]]: ...
 
-    def to_owner(self, team: str, word: Word, term: int) -> None: ...
+    def to_owner(self, team: str, word: ShardCommand, term: int) -> None: ...
 
 
 class Leader:
@@ -218,24 +218,24 @@
             return context.tick_s
         if not self.election.may_choose(time.monotonic(), self.revision):
             return context.tick_s / 4
-        pictures: dict[str, Picture] = context.pictures()
+        shard_statuses: dict[str, ShardStatus] = context.shard_statuses()
         if time.monotonic() - self.election.taken_at < context.workers.lease_s:
             self.allotment.vacating(context.leaving(), now)
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
-        decisions = self.allotment.decide(self._lent(), pictures, now)
+        decisions = self.allotment.decide(self._lent(), shard_statuses, now)
         lend: dict[str, str] = {}
         for decision in decisions + self.allotment.balance(
-            owners, context.fit_members(), pictures, now
+            owners, context.fit_members(), shard_statuses, now
         ):
             match decision:
                 case Rent():
                     self._spawn(self._rent(decision))
                 case Move(shard, machine, to):
                     if shard:
-                        context.to_owner(shard, Yield(shard, machine, to), self.revision)
+                        context.to_owner(shard, TransferMachine(shard, machine, to), self.revision)
                     else:
                         lend[machine] = to
-                case Recalled():
+                case Reclaim():
                     log.info(
                         "team %s is to give %s to %s",
                         decision.shard,
@@ -243,7 +243,7 @@
                         decision.to,
                     )
                     context.to_owner(decision.shard, decision, self.revision)
-                case Owed():
+                case Rebalance():
                     log.info(
                         "team %s is to pass on %d to %s as they come free",
                         decision.shard,
@@ -253,7 +253,7 @@
                     context.to_owner(decision.shard, decision, self.revision)
                 case MoveShard(shard, to):
                     log.info("part %s is to go to controller %s", shard, to)
-                    context.to_owner(shard, Give(shard, to), self.revision)
+                    context.to_owner(shard, TransferShard(shard, to), self.revision)
                 case Release(machines):
                     self._spawn(self._mark_all(machines, "returned"))
         if lend:
--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -9,7 +9,7 @@
 
 from ashdock.fairness.burden import Pace
 from ashdock.wire import frames
-from ashdock.wire.frames import BadFrame, Beat, Frame, Hello
+from ashdock.wire.frames import Frame, FrameError, Hello, PeerHeartbeat
 
 log = logging.getLogger("ashdock.mesh")
 
@@ -23,7 +23,7 @@
         self.host = host
         self.port = port
         self.writer: asyncio.StreamWriter | None = None
-        self.beat: Beat | None = None
+        self.beat: PeerHeartbeat | None = None
         self.beat_at = 0.0  # when we last heard from it
 
     def heard_within(self, seconds: float) -> bool:
@@ -70,7 +70,7 @@
             return False
         try:
             peer.writer.write(frames.pack(frame))
-        except BadFrame as why:
+        except FrameError as why:
             log.error("a %s for %s is not sent: %s", type(frame).__name__, label, why)
             return False
         return True
@@ -152,13 +152,13 @@
                     break  # replaced while this frame was on its way
                 peer = self.peers.get(label)
                 if peer is None:
-                    raise BadFrame(f"from an unknown controller {label!r}")
+                    raise FrameError(f"from an unknown controller {label!r}")
                 peer.beat_at = time.monotonic()
-                if isinstance(frame, Beat):
+                if isinstance(frame, PeerHeartbeat):
                     peer.beat = frame
                     peer.pace.beat(peer.beat_at)
                 self.on_frame(label, frame)
-        except BadFrame as why:
+        except FrameError as why:
             log.info("closed a mesh link of %s: %s", label or "nobody known", why)
         except (OSError, EOFError, TimeoutError):
             pass
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -71,7 +71,7 @@
     def cancellations_age(self) -> float: ...
 
 
-class Picture(Collector):
+class MetricsCollector(Collector):
     def __init__(self, context: Seen) -> None:
         self.context = context
 
@@ -297,5 +297,5 @@
 
 def page(context: Seen) -> bytes:
     registry = CollectorRegistry()
-    registry.register(Picture(context))
+    registry.register(MetricsCollector(context))
     return generate_latest(registry)
--- a/ashdock/questions.py
+++ b/ashdock/questions.py
@@ -43,7 +43,7 @@
     return Known(revision, spec.team, value.get("reason"), spec.kind, tuple(spec.needs or ()))
 
 
-class Busy(Exception):
+class StatusReaderBusyError(Exception):
     """More questions than can be checked while their users wait."""
 
 
@@ -93,7 +93,7 @@
         future = self.waiting.get(job_id)
         if future is None:
             if len(self.waiting) >= self.most * max(1.0, self.patience_s / self.pause_s):
-                raise Busy
+                raise StatusReaderBusyError
             future = asyncio.get_running_loop().create_future()
             future.add_done_callback(
                 lambda done: done.cancelled() or done.exception()
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -79,7 +79,7 @@
 
     def jobs_seen(self, path: str, value: Any, revision: int) -> None: ...
 
-    def tell_claims(self) -> None: ...
+    def send_claims(self) -> None: ...
 
     def tell_leader(self, shard: Shard) -> None: ...
 
@@ -250,7 +250,7 @@
                 self.context.jobs_known.saw(job.id, job.record(), job.revision)
         shard.seen = max(shard.seen, seen)
         self._loaded()
-        self.context.tell_claims()
+        self.context.send_claims()
 
     async def _turn(self) -> None:
         shard = self.shard
@@ -263,7 +263,7 @@
         if shard.pipelines.unread and (self.reading is None or self.reading.done()):
             self.reading = asyncio.create_task(self._read_needs(shard))
         if not self.context.state_fresh():
-            shard.wants = []
+            shard.resource_requests = []
         elif self._pass_due(shard, now):
             self.passed_at = now
             shard.passes.schedule(now)
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -10,7 +10,13 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ashdock.core.telling import Busy, Owed, Picture, Recalled, Want
+from ashdock.core.status_reporter import (
+    BusyMachine,
+    Rebalance,
+    Reclaim,
+    ResourceRequest,
+    ShardStatus,
+)
 
 MAGIC = b"AD"
 VERSION = 3
@@ -34,7 +40,7 @@
 )  # incarnation, age of the state's last answer, of the last worker's; ready, leader; demand
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     pass
 
 
@@ -61,7 +67,7 @@
     label: str
 
 
-class Beat(NamedTuple):
+class PeerHeartbeat(NamedTuple):
     incarnation: int
     state_age: float
     worker_age: float
@@ -71,35 +77,35 @@
     writes: float = 0.0
 
 
-class Yield(NamedTuple):
+class TransferMachine(NamedTuple):
     shard: str
     machine: str
     to: str
 
 
-class Relay(NamedTuple):
+class ForwardedHeartbeat(NamedTuple):
     number: int
     body: bytes
 
 
-class Relayed(NamedTuple):
+class ForwardReply(NamedTuple):
     number: int
     status: int
     body: bytes
 
 
-class Counts(NamedTuple):
+class TaskCounts(NamedTuple):
     jobs: list[tuple[str, int, int]]  # id, done, running
 
 
-class Give(NamedTuple):
+class TransferShard(NamedTuple):
     """The leader asks a shard's owner to hand the shard to another controller."""
 
     shard: str
     to: str
 
 
-class Ahead(NamedTuple):
+class PriorityInheritance(NamedTuple):
     """What a shard's jobs make of the jobs of other shards that they need: whose, and what priority and time are carried back.
     Versions before do not know it: it is sent only once every controller is of the new version."""
 
@@ -107,39 +113,41 @@
     jobs: list[tuple[str, int, float]]
 
 
-class Claims(NamedTuple):
+class OwnershipClaims(NamedTuple):
     """The shards that the sender owns, with the revisions of its claims."""
 
     shards: list[tuple[str, int]]
 
 
-Word = Yield | Recalled | Give | Owed  # what a holder of the machines' duty asks of a shard's owner
+ShardCommand = (
+    TransferMachine | Reclaim | TransferShard | Rebalance
+)  # what a holder of the machines' duty asks of a shard's owner
 
 
-class Termed(NamedTuple):
+class FencedCommand(NamedTuple):
     """A word and the term under which it was given. Versions before do not know it: it is sent only once every controller does."""
 
     term: int
-    word: Word
+    word: ShardCommand
 
 
-class Leaving(NamedTuple):
-    """The machines that a shard is vacating, and for whom ("" is the pool): a new holder has not asked for them itself. Sent as `Termed` is."""
+class ReclaimsInProgress(NamedTuple):
+    """The machines that a shard is vacating, and for whom ("" is the pool): a new holder has not asked for them itself. Sent as `FencedCommand` is."""
 
     shard: str
     machines: list[tuple[str, str]]
 
 
-class Cancelled(NamedTuple):
+class CancelledJobs(NamedTuple):
     """Jobs of which the sender knows, durably, that they are cancelled: job, team, revision of the record, time of day when it was cancelled.
     Versions before do not know it: it is sent only once every controller does."""
 
     jobs: list[tuple[str, str, int, float]]
 
 
-class Vouch(NamedTuple):
+class WatermarkEcho(NamedTuple):
     """`number` is to be sent back; `back` is the last number that the sender had of the receiver. All cancellations that it had learnt of
-    before, since this link began, went out on it before. Sent as `Cancelled` is."""
+    before, since this link began, went out on it before. Sent as `CancelledJobs` is."""
 
     number: int
     back: int
@@ -147,21 +155,21 @@
 
 Frame = (
     Hello
-    | Beat
-    | Picture
-    | Yield
-    | Recalled
-    | Relay
-    | Relayed
-    | Counts
-    | Give
-    | Owed
-    | Claims
-    | Ahead
-    | Termed
-    | Leaving
-    | Cancelled
-    | Vouch
+    | PeerHeartbeat
+    | ShardStatus
+    | TransferMachine
+    | Reclaim
+    | ForwardedHeartbeat
+    | ForwardReply
+    | TaskCounts
+    | TransferShard
+    | Rebalance
+    | OwnershipClaims
+    | PriorityInheritance
+    | FencedCommand
+    | ReclaimsInProgress
+    | CancelledJobs
+    | WatermarkEcho
 )
 WORDS = (FrameKind.YIELD, FrameKind.RECALL, FrameKind.GIVE, FrameKind.OWED)
 
@@ -182,14 +190,14 @@
 
     def take(self, kind: struct.Struct) -> tuple:  # type: ignore[type-arg]
         if self.at + kind.size > len(self.data):
-            raise BadFrame("cut short")
+            raise FrameError("cut short")
         out = kind.unpack_from(self.data, self.at)
         self.at += kind.size
         return out
 
     def raw(self, size: int) -> bytes:
         if self.at + size > len(self.data):
-            raise BadFrame("cut short")
+            raise FrameError("cut short")
         out = self.data[self.at : self.at + size]
         self.at += size
         return out
@@ -199,7 +207,7 @@
         try:
             return raw.decode("utf-8")
         except UnicodeDecodeError:
-            raise BadFrame("not UTF-8") from None
+            raise FrameError("not UTF-8") from None
 
     def blob(self) -> bytes:
         return self.raw(self.take(U32)[0])
@@ -208,18 +216,18 @@
         """A count; each item takes a byte at least, so it cannot exceed what is left."""
         count: int = self.take(U32)[0]
         if count > len(self.data) - self.at:
-            raise BadFrame("count beyond the frame")
+            raise FrameError("count beyond the frame")
         return count
 
     def end(self) -> None:
         if self.at != len(self.data):
-            raise BadFrame("bytes left over")
+            raise FrameError("bytes left over")
 
 
 def pack(frame: Frame) -> bytes:
     kind, body = _body(frame)
     if len(body) > MOST:
-        raise BadFrame("too long")
+        raise FrameError("too long")
     return HEAD.pack(MAGIC, VERSION, kind, len(body)) + body
 
 
@@ -227,111 +235,111 @@
     match frame:
         case Hello(label):
             return FrameKind.HELLO, _text(label)
-        case Beat():
+        case PeerHeartbeat():
             return FrameKind.BEAT, BEAT.pack(*frame)
-        case Picture():
-            return FrameKind.PICTURE, _pack_picture(frame)
-        case Yield(shard, machine, to):
+        case ShardStatus():
+            return FrameKind.PICTURE, _pack_shard_status(frame)
+        case TransferMachine(shard, machine, to):
             return FrameKind.YIELD, _text(shard) + _text(machine) + _text(to)
-        case Recalled():
+        case Reclaim():
             names = b"".join(map(_text, frame.machines))
             return FrameKind.RECALL, _text(frame.shard) + _text(frame.to) + U32.pack(
                 len(frame.machines)
             ) + names
-        case Relay(number, body):
+        case ForwardedHeartbeat(number, body):
             return FrameKind.RELAY, U32.pack(number) + _blob(body)
-        case Relayed(number, status, body):
+        case ForwardReply(number, status, body):
             return FrameKind.RELAYED, U32.pack(number) + U16.pack(status) + _blob(body)
-        case Counts(jobs):
+        case TaskCounts(jobs):
             rows = b"".join(
                 _text(job) + U32.pack(done) + U32.pack(running) for job, done, running in jobs
             )
             return FrameKind.COUNTS, U32.pack(len(jobs)) + rows
-        case Give(shard, to):
+        case TransferShard(shard, to):
             return FrameKind.GIVE, _text(shard) + _text(to)
-        case Owed(shard, to, number, types, zone, spot):
+        case Rebalance(shard, to, number, types, zone, spot):
             names = U16.pack(len(types)) + b"".join(map(_text, types))
             return FrameKind.OWED, _text(shard) + _text(to) + OWED.pack(
                 number, spot
             ) + names + _text(zone)
-        case Claims(shards):
+        case OwnershipClaims(shards):
             return FrameKind.CLAIMS, U32.pack(len(shards)) + b"".join(
                 _text(shard) + U64.pack(revision) for shard, revision in shards
             )
-        case Ahead(shard, jobs):
+        case PriorityInheritance(shard, jobs):
             rows = b"".join(
                 _text(job) + AHEAD.pack(priority, finish_by) for job, priority, finish_by in jobs
             )
             return FrameKind.AHEAD, _text(shard) + U32.pack(len(jobs)) + rows
-        case Cancelled(jobs):
+        case CancelledJobs(jobs):
             rows = b"".join(
                 _text(job) + _text(team) + CANCELLED.pack(revision, at)
                 for job, team, revision, at in jobs
             )
             return FrameKind.CANCELLED, U32.pack(len(jobs)) + rows
-        case Vouch(number, back):
+        case WatermarkEcho(number, back):
             return FrameKind.VOUCH, VOUCH.pack(number, back)
-        case Leaving(shard, rows):
+        case ReclaimsInProgress(shard, rows):
             names = b"".join(_text(machine) + _text(to) for machine, to in rows)
             return FrameKind.LEAVING, _text(shard) + U32.pack(len(rows)) + names
-        case Termed(term, word):
+        case FencedCommand(term, word):
             kind, body = _body(word)
             return FrameKind.TERMED, U64.pack(term) + bytes([kind]) + body
-    raise BadFrame(f"no such frame: {frame!r}")
+    raise FrameError(f"no such frame: {frame!r}")
 
 
-def _pack_picture(picture: Picture) -> bytes:
+def _pack_shard_status(shard_status: ShardStatus) -> bytes:
     out = [
-        _text(picture.team),
-        U64.pack(picture.seen),
-        U32.pack(picture.machines),
-        U32.pack(picture.waiting),
+        _text(shard_status.team),
+        U64.pack(shard_status.seen),
+        U32.pack(shard_status.machines),
+        U32.pack(shard_status.waiting),
     ]
-    out += [U32.pack(picture.spare_beyond), U32.pack(len(picture.wants))]
-    for want in picture.wants:
+    out += [U32.pack(shard_status.spare_beyond), U32.pack(len(shard_status.resource_requests))]
+    for request in shard_status.resource_requests:
         out.append(
             WANT.pack(
-                want.cpus,
-                want.gpus,
-                want.memory,
-                want.tasks,
-                want.priority,
-                want.spot,
-                want.together,
-                want.slack_s,
-                want.guaranteed,
-                want.whole,
-                want.idle,
+                request.cpus,
+                request.gpus,
+                request.memory,
+                request.tasks,
+                request.priority,
+                request.spot,
+                request.together,
+                request.slack_s,
+                request.guaranteed,
+                request.whole,
+                request.idle,
             )
         )
         out += [
-            U16.pack(len(want.types)),
-            *map(_text, want.types),
-            _text(want.zone),
-            _text(want.image),
+            U16.pack(len(request.types)),
+            *map(_text, request.types),
+            _text(request.zone),
+            _text(request.image),
         ]
-    out.append(U32.pack(len(picture.idle)))
-    for name, idle_s in picture.idle:
+    out.append(U32.pack(len(shard_status.idle)))
+    for name, idle_s in shard_status.idle:
         out += [_text(name), F64.pack(idle_s)]
-    out.append(U32.pack(len(picture.busy)))
-    for busy in picture.busy:
+    out.append(U32.pack(len(shard_status.busy)))
+    for busy in shard_status.busy:
         out += [_text(busy.machine), BUSY.pack(busy.priority, busy.loss_s)]
     return b"".join(out)
 
 
-def _unpack_picture(reader: _Reader) -> Picture:
+def _unpack_shard_status(reader: _Reader) -> ShardStatus:
     team = reader.text()
     seen = reader.take(U64)[0]
     machines, waiting, beyond = (reader.take(U32)[0] for _ in range(3))
-    wants = []
+    resource_requests = []
     for _ in range(reader.many()):
         cpus, gpus, memory, tasks, priority, spot, together, slack, promised, whole, idle = (
             reader.take(WANT)
         )
         types = tuple(reader.text() for _ in range(reader.take(U16)[0]))
         zone, image = reader.text(), reader.text()
-        wants.append(
-            Want(
+        resource_requests.append(
+            ResourceRequest(
                 cpus,
                 gpus,
                 memory,
@@ -349,19 +357,19 @@
             )
         )
     empty = [(reader.text(), float(reader.take(F64)[0])) for _ in range(reader.many())]
-    busy = [Busy(reader.text(), *reader.take(BUSY)) for _ in range(reader.many())]
-    return Picture(team, seen, wants, empty, busy, machines, waiting, beyond)
+    busy = [BusyMachine(reader.text(), *reader.take(BUSY)) for _ in range(reader.many())]
+    return ShardStatus(team, seen, resource_requests, empty, busy, machines, waiting, beyond)
 
 
 def head(data: bytes) -> tuple[int, int]:
     """Kind and length from a frame's head."""
     magic, version, kind, length = HEAD.unpack(data)
     if magic != MAGIC:
-        raise BadFrame("not a frame of ours")
+        raise FrameError("not a frame of ours")
     if version != VERSION:
-        raise BadFrame(f"version {version}, expected {VERSION}")
+        raise FrameError(f"version {version}, expected {VERSION}")
     if length > MOST:
-        raise BadFrame("too long")
+        raise FrameError("too long")
     return kind, length
 
 
@@ -371,53 +379,55 @@
     if kind == FrameKind.HELLO:
         frame = Hello(reader.text())
     elif kind == FrameKind.BEAT:
-        frame = Beat(*reader.take(BEAT))
+        frame = PeerHeartbeat(*reader.take(BEAT))
     elif kind == FrameKind.PICTURE:
-        frame = _unpack_picture(reader)
+        frame = _unpack_shard_status(reader)
     elif kind == FrameKind.YIELD:
-        frame = Yield(reader.text(), reader.text(), reader.text())
+        frame = TransferMachine(reader.text(), reader.text(), reader.text())
     elif kind == FrameKind.RECALL:
-        frame = Recalled(
-            reader.text(), reader.text(), [reader.text() for _ in range(reader.many())]
-        )
+        frame = Reclaim(reader.text(), reader.text(), [reader.text() for _ in range(reader.many())])
     elif kind == FrameKind.RELAY:
-        frame = Relay(reader.take(U32)[0], reader.blob())
+        frame = ForwardedHeartbeat(reader.take(U32)[0], reader.blob())
     elif kind == FrameKind.RELAYED:
-        frame = Relayed(reader.take(U32)[0], reader.take(U16)[0], reader.blob())
+        frame = ForwardReply(reader.take(U32)[0], reader.take(U16)[0], reader.blob())
     elif kind == FrameKind.COUNTS:
         rows = [
             (reader.text(), reader.take(U32)[0], reader.take(U32)[0]) for _ in range(reader.many())
         ]
-        frame = Counts(rows)
+        frame = TaskCounts(rows)
     elif kind == FrameKind.GIVE:
-        frame = Give(reader.text(), reader.text())
+        frame = TransferShard(reader.text(), reader.text())
     elif kind == FrameKind.OWED:
         shard, to = reader.text(), reader.text()
         number, spot = reader.take(OWED)
         types = tuple(reader.text() for _ in range(reader.take(U16)[0]))
-        frame = Owed(shard, to, number, types, reader.text(), spot)
+        frame = Rebalance(shard, to, number, types, reader.text(), spot)
     elif kind == FrameKind.CLAIMS:
-        frame = Claims([(reader.text(), reader.take(U64)[0]) for _ in range(reader.many())])
+        frame = OwnershipClaims(
+            [(reader.text(), reader.take(U64)[0]) for _ in range(reader.many())]
+        )
     elif kind == FrameKind.AHEAD:
         shard = reader.text()
-        frame = Ahead(shard, [(reader.text(), *reader.take(AHEAD)) for _ in range(reader.many())])
+        frame = PriorityInheritance(
+            shard, [(reader.text(), *reader.take(AHEAD)) for _ in range(reader.many())]
+        )
     elif kind == FrameKind.LEAVING:
-        frame = Leaving(
+        frame = ReclaimsInProgress(
             reader.text(), [(reader.text(), reader.text()) for _ in range(reader.many())]
         )
     elif kind == FrameKind.CANCELLED:
-        frame = Cancelled(
+        frame = CancelledJobs(
             [(reader.text(), reader.text(), *reader.take(CANCELLED)) for _ in range(reader.many())]
         )
     elif kind == FrameKind.VOUCH:
-        frame = Vouch(*reader.take(VOUCH))
+        frame = WatermarkEcho(*reader.take(VOUCH))
     elif kind == FrameKind.TERMED:
         term, inner = reader.take(U64)[0], reader.raw(1)[0]
         word = unpack(inner, reader.raw(len(body) - reader.at)) if inner in WORDS else None
-        if not isinstance(word, Word):
-            raise BadFrame(f"kind {inner} under a term")
-        frame = Termed(term, word)
+        if not isinstance(word, ShardCommand):
+            raise FrameError(f"kind {inner} under a term")
+        frame = FencedCommand(term, word)
     else:
-        raise BadFrame(f"kind {kind}")
+        raise FrameError(f"kind {kind}")
     reader.end()
     return frame
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -186,7 +186,7 @@
     ("fairness/", "leader's choices"),
     ("core/losses.py", "leader's choices"),
     ("machine_type_catalog.py", "leader's choices"),
-    ("core/telling.py", "pictures"),
+    ("core/status_reporter.py", "pictures"),
     ("controller.py:_gossip", "mesh"),
     ("controller.py:_on_frame", "mesh"),
     ("controller.py:_told", "mesh"),
@@ -221,7 +221,7 @@
     "leader's choices": "leader.py:_choose",
     "watch and state": "net/store.py:txn",
     "submissions and questions": "front.py:submit",
-    "pictures": "core/telling.py:picture",
+    "pictures": "core/status_reporter.py:shard_status",
 }
 OUTSIDE = "stand-ins"  # not the controller's
 Func = tuple[str, int, str]
@@ -440,7 +440,7 @@
         "machines": [shard.machines for shard in shards],
         "parks": [shard.parks for shard in shards],
         "of workers": [front.redirected, front.relaying, front.answered],
-        "what others told": [controller.remote_pictures, controller.remote_counts],
+        "what others told": [controller.remote_statuses, controller.remote_counts],
         "leader": [controller.leader.strays, controller.leader.listed, controller.leader.released]
         if controller.leader
         else [],
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -36,9 +36,9 @@
 
         owners = {"red": SimpleNamespace(report=report)}
 
-    async def relay(label: str, body: bytes) -> frames.Relayed | None:
+    async def relay(label: str, body: bytes) -> frames.ForwardReply | None:
         answer = values.get("relayed")
-        return frames.Relayed(1, answer[0], to_bytes(answer[1])) if answer else None
+        return frames.ForwardReply(1, answer[0], to_bytes(answer[1])) if answer else None
 
     admission = SimpleNamespace(
         memory=SimpleNamespace(jobs=10),
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -5,7 +5,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from ashdock.core.telling import Busy, Owed, Picture, Recalled, Want
+from ashdock.core.status_reporter import (
+    BusyMachine,
+    Rebalance,
+    Reclaim,
+    ResourceRequest,
+    ShardStatus,
+)
 from ashdock.wire import frames
 from tests.forms.adapter.values import (
     Plain,
@@ -32,15 +38,15 @@
 )
 
 
-def want_to_values(want: Want) -> list[Plain]:
+def want_to_values(request: ResourceRequest) -> list[Plain]:
     """A shard's want in wire order."""
-    return [plain(getattr(want, name)) for name in WANT_FIELDS]
+    return [plain(getattr(request, name)) for name in WANT_FIELDS]
 
 
-def want_from_values(values: list[Plain]) -> Want:
+def want_from_values(values: list[Plain]) -> ResourceRequest:
     """The inverse of `want_to_values`."""
     fields = dict(zip(WANT_FIELDS, values, strict=True))
-    return Want(**(fields | {"types": tuple(fields["types"])}))
+    return ResourceRequest(**(fields | {"types": tuple(fields["types"])}))
 
 
 def same(value: Any) -> Any:
@@ -48,14 +54,14 @@
     return value
 
 
-def wants(values: list[list[Plain]]) -> list[Want]:
+def resource_requests(values: list[list[Plain]]) -> list[ResourceRequest]:
     """The wants of a picture."""
     return [want_from_values(row) for row in values]
 
 
-def busy_machines(values: list[list[Plain]]) -> list[Busy]:
+def busy_machines(values: list[list[Plain]]) -> list[BusyMachine]:
     """The busy machines of a picture."""
-    return [Busy(*row) for row in values]
+    return [BusyMachine(*row) for row in values]
 
 
 def word(values: list[Plain]) -> Any:
@@ -67,7 +73,7 @@
 FRAMES: dict[int, tuple[type[Any], tuple[tuple[str, Callable[[Any], Any]], ...]]] = {
     1: (frames.Hello, (("label", same),)),
     2: (
-        frames.Beat,
+        frames.PeerHeartbeat,
         (
             ("incarnation", same),
             ("state_age", same),
@@ -79,26 +85,26 @@
         ),
     ),
     3: (
-        Picture,
+        ShardStatus,
         (
             ("team", same),
             ("seen", same),
             ("machines", same),
             ("waiting", same),
             ("spare_beyond", same),
-            ("wants", wants),
+            ("resource_requests", resource_requests),
             ("idle", rows),
             ("busy", busy_machines),
         ),
     ),
-    4: (frames.Yield, (("shard", same), ("machine", same), ("to", same))),
-    5: (Recalled, (("shard", same), ("to", same), ("machines", list))),
-    6: (frames.Relay, (("number", same), ("body", bytes.fromhex))),
-    7: (frames.Relayed, (("number", same), ("status", same), ("body", bytes.fromhex))),
-    8: (frames.Counts, (("jobs", rows),)),
-    9: (frames.Give, (("shard", same), ("to", same))),
+    4: (frames.TransferMachine, (("shard", same), ("machine", same), ("to", same))),
+    5: (Reclaim, (("shard", same), ("to", same), ("machines", list))),
+    6: (frames.ForwardedHeartbeat, (("number", same), ("body", bytes.fromhex))),
+    7: (frames.ForwardReply, (("number", same), ("status", same), ("body", bytes.fromhex))),
+    8: (frames.TaskCounts, (("jobs", rows),)),
+    9: (frames.TransferShard, (("shard", same), ("to", same))),
     10: (
-        Owed,
+        Rebalance,
         (
             ("shard", same),
             ("to", same),
@@ -108,12 +114,12 @@
             ("zone", same),
         ),
     ),
-    11: (frames.Claims, (("shards", rows),)),
-    12: (frames.Ahead, (("shard", same), ("jobs", rows))),
-    13: (frames.Termed, (("term", same), ("word", word))),
-    14: (frames.Leaving, (("shard", same), ("machines", rows))),
-    15: (frames.Cancelled, (("jobs", rows),)),
-    16: (frames.Vouch, (("number", same), ("back", same))),
+    11: (frames.OwnershipClaims, (("shards", rows),)),
+    12: (frames.PriorityInheritance, (("shard", same), ("jobs", rows))),
+    13: (frames.FencedCommand, (("term", same), ("word", word))),
+    14: (frames.ReclaimsInProgress, (("shard", same), ("machines", rows))),
+    15: (frames.CancelledJobs, (("jobs", rows),)),
+    16: (frames.WatermarkEcho, (("number", same), ("back", same))),
 }
 FRAME_HEAD_BYTES = frames.HEAD.size
 FRAME_BODY_LIMIT = frames.MOST
@@ -128,7 +134,10 @@
         inner = frame_to_values(value)
         return [inner["kind"], inner["fields"]]
     if isinstance(value, list):
-        return [want_to_values(item) if isinstance(item, Want) else plain(item) for item in value]
+        return [
+            want_to_values(item) if isinstance(item, ResourceRequest) else plain(item)
+            for item in value
+        ]
     return plain(value)
 
 
@@ -180,7 +189,7 @@
 
 def write_large_frame(size: int) -> Plain:
     """The head of a relayed report of so many bytes, or the error."""
-    return frames.pack(frames.Relay(1, b"x" * size))[:FRAME_HEAD_BYTES].hex()
+    return frames.pack(frames.ForwardedHeartbeat(1, b"x" * size))[:FRAME_HEAD_BYTES].hex()
 
 
 def write_no_frame(value: Plain) -> Plain:
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -33,7 +33,7 @@
             jobs_known=SimpleNamespace(
                 saw=lambda job, record, revision: seen.append([job, revision])
             ),
-            tell_claims=lambda: None,
+            send_claims=lambda: None,
         )
         owner: Any = ShardOwner.__new__(ShardOwner)
         owner.context, owner.team, owner.phase = home, Team("red"), OwnershipPhase.CLAIMING
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -21,12 +21,12 @@
     SettingsError,
 )
 from ashdock.wire import messages
-from ashdock.wire.frames import BadFrame
+from ashdock.wire.frames import FrameError
 
 Plain = Any  # JSON values: None, bool, int, float, str, list, dict with str keys
 
 ERRORS: dict[type[Exception], str] = {
-    BadFrame: "bad frame",
+    FrameError: "bad frame",
     messages.Malformed: "malformed body",
     SettingsError: "settings",
     CompareFailedError: "conflict",
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -40,7 +40,7 @@
         (run["accelerators"], room.accelerators),
         (run["ram_gb"], room.ram_gb),
     )
-    return min(int(free / want + 1e-6) for want, free in asked if want > 0)
+    return min(int(free / request + 1e-6) for request, free in asked if request > 0)
 
 
 @dataclass
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -444,7 +444,7 @@
     tables += [
         controller.front.redirected,
         controller.front.answered,
-        controller.remote_pictures,
+        controller.remote_statuses,
         controller.remote_counts,
     ]
     for owner in controller.owners.values():
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from ashdock.core import losses, telling
+from ashdock.core import losses, status_reporter
 from ashdock.core import park as parking
 from ashdock.core import placement as placing
 from ashdock.core.allotment import Allotment, Move, MoveShard, Release, Rent
@@ -17,9 +17,15 @@
 from ashdock.core.machine import Machine, trimmed
 from ashdock.core.quota import Usage, can_ever, guaranteed
 from ashdock.core.shard import Shard
+from ashdock.core.status_reporter import (
+    BusyMachine,
+    Rebalance,
+    Reclaim,
+    ResourceRequest,
+    ShardStatus,
+)
 from ashdock.core.stock import Lent
 from ashdock.core.task import Failure, Phase, ranges_of
-from ashdock.core.telling import Busy, Owed, Picture, Recalled, Want
 from ashdock.core.worth import Worth
 from ashdock.leader import gone_from, lag_of
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
@@ -336,11 +342,11 @@
     assert (
         shard.jobs["req-000001"].fails == {}
         and shard.parks.items == []
-        and shard.wants[0].tasks == 2
+        and shard.resource_requests[0].tasks == 2
     )
 
 
-def want(**more: Any) -> Want:
+def request(**more: Any) -> ResourceRequest:
     usual: dict[str, Any] = {
         "cpus": 1.0,
         "gpus": 1.0,
@@ -354,7 +360,7 @@
         "guaranteed": True,
         "slack_s": 5.0,
     }
-    return Want(**usual | more)
+    return ResourceRequest(**usual | more)
 
 
 def lent(name: str, shard: str, zone: str = "a", spot: bool = False) -> Lent:
@@ -362,73 +368,75 @@
 
 
 LEADER = [  # machines, red's wants, blue's empty and busy machines, how many of them beyond its guarantee -> decisions
-    ([], [want()], [], [], 0, [Rent]),
-    ([lent("m1", "")], [want()], [], [], 0, [Move]),
-    ([lent("m1", "blue")], [want()], [("m1", 1.0)], [], 0, [Move]),
-    ([lent("m1", "blue", "b")], [want(zone="a")], [("m1", 1.0)], [], 0, [Rent]),
+    ([], [request()], [], [], 0, [Rent]),
+    ([lent("m1", "")], [request()], [], [], 0, [Move]),
+    ([lent("m1", "blue")], [request()], [("m1", 1.0)], [], 0, [Move]),
+    ([lent("m1", "blue", "b")], [request(zone="a")], [("m1", 1.0)], [], 0, [Rent]),
     ([lent("m1", "blue")], [], [("m1", 99.0)], [], 0, [Move]),
-    ([lent("m1", "", spot=True)], [want(spot=False)], [], [], 0, [Rent]),
+    ([lent("m1", "", spot=True)], [request(spot=False)], [], [], 0, [Rent]),
     ([], [], [], [], 0, []),
     ([lent("m1", "")], [], [], [], 0, [Release]),
     # Work beyond a guarantee gives way to a team's guarantee, whatever its priority; otherwise only to higher priority.
-    ([lent("m1", "blue")], [want()], [], [Busy("m1", 3, 50.0)], 1, [Recalled]),
-    ([lent("m1", "blue")], [want(guaranteed=False)], [], [Busy("m1", 1, 0.0)], 1, [Rent]),
-    ([lent("m1", "blue")], [want()], [], [Busy("m1", 1, 0.0)], 0, [Rent]),
-    ([lent("m1", "blue")], [want()], [], [Busy("m1", 0, 5.0)], 0, [Recalled]),
-    ([lent("m1", "blue")], [want()], [], [Busy("m1", 0, 7.0)], 0, [Rent]),
-    ([lent("m1", "blue")], [want(slack_s=60.0)], [], [Busy("m1", 0, 5.0)], 0, [Rent]),
+    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 3, 50.0)], 1, [Reclaim]),
+    ([lent("m1", "blue")], [request(guaranteed=False)], [], [BusyMachine("m1", 1, 0.0)], 1, [Rent]),
+    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 1, 0.0)], 0, [Rent]),
+    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 5.0)], 0, [Reclaim]),
+    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 7.0)], 0, [Rent]),
+    ([lent("m1", "blue")], [request(slack_s=60.0)], [], [BusyMachine("m1", 0, 5.0)], 0, [Rent]),
     # A hot team's urgent work, beyond its guarantee, stops nothing that another runs within its own.
     (
         [lent("m1", "blue")],
-        [want(guaranteed=False, priority=2)],
+        [request(guaranteed=False, priority=2)],
         [],
-        [Busy("m1", 0, 1.0)],
+        [BusyMachine("m1", 0, 1.0)],
         0,
         [Rent],
     ),
     (
         [lent("m1", "blue")],
-        [want(guaranteed=False, priority=2)],
+        [request(guaranteed=False, priority=2)],
         [],
-        [Busy("m1", 0, 1.0)],
+        [BusyMachine("m1", 0, 1.0)],
         1,
-        [Recalled],
+        [Reclaim],
     ),
     # A guarantee is regained only as far as the other is beyond its own.
     (
         [lent(f"m{n}", "blue") for n in range(9)],
-        [want(tasks=12)],
+        [request(tasks=12)],
         [],
-        [Busy(f"m{n}", 3, 50.0) for n in range(9)],
+        [BusyMachine(f"m{n}", 3, 50.0) for n in range(9)],
         2,
-        [Recalled, Recalled, Rent],
+        [Reclaim, Reclaim, Rent],
     ),
     # What was promised nothing takes cheap machines that stand empty, and leaves the dear ones.
-    ([lent("m1", "", spot=True)], [want(idle=True, guaranteed=False)], [], [], 0, [Move]),
-    ([lent("m1", "")], [want(idle=True, guaranteed=False)], [], [], 0, [Rent]),
+    ([lent("m1", "", spot=True)], [request(idle=True, guaranteed=False)], [], [], 0, [Move]),
+    ([lent("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [Rent]),
 ]
 
 
-@pytest.mark.parametrize(("machines", "wants", "idle", "busy", "beyond", "kinds"), LEADER)
+@pytest.mark.parametrize(
+    ("machines", "resource_requests", "idle", "busy", "beyond", "kinds"), LEADER
+)
 def test_the_leader_chooses(
     machines: list[Lent],
-    wants: list[Want],
+    resource_requests: list[ResourceRequest],
     idle: list[tuple[str, float]],
-    busy: list[Busy],
+    busy: list[BusyMachine],
     beyond: int,
     kinds: list[type],
 ) -> None:
     allotment = Allotment(shared(), Renting(), {"g4": G4})
-    pictures = {
-        "red": Picture("red", 9, wants, [], [], 0, 0, 0),
-        "blue": Picture("blue", 9, [], idle, busy, 1, 0, beyond),
+    shard_statuses = {
+        "red": ShardStatus("red", 9, resource_requests, [], [], 0, 0, 0),
+        "blue": ShardStatus("blue", 9, [], idle, busy, 1, 0, beyond),
     }
-    decisions = allotment.decide(machines, pictures, 0.0)
+    decisions = allotment.decide(machines, shard_statuses, 0.0)
     if kinds == [Release]:
         assert decisions == []  # not before it has stood in the pool for a while
-        decisions = allotment.decide(machines, pictures, 60.0)
+        decisions = allotment.decide(machines, shard_statuses, 60.0)
     assert [type(decision) for decision in decisions] == kinds
-    assert allotment.decide([], {"red": pictures["red"]}, 100.0) == [], (
+    assert allotment.decide([], {"red": shard_statuses["red"]}, 100.0) == [], (
         "nothing is decided while an owner is unheard of"
     )
 
@@ -448,15 +456,18 @@
     owners: Any, waiting: Any, alive: list[str], moved: list[str]
 ) -> None:
     allotment = Allotment(shared(), Renting(), {"g4": G4})
-    pictures = {
-        team: Picture(team, 9, [], [], [], 0, n, 0)
+    shard_statuses = {
+        team: ShardStatus(team, 9, [], [], [], 0, n, 0)
         for team, n in zip(("red", "blue"), waiting, strict=True)
     }
     held = dict(zip(("red", "blue"), owners, strict=True))
-    assert allotment.balance(held, alive, pictures, 0.0) == []  # the company has just changed
-    decisions = allotment.balance(held, alive, pictures, 20.0)
+    assert allotment.balance(held, alive, shard_statuses, 0.0) == []  # the company has just changed
+    decisions = allotment.balance(held, alive, shard_statuses, 20.0)
     assert [decision.shard for decision in decisions if isinstance(decision, MoveShard)] == moved
-    assert not moved or allotment.balance({"red": "n0", "blue": "n0"}, alive, pictures, 21.0) == []
+    assert (
+        not moved
+        or allotment.balance({"red": "n0", "blue": "n0"}, alive, shard_statuses, 21.0) == []
+    )
 
 
 def test_estimates_are_corrected_by_what_tasks_took() -> None:
@@ -493,14 +504,16 @@
 ) -> None:
     """Scans that could wait were given machines at four times the price, which others then lacked."""
     allotment = Allotment(shared(), Renting(), {"g4": G4})
-    wants = [want(idle=idle, spot=spot, guaranteed=False, tasks=40)]
-    pictures = {
-        "red": Picture("red", 9, wants, [], [], machines, 0, 0),
-        "blue": Picture("blue", 9, [], [], [], 1, 0, 0),
+    resource_requests = [request(idle=idle, spot=spot, guaranteed=False, tasks=40)]
+    shard_statuses = {
+        "red": ShardStatus("red", 9, resource_requests, [], [], machines, 0, 0),
+        "blue": ShardStatus("blue", 9, [], [], [], 1, 0, 0),
     }
     asked: list[Rent] = []
     for now in range(4):
-        for rent in [d for d in allotment.decide([], pictures, float(now)) if isinstance(d, Rent)]:
+        for rent in [
+            d for d in allotment.decide([], shard_statuses, float(now)) if isinstance(d, Rent)
+        ]:
             asked.append(rent)
             allotment.not_rented(rent, float(now), no_capacity=True)
     assert sorted({rent.spot for rent in asked}, reverse=True) == kinds
@@ -526,7 +539,9 @@
     shard = shard_with([spec(shares=tasks, expect_s=run_s, due_s=due_s, accelerators=0.0)], "")
     shard.team = shard.worth.team = Team("red")  # a guest: nothing is guaranteed
     shard.passes.schedule(1.0)
-    assert shard.wants[0].tasks == asked and shard.wants[0].idle is (due_s is None)
+    assert shard.resource_requests[0].tasks == asked and shard.resource_requests[0].idle is (
+        due_s is None
+    )
 
 
 def test_among_guests_jobs_what_was_promised_goes_first_and_the_least_work_first() -> None:
@@ -593,7 +608,7 @@
     sound = shard.jobs["req-000002"]
     assert len(one.live) <= 1 and sound.live
     assert not any(p.phase is Phase.STOPPING for p in sound.live.values()) and all(
-        w.priority == 1 for w in shard.wants
+        w.priority == 1 for w in shard.resource_requests
     )
     heir = Job(one.spec, 0.0, 7, one.chunk_tasks)
     heir.set_failure(0, Failure(3, 0.0, "error"))
@@ -607,18 +622,18 @@
     shard = shard_with([], "a")
     shard.reports.on_report(report("vm-0", 1), 1.0, True)
     shard.passes.schedule(1.0)
-    assert [name for name, _ in shard.telling.picture(9.0).idle] == ["vm-0"]
+    assert [name for name, _ in shard.status_reporter.shard_status(9.0).idle] == ["vm-0"]
     shard.add_machine(
         "vm-1", {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.2:9000", "n": 1}, 30, 9.0
     )
-    assert [name for name, _ in shard.telling.picture(9.0).idle] == [
+    assert [name for name, _ in shard.status_reporter.shard_status(9.0).idle] == [
         "vm-0"
-    ] and shard.telling.picture(9.0).seen < 30
+    ] and shard.status_reporter.shard_status(9.0).seen < 30
     shard.passes.schedule(9.1)
-    assert [name for name, _ in shard.telling.picture(9.1).idle] == [
+    assert [name for name, _ in shard.status_reporter.shard_status(9.1).idle] == [
         "vm-0",
         "vm-1",
-    ] and shard.telling.picture(9.1).seen == 30
+    ] and shard.status_reporter.shard_status(9.1).seen == 30
 
 
 @pytest.mark.parametrize(
@@ -789,46 +804,48 @@
     for zone in zones:
         slots.add(G4, zone, False)
     got = [
-        slots.take(lambda _label, zone, _spot, want=want: want in ("", zone), (cpus, 0.0, 1.0), n)
-        for cpus, n, want in needs
+        slots.take(
+            lambda _label, zone, _spot, request=request: request in ("", zone), (cpus, 0.0, 1.0), n
+        )
+        for cpus, n, request in needs
     ]
     assert got == found
 
 
 DEBTS = [  # red's want and blue's, when the cloud gives nothing -> what blue is to pass on
-    (want(slack_s=-60.0), [want(slack_s=0.0)], [("blue", "red", 1)]),
-    (want(slack_s=-1.0), [want(slack_s=0.0)], []),
-    (want(slack_s=-60.0), [], []),
-    (want(slack_s=-60.0), [want(slack_s=0.0, priority=0)], []),
-    (want(slack_s=-60.0, guaranteed=False), [want(slack_s=0.0)], []),
-    (want(slack_s=-60.0, tasks=9), [want(slack_s=0.0)], [("blue", "red", 3)]),
-    (want(slack_s=-60.0, zone="b"), [want(slack_s=0.0)], []),
-    (want(slack_s=-60.0), [want(slack_s=0.0, priority=2)], []),
-    (want(slack_s=-60.0), [want(slack_s=0.0), want(slack_s=0.0, priority=2)], []),
+    (request(slack_s=-60.0), [request(slack_s=0.0)], [("blue", "red", 1)]),
+    (request(slack_s=-1.0), [request(slack_s=0.0)], []),
+    (request(slack_s=-60.0), [], []),
+    (request(slack_s=-60.0), [request(slack_s=0.0, priority=0)], []),
+    (request(slack_s=-60.0, guaranteed=False), [request(slack_s=0.0)], []),
+    (request(slack_s=-60.0, tasks=9), [request(slack_s=0.0)], [("blue", "red", 3)]),
+    (request(slack_s=-60.0, zone="b"), [request(slack_s=0.0)], []),
+    (request(slack_s=-60.0), [request(slack_s=0.0, priority=2)], []),
+    (request(slack_s=-60.0), [request(slack_s=0.0), request(slack_s=0.0, priority=2)], []),
 ]
 
 
 @pytest.mark.parametrize(("ours", "theirs", "owed"), DEBTS)
 def test_like_work_is_served_in_the_order_of_its_waiting(
-    ours: Want, theirs: list[Want], owed: list[tuple[str, str, int]]
+    ours: ResourceRequest, theirs: list[ResourceRequest], owed: list[tuple[str, str, int]]
 ) -> None:
     allotment = Allotment(shared(), Renting(), {"g4": G4})
     allotment.refused = {
         ("g4", zone, spot): (99.0, 1.0) for zone in "abc" for spot in (False, True)
     }
-    pictures = {
-        "red": Picture("red", 9, [ours], [], [], 0, 0, 0),
-        "blue": Picture("blue", 9, theirs, [], [Busy("m1", 1, 5.0)], 1, 0, 0),
+    shard_statuses = {
+        "red": ShardStatus("red", 9, [ours], [], [], 0, 0, 0),
+        "blue": ShardStatus("blue", 9, theirs, [], [BusyMachine("m1", 1, 5.0)], 1, 0, 0),
     }
-    decisions = allotment.decide([lent("m1", "blue")], pictures, 50.0)
-    assert [(d.shard, d.to, d.number) for d in decisions if isinstance(d, Owed)] == owed
+    decisions = allotment.decide([lent("m1", "blue")], shard_statuses, 50.0)
+    assert [(d.shard, d.to, d.number) for d in decisions if isinstance(d, Rebalance)] == owed
 
 
 def test_what_comes_free_is_passed_on_before_own_work_takes_it() -> None:
     shard = shard_with([spec(1, shares=1), spec(2, shares=8)], "ab")
     for tally, machine in enumerate(("vm-0", "vm-1"), 1):
         shard.reports.on_report(report(machine, tally), 1.0, True)
-    shard.telling.owe(Owed("red", "blue", 1, (), "b", True), 1.0)
+    shard.status_reporter.owe(Rebalance("red", "blue", 1, (), "b", True), 1.0)
     shard.passes.schedule(1.0)
     assert (
         shard.machines["vm-1"].to == "blue"
@@ -858,13 +875,16 @@
         gang = shard.add_job(
             queued(spec(n, shape="ensemble", shares=size, accelerators=4.0), 1.0), 7
         )
-        shard.telling.came(gang, 1.0)
-    assert shard.telling.headroom(2.0) == kept
+        shard.status_reporter.came(gang, 1.0)
+    assert shard.status_reporter.headroom(2.0) == kept
     within = min(kept, 2)  # red's guarantee is two machines
-    assert len(shard.telling.picture(2.0).idle) == 6 - within
+    assert len(shard.status_reporter.shard_status(2.0).idle) == 6 - within
     late = shard.add_job(queued(spec(99, shares=1), 99.0), 7)
-    shard.telling.came(late, 99.0)
-    assert len(shard.telling.arrived) == 1 and shard.telling.headroom(99.0 + 5 * G4.boot_s) == 0
+    shard.status_reporter.came(late, 99.0)
+    assert (
+        len(shard.status_reporter.arrived) == 1
+        and shard.status_reporter.headroom(99.0 + 5 * G4.boot_s) == 0
+    )
 
 
 CACHE = [  # images used in turn with their sizes, in a cache of 80 GB -> what it holds, the last used last
@@ -914,9 +934,11 @@
 def test_rentals_for_all_teams_go_out_together() -> None:
     """The cloud takes few calls a second: dozens of small rentals, a team and a want each, waited a minute in line."""
     allotment = Allotment(shared(), Renting(), {"g4": G4})
-    wants = [want(tasks=8, zone=zone) for zone in "abc" for _ in range(3)]
-    pictures = {team: Picture(team, 9, wants, [], [], 0, 0, 0) for team in ("red", "blue")}
-    rents = [d for d in allotment.decide([], pictures, 0.0) if isinstance(d, Rent)]
+    resource_requests = [request(tasks=8, zone=zone) for zone in "abc" for _ in range(3)]
+    shard_statuses = {
+        team: ShardStatus(team, 9, resource_requests, [], [], 0, 0, 0) for team in ("red", "blue")
+    }
+    rents = [d for d in allotment.decide([], shard_statuses, 0.0) if isinstance(d, Rent)]
     assert sorted((rent.zone, rent.number) for rent in rents) == [("a", 12), ("b", 12), ("c", 12)]
     assert {team for rent in rents for team, _ in rent.teams} == {"red", "blue"}
     names = [f"m{n}" for n in range(7)]
@@ -924,8 +946,8 @@
         rents[0].teams[0][0]
     ) == 6  # the first has its all
     many = Allotment(shared(), Renting(), {"g4": G4})
-    pictures["red"] = Picture("red", 9, [want(tasks=999, zone="a")], [], [], 0, 0, 0)
-    assert max(d.number for d in many.decide([], pictures, 0.0) if isinstance(d, Rent)) == 50
+    shard_statuses["red"] = ShardStatus("red", 9, [request(tasks=999, zone="a")], [], [], 0, 0, 0)
+    assert max(d.number for d in many.decide([], shard_statuses, 0.0) if isinstance(d, Rent)) == 50
 
 
 def test_hundreds_that_start_or_end_together_share_transactions() -> None:
@@ -995,7 +1017,7 @@
         asked.append(machine.name)
         return whole(jobs, machine, now)
 
-    monkeypatch.setattr(telling, "machine_loss", counted)
+    monkeypatch.setattr(status_reporter, "machine_loss", counted)
     steps: list[tuple[float, list[str]]] = [
         (1.0, ["vm-0", "vm-1", "vm-2", "vm-3"]),
         (1.5, []),
@@ -1004,11 +1026,11 @@
     ]
     for now, anew in steps:
         asked.clear()
-        assert len(shard.telling.picture(now).busy) == 4 and sorted(asked) == anew
+        assert len(shard.status_reporter.shard_status(now).busy) == 4 and sorted(asked) == anew
     asked.clear()
     gone = shard.machines["vm-2"]
     shard.drop(next(iter(gone.live.values())), 2.2)
-    assert [busy.machine for busy in shard.telling.picture(2.2).busy] == [
+    assert [busy.machine for busy in shard.status_reporter.shard_status(2.2).busy] == [
         "vm-0",
         "vm-1",
         "vm-3",
@@ -1018,7 +1040,7 @@
         "vm-0", {"t": "g4", "z": "a", "s": False, "n": 1, "a": "x:1"}, 30, G4, 2.2
     )
     fresh.live, fresh.version = shard.machines["vm-1"].live, shard.machines["vm-1"].version
-    shard.telling.picture(2.3)
+    shard.status_reporter.shard_status(2.3)
     assert asked == ["vm-0"]
 
 
@@ -1027,7 +1049,7 @@
     shard = shard_with([spec(n, shares=1) for n in range(1, 31)], "abc" * 6)
     for name in ("vm-9", "vm-10", "vm-11", "vm-12"):
         shard.reports.on_report(report(name, 1), 0.5, True)
-        shard.telling.yield_machine(name, "blue", 0.5)
+        shard.status_reporter.transfer_machine(name, "blue", 0.5)
     for name in sorted(set(shard.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
         shard.reports.on_report(report(name, 1), 0.5, True)
     shard.passes.schedule(1.0)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,13 +11,13 @@
 
 from ashdock.cluster_version import CURRENT_FORMS
 from ashdock.core.allotment import Rent
-from ashdock.core.telling import Recalled
+from ashdock.core.status_reporter import Reclaim
 from ashdock.election.candidates import better_candidate, rank_candidates
 from ashdock.election.election import Election, ElectionState, KeyHolder
 from ashdock.election.fencing import NotLeaderError, TermFence
 from ashdock.settings import SettingsError, load
 from ashdock.wire import frames
-from ashdock.wire.frames import BadFrame, FrameKind, Give, Termed, Yield
+from ashdock.wire.frames import FencedCommand, FrameError, FrameKind, TransferMachine, TransferShard
 from tests.seats import FENCES, Model, search, walks
 from tests.simtime import spawn
 from tests.test_whole import play
@@ -138,13 +138,13 @@
 
 
 def test_words_carry_their_term_and_lower_ones_are_refused() -> None:
-    for word in (Yield("red", "vm-1", "blue"), Give("red", "n2")):
-        packed = frames.pack(Termed(1 << 40, word))
+    for word in (TransferMachine("red", "vm-1", "blue"), TransferShard("red", "n2")):
+        packed = frames.pack(FencedCommand(1 << 40, word))
         kind, length = frames.head(packed[: frames.HEAD.size])
         assert length == len(packed) - frames.HEAD.size and frames.unpack(
             kind, packed[frames.HEAD.size :]
-        ) == Termed(1 << 40, word)
-    leaving = frames.Leaving("red", [("vm-1", "blue"), ("vm-2", "")])
+        ) == FencedCommand(1 << 40, word)
+    leaving = frames.ReclaimsInProgress("red", [("vm-1", "blue"), ("vm-2", "")])
     assert frames.unpack(FrameKind.LEAVING, frames.pack(leaving)[frames.HEAD.size :]) == leaving
     for inner in (
         b"",
@@ -153,7 +153,7 @@
         bytes([FrameKind.BEAT]) + bytes(60),
         bytes([FrameKind.GIVE]) + b"\x00\x09",
     ):
-        with pytest.raises(BadFrame):
+        with pytest.raises(FrameError):
             frames.unpack(FrameKind.TERMED, frames.U64.pack(7) + inner)
     terms = TermFence()
     assert [terms.admit(term) for term in (5, 5, 4, 9, 5)] == [
@@ -419,16 +419,18 @@
         assert shard is not None
         name = next(name for name, machine in shard.machines.items() if machine.usable)
         term = owner.terms.highest
-        owner._on_frame("n9", Termed(term - 1, Recalled("red", "blue", [name])))
+        owner._on_frame("n9", FencedCommand(term - 1, Reclaim("red", "blue", [name])))
         owner._on_frame(
-            "n9", Recalled("red", "blue", [name])
+            "n9", Reclaim("red", "blue", [name])
         )  # without a term: of a process that has ended
         assert shard.machines[name].usable and owner.terms.refused == 1
-        owner._on_frame("n9", Termed(term, Recalled("red", "blue", [name])))
+        owner._on_frame("n9", FencedCommand(term, Reclaim("red", "blue", [name])))
         assert not shard.machines[name].usable
         # Whoever comes after the one that called it back counts it as on its way.
         other = next(c for c in service.controllers.values() if c is not owner)
-        other._on_frame(owner.label, frames.Leaving("red", shard.telling.leaving()))
+        other._on_frame(
+            owner.label, frames.ReclaimsInProgress("red", shard.status_reporter.leaving())
+        )
         leader = service.controllers[await leading(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
         leader.allotment.vacating(other.leaving(), leader.context.now())
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -23,7 +23,14 @@
 from ashdock.net.http import Client
 from ashdock.settings import NextLimits, Operators, StateLimits
 from ashdock.wire import frames
-from ashdock.wire.frames import Beat, Claims, Counts, Give, Hello, Yield
+from ashdock.wire.frames import (
+    Hello,
+    OwnershipClaims,
+    PeerHeartbeat,
+    TaskCounts,
+    TransferMachine,
+    TransferShard,
+)
 from ashdock.wire.messages import encode
 from tests import simtime, test_whole
 from tests.simtime import spawn
@@ -160,8 +167,8 @@
         len(first.live) == 4
         and not last.live
         and shard.usage.gpus == 4
-        and not shard.wants
-        and shard.telling.picture(4.0).waiting == 0
+        and not shard.resource_requests
+        and shard.status_reporter.shard_status(4.0).waiting == 0
     )
     commit(shard, 20)
     for name in ("vm-0", "vm-1"):
@@ -439,7 +446,7 @@
 HEX = [  # frames as production packed them
     (Hello("n1"), "414403010000000400026e31"),
     (
-        Beat(7, 0.5, 1.5, True, False, 2.0, 3.0),
+        PeerHeartbeat(7, 0.5, 1.5, True, False, 2.0, 3.0),
         "41440302000000"
         + "2a"
         + "0000000000000007"
@@ -449,14 +456,17 @@
         + "4000000000000000"
         + "4008000000000000",
     ),
-    (Yield("red", "vm-1", ""), "41440304000000" + "0d" + "0003726564" + "0004766d2d31" + "0000"),
     (
-        Counts([("req-1", 3, 4)]),
+        TransferMachine("red", "vm-1", ""),
+        "41440304000000" + "0d" + "0003726564" + "0004766d2d31" + "0000",
+    ),
+    (
+        TaskCounts([("req-1", 3, 4)]),
         "41440308000000" + "13" + "00000001" + "00057265712d31" + "00000003" + "00000004",
     ),
-    (Give("red", "n2"), "41440309000000" + "09" + "0003726564" + "00026e32"),
+    (TransferShard("red", "n2"), "41440309000000" + "09" + "0003726564" + "00026e32"),
     (
-        Claims([("red", 7)]),
+        OwnershipClaims([("red", 7)]),
         "4144030b000000" + "11" + "00000001" + "0003726564" + "0000000000000007",
     ),
 ]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,7 +13,7 @@
 from ashdock.crash_loop import CrashLoopDetector, StabilityState
 from ashdock.net.http import Client
 from ashdock.wire import frames
-from ashdock.wire.frames import Beat, Claims, Hello
+from ashdock.wire.frames import Hello, OwnershipClaims, PeerHeartbeat
 from ashdock.wire.messages import Held, Report
 from tests import ends
 from tests.simtime import spawn
@@ -257,13 +257,13 @@
             _, link = await service.net.open_connection("10.0.0.0", 8081)
             link.write(
                 frames.pack(Hello("n1"))
-                + frames.pack(Beat(incarnation, 0.0, 0.0, True, False, 0.0, 0.0))
+                + frames.pack(PeerHeartbeat(incarnation, 0.0, 0.0, True, False, 0.0, 0.0))
             )
             links.append(link)
             await asyncio.sleep(0.05)
         links[0].write(
-            frames.pack(Beat(1, 9.0, 9.0, False, False, 0.0, 0.0))
-            + frames.pack(Claims([("red", 1 << 40)]))
+            frames.pack(PeerHeartbeat(1, 9.0, 9.0, False, False, 0.0, 0.0))
+            + frames.pack(OwnershipClaims([("red", 1 << 40)]))
         )
         await asyncio.sleep(0.05)
         beat = controller.mesh.peers["n1"].beat
--- a/tests/test_stock.py
+++ b/tests/test_stock.py
@@ -31,14 +31,14 @@
 @given(some.lists(MACHINE, max_size=24), some.lists(WANT, max_size=8))
 @settings(derandomize=True, max_examples=200, deadline=None)
 def test_a_stock_gives_what_a_look_at_each_machine_gives(
-    machines: list[Any], wants: list[Any]
+    machines: list[Any], resource_requests: list[Any]
 ) -> None:
     rows = [
         ((float(loss), 0.0), priority, Lent(f"m{n:02}", shard, "g4", zone, spot, 1, "", images))
         for n, (shard, zone, spot, priority, loss, images) in enumerate(machines)
     ]
     stock, left = Stock(rows), {machine.name: (key, machine) for key, _, machine in rows}
-    for zone, image, most, by, number in wants:
+    for zone, image, most, by, number in resource_requests:
 
         def suits(kind: Kind) -> bool:
             return zone in ("", kind.zone) and kind.shard != by
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -11,7 +11,7 @@
 
 from ashdock.net.http import Client
 from ashdock.wire import frames
-from ashdock.wire.frames import Relay
+from ashdock.wire.frames import ForwardedHeartbeat
 from tests import simtime
 from tests.simtime import spawn
 from tests.whole import Service, job, shared
@@ -462,12 +462,12 @@
         many = [(f"req-{n:06d}", 1, 2) for n in range(9000)]
         shard = owner.owners["red"].shard
         assert shard is not None
-        monkeypatch.setattr(shard.telling, "counts", lambda: many)
+        monkeypatch.setattr(shard.status_reporter, "counts", lambda: many)
         await asyncio.sleep(2)
         assert all(other.remote_counts[owner.label][name] == (1, 2) for name, _, _ in many)
-        assert not owner.mesh.send(other.label, Relay(1, b"x" * frames.MOST)) and owner.mesh.send(
-            other.label, Relay(1, b"x")
-        )
+        assert not owner.mesh.send(
+            other.label, ForwardedHeartbeat(1, b"x" * frames.MOST)
+        ) and owner.mesh.send(other.label, ForwardedHeartbeat(1, b"x"))
 
     play(monkeypatch, 16, day)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,22 +10,28 @@
 import pytest
 
 from ashdock import cli
-from ashdock.core.telling import Busy, Owed, Picture, Recalled, Want
+from ashdock.core.status_reporter import (
+    BusyMachine,
+    Rebalance,
+    Reclaim,
+    ResourceRequest,
+    ShardStatus,
+)
 from ashdock.net.http import Answer, Client, Request, Server, plain_connections
 from ashdock.settings import SettingsError, load, load_operators
 from ashdock.wire import frames
 from ashdock.wire.frames import (
-    Ahead,
-    BadFrame,
-    Beat,
-    Cancelled,
-    Claims,
-    Counts,
+    CancelledJobs,
+    ForwardedHeartbeat,
+    ForwardReply,
+    FrameError,
     Hello,
-    Relay,
-    Relayed,
-    Vouch,
-    Yield,
+    OwnershipClaims,
+    PeerHeartbeat,
+    PriorityInheritance,
+    TaskCounts,
+    TransferMachine,
+    WatermarkEcho,
 )
 from ashdock.wire.messages import Malformed, decode_report, decode_run, encode
 from tests import simtime
@@ -159,30 +165,34 @@
 
 
 FRAMES: list[Any] = [
-    Cancelled([("req-1", "red", 2**63, 1.5), ("req-2", "blue", 0, 0.0)]),
-    Cancelled([]),
-    Vouch(2**64 - 1, 0),
+    CancelledJobs([("req-1", "red", 2**63, 1.5), ("req-2", "blue", 0, 0.0)]),
+    CancelledJobs([]),
+    WatermarkEcho(2**64 - 1, 0),
     Hello("n1"),
-    Beat(7, 0.5, 1.5, True, False),
-    Claims([("red", 7), ("blue", 2**63)]),
-    Yield("red", "vm-1", ""),
-    Recalled("red", "blue", ["vm-1", "vm-2"]),
-    Relay(9, b'{"a":1}'),
-    Relayed(9, 503, b""),
-    Counts([("req-1", 3, 4), ("req-2", 0, 0)]),
-    Picture(
+    PeerHeartbeat(7, 0.5, 1.5, True, False),
+    OwnershipClaims([("red", 7), ("blue", 2**63)]),
+    TransferMachine("red", "vm-1", ""),
+    Reclaim("red", "blue", ["vm-1", "vm-2"]),
+    ForwardedHeartbeat(9, b'{"a":1}'),
+    ForwardReply(9, 503, b""),
+    TaskCounts([("req-1", 3, 4), ("req-2", 0, 0)]),
+    ShardStatus(
         "red",
         12,
-        [Want(1.0, 2.0, 3.0, ("g4", "g8"), "a", True, False, 5, 2, True, -3.5, "img", 6)],
+        [
+            ResourceRequest(
+                1.0, 2.0, 3.0, ("g4", "g8"), "a", True, False, 5, 2, True, -3.5, "img", 6
+            )
+        ],
         [("vm-9", 2.5)],
-        [Busy("vm-8", 3, 4.5)],
+        [BusyMachine("vm-8", 3, 4.5)],
         4,
         5,
         6,
     ),
-    Ahead("red", [("req-1", 2, 1.5), ("req-2", -1, float("inf"))]),
-    Owed("red", "blue", 3, ("g4",), "a", True),
-    Owed("red", "blue", 1, (), "", False),
+    PriorityInheritance("red", [("req-1", 2, 1.5), ("req-2", -1, float("inf"))]),
+    Rebalance("red", "blue", 3, ("g4",), "a", True),
+    Rebalance("red", "blue", 1, (), "", False),
 ]
 
 
@@ -193,9 +203,9 @@
     body = raw[frames.HEAD.size :]
     assert length == len(body) and frames.unpack(kind, body) == frame
     for cut in range(len(body)):
-        with pytest.raises(BadFrame):
+        with pytest.raises(FrameError):
             frames.unpack(kind, body[:cut])
-    with pytest.raises(BadFrame):
+    with pytest.raises(FrameError):
         frames.unpack(kind, body + b"\0")
 
 
@@ -208,7 +218,7 @@
         try:
             kind, _ = frames.head(bytes(raw[: frames.HEAD.size]))
             frames.unpack(kind, bytes(raw[frames.HEAD.size :]))
-        except BadFrame:
+        except FrameError:
             pass
 
 
@@ -217,7 +227,7 @@
 
 @pytest.mark.parametrize("head", HEADS)
 def test_heads_refused(head: Any) -> None:
-    with pytest.raises(BadFrame):
+    with pytest.raises(FrameError):
         frames.head(frames.HEAD.pack(*head))
 
 
