--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -17,12 +17,12 @@
 from ashdock.core.bounds import Bounds
 from ashdock.core.estimates import Estimates
 from ashdock.core.job import Job, JobPhase, chunk_size, spec_of_record
-from ashdock.core.ledger import Ledger
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.passes import Passes
 from ashdock.core.pipelines import Pipelines
 from ashdock.core.quota import Usage
 from ashdock.core.reports import Reports
+from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
 from ashdock.core.worth import Worth
@@ -81,7 +81,7 @@
         self.seen = revision
         self.looked = revision  # what was seen when the last pass began
         self.urgent: dict[str, None] = {}  # machines with orders worth sending at once
-        self.ledger = Ledger(self)
+        self.writer = ShardWriter(self)
         self.ending: dict[str, Job] = {}  # cancelled jobs with tasks that may still be there
         self.taken = 0  # machines that were up for the owner before
         self.taken_at = -math.inf
@@ -126,7 +126,7 @@
             for placement in job.load_chunks(chunks.pop(job_id, []), now):
                 self._count(job, placement, now)
         for job_id, rest in chunks.items():
-            self.ledger.leftover += [
+            self.writer.leftover += [
                 (f"work/{self.name}/{job_id}/{tail}", revision) for tail, _, revision in rest
             ]
         for path, value, revision in parks:
@@ -177,7 +177,7 @@
             return known
         width = min(self.chunk_tasks, self.bounds.width) if self.bounds.agreed else self.chunk_tasks
         job = Job(spec, record["at"], revision, width, self.chunk_tasks)
-        job.listener = self.ledger.touched
+        job.listener = self.writer.touched
         self.stale = True
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
@@ -229,7 +229,7 @@
 
     def note_machine(self, name: str) -> None:
         """Its record may have to be written."""
-        self.ledger.changing[name] = None
+        self.writer.changing[name] = None
 
     def token(self, machine: Machine) -> int:
         return max(self.revision, machine.revision)
--- a/ashdock/core/ledger.py
+++ b/ashdock/core/shard_writer.py
@@ -28,13 +28,13 @@
 MACHINES = 3  # one of so many changes in a transaction is for machines that come and go, where there are any
 
 
-class Txn:
+class Transaction:
     """A transaction being put together, and what to note once it is durable."""
 
     def __init__(self, ops: int) -> None:
         self.when: dict[str, int] = {}
         self.writes: dict[str, Any] = {}  # None deletes
-        self.marks: list[Callable[[int], None]] = []
+        self.on_commit: list[Callable[[int], None]] = []
         self.ops = ops
         self.bytes = 200
         self.urgent = False  # whether anything in it cannot wait until there is more than enough of our share left
@@ -49,7 +49,7 @@
         self.writes[path] = value
 
 
-class Written(Protocol):
+class WrittenShard(Protocol):
     """What of a shard is written, and the changes that follow once it is durable, or where somebody else has written."""
 
     name: str
@@ -76,8 +76,8 @@
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None: ...
 
 
-class Ledger:
-    def __init__(self, shard: Written) -> None:
+class ShardWriter:
+    def __init__(self, shard: WrittenShard) -> None:
         self.shard = shard
         self.touched: dict[
             str, Job
@@ -85,13 +85,15 @@
         self.changing: dict[str, None] = {}  # machines whose record may have to be written
         self.leftover: list[tuple[str, int]] = []  # work of ended jobs, still to be deleted
 
-    def next_txn(self, short: bool = False, a_second: float = math.inf) -> Txn | None:
+    def next_transaction(
+        self, short: bool = False, a_second: float = math.inf
+    ) -> Transaction | None:
         """The changes not yet durable, as many as one transaction takes: first what starts and outcomes wait for. `short`: the
         state service takes hardly as many changes as there are. `a_second`: how many of them it takes of this controller."""
         shard = self.shard
         # No more at a time than our share of a second: what comes after must not wait longer than that. As it is now, and not an equal
         # one: of a controller with half as much, one transaction took two seconds' worth, and users who came then were sent away.
-        txn = Txn(
+        txn = Transaction(
             max(
                 4,
                 min(
@@ -107,9 +109,9 @@
             txn.ops -= max(1, min(whole // MACHINES, len(self.changing)))
         later: list[Job] = []
         for job in list(self.touched.values()):
-            if job.id not in shard.jobs or not self._unwritten(job):
+            if job.id not in shard.jobs or not self._has_unwritten(job):
                 del self.touched[job.id]
-            elif job.pressing and not self._bulk(job):
+            elif job.pressing and not self._is_bulk(job):
                 txn.urgent = True
                 if not self._write_job(job, txn):
                     break
@@ -121,7 +123,7 @@
                 revision = shard.parks.revisions[n] if n < len(shard.parks.revisions) else 0
                 txn.put(shard.parks.path(n), value, revision)
                 txn.bytes += size
-                txn.marks.append(
+                txn.on_commit.append(
                     lambda revision, n=n, value=value: self._parks_written(n, value, revision)  # type: ignore[misc]
                 )
         txn.ops = whole
@@ -154,7 +156,7 @@
         self.shard.parks.wrote(n, value, revision)
         self.shard.parks.dirty = bool(self.shard.parks.writes())
 
-    def _bulk(self, job: Job) -> bool:
+    def _is_bulk(self, job: Job) -> bool:
         """An array of short tasks beyond any guarantee, still under way: others' writes go before its many."""
         spec = job.spec
         return (
@@ -166,14 +168,14 @@
         )
 
     @staticmethod
-    def _unwritten(job: Job) -> bool:
+    def _has_unwritten(job: Job) -> bool:
         if job.settled or job.wider:
             return True
         return job.reason_gen > job.reason_durable or any(
             chunk.gen > chunk.durable for chunk in job.chunks.values()
         )
 
-    def _write_job(self, job: Job, txn: Txn) -> bool:
+    def _write_job(self, job: Job, txn: Transaction) -> bool:
         """Whether it found room in the transaction."""
         if job.settled:
             return self._write_outcome(job, txn)
@@ -193,7 +195,7 @@
             txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
             txn.when[job.job_path] = job.revision
             txn.bytes += size
-            txn.marks.append(
+            txn.on_commit.append(
                 lambda revision, c=chunk, gen=chunk.gen: self._chunk_durable(job, c, gen, revision)  # type: ignore[misc]
             )
         for tail, wide in list(job.wider.items()):
@@ -206,7 +208,7 @@
                     return False
                 txn.put(job.work_path(tail), None, wide.revision)
                 txn.bytes += 100
-                txn.marks.append(lambda revision, tail=tail: job.chunk_wrote(tail, 0))  # type: ignore[misc]
+                txn.on_commit.append(lambda revision, tail=tail: job.chunk_wrote(tail, 0))  # type: ignore[misc]
         if job.reason_gen > job.reason_durable and job.active:
             record = job.record()
             size = 2 * len(msgspec.json.encode(record))
@@ -220,7 +222,7 @@
             txn.put(job.job_path, record, job.revision)
             txn.put(job.head_path, record, job.revision)
             txn.bytes += size
-            txn.marks.append(
+            txn.on_commit.append(
                 lambda revision, gen=job.reason_gen: self._reason_durable(job, gen, revision)  # type: ignore[misc]
             )
         return True
@@ -256,7 +258,7 @@
                 job.chunk_tasks,
             )
 
-    def _write_outcome(self, job: Job, txn: Txn) -> bool:
+    def _write_outcome(self, job: Job, txn: Transaction) -> bool:
         chunks = [
             (job.path(chunk.n), chunk.revision) for chunk in job.chunks.values() if chunk.revision
         ]
@@ -272,10 +274,10 @@
         for path, revision in together:
             txn.put(path, None, revision)
         txn.bytes += size
-        txn.marks.append(lambda revision: self._outcome_durable(job, later))
+        txn.on_commit.append(lambda revision: self._outcome_durable(job, later))
         return True
 
-    def _write_machine(self, machine: Machine, txn: Txn) -> None:
+    def _write_machine(self, machine: Machine, txn: Transaction) -> None:
         moves = machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
         bump = machine.bump and any(
             sent >= self.shard.token(machine) for sent in machine.outstanding.values()
@@ -289,7 +291,7 @@
             machine.revision,
         )
         txn.bytes += 300
-        txn.marks.append(lambda revision: self._machine_written(machine, to, revision))
+        txn.on_commit.append(lambda revision: self._machine_written(machine, to, revision))
 
     def _machine_written(self, machine: Machine, to: str, revision: int) -> None:
         machine.revision = revision
@@ -331,7 +333,7 @@
             job.id, "done" if done else "withdrawn", job.ended_at, self.shard.clock
         )
 
-    def reread(self, path: str, value: Any, revision: int, now: float) -> None:
+    def take_in_stored(self, path: str, value: Any, revision: int, now: float) -> None:
         """A condition of ours failed though the shard is still ours: take in what the key holds now.
 
         Only a transaction of our own that was applied late, a withdrawal, or the leader's deletion of a
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -192,7 +192,7 @@
         if orders is None:
             return None
         self.failover_timeline.heard(self.context.now())
-        if shard.stale or shard.ledger.touched or shard.ledger.changing or shard.urgent:
+        if shard.stale or shard.writer.touched or shard.writer.changing or shard.urgent:
             self.wake.set()  # most reports say nothing new, and call for no turn
         return Orders(shard.token(shard.machines[report.berth]), orders)
 
@@ -327,7 +327,7 @@
     async def _commit(self, shard: Shard) -> None:
         store = self.context.store
         for _ in range(16):
-            txn = shard.ledger.next_txn(store.writes.short, store.writes.per_s)
+            txn = shard.writer.next_transaction(store.writes.short, store.writes.per_s)
             if txn is None or self.phase is not OwnershipPhase.ACTIVE:
                 return
             try:
@@ -343,8 +343,8 @@
                 continue
             except StoreUnavailableError:
                 return  # tried again at the next turn; whether it was applied shows then by the revisions
-            for mark in txn.marks:
-                mark(revision)
+            for callback in txn.on_commit:
+                callback(revision)
             self._publish(txn.writes, revision)
             if shard.placed:
                 self.failover_timeline.durable(self.context.now())
@@ -379,7 +379,9 @@
                     return False
                 continue
             log.info("part %s: %s had changed; taken in", shard.name, path)
-            shard.ledger.reread(path, entry.value if entry else None, revision, self.context.now())
+            shard.writer.take_in_stored(
+                path, entry.value if entry else None, revision, self.context.now()
+            )
         return True
 
     # -- orders sent directly --------------------------------------------------------------------------
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -185,10 +185,10 @@
 async def write_all(shard: Shard, store: Store) -> None:
     """Transactions until all is durable."""
     client = store_client(store)
-    while (txn := shard.ledger.next_txn()) is not None:
+    while (txn := shard.writer.next_transaction()) is not None:
         revision = await client.txn(txn.when, txn.writes)
-        for mark in txn.marks:
-            mark(revision)
+        for callback in txn.on_commit:
+            callback(revision)
         for path in txn.writes:
             store.entries[path] = (None, revision)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -76,11 +76,11 @@
 
 
 def commit(shard: Shard, revision: int) -> dict[str, Any]:
-    txn = shard.ledger.next_txn()
+    txn = shard.writer.next_transaction()
     assert txn is not None and txn.when[f"part/{shard.name}"] == shard.revision
     assert txn.writes.keys() <= txn.when.keys()  # a late one undoes nothing that is newer
-    for mark in txn.marks:
-        mark(revision)
+    for callback in txn.on_commit:
+        callback(revision)
     return txn.writes
 
 
@@ -775,17 +775,17 @@
     shard.passes.schedule(1.0)
     commit(shard, 20)
     seen: list[str] = []
-    real = shard.ledger._unwritten
+    real = shard.writer._has_unwritten
 
     def unwritten(job: Job) -> Any:
         seen.append(job.id)
         return real(job)
 
-    monkeypatch.setattr(shard.ledger, "_unwritten", unwritten)
-    assert shard.ledger.next_txn() is None
+    monkeypatch.setattr(shard.writer, "_has_unwritten", unwritten)
+    assert shard.writer.next_transaction() is None
     shard.reports.on_report(report("vm-0", 2, [("req-000001/0", 1, "ended", "done")]), 2.0, True)
     seen.clear()
-    assert shard.ledger.next_txn() is not None
+    assert shard.writer.next_transaction() is not None
     assert seen == ["req-000001"]
 
 
@@ -959,7 +959,7 @@
     shard.passes.schedule(1.0)
     assert len(shard.jobs["req-000001"].live) == 400
     writes = [commit(shard, 20)]
-    assert sum(map(len, writes)) <= 8 and shard.ledger.next_txn() is None
+    assert sum(map(len, writes)) <= 8 and shard.writer.next_transaction() is None
     where: dict[str, list[tuple[str, int, str, str | None]]] = {}
     for task, placement in shard.jobs["req-000001"].live.items():
         where.setdefault(placement.machine, []).append(
@@ -1054,10 +1054,10 @@
         shard.reports.on_report(report(name, 1), 0.5, True)
     shard.passes.schedule(1.0)
     writes = []
-    while (txn := shard.ledger.next_txn(a_second=9.0)) is not None:
+    while (txn := shard.writer.next_transaction(a_second=9.0)) is not None:
         writes.append(txn.writes)
-        for mark in txn.marks:
-            mark(20 + len(writes))
+        for callback in txn.on_commit:
+            callback(20 + len(writes))
     moved = [sum(path.startswith("machine/") for path in each) for each in writes]
     assert moved[:2] == [3, 1] and sum(moved) == 4 and max(map(len, writes)) <= 9
     assert all(
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -44,7 +44,7 @@
     for n in range(machines):
         shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
     shard.passes.schedule(1.0)
-    while shard.ledger.next_txn() is not None:
+    while shard.writer.next_transaction() is not None:
         commit(shard, 20)
     return shard
 
@@ -62,7 +62,7 @@
 
     made = calls(lambda: [report("vm-0", 1, tasks) for _ in range(100)])
     assert (calls(reports) - made) / 100 <= 82  # 75
-    assert shard.ledger.next_txn() is None
+    assert shard.writer.next_transaction() is None
 
 
 def test_a_request_over_a_kept_connection() -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -406,7 +406,7 @@
     shard = shard_with([spec(shares=2)], "a")
     shard.reports.on_report(report("vm-0", 1), 1.0, True)
     shard.passes.schedule(1.0)
-    txn = shard.ledger.next_txn()
+    txn = shard.writer.next_transaction()
     assert (
         txn is not None
         and {"work/red/req-000001/0": 0, "job/req-000001": 7, "part/red": 10}.items()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -170,12 +170,12 @@
         await service.start()
         await asyncio.sleep(1)
         inner = service.state.handle
-        marks: list[int] = []
+        on_commit: list[int] = []
 
         async def count(request: Any) -> Any:
             if request.target == "/txn":
                 writes = json.loads(request.body).get("writes", [])
-                marks.append(
+                on_commit.append(
                     sum(
                         "x" in write.get("value", {})
                         for write in writes
@@ -189,7 +189,7 @@
         while service.world.workers:
             await asyncio.sleep(1.0)
             assert service.now() < 90
-        assert sum(marks) <= 2 * 40
+        assert sum(on_commit) <= 2 * 40
         return service
 
     simtime.run(main, 24, monkeypatch)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -220,15 +220,15 @@
     shard.pipelines.settled("req-000001", "withdrawn", None, 5.0)
     withdrawn = shard.jobs["req-000002"].record() | {"cancelled_at": 5.0}
     if first == "users":
-        assert shard.ledger.next_txn() is not None  # and its conditions fail
-        shard.ledger.reread("job/req-000002", withdrawn, 50, 6.0)
-        shard.ledger.reread("work/red/req-000002/job", withdrawn, 50, 6.0)
+        assert shard.writer.next_transaction() is not None  # and its conditions fail
+        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.take_in_stored("work/red/req-000002/job", withdrawn, 50, 6.0)
         assert commit(shard, 60) == {"work/red/req-000002/job": None}
     else:
-        assert shard.ledger.next_txn() is not None  # applied, and its answer lost
-        shard.ledger.reread("job/req-000002", withdrawn, 50, 6.0)
-        shard.ledger.reread("work/red/req-000002/job", None, 0, 6.0)
-    assert not shard.jobs and shard.ledger.next_txn() is None
+        assert shard.writer.next_transaction() is not None  # applied, and its answer lost
+        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.take_in_stored("work/red/req-000002/job", None, 0, 6.0)
+    assert not shard.jobs and shard.writer.next_transaction() is None
 
 
 # -- what production wrote ------------------------------------------------------------------------------------------
@@ -382,12 +382,12 @@
 
     def commit(self, shard: Shard) -> bool:
         """Write the shard's next transaction; whether there was one."""
-        txn = shard.ledger.next_txn()
+        txn = shard.writer.next_transaction()
         if txn is None:
             return False
         assert self.apply(txn)
-        for mark in txn.marks:
-            mark(self.ledger)
+        for callback in txn.on_commit:
+            callback(self.ledger)
         return True
 
 
@@ -516,7 +516,7 @@
     job = shard.jobs["req-000001"]
     for placement in list(job.live.values())[:4]:
         job.set_failure(placement.task, Failure(1, 2.0, "error on vm-000001"))
-    txn = shard.ledger.next_txn()
+    txn = shard.writer.next_transaction()
     assert txn is not None and store.apply(txn)
     heir = store.shard(new_part(revision=11, ops=4))
     while store.commit(heir):
@@ -531,7 +531,7 @@
     old = store.shard(shard_with([], "", revision=9))
     old.machines["vm-000001"].came_up("x")
     old.passes.schedule(20.0)
-    late = old.ledger.next_txn()
+    late = old.writer.next_transaction()
     assert late is not None and any(path.endswith("/0") for path in late.writes)
     store.shard(new_part(revision=10))
     assert not store.apply(late)
@@ -550,7 +550,7 @@
     shard = store.shard(new_part(value_kb=8.0))
     shard.machines["vm-000001"].came_up("x")
     shard.passes.schedule(21.0)
-    late = shard.ledger.next_txn()
+    late = shard.writer.next_transaction()
     assert late is not None and any(path.endswith("/1") for path in late.writes)
     meant = states(shard)
     shard.jobs["req-000001"].narrow(20)
@@ -585,10 +585,10 @@
         "work/red/req-000001/job": (queued(job.spec, 0.0), 7),
     }
     steps = 0
-    while (txn := shard.ledger.next_txn()) is not None:
+    while (txn := shard.writer.next_transaction()) is not None:
         assert store.apply(txn) and not any(p.phase is Phase.COMMITTED for p in job.live.values())
-        for mark in txn.marks:
-            mark(store.ledger)
+        for callback in txn.on_commit:
+            callback(store.ledger)
         steps += 1
         heir = store.shard(new_part(ops=4))
         if heir.jobs["req-000001"].live:
@@ -1050,6 +1050,6 @@
     assert len(job.chunks) > 20 and not job.pressing
     shard.add_machine("vm-1", {"t": "g4", "z": "a", "s": False, "p": "red"}, 5, 0.0)
     shard._doom(shard.machines["vm-1"], "silent")  # this cannot wait
-    txn = shard.ledger.next_txn(short)
+    txn = shard.writer.next_transaction(short)
     assert txn is not None and txn.urgent and "machine/vm-1" in txn.writes
     assert 1 + most - 2 <= len(txn.writes) <= most
