--- a/ashdock/core/reports.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -16,13 +16,13 @@
 log = logging.getLogger("ashdock.shard")
 
 
-class Reported(Protocol):
+class ReconciledShard(Protocol):
     """What of a shard a report may touch: its jobs, its machines, and the changes of state that follow from what is proved."""
 
     jobs: dict[str, Job]
     machines: dict[str, Machine]
     workers: Workers
-    strange: dict[str, set[str]]
+    orphaned_tasks: dict[str, set[str]]
     stale: bool
     classes: Classes
 
@@ -43,12 +43,12 @@
     def orders(self, machine: Machine, now: float, checkin: Report | None) -> list[Order]: ...
 
 
-class Reports:
-    def __init__(self, shard: Reported, estimates: Estimates) -> None:
+class HeartbeatReconciler:
+    def __init__(self, shard: ReconciledShard, estimates: Estimates) -> None:
         self.shard = shard
         self.estimates = estimates
 
-    def on_report(self, report: Report, now: float, checkin: bool) -> list[Order] | None:
+    def on_heartbeat(self, report: Report, now: float, checkin: bool) -> list[Order] | None:
         """Take a worker's report in; the answer's orders, or None if we may not answer."""
         machine = self.shard.machines.get(report.berth)
         if machine is None:
@@ -66,7 +66,7 @@
         machine.last_at = now
         machine.warrant = report.warrant
         if machine.tenure and report.tenure > machine.tenure:
-            self._session_over(machine, report, now)
+            self._incarnation_ended(machine, report, now)
         machine.tenure, machine.tally = report.tenure, report.tally
         machine.outstanding = {
             key: sent for key, sent in machine.outstanding.items() if sent >= report.warrant
@@ -78,7 +78,7 @@
             return None
         return self.shard.orders(machine, now, report if checkin else None)
 
-    def _session_over(self, machine: Machine, report: Report, now: float) -> None:
+    def _incarnation_ended(self, machine: Machine, report: Report, now: float) -> None:
         """The worker's lease ended: it killed and forgot all that it had."""
         log.info("machine %s is in session %d: its tasks are gone", machine.name, report.tenure)
         # Only what we placed ourselves, and ordered or saw in an earlier session: no order of ours is for this one. What an earlier
@@ -124,7 +124,7 @@
                     machine.lacks(spec.image)
                 else:
                     machine.uses(spec.image, spec.image_gb)
-        strange: dict[tuple[str, int], int] = {}
+        orphaned_tasks: dict[tuple[str, int], int] = {}
         for key, item in held.items():
             if item.status == ENDED:
                 ended.add(key)
@@ -132,14 +132,14 @@
                 if item.cause == "done" and job and job.active and 0 <= key[1] < job.spec.tasks:
                     self._done_elsewhere(job, key[1], now)
             else:
-                strange[key[0], key[1]] = key[2]
-        for job_id in sorted({job for job, _ in [*machine.strange, *strange]}):
-            here = any(job_id == other for other, _ in strange)
-            where = self.shard.strange.setdefault(job_id, set())
+                orphaned_tasks[key[0], key[1]] = key[2]
+        for job_id in sorted({job for job, _ in [*machine.orphaned_tasks, *orphaned_tasks]}):
+            here = any(job_id == other for other, _ in orphaned_tasks)
+            where = self.shard.orphaned_tasks.setdefault(job_id, set())
             (where.add if here else where.discard)(machine.name)
             if not where:
-                del self.shard.strange[job_id]
-        machine.strange = strange
+                del self.shard.orphaned_tasks[job_id]
+        machine.orphaned_tasks = orphaned_tasks
         machine.ended = ended
 
     def _runs(self, placement: Placement, now: float) -> None:
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -54,7 +54,9 @@
         for image, size in reversed(images_of(value)):
             self.images[image] = size
         self.ended: set[tuple[str, int, int]] = set()  # reported as ended and not yet forgotten
-        self.strange: dict[tuple[str, int], int] = {}  # running here without a placement: attempt
+        self.orphaned_tasks: dict[
+            tuple[str, int], int
+        ] = {}  # running here without a placement: attempt
         self.reported = 0  # tasks in the last report
         self.recall_at: float | None = None
         self.no_room_until = 0.0
@@ -163,7 +165,7 @@
     @property
     def empty(self) -> bool:
         """Nothing counts here, and nothing is left that its owner would still have to settle."""
-        return not self.live and not self.strange and not self.ended and self.reported == 0
+        return not self.live and not self.orphaned_tasks and not self.ended and self.reported == 0
 
     def silent_for(self, now: float) -> float:
         return now - (self.last_at if self.last_at is not None else self.since)
--- a/ashdock/core/passes.py
+++ b/ashdock/core/passes.py
@@ -40,7 +40,7 @@
     usage: Usage
     worth: Worth
     classes: Classes
-    strange: dict[str, set[str]]
+    orphaned_tasks: dict[str, set[str]]
     resource_requests: list[ResourceRequest]
     reserved: set[str]
     seen: int
@@ -116,7 +116,7 @@
             and job.ready
             and not job.waits
             and not job.breaking
-            and job.id not in self.shard.strange
+            and job.id not in self.shard.orphaned_tasks
             and (job.spec.kind != "gang" or job.ready == job.spec.tasks)
         ]
         out.sort(key=lambda job: self._rank(job, now, look))
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -16,12 +16,12 @@
 from ashdock.core import park as parking
 from ashdock.core.bounds import Bounds
 from ashdock.core.estimates import Estimates
+from ashdock.core.heartbeat_reconciler import HeartbeatReconciler
 from ashdock.core.job import Job, JobPhase, chunk_size, spec_of_record
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.passes import Passes
 from ashdock.core.pipelines import Pipelines
 from ashdock.core.quota import Usage
-from ashdock.core.reports import Reports
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
@@ -74,7 +74,9 @@
             shared.state.value_kb
         )  # as the versions before had it, whatever the limits come to be
         self.pipelines = Pipelines(self)
-        self.strange: dict[str, set[str]] = {}  # job: machines where it runs without a placement
+        self.orphaned_tasks: dict[
+            str, set[str]
+        ] = {}  # job: machines where it runs without a placement
         self.resource_requests: list[ResourceRequest] = []
         self.lacked_room_before = False
         self.reserved: set[str] = set()  # empty machines kept for a gang that lacks others
@@ -94,7 +96,7 @@
         self.clock = -math.inf  # when somebody last told us the time
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
-        self.reports = Reports(self, self.estimates)
+        self.reconciler = HeartbeatReconciler(self, self.estimates)
         self.status_reporter = StatusReporter(self)
         self.passes = Passes(self, self.estimates, self.status_reporter)
 
@@ -387,7 +389,7 @@
                 out.append(Order(verb=RUN, share=name, attempt=placement.attempt))
                 if checkin:
                     placement.answered_with_start(checkin.tenure, checkin.tally)
-        for (job_id, task), attempt in machine.strange.items():
+        for (job_id, task), attempt in machine.orphaned_tasks.items():
             out.append(
                 Order(verb=KILL, share=task_name(job_id, task), attempt=attempt, leeway_s=0.0)
             )
@@ -518,9 +520,9 @@
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is placement:
                 self.lost(placement, "machine gone", now)
-        for where in self.strange.values():
+        for where in self.orphaned_tasks.values():
             where.discard(name)
-        self.strange = {job: where for job, where in self.strange.items() if where}
+        self.orphaned_tasks = {job: where for job, where in self.orphaned_tasks.items() if where}
 
     # -- time -----------------------------------------------------------------------------------
 
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -281,7 +281,7 @@
     def pass_on(self, now: float) -> None:
         """Nothing is stopped for it: only what has come free goes, before our own work takes it."""
         for machine in self.shard.machines.values():
-            if machine.live or machine.strange or not machine.usable:
+            if machine.live or machine.orphaned_tasks or not machine.usable:
                 continue
             for to, (order, until) in list(self.owed.items()):
                 if now > until or order.number <= 0:
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -188,7 +188,7 @@
         shard = self.shard
         if self.phase is not OwnershipPhase.ACTIVE or shard is None or not self._may_renew():
             return None
-        orders = shard.reports.on_report(report, self.context.now(), checkin=True)
+        orders = shard.reconciler.on_heartbeat(report, self.context.now(), checkin=True)
         if orders is None:
             return None
         self.failover_timeline.heard(self.context.now())
@@ -418,7 +418,7 @@
                 and report.berth == machine.name
                 and self.phase is OwnershipPhase.ACTIVE
             ):
-                shard.reports.on_report(report, self.context.now(), checkin=False)
+                shard.reconciler.on_heartbeat(report, self.context.now(), checkin=False)
             if status != 200:
                 log.debug("machine %s did not take orders: %d", machine.name, status)
         except NoAnswer as why:
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -161,7 +161,7 @@
     ("net/store.py", "watch and state"),
     ("net/budget.py", "watch and state"),
     ("fairness/line.py", "watch and state"),
-    ("core/reports.py", "reports"),
+    ("core/heartbeat_reconciler.py", "reports"),
     ("front.py:checkin", "reports"),
     ("front.py:_elsewhere", "reports"),
     ("front.py:_ownerless", "reports"),
@@ -213,7 +213,7 @@
 UNITS = {
     "HTTP in": "net/http.py:_one",
     "HTTP out": "net/http.py:_over_a_link",
-    "reports": "core/reports.py:on_report",
+    "reports": "core/heartbeat_reconciler.py:on_heartbeat",
     "passes": "core/passes.py:schedule",
     "writing": "core/shard_writer.py:next_transaction",
     "questions": "questions.py:ask",
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -175,7 +175,7 @@
     shard.passes.schedule(NOW)
     for report in values.get("reports", ()):
         found = messages.decode_report(to_bytes(report))
-        shard.reports.on_report(found, NOW + 1, checkin=True)
+        shard.reconciler.on_heartbeat(found, NOW + 1, checkin=True)
     for job_id in values.get("cancelled", ()):
         shard.cancel(job_id, NOW, store.entries[f"job/{job_id}"][1], NOW)
     store.entries["part/red"] = (None, REVISION)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -211,7 +211,7 @@
 def test_placement(more: dict[str, Any], zones: str, placed: int, most_zones: int) -> None:
     shard = shard_with([spec(**more)], zones)
     for n in range(len(zones)):
-        shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+        shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
     shard.passes.schedule(1.0)
     live = shard.jobs["req-000001"].live.values()
     assert len(live) == placed and len({shard.machines[p.machine].zone for p in live}) <= most_zones
@@ -219,13 +219,17 @@
 
 def started(shard: Shard) -> None:
     """One task of the job placed on vm-0, committed, and its start sent in the answer to report 2."""
-    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
     shard.passes.schedule(1.0)
     assert not [
-        o for o in shard.reports.on_report(report("vm-0", 2), 1.5, True) or [] if o.verb == "run"
+        o
+        for o in shard.reconciler.on_heartbeat(report("vm-0", 2), 1.5, True) or []
+        if o.verb == "run"
     ], "sent before it was durable"
     commit(shard, 20)
-    assert [o.verb for o in shard.reports.on_report(report("vm-0", 3), 2.0, True) or []] == ["run"]
+    assert [o.verb for o in shard.reconciler.on_heartbeat(report("vm-0", 3), 2.0, True) or []] == [
+        "run"
+    ]
 
 
 PROOFS = [  # what comes next, the task being told to stop -> does the placement still count?
@@ -261,7 +265,9 @@
     shard.preempt(one, [0], "test", 3.0)
     for kind, a, b, c in events:
         if kind in ("report", "direct"):
-            shard.reports.on_report(report("vm-0", a, warrant=b, tenure=c), 4.0, kind == "report")
+            shard.reconciler.on_heartbeat(
+                report("vm-0", a, warrant=b, tenure=c), 4.0, kind == "report"
+            )
         elif kind == "tick":
             shard.tick(float(a))
         elif kind == "gone":
@@ -290,7 +296,7 @@
     shard.jobs["req-000001"].done, shard.jobs["req-000001"].ready = 1, 1
     started(shard)
     one = shard.jobs["req-000001"]
-    orders = shard.reports.on_report(
+    orders = shard.reconciler.on_heartbeat(
         report("vm-0", 4, [("req-000001/0", 1, "ended", cause)]), 3.0, True
     )
     assert "forget" not in [o.verb for o in orders or []], (
@@ -304,7 +310,7 @@
             writes["job/req-000001"]["status"] == "done"
             and writes["work/red/req-000001/job"] is None
         )
-    orders = shard.reports.on_report(
+    orders = shard.reconciler.on_heartbeat(
         report("vm-0", 5, [("req-000001/0", 1, "ended", cause)]), 4.0, True
     )
     assert "forget" in [o.verb for o in orders or []]
@@ -312,7 +318,7 @@
 
 def test_a_stale_owner_gives_no_answer() -> None:
     shard = shard_with([spec()], "a")
-    assert shard.reports.on_report(report("vm-0", 1, warrant=11), 1.0, True) is None
+    assert shard.reconciler.on_heartbeat(report("vm-0", 1, warrant=11), 1.0, True) is None
 
 
 def test_a_new_owner_counts_what_it_inherits() -> None:
@@ -326,11 +332,11 @@
     )
     assert heir.usage.gpus == 1.0 and 0 in heir.jobs["req-000001"].live
     heir.preempt(heir.jobs["req-000001"], [0], "test", 5.0)
-    heir.reports.on_report(
+    heir.reconciler.on_heartbeat(
         report("vm-0", 9, warrant=10), 5.0, True
     )  # lacks it, but under the old token: its start may be under way
     assert 0 in heir.jobs["req-000001"].live
-    heir.reports.on_report(report("vm-0", 10, warrant=50), 6.0, True)
+    heir.reconciler.on_heartbeat(report("vm-0", 10, warrant=50), 6.0, True)
     assert 0 not in heir.jobs["req-000001"].live
 
 
@@ -473,8 +479,12 @@
 def test_estimates_are_corrected_by_what_tasks_took() -> None:
     shard = shard_with([spec(shares=1, expect_s=10.0)], "a")
     started(shard)
-    shard.reports.on_report(report("vm-0", 4, [("req-000001/0", 1, "running", None)]), 10.0, True)
-    shard.reports.on_report(report("vm-0", 5, [("req-000001/0", 1, "ended", "done")]), 30.0, True)
+    shard.reconciler.on_heartbeat(
+        report("vm-0", 4, [("req-000001/0", 1, "running", None)]), 10.0, True
+    )
+    shard.reconciler.on_heartbeat(
+        report("vm-0", 5, [("req-000001/0", 1, "ended", "done")]), 30.0, True
+    )
     assert 10.0 < shard.estimates.run_s(spec(expect_s=10.0)) <= 20.0
 
 
@@ -562,7 +572,7 @@
 
 
 def fails(shard: Shard, name: str, tally: int, tasks: list[tuple[str, int]], now: float) -> None:
-    shard.reports.on_report(
+    shard.reconciler.on_heartbeat(
         report(name, tally, [(task, attempt, "ended", "error") for task, attempt in tasks]),
         now,
         True,
@@ -575,7 +585,7 @@
     shard = shard_with([spec(shares=6, urgency="high")], "ab")
     one = shard.jobs["req-000001"]
     for name in ("vm-0", "vm-1"):
-        shard.reports.on_report(report(name, 1), 0.5, True)
+        shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
     shard.passes.schedule(1.0)
     assert len(one.live) == 6
     revision = 20
@@ -585,8 +595,8 @@
             tasks = [
                 (f"req-000001/{p.task}", p.attempt) for p in one.live.values() if p.machine == name
             ]
-            shard.reports.on_report(report(name, 3 * tally), float(tally), True)
-            shard.reports.on_report(
+            shard.reconciler.on_heartbeat(report(name, 3 * tally), float(tally), True)
+            shard.reconciler.on_heartbeat(
                 report(name, 3 * tally + 1, [(task, n, "running", None) for task, n in tasks]),
                 float(tally),
                 True,
@@ -600,7 +610,7 @@
     assert one.doubtful and not any(machine.failed for machine in shard.machines.values())
     commit(shard, 90)
     for name in ("vm-0", "vm-1"):
-        shard.reports.on_report(report(name, 90), 39.0, True)
+        shard.reconciler.on_heartbeat(report(name, 90), 39.0, True)
     shard.add_job(queued(spec(2, shares=16, expect_s=50.0), 0.0), 8)
     for now in (40.0, 41.0, 42.0):
         shard.tick(now)
@@ -620,7 +630,7 @@
 def test_a_machine_that_came_after_the_last_pass_is_not_idle() -> None:
     """Lent, told as idle before its shard had looked at it, and lent back: two parts' machines went round for a minute."""
     shard = shard_with([], "a")
-    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
     shard.passes.schedule(1.0)
     assert [name for name, _ in shard.status_reporter.shard_status(9.0).idle] == ["vm-0"]
     shard.add_machine(
@@ -693,7 +703,7 @@
         tasks: list[tuple[str, int, str, str | None]] = (
             [("req-000001/0", 1, "running", None)] if listed else []
         )
-        heir.reports.on_report(
+        heir.reconciler.on_heartbeat(
             report("vm-0", tally, tasks, warrant=token, tenure=tenure), 6.0, True
         )
     assert (0 in heir.jobs["req-000001"].live) is counts
@@ -728,15 +738,15 @@
     assert [order.verb for order in heir.direct(machine, 5.0)] == [RUN]
     tasks: list[tuple[str, int, str, str | None]] = [("req-000001/0", 1, "running", None)]
     if late is not None:
-        heir.reports.on_report(
+        heir.reconciler.on_heartbeat(
             report("vm-0", late[1], tasks, warrant=20, tenure=late[0]), 5.5, True
         )
-    heir.reports.on_report(
+    heir.reconciler.on_heartbeat(
         report("vm-0", 40, tasks if there else [], warrant=20, tenure=2), 6.0, True
     )
-    assert 0 in heir.jobs["req-000001"].live and not machine.strange
+    assert 0 in heir.jobs["req-000001"].live and not machine.orphaned_tasks
     # Under our token, and lacking it, a report is proof of what we have seen there; what we have not is started in that session.
-    orders = heir.reports.on_report(report("vm-0", 41, [], warrant=50, tenure=2), 7.0, True)
+    orders = heir.reconciler.on_heartbeat(report("vm-0", 41, [], warrant=50, tenure=2), 7.0, True)
     assert (0 not in heir.jobs["req-000001"].live) or (orders and orders[0].verb == RUN)
 
 
@@ -771,7 +781,7 @@
 def test_a_transaction_looks_only_at_jobs_that_changed(monkeypatch: pytest.MonkeyPatch) -> None:
     shard = shard_with([spec(n, shares=1) for n in range(1, 200)], "a")
     shard.tick(1.0)
-    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
     shard.passes.schedule(1.0)
     commit(shard, 20)
     seen: list[str] = []
@@ -783,7 +793,9 @@
 
     monkeypatch.setattr(shard.writer, "_has_unwritten", unwritten)
     assert shard.writer.next_transaction() is None
-    shard.reports.on_report(report("vm-0", 2, [("req-000001/0", 1, "ended", "done")]), 2.0, True)
+    shard.reconciler.on_heartbeat(
+        report("vm-0", 2, [("req-000001/0", 1, "ended", "done")]), 2.0, True
+    )
     seen.clear()
     assert shard.writer.next_transaction() is not None
     assert seen == ["req-000001"]
@@ -844,7 +856,7 @@
 def test_what_comes_free_is_passed_on_before_own_work_takes_it() -> None:
     shard = shard_with([spec(1, shares=1), spec(2, shares=8)], "ab")
     for tally, machine in enumerate(("vm-0", "vm-1"), 1):
-        shard.reports.on_report(report(machine, tally), 1.0, True)
+        shard.reconciler.on_heartbeat(report(machine, tally), 1.0, True)
     shard.status_reporter.owe(Rebalance("red", "blue", 1, (), "b", True), 1.0)
     shard.passes.schedule(1.0)
     assert (
@@ -870,7 +882,7 @@
     """An empty machine within a guarantee was lent or returned at once, and the next gang waited for a boot."""
     shard = shard_with([], "abcabc")
     for n in range(6):
-        shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+        shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
     for n, size in enumerate(sizes, 1):
         gang = shard.add_job(
             queued(spec(n, shape="ensemble", shares=size, accelerators=4.0), 1.0), 7
@@ -955,7 +967,7 @@
     shard = shard_with([spec(1, shares=400)], "ab" * 50)
     shard.usage.team = Team("red", gpus=8, gpus_max=1000)
     for n in range(100):
-        shard.reports.on_report(report(f"vm-{n}", 1), 1.0, True)
+        shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
     shard.passes.schedule(1.0)
     assert len(shard.jobs["req-000001"].live) == 400
     writes = [commit(shard, 20)]
@@ -970,7 +982,7 @@
         shard.direct_answered(
             shard.machines[machine], shard.orders(shard.machines[machine], 1.0, None)
         )
-        shard.reports.on_report(report(machine, 2, tasks), 5.0, True)
+        shard.reconciler.on_heartbeat(report(machine, 2, tasks), 5.0, True)
     ends: list[dict[str, Any]] = []
     while shard.jobs:
         ends.append(commit(shard, 30 + len(ends)))
@@ -1048,10 +1060,10 @@
     """A hot shard's own starts filled every transaction, and the machines that it was to pass on stood empty behind them."""
     shard = shard_with([spec(n, shares=1) for n in range(1, 31)], "abc" * 6)
     for name in ("vm-9", "vm-10", "vm-11", "vm-12"):
-        shard.reports.on_report(report(name, 1), 0.5, True)
+        shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
         shard.status_reporter.transfer_machine(name, "blue", 0.5)
     for name in sorted(set(shard.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
-        shard.reports.on_report(report(name, 1), 0.5, True)
+        shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
     shard.passes.schedule(1.0)
     writes = []
     while (txn := shard.writer.next_transaction(a_second=9.0)) is not None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -339,14 +339,17 @@
     started(shard)
     machine = shard.machines["vm-0"]
     task = ("req-000001/0", 1, "running", None)
-    shard.reports.on_report(report("vm-0", 9, [task]), 4.0, True)
+    shard.reconciler.on_heartbeat(report("vm-0", 9, [task]), 4.0, True)
     for tally, tenure, tasks in (
         (3, 1, []),
         (90, 0, []),
         (4, 1, [("req-000001/0", 1, "pulling", None)]),
         (9, 1, [("req-000001/0", 1, "ended", "stopped")]),
     ):
-        assert shard.reports.on_report(report("vm-0", tally, tasks, tenure=tenure), 5.0, True) == []
+        assert (
+            shard.reconciler.on_heartbeat(report("vm-0", tally, tasks, tenure=tenure), 5.0, True)
+            == []
+        )
     live = shard.jobs["req-000001"].live[0]
     assert (
         live.status == "running"
@@ -397,14 +400,14 @@
         5.0,
     )
     heir.preempt(heir.jobs["req-000001"], [0], "test", 5.0)
-    heir.reports.on_report(report("vm-0", 9, tasks, warrant=token, tenure=tenure), 6.0, True)
+    heir.reconciler.on_heartbeat(report("vm-0", 9, tasks, warrant=token, tenure=tenure), 6.0, True)
     assert (0 in heir.jobs["req-000001"].live) is counts
 
 
 def test_a_start_is_committed_under_the_jobs_stamp_and_the_claim() -> None:
     """Whoever does not hear of a cancellation can't commit a start after it."""
     shard = shard_with([spec(shares=2)], "a")
-    shard.reports.on_report(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
     shard.passes.schedule(1.0)
     txn = shard.writer.next_transaction()
     assert (
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -172,13 +172,13 @@
     )
     commit(shard, 20)
     for name in ("vm-0", "vm-1"):
-        shard.reports.on_report(report(name, 1), 5.0, checkin=True)
+        shard.reconciler.on_heartbeat(report(name, 1), 5.0, checkin=True)
         ended = [
             (f"{p.job}/{p.task}", p.attempt, "ended", "done")
             for p in first.live.values()
             if p.machine == name
         ]
-        shard.reports.on_report(report(name, 2, ended), 6.0, checkin=True)
+        shard.reconciler.on_heartbeat(report(name, 2, ended), 6.0, checkin=True)
     shard.passes.schedule(6.5)
     assert first.phase is JobPhase.OVER and not last.live  # done in memory only
     commit(shard, 21)
@@ -1013,13 +1013,13 @@
     shard.passes.schedule(0.5)
     commit(shard, 20)
     for name in shard.machines:
-        shard.reports.on_report(report(name, 1), 1.0, checkin=True)
+        shard.reconciler.on_heartbeat(report(name, 1), 1.0, checkin=True)
         its = [
             (f"{p.job}/{p.task}", p.attempt, "running", None)
             for p in shard.jobs["req-000001"].live.values()
             if p.machine == name
         ]
-        shard.reports.on_report(report(name, 2, its), 2.0, checkin=True)
+        shard.reconciler.on_heartbeat(report(name, 2, its), 2.0, checkin=True)
     shard.add_job(
         queued(
             spec(2, shares=2, cpus=16.0, accelerators=0.0, urgency="best_effort", expect_s=8.0), 0.0
