--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -491,7 +491,9 @@
         for owner in list(self.owners.values()):
             if owner.waits_for(job_id):
                 owner.note(
-                    lambda shard: shard.pipelines.settled(job_id, status, done_at, self.now())
+                    lambda shard: shard.dependency_tracker.settled(
+                        job_id, status, done_at, self.now()
+                    )
                 )
 
     def _job_news(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
@@ -562,7 +564,7 @@
         if not self.cluster_version.supports_dependencies:
             return
         for shard in self._active_shards():
-            rows = shard.pipelines.needs.abroad(shard.jobs)
+            rows = shard.dependency_tracker.graph.abroad(shard.jobs)
             if rows or shard.name in self.inheritance_sent:
                 ahead = PriorityInheritance(shard.name, rows[:COUNTS_AT_ONCE])
                 self.mesh.broadcast(ahead)
@@ -572,7 +574,7 @@
     def _inherit_priorities(self, ahead: PriorityInheritance) -> None:
         for team, owner in self.owners.items():
             if team != ahead.shard:
-                owner.note(lambda shard: shard.pipelines.hear(*ahead))
+                owner.note(lambda shard: shard.dependency_tracker.hear(*ahead))
 
     def send_claims(self) -> None:
         # Once they are read: told at the claim, one that the state service refuses let go of its workers, the reading met an outage, and
@@ -675,7 +677,7 @@
                 )
             )
         elif isinstance(frame, Rebalance):
-            owner.note(lambda shard: shard.status_reporter.owe(frame, self.now()))
+            owner.note(lambda shard: shard.status_reporter.rebalance(frame, self.now()))
         elif isinstance(frame, TransferShard):
             owner.give_to = frame.to
             owner.wake.set()
--- a/ashdock/core/allotment.py
+++ b/ashdock/core/allocator.py
@@ -11,14 +11,14 @@
 from typing import NamedTuple
 
 from ashdock.core.machine import capacity
-from ashdock.core.placement import Barren, Slots
+from ashdock.core.machine_index import Kind, Lent, MachineIndex
+from ashdock.core.placement import InfeasibleCache, PendingCapacity
 from ashdock.core.status_reporter import Rebalance, Reclaim, ResourceRequest, ShardStatus
-from ashdock.core.stock import Kind, Lent, Stock
 from ashdock.settings import Renting, Shared
 from ashdock.wire.messages import MachineType
 
 
-class Rent(NamedTuple):
+class ScaleOut(NamedTuple):
     """One request to the cloud, for all teams that lack such machines: it takes few requests a second."""
 
     teams: tuple[tuple[str, int], ...]  # how many for which, the most pressing first
@@ -36,7 +36,7 @@
         return list(zip(names, teams, strict=False))
 
 
-class Move(NamedTuple):
+class AssignMachine(NamedTuple):
     """Lend a machine to another shard; `shard` holds it now ("" is the pool)."""
 
     shard: str
@@ -51,7 +51,7 @@
     to: str
 
 
-class Release(NamedTuple):
+class ScaleIn(NamedTuple):
     machines: list[str]
 
 
@@ -59,10 +59,10 @@
 MOST_TEAMS = 10  # that share one request, so that its record stays a small value; the others' turn comes with the next round
 ANY_NEED = (0.0, 0.0, 0.0)  # what is to be recalled does not depend on how much a task takes
 
-Decision = Rent | Move | Reclaim | Release | MoveShard | Rebalance
+Decision = ScaleOut | AssignMachine | Reclaim | ScaleIn | MoveShard | Rebalance
 
 
-class Allotment:
+class Allocator:
     def __init__(self, shared: Shared, renting: Renting, catalog: dict[str, MachineType]) -> None:
         self.shared = shared
         self.renting = renting
@@ -74,16 +74,16 @@
             tuple[str, str, bool], tuple[float, float]
         ] = {}  # until when, and the last pause
         self.coming: dict[str, tuple[str, float]] = {}  # machine: team it was lent to, and when
-        self.renting_now: list[Rent] = []
+        self.renting_now: list[ScaleOut] = []
         self.recalling: dict[
             str, tuple[str, float]
         ] = {}  # machine asked of its shard: for which team, and when
         self.pool_since: dict[str, float] = {}
         self.sent_back: set[str] = set()  # to the pool, since nobody wanted them
-        self.owed_at: dict[
+        self.rebalance_asked_at: dict[
             tuple[str, str], float
         ] = {}  # by whom and to whom: when it was last asked for
-        self.barren = Barren()  # wants for which this round has nothing left
+        self.infeasible = InfeasibleCache()  # wants for which this round has nothing left
         self.pers: dict[
             tuple[str, float, float, float], int
         ] = {}  # this round's: how many of a need a machine of a type takes
@@ -96,7 +96,7 @@
 
     # -- what came of earlier choices -----------------------------------------------------------
 
-    def rented(self, rent: Rent, names: list[str], now: float) -> None:
+    def rented(self, rent: ScaleOut, names: list[str], now: float) -> None:
         self.renting_now.remove(rent)
         for name, team in rent.allotted(names):
             self.coming[name] = (team, now)
@@ -105,12 +105,12 @@
         else:
             self.refused.pop((rent.type, rent.zone, rent.spot), None)
 
-    def not_rented(self, rent: Rent, now: float, no_capacity: bool) -> None:
+    def not_rented(self, rent: ScaleOut, now: float, no_capacity: bool) -> None:
         self.renting_now.remove(rent)
         if no_capacity:
             self._refuse(rent, now)
 
-    def _refuse(self, rent: Rent, now: float) -> None:
+    def _refuse(self, rent: ScaleOut, now: float) -> None:
         key = (rent.type, rent.zone, rent.spot)
         _, pause = self.refused.get(key, (0.0, self.settle_s / 2))
         pause = min(pause * 2, 2 * self.boot_s)
@@ -139,7 +139,7 @@
             for name, idle_s in shard_status.idle
             if name in lent and lent[name].shard == shard_status.team and name not in self.coming
         }
-        empty = Stock(
+        empty = MachineIndex(
             # The cheap kind first, since it is the one to keep.
             ((float(not machine.spot), rank), 0, machine)
             for rank, machines in (
@@ -149,8 +149,8 @@
             for machine in machines
             if machine.type in self.catalog
         )
-        busy = Stock(
-            ((item.loss_s, 0.0), item.priority, lent[item.machine])
+        busy = MachineIndex(
+            ((item.preemption_cost_s, 0.0), item.priority, lent[item.machine])
             for shard_status in shard_statuses.values()
             for item in shard_status.busy
             if item.machine in lent
@@ -188,7 +188,7 @@
             shard_status.team: shard_status.spare_beyond for shard_status in shard_statuses.values()
         }
         total = len(lent) + sum(rent.number for rent in self.renting_now)
-        self.barren = Barren()
+        self.infeasible = InfeasibleCache()
         self.pers.clear()
         for team, request in resource_requests:
             left = (
@@ -235,12 +235,12 @@
                 total += 1
                 left -= per
                 if left < 0:
-                    on_the_way.setdefault(team, Slots()).add_rest(
+                    on_the_way.setdefault(team, PendingCapacity()).add_rest(
                         shape, zone, spot, (request.cpus, request.gpus, request.memory), per + left
                     )
             if left > 0:
                 unmet.append((team, request, left))
-        out += self._debts(
+        out += self._rebalance(
             unmet,
             {
                 team: shard_status
@@ -271,16 +271,16 @@
             self.coming.pop(name, None)
 
     @staticmethod
-    def _requests(rents: dict[tuple[str, str, str, bool], int]) -> list[Rent]:
+    def _requests(rents: dict[tuple[str, str, str, bool], int]) -> list[ScaleOut]:
         """One request for each type, zone and kind, whatever teams it is for."""
         alike: dict[tuple[str, str, bool], list[tuple[str, int]]] = {}
         for (team, kind, zone, spot), number in rents.items():
             room = MOST_RENTED - sum(count for _, count in alike.get((kind, zone, spot), ()))
             if room > 0 and len(alike.get((kind, zone, spot), ())) < MOST_TEAMS:
                 alike.setdefault((kind, zone, spot), []).append((team, min(number, room)))
-        return [Rent(tuple(teams), *key) for key, teams in alike.items()]
+        return [ScaleOut(tuple(teams), *key) for key, teams in alike.items()]
 
-    def _debts(
+    def _rebalance(
         self,
         unmet: list[tuple[str, ResourceRequest, int]],
         shard_statuses: dict[str, ShardStatus],
@@ -300,7 +300,10 @@
         for team, request, left in unmet:
             lender, most_slack = "", request.slack_s + self.boot_s / 2
             for shard, shard_status in shard_statuses.items():
-                if shard == team or now - self.owed_at.get((shard, team), -1e9) < self.settle_s:
+                if (
+                    shard == team
+                    or now - self.rebalance_asked_at.get((shard, team), -1e9) < self.settle_s
+                ):
                     continue
                 # Nor does higher work give way to lower: gangs passed machines on to overdue arrays, and had to recall them.
                 like = [
@@ -319,7 +322,7 @@
                 ):
                     lender, most_slack = shard, slack
             if lender:
-                self.owed_at[lender, team] = now
+                self.rebalance_asked_at[lender, team] = now
                 per = max(
                     (
                         capacity(shape, request.cpus, request.gpus, request.memory)
@@ -360,23 +363,23 @@
             if seen or now - since > self.settle_s:
                 del self.coming[name]
 
-    def _virtual(self, lent: dict[str, Lent]) -> dict[str, Slots]:
+    def _virtual(self, lent: dict[str, Lent]) -> dict[str, PendingCapacity]:
         """Machines lent or asked for that their shard's picture does not hold yet."""
-        out: dict[str, Slots] = {}
+        out: dict[str, PendingCapacity] = {}
         for name, (team, _) in [*self.coming.items(), *self.recalling.items()]:
             machine = lent.get(name)
             if machine and machine.type in self.catalog:
-                out.setdefault(team, Slots()).add(
+                out.setdefault(team, PendingCapacity()).add(
                     self.catalog[machine.type], machine.zone, machine.spot
                 )
         for rent in self.renting_now:
             for team, number in rent.teams:
-                out.setdefault(team, Slots()).add(
+                out.setdefault(team, PendingCapacity()).add(
                     self.catalog[rent.type], rent.zone, rent.spot, number
                 )
         return out
 
-    def _use_virtual(self, rooms: Slots, request: ResourceRequest) -> int:
+    def _use_virtual(self, rooms: PendingCapacity, request: ResourceRequest) -> int:
         """The tasks for which there is nothing on its way."""
 
         def suits(label: str, zone: str, spot: bool) -> bool:
@@ -395,29 +398,36 @@
         return request.spot or not spot
 
     def _zones(
-        self, team: str, request: ResourceRequest, empty: Stock, busy: Stock, spare: dict[str, int]
+        self,
+        team: str,
+        request: ResourceRequest,
+        empty: MachineIndex,
+        busy: MachineIndex,
+        spare: dict[str, int],
     ) -> dict[str, float]:
         """How many more of a gang's tasks each zone would take: on what stands empty, can be recalled, or rented."""
         score: dict[str, float] = {}
 
-        def add(kind: Kind, number: int, worth: float) -> None:
+        def add(kind: Kind, number: int, weight: float) -> None:
             if number:
-                score[kind.zone] = score.get(kind.zone, 0.0) + number * worth * self._per(
+                score[kind.zone] = score.get(kind.zone, 0.0) + number * weight * self._per(
                     kind.type, request
                 )
 
-        for shelf in empty.shelves_for(
+        for bucket in empty.buckets_for(
             lambda kind: (
                 kind.shard != team and self._suits(request, kind.type, kind.zone, kind.spot)
             )
         ):
-            add(shelf.kind, empty.count(shelf, math.inf), 1.0)
-        for shelf in busy.shelves_for(
+            add(bucket.kind, empty.count(bucket, math.inf), 1.0)
+        for bucket in busy.buckets_for(
             lambda kind: self._suits(request, kind.type, kind.zone, kind.spot)
         ):
             add(
-                shelf.kind,
-                busy.count(shelf, self._most_loss(team, request, shelf.kind, spare)),
+                bucket.kind,
+                busy.count(
+                    bucket, self._highest_preemption_cost(team, request, bucket.kind, spare)
+                ),
                 0.99,
             )
         for shape in self.catalog.values():
@@ -439,7 +449,7 @@
             )
         return per
 
-    def _most_loss(
+    def _highest_preemption_cost(
         self, team: str, request: ResourceRequest, kind: Kind, spare: dict[str, int]
     ) -> float:
         """Up to what loss a machine of that class may be recalled; -1: not at all. A guarantee is regained from teams beyond theirs,
@@ -462,7 +472,7 @@
         team: str,
         request: ResourceRequest,
         left: int,
-        busy: Stock,
+        busy: MachineIndex,
         spare: dict[str, int],
         out: list[Decision],
         cached: bool = False,
@@ -480,20 +490,22 @@
             request.slack_s < self.boot_s,
             request.image if cached else None,
         )
-        if left <= 0 or not busy or self.barren.holds(alike, ANY_NEED, 1):
+        if left <= 0 or not busy or self.infeasible.holds(alike, ANY_NEED, 1):
             return left
-        shelves = busy.shelves_for(
+        buckets = busy.buckets_for(
             lambda kind: self._suits(request, kind.type, kind.zone, kind.spot),
             request.image if cached else None,
         )
-        for machine in busy.take(shelves, lambda kind: self._most_loss(team, request, kind, spare)):
+        for machine in busy.take(
+            buckets, lambda kind: self._highest_preemption_cost(team, request, kind, spare)
+        ):
             out.append(Reclaim(machine.shard, team, [machine.name]))
             self.recalling[machine.name] = (team, self.now)
             spare[machine.shard] -= 1
             left -= max(1, self._per(machine.type, request))
             if left <= 0:
                 return left
-        self.barren.note(alike, ANY_NEED, 1)
+        self.infeasible.note(alike, ANY_NEED, 1)
         return left
 
     def _lend(
@@ -501,7 +513,7 @@
         team: str,
         request: ResourceRequest,
         left: int,
-        empty: Stock,
+        empty: MachineIndex,
         out: list[Decision],
         now: float,
         cached: bool = False,
@@ -517,7 +529,7 @@
             request.image if cached else None,
         )
         need = (request.cpus, request.gpus, request.memory)
-        if left <= 0 or not empty or self.barren.holds(alike, need, 1):
+        if left <= 0 or not empty or self.infeasible.holds(alike, need, 1):
             return left
         only_cheap = request.idle and self._cheap(request)
 
@@ -531,14 +543,14 @@
             return self._per(kind.type, request) > 0
 
         for machine in empty.take(
-            empty.shelves_for(suits, request.image if cached else None), lambda kind: math.inf
+            empty.buckets_for(suits, request.image if cached else None), lambda kind: math.inf
         ):
-            out.append(Move(machine.shard, machine.name, team))
+            out.append(AssignMachine(machine.shard, machine.name, team))
             self.coming[machine.name] = (team, now)
             left -= self._per(machine.type, request)
             if left <= 0:
                 return left
-        self.barren.note(alike, need, 1)
+        self.infeasible.note(alike, need, 1)
         return left
 
     def _cheap(self, request: ResourceRequest) -> bool:
@@ -639,7 +651,7 @@
                     for _, request in resource_requests
                 )
             if not wanted[kind]:
-                out.append(Move(machine.shard, machine.name, ""))
+                out.append(AssignMachine(machine.shard, machine.name, ""))
                 self.sent_back.add(machine.name)
         gone = [
             name
@@ -648,5 +660,5 @@
             > (self.settle_s / 8 if name in self.sent_back else self.settle_s)
         ]
         if gone:
-            out.append(Release(gone[:100]))
+            out.append(ScaleIn(gone[:100]))
         return out
--- a/ashdock/core/needs.py
+++ b/ashdock/core/dependency_graph.py
@@ -39,7 +39,7 @@
         self.level = level  # above all that it needs
 
 
-class Needs:
+class DependencyGraph:
     def __init__(self) -> None:
         self.waiting: dict[str, _Waiting] = {}
         self.after: dict[str, dict[str, None]] = {}  # job: the waiting jobs that need it
--- a/ashdock/core/pipelines.py
+++ b/ashdock/core/dependency_tracker.py
@@ -11,9 +11,9 @@
 from typing import Protocol
 
 from ashdock.core import placement as placing
+from ashdock.core.dependency_graph import Carried, DependencyGraph
 from ashdock.core.estimates import Estimates
 from ashdock.core.job import Job, JobPhase
-from ashdock.core.needs import Carried, Needs
 from ashdock.core.status_reporter import StatusReporter
 from ashdock.settings import Workers
 from ashdock.wire.messages import MachineType, Spec
@@ -21,7 +21,7 @@
 log = logging.getLogger("ashdock.shard")
 
 
-class Waited(Protocol):
+class DependentShard(Protocol):
     """What of a shard its waiting jobs rest on."""
 
     workers: Workers
@@ -32,10 +32,10 @@
     stale: bool
 
 
-class Pipelines:
-    def __init__(self, shard: Waited) -> None:
+class DependencyTracker:
+    def __init__(self, shard: DependentShard) -> None:
         self.shard = shard
-        self.needs = Needs()
+        self.graph = DependencyGraph()
         self.unread: dict[
             str, None
         ] = {}  # jobs that ours wait for, of which it is not known yet how they stand
@@ -44,13 +44,13 @@
         """It may not start before all that it needs is durably done."""
         job.waits = True
         own = Carried(job.spec.priority, job.due)
-        self.needs.add(job.id, job.spec.needs or (), own, self._takes(job.spec), job.submitted)
+        self.graph.add(job.id, job.spec.needs or (), own, self._takes(job.spec), job.submitted)
         self._carry()
 
     def cancelled(self, job: Job, now: float) -> None:
         """Durably; so are all that need it."""
         job.waits = False
-        self.needs.drop(job.id)
+        self.graph.drop(job.id)
         self.settled(job.id, "withdrawn", None, now)
         self._carry()
 
@@ -63,8 +63,8 @@
 
     def look(self, now: float) -> None:
         """How the jobs stand that ours have come to wait for: what is not of this shard has to be read."""
-        while self.needs.fresh:
-            need, _ = self.needs.fresh.popitem()
+        while self.graph.fresh:
+            need, _ = self.graph.fresh.popitem()
             job = self.shard.jobs.get(need)
             if job is None:
                 self.unread[need] = None
@@ -74,30 +74,30 @@
     def settled(self, need: str, status: str, at: float | None, now: float) -> None:
         """A job that ours may wait for is durably over: they may start, or never will."""
         self.unread.pop(need, None)
-        if need not in self.needs.after:
+        if need not in self.graph.after:
             return
         if status == "done":
-            for job_id, since in self.needs.done(need, at):
+            for job_id, since in self.graph.done(need, at):
                 job = self.shard.jobs[job_id]
                 job.released(since)
                 self.shard.stale = True
                 log.info("job %s may start: the last that it needs is done (%s)", job_id, need)
                 self.shard.status_reporter.came(job, now)
         else:
-            for job_id in self.needs.cancelled(need):
+            for job_id in self.graph.cancelled(need):
                 log.info("job %s is cancelled with %s, which it needs", job_id, need)
                 self.shard.jobs[job_id].orphan(need, now)
         self._carry()
 
     def hear(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
-        self.needs.hear(shard, rows)
+        self.graph.hear(shard, rows)
         self._carry()
 
     def _carry(self) -> None:
-        for job_id in self.needs.changed:
+        for job_id in self.graph.changed:
             job = self.shard.jobs.get(job_id)
             if job is not None:
-                job.carried = self.needs.of(job_id)
-        if self.needs.changed:
+                job.carried = self.graph.of(job_id)
+        if self.graph.changed:
             self.shard.stale = True
-            self.needs.changed.clear()
+            self.graph.changed.clear()
--- a/ashdock/core/spans.py
+++ b/ashdock/core/duration_histogram.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Spans:
+class DurationHistogram:
     """`first_s`: the first bound; `bounds`: how many there are, each twice the one before. What is longer still counts together."""
 
     def __init__(self, first_s: float, bounds: int) -> None:
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ashdock.core.needs import NOTHING, Carried
+from ashdock.core.dependency_graph import NOTHING, Carried
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
 from ashdock.wire.messages import Spec
 
--- a/ashdock/core/stock.py
+++ b/ashdock/core/machine_index.py
@@ -37,7 +37,7 @@
     priority: int = 0  # the highest of what runs there
 
 
-class Shelf:
+class MachineBucket:
     __slots__ = ("at", "kind", "ready", "rows")
 
     def __init__(self, kind: Kind) -> None:
@@ -49,14 +49,14 @@
     def add(self, row: tuple[Key, str]) -> None:
         self.rows.append(row)
 
-    def sort(self) -> Shelf:
+    def sort(self) -> MachineBucket:
         if not self.ready:
             self.rows.sort()
             self.ready = True
         return self
 
 
-class Stock:
+class MachineIndex:
     """Of one round. What is taken is gone from all its shelves."""
 
     def __init__(self, machines: Iterable[tuple[Key, int, Lent]]) -> None:
@@ -64,76 +64,78 @@
         self.machines: dict[str, tuple[Key, Kind, Lent]] = {}
         self.gone: dict[Kind, list[Key]] = {}
         self.taken: set[str] = set()
-        shelves: dict[tuple[str, str, bool, str, int], Shelf] = {}
+        buckets: dict[tuple[str, str, bool, str, int], MachineBucket] = {}
         for key, priority, machine in machines:
             alike = (machine.type, machine.zone, machine.spot, machine.shard, priority)
-            shelf = shelves.get(alike)
-            if shelf is None:
-                shelf = shelves[alike] = Shelf(Kind(*alike))
-            shelf.add((key, machine.name))
-            self.machines[machine.name] = (key, shelf.kind, machine)
-        self.shelves = list(shelves.values())
-        self.holding: dict[str, dict[int, Shelf]] | None = (
+            bucket = buckets.get(alike)
+            if bucket is None:
+                bucket = buckets[alike] = MachineBucket(Kind(*alike))
+            bucket.add((key, machine.name))
+            self.machines[machine.name] = (key, bucket.kind, machine)
+        self.buckets = list(buckets.values())
+        self.holding: dict[str, dict[int, MachineBucket]] | None = (
             None  # by image, and by the identity of the class
         )
 
     def __bool__(self) -> bool:
         return len(self.taken) < len(self.machines)
 
-    def _with_image(self, image: str) -> Iterable[Shelf]:
+    def _with_image(self, image: str) -> Iterable[MachineBucket]:
         if self.holding is None:
             self.holding = {}
             for name, (key, kind, machine) in self.machines.items():
                 if name not in self.taken:
                     for held in machine.images:
-                        shelves = self.holding.setdefault(held, {})
-                        shelf = shelves.get(id(kind))
-                        if shelf is None:
-                            shelf = shelves[id(kind)] = Shelf(kind)
-                        shelf.add((key, name))
+                        buckets = self.holding.setdefault(held, {})
+                        bucket = buckets.get(id(kind))
+                        if bucket is None:
+                            bucket = buckets[id(kind)] = MachineBucket(kind)
+                        bucket.add((key, name))
         return self.holding.get(image, {}).values()
 
-    def shelves_for(self, suits: Callable[[Kind], bool], image: str | None = None) -> list[Shelf]:
+    def buckets_for(
+        self, suits: Callable[[Kind], bool], image: str | None = None
+    ) -> list[MachineBucket]:
         """Those that suit; with an image, of machines that hold it."""
         return [
-            shelf.sort()
-            for shelf in (self.shelves if image is None else self._with_image(image))
-            if suits(shelf.kind)
+            bucket.sort()
+            for bucket in (self.buckets if image is None else self._with_image(image))
+            if suits(bucket.kind)
         ]
 
-    def count(self, shelf: Shelf, most: float) -> int:
+    def count(self, bucket: MachineBucket, most: float) -> int:
         """How many of a shelf of all machines are left whose key begins with `most` or less."""
 
         def first(row: tuple[Key, str]) -> float:
             return row[0][0]
 
-        return bisect_right(shelf.rows, most, key=first) - sum(
-            key[0] <= most for key in self.gone.get(shelf.kind, ())
+        return bisect_right(bucket.rows, most, key=first) - sum(
+            key[0] <= most for key in self.gone.get(bucket.kind, ())
         )
 
-    def take(self, shelves: list[Shelf], most: Callable[[Kind], float]) -> Iterator[Lent]:
+    def take(self, buckets: list[MachineBucket], most: Callable[[Kind], float]) -> Iterator[Lent]:
         """What goes first of all these, one after the other, as long as its key begins with no more than `most` says of its class
         by then. Each is taken before it is given out."""
         heads = [
-            (shelf.rows[shelf.at], number)
-            for number, shelf in enumerate(shelves)
-            if self._advance(shelf)
+            (bucket.rows[bucket.at], number)
+            for number, bucket in enumerate(buckets)
+            if self._advance(bucket)
         ]
         heapify(heads)
         while heads:
             (key, name), number = heappop(heads)
-            shelf = shelves[number]
+            bucket = buckets[number]
             if name not in self.taken:
-                if key[0] > most(shelf.kind):
+                if key[0] > most(bucket.kind):
                     continue  # nor does what comes after it
                 self.taken.add(name)
-                self.gone.setdefault(shelf.kind, []).append(key)
+                self.gone.setdefault(bucket.kind, []).append(key)
                 yield self.machines[name][2]
-            if self._advance(shelf):
-                heappush(heads, (shelf.rows[shelf.at], number))
+            if self._advance(bucket):
+                heappush(heads, (bucket.rows[bucket.at], number))
 
-    def _advance(self, shelf: Shelf) -> bool:
+    def _advance(self, bucket: MachineBucket) -> bool:
         """Go on to what is not gone; False at the end."""
-        while shelf.at < len(shelf.rows) and shelf.rows[shelf.at][1] in self.taken:
-            shelf.at += 1
-        return shelf.at < len(shelf.rows)
+        while bucket.at < len(bucket.rows) and bucket.rows[bucket.at][1] in self.taken:
+            bucket.at += 1
+        return bucket.at < len(bucket.rows)
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -10,7 +10,7 @@
 from ashdock.wire.messages import MachineType, Spec
 
 
-class Choice(NamedTuple):
+class Candidate(NamedTuple):
     cost: float
     machine: Machine
     room: int
@@ -49,7 +49,7 @@
     return fetch_s(spec, machine) + free * machine.shape.boot_s / 16 + dear
 
 
-def choices(job: Job, machines: Iterable[Machine], now: float) -> list[Choice]:
+def choices(job: Job, machines: Iterable[Machine], now: float) -> list[Candidate]:
     spec = job.spec
     out = []
     for machine in machines:
@@ -63,7 +63,7 @@
         price = cost(spec, machine)
         if job.avoid.get(machine.name, 0.0) > now:
             price += 1000.0  # only where nothing else is
-        out.append(Choice(price, machine, room))
+        out.append(Candidate(price, machine, room))
     out.sort(key=lambda choice: (choice.cost, choice.machine.name))
     return out
 
@@ -73,7 +73,7 @@
 
 
 def select(
-    job: Job, options: list[Choice], request: int, zone_of: Callable[[str], str]
+    job: Job, options: list[Candidate], request: int, zone_of: Callable[[str], str]
 ) -> list[Machine]:
     """Machines for up to `request` more tasks of the job, one entry a task; for a gang all or none."""
     if not options:
@@ -104,7 +104,7 @@
 
 
 def _fill(
-    options: list[Choice], used: dict[str, int], request: int, cap: int
+    options: list[Candidate], used: dict[str, int], request: int, cap: int
 ) -> tuple[list[Machine], float]:
     used = dict(used)
     picked: list[Machine] = []
@@ -124,7 +124,7 @@
 Need = tuple[float, float, float]  # CPUs, GPUs, memory
 
 
-class Barren:
+class InfeasibleCache:
     """Needs for which one pass has found no room. Room only shrinks within a pass, so whatever asks for at
     least as much under the same conditions need not be tried: without this, each waiting job looked at each
     machine in each pass."""
@@ -142,7 +142,7 @@
         )
 
 
-class Slots:
+class PendingCapacity:
     """Room to come: whole machines counted by type, zone and kind, and the rests of those already spoken for."""
 
     def __init__(self) -> None:
--- a/ashdock/core/losses.py
+++ b/ashdock/core/preemption_cost.py
@@ -9,7 +9,7 @@
 from ashdock.core.task import Placement
 
 
-def loss(jobs: Mapping[str, Job], placement: Placement, now: float) -> float:
+def preemption_cost(jobs: Mapping[str, Job], placement: Placement, now: float) -> float:
     """Work lost by stopping it, in GPU-seconds (or CPU-seconds where it uses no GPU)."""
     spec = jobs[placement.job].spec
     if placement.held_at is None:
@@ -20,7 +20,7 @@
     return lost * (spec.gpus or spec.cpus) * (spec.tasks if spec.kind == "gang" else 1)
 
 
-def machine_loss(jobs: Mapping[str, Job], machine: Machine, now: float) -> float:
+def machine_preemption_cost(jobs: Mapping[str, Job], machine: Machine, now: float) -> float:
     """The same of all that a machine runs, in seconds of the whole machine."""
-    lost = sum(loss(jobs, placement, now) for placement in machine.live.values())
+    lost = sum(preemption_cost(jobs, placement, now) for placement in machine.live.values())
     return lost / (machine.shape.accelerators or machine.shape.cpus)
--- a/ashdock/core/passes.py
+++ b/ashdock/core/scheduler.py
@@ -10,12 +10,12 @@
 from ashdock.core import placement as placing
 from ashdock.core.estimates import Estimates
 from ashdock.core.job import Job
-from ashdock.core.losses import loss
 from ashdock.core.machine import Machine, MachinePhase
+from ashdock.core.preemption_cost import preemption_cost
 from ashdock.core.quota import Usage, guaranteed
+from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Phase, Placement
-from ashdock.core.worth import Worth
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Shared, Team, Workers
 from ashdock.wire.messages import MachineType, Spec
@@ -28,7 +28,7 @@
 )
 
 
-class Placed(Protocol):
+class SchedulableShard(Protocol):
     """What of a shard a pass looks at, and the changes of state that it may make."""
 
     team: Team
@@ -38,7 +38,7 @@
     jobs: dict[str, Job]
     machines: dict[str, Machine]
     usage: Usage
-    worth: Worth
+    policy: SchedulingPolicy
     classes: Classes
     orphaned_tasks: dict[str, set[str]]
     resource_requests: list[ResourceRequest]
@@ -54,13 +54,13 @@
     def zone_of(self, machine: str) -> str: ...
 
 
-class _Pass:
+class SchedulingCycle:
     """What one scheduling pass looks at, gathered once: machines with room, room to come, and what found none."""
 
     def __init__(self, machines: Iterable[Machine], now: float) -> None:
         self.open: list[Machine] = []
-        self.coming = placing.Slots()
-        self.barren = placing.Barren()
+        self.coming = placing.PendingCapacity()
+        self.infeasible = placing.InfeasibleCache()
         self.found: dict[
             tuple[object, ...], list[Machine]
         ] = {}  # machines with room for a need, as of when it was last asked for
@@ -99,16 +99,16 @@
         return (max(zones.values()) if spec.one_zone else sum(zones.values())) >= number
 
 
-class Passes:
+class Scheduler:
     def __init__(
-        self, shard: Placed, estimates: Estimates, status_reporter: StatusReporter
+        self, shard: SchedulableShard, estimates: Estimates, status_reporter: StatusReporter
     ) -> None:
         self.shard = shard
         self.estimates = estimates
         self.status_reporter = status_reporter
         self.aims: dict[str, list[float]] = {}  # by class: within what times its jobs are to start
 
-    def waiting(self, now: float, look: _Pass | None = None) -> list[Job]:
+    def waiting(self, now: float, look: SchedulingCycle | None = None) -> list[Job]:
         out = [
             job
             for job in self.shard.jobs.values()
@@ -164,7 +164,7 @@
         aims += [o.within_s for o in self.shard.shared.objectives if o.kind == "guarantee"]
         return min((aim for aim in aims if aim is not None), default=self.shard.workers.lease_s)
 
-    def _rank(self, job: Job, now: float, look: _Pass | None = None) -> tuple[float, ...]:
+    def _rank(self, job: Job, now: float, look: SchedulingCycle | None = None) -> tuple[float, ...]:
         """Priority; then what can still be in time, then what can be in time for the later aim, then the rest.
         Among deadlines the least work comes first: when not all can be met, that way the most are. What is
         long overdue comes first again, so that nothing starves. What would find its image on the machines that are
@@ -175,7 +175,7 @@
         if spec.kind == "array" and math.isinf(job.due):
             return (
                 -job.priority,
-                *self.shard.worth.rank(job, self.estimates.run_s(spec), now),
+                *self.shard.policy.rank(job, self.estimates.run_s(spec), now),
                 job.since,
             )
         if math.isinf(job.due):
@@ -233,9 +233,9 @@
         self.shard.looked = self.shard.seen
         short: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
-        if self.status_reporter.owed:
+        if self.status_reporter.rebalances:
             self.status_reporter.pass_on(now)
-        look = _Pass(self.shard.machines.values(), now)
+        look = SchedulingCycle(self.shard.machines.values(), now)
         for job in self.waiting(now, look):
             missing = self._try_place(job, look, now)
             if job.doubtful:
@@ -266,7 +266,7 @@
         """One placement of each job that has any: they share the job's priority."""
         return (next(iter(job.live.values())) for job in self.shard.jobs.values() if job.live)
 
-    def _try_place(self, job: Job, look: _Pass, now: float) -> int:
+    def _try_place(self, job: Job, look: SchedulingCycle, now: float) -> int:
         """Place what fits; the number of tasks that want room and found none."""
         spec = job.spec
         permitted = min(self.shard.usage.room(spec), job.ready)
@@ -277,16 +277,16 @@
         need = (spec.cpus, spec.gpus, spec.memory_gb)
         anywhere = (tuple(spec.types or ()), spec.zone, spec.spot)
         together = (*anywhere, spec.one_zone, spec.spread)
-        if look.barren.holds(anywhere, need, 1) or (
-            spec.kind == "gang" and look.barren.holds(together, need, spec.tasks)
+        if look.infeasible.holds(anywhere, need, 1) or (
+            spec.kind == "gang" and look.infeasible.holds(together, need, spec.tasks)
         ):
             return permitted
         options = placing.choices(job, look.roomy(spec, self.shard.reserved), now)
         picked = placing.select(job, options, permitted, self.shard.zone_of)
         if not options:
-            look.barren.note(anywhere, need, 1)
+            look.infeasible.note(anywhere, need, 1)
         elif not picked and spec.kind == "gang":
-            look.barren.note(together, need, spec.tasks)
+            look.infeasible.note(together, need, spec.tasks)
         if picked:
             tasks = job.ready_tasks(len(picked))
             attempt = job.attempt_for(0)
@@ -342,7 +342,7 @@
                 continue
             # While one of its machines fetches, all of a gang's wait.
             cost = (
-                sum(loss(self.shard.jobs, p, now) for p in lower)
+                sum(preemption_cost(self.shard.jobs, p, now) for p in lower)
                 + placing.fetch_s(spec, machine) * (spec.gpus or spec.cpus) * missing
             )
             victims.append((cost, machine))
@@ -364,7 +364,7 @@
                 ):
                     self.shard.preempt(other, [placement.task], f"made room for {job.id}", now)
 
-    def _keep_for_gang(self, job: Job, look: _Pass) -> tuple[str, int]:
+    def _keep_for_gang(self, job: Job, look: SchedulingCycle) -> tuple[str, int]:
         """The zone where a gang that finds no room is best completed ("" if any will do), and how many of
         its tasks the machines kept for it there would take. Without this, lesser work and other teams
         would take each machine before the last one is there."""
@@ -393,7 +393,7 @@
         return best, min(kept, spec.tasks)
 
     def _missing_room(
-        self, short: list[tuple[Job, int, str]], look: _Pass, now: float
+        self, short: list[tuple[Job, int, str]], look: SchedulingCycle, now: float
     ) -> list[ResourceRequest]:
         """What is lacking once the machines still booting are counted in."""
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
@@ -403,7 +403,7 @@
             if not guaranteed(
                 self.shard.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
             ):
-                missing = min(missing, self.shard.worth.pays(job, self.estimates.run_s(spec)))
+                missing = min(missing, self.shard.policy.pays(job, self.estimates.run_s(spec)))
             cpus += spec.cpus * missing
             gpus += spec.gpus * missing
 
@@ -429,7 +429,7 @@
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
-                        math.isinf(job.due) and not self.shard.worth.promised(spec),
+                        math.isinf(job.due) and not self.shard.policy.promised(spec),
                     )
                 )
         return out
--- a/ashdock/core/worth.py
+++ b/ashdock/core/scheduling_policy.py
@@ -12,7 +12,7 @@
 SPREAD_BOOTS = 4  # an array of short tasks without a deadline is given room to be through in so many boots' time
 
 
-class Worth:
+class SchedulingPolicy:
     def __init__(self, team: Team, shared: Shared, catalog: dict[str, MachineType]) -> None:
         self.team = team
         self.shared = shared
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -15,17 +15,17 @@
 
 from ashdock.core import park as parking
 from ashdock.core.bounds import Bounds
+from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.estimates import Estimates
 from ashdock.core.heartbeat_reconciler import HeartbeatReconciler
 from ashdock.core.job import Job, JobPhase, chunk_size, spec_of_record
 from ashdock.core.machine import Machine, MachinePhase
-from ashdock.core.passes import Passes
-from ashdock.core.pipelines import Pipelines
 from ashdock.core.quota import Usage
+from ashdock.core.scheduler import Scheduler
+from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
-from ashdock.core.worth import Worth
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
 from ashdock.wire.messages import (
@@ -67,13 +67,13 @@
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.usage = Usage(team)
-        self.worth = Worth(team, shared, catalog)
+        self.policy = SchedulingPolicy(team, shared, catalog)
         self.bounds = bounds or Bounds(shared.state)
         self.parks = parking.Parks(team.name, self.bounds.value_bytes)
         self.chunk_tasks = chunk_size(
             shared.state.value_kb
         )  # as the versions before had it, whatever the limits come to be
-        self.pipelines = Pipelines(self)
+        self.dependency_tracker = DependencyTracker(self)
         self.orphaned_tasks: dict[
             str, set[str]
         ] = {}  # job: machines where it runs without a placement
@@ -98,7 +98,7 @@
         self.classes = Classes(shared.objectives, shared.workers.report_s)
         self.reconciler = HeartbeatReconciler(self, self.estimates)
         self.status_reporter = StatusReporter(self)
-        self.passes = Passes(self, self.estimates, self.status_reporter)
+        self.scheduler = Scheduler(self, self.estimates, self.status_reporter)
 
     # -- taking over --------------------------------------------------------------------------
 
@@ -147,7 +147,7 @@
                 if chunk.revision or not job.wider:  # what a wider one still holds is to be written
                     chunk.durable = chunk.gen
             self._after_load(job, now)
-        self.pipelines.look(now)
+        self.dependency_tracker.look(now)
 
     def _after_load(self, job: Job, now: float) -> None:
         if not job.active:
@@ -187,8 +187,8 @@
             self.ending[spec.id] = job
             job.cancel(record.get("cancelled_at", record["at"]))
         elif spec.needs and not started:
-            self.pipelines.add(job)
-        job.carried = self.pipelines.needs.of(spec.id)
+            self.dependency_tracker.add(job)
+        job.carried = self.dependency_tracker.graph.of(spec.id)
         return job
 
     def _over(self, job: Job, now: float) -> None:
@@ -502,7 +502,7 @@
         self.classes.served.withdrawn(job_id)
         job.revision = max(job.revision, revision)
         job.breaking = None
-        self.pipelines.cancelled(job, now)
+        self.dependency_tracker.cancelled(job, now)
         if not job.done:
             self._exonerate(
                 job
@@ -528,7 +528,7 @@
 
     def tick(self, now: float) -> None:
         self.clock = now
-        self.pipelines.look(now)
+        self.dependency_tracker.look(now)
         for park in self.parks.due(now):
             job = self.jobs.get(park.job)
             if job:
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -15,10 +15,10 @@
 import msgspec
 
 from ashdock.core.bounds import Bounds
+from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.job import Chunk, Job, JobPhase, fitting
 from ashdock.core.machine import Machine, MachinePhase, trimmed
 from ashdock.core.park import Parks
-from ashdock.core.pipelines import Pipelines
 from ashdock.core.quota import guaranteed
 from ashdock.core.task import Phase, Placement
 from ashdock.settings import Shared, Team
@@ -62,7 +62,7 @@
     jobs: dict[str, Job]
     machines: dict[str, Machine]
     parks: Parks
-    pipelines: Pipelines
+    dependency_tracker: DependencyTracker
     urgent: dict[str, None]
 
     def token(self, machine: Machine) -> int: ...
@@ -329,7 +329,7 @@
             self.shard.drop(placement, placement.placed_at)
         self.shard.parks.drop(job.id)
         self.shard.jobs.pop(job.id, None)
-        self.shard.pipelines.settled(
+        self.shard.dependency_tracker.settled(
             job.id, "done" if done else "withdrawn", job.ended_at, self.shard.clock
         )
 
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -9,8 +9,8 @@
 
 from ashdock.core import placement as placing
 from ashdock.core.job import Job
-from ashdock.core.losses import machine_loss
 from ashdock.core.machine import Machine, MachinePhase, capacity
+from ashdock.core.preemption_cost import machine_preemption_cost
 from ashdock.core.quota import Usage, guaranteed
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Team, Workers
@@ -66,7 +66,7 @@
 
     machine: str
     priority: int  # the highest on it
-    loss_s: float  # work lost, in seconds of the whole machine
+    preemption_cost_s: float  # work lost, in seconds of the whole machine
 
 
 class ShardStatus(NamedTuple):
@@ -114,7 +114,7 @@
 class StatusReporter:
     def __init__(self, shard: ReportedShard) -> None:
         self.shard = shard
-        self.owed: dict[str, tuple[Rebalance, float]] = {}  # by team, and until when
+        self.rebalances: dict[str, tuple[Rebalance, float]] = {}  # by team, and until when
         self.rows: dict[str, _Row] = {}
         self.arrived: deque[tuple[float, int, Spec]] = (
             deque()
@@ -226,7 +226,9 @@
             priority = max(
                 self.shard.jobs[placement.job].priority for placement in machine.live.values()
             )
-            busy = BusyMachine(machine.name, priority, machine_loss(self.shard.jobs, machine, now))
+            busy = BusyMachine(
+                machine.name, priority, machine_preemption_cost(self.shard.jobs, machine, now)
+            )
             known = self.rows[machine.name] = _Row(
                 machine, machine.version, now + self.shard.workers.report_s, busy
             )
@@ -237,7 +239,7 @@
         count: taking running work for those made machines go round between teams that were all within theirs."""
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         beyond = 0
-        for item in sorted(busy, key=lambda item: item.loss_s):
+        for item in sorted(busy, key=lambda item: item.preemption_cost_s):
             machine = self.shard.machines[item.machine]
             cpus -= machine.shape.cpus - machine.cpus
             gpus -= machine.shape.accelerators - machine.gpus
@@ -275,17 +277,17 @@
                 self.shard.note_machine(name)
                 self.shard.drain(machine, now)
 
-    def owe(self, order: Rebalance, now: float) -> None:
-        self.owed[order.to] = (order, now + self.shard.workers.lease_s)
+    def rebalance(self, order: Rebalance, now: float) -> None:
+        self.rebalances[order.to] = (order, now + self.shard.workers.lease_s)
 
     def pass_on(self, now: float) -> None:
         """Nothing is stopped for it: only what has come free goes, before our own work takes it."""
         for machine in self.shard.machines.values():
             if machine.live or machine.orphaned_tasks or not machine.usable:
                 continue
-            for to, (order, until) in list(self.owed.items()):
+            for to, (order, until) in list(self.rebalances.items()):
                 if now > until or order.number <= 0:
-                    del self.owed[to]
+                    del self.rebalances[to]
                 elif (
                     (not order.types or machine.type in order.types)
                     and order.zone in ("", machine.zone)
@@ -294,7 +296,7 @@
                     machine.to = to
                     machine.leave(f"passed on to {to}")
                     self.shard.note_machine(machine.name)
-                    self.owed[to] = (order._replace(number=order.number - 1), until)
+                    self.rebalances[to] = (order._replace(number=order.number - 1), until)
                     break
 
     def counts(self) -> list[tuple[str, int, int]]:
--- a/ashdock/election/elector.py
+++ b/ashdock/election/elector.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import Any, Generic, Protocol, TypeVar
 
-from ashdock.core.spans import Spans
+from ashdock.core.duration_histogram import DurationHistogram
 from ashdock.election.candidates import better_candidate, rank_candidates
 from ashdock.election.election import Election, ElectionState, KeyHolder
 from ashdock.net.store import (
@@ -81,8 +81,8 @@
         self.free_since: float | None = None
         self.named_at: float | None = None  # the next one is named and has not taken it
         self.handing_since = 0.0
-        self.held_s = Spans(context.ttl_s / 64, BOUNDS)
-        self.gap_s = Spans(context.ttl_s / 64, BOUNDS)
+        self.held_s = DurationHistogram(context.ttl_s / 64, BOUNDS)
+        self.gap_s = DurationHistogram(context.ttl_s / 64, BOUNDS)
 
     @property
     def entry(self) -> Entry | None:
--- a/ashdock/fairness/served.py
+++ b/ashdock/fairness/served.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ashdock.core.spans import Spans
+from ashdock.core.duration_histogram import DurationHistogram
 
 HALF = 0.5  # of which the users say that less is a failed day
 FIRST_WAIT_S = 0.25  # the first bound of a histogram of waits; each further one is twice as long
@@ -92,7 +92,9 @@
     widths: dict[tuple[str, int], Row] = field(
         default_factory=dict
     )  # by class and width, of what is over
-    waits: dict[str, Spans] = field(default_factory=dict)  # by class, of each task's start
+    waits: dict[str, DurationHistogram] = field(
+        default_factory=dict
+    )  # by class, of each task's start
 
     def made(
         self,
@@ -120,7 +122,9 @@
         waited = at - known.made_at
         if waited <= known.aim_s:
             known.in_time += tasks
-        self.waits.setdefault(known.job_class, Spans(FIRST_WAIT_S, BOUNDS)).add(waited, tasks)
+        self.waits.setdefault(known.job_class, DurationHistogram(FIRST_WAIT_S, BOUNDS)).add(
+            waited, tasks
+        )
 
     def done(self, job: str, at: float) -> tuple[str, Row] | None:
         """Its class, and what it counts for; None if it is not known."""
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -9,11 +9,11 @@
 
 from ashdock.admission.processor import CHOOSING, pause_s
 from ashdock.concurrency import iterate_live
-from ashdock.core.allotment import Allotment, Move, MoveShard, Release, Rent
+from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
 from ashdock.core.bounds import Bounds
 from ashdock.core.machine import images_of, trimmed
+from ashdock.core.machine_index import Lent
 from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
-from ashdock.core.stock import Lent
 from ashdock.election.election import Election
 from ashdock.election.fencing import NotLeaderError
 from ashdock.net.budget import Turn
@@ -34,12 +34,14 @@
 LOANS_S = 2.0  # how long, at our share of its limit, the state service may be busy with loans decided at once
 
 
-def rent_of(value: dict[str, Any]) -> Rent:
+def scale_out_of(value: dict[str, Any]) -> ScaleOut:
     """What a charter's record says."""
     teams = value.get("teams") or [
         [value["team"], value["n"]]
     ]  # the second form is that of versions before
-    return Rent(tuple((team, number) for team, number in teams), value["t"], value["z"], value["s"])
+    return ScaleOut(
+        tuple((team, number) for team, number in teams), value["t"], value["z"], value["s"]
+    )
 
 
 def gone_from(listed: dict[str, float], names: list[str], now: float, sure_s: float) -> list[str]:
@@ -96,7 +98,7 @@
         self.context = context
         self.election = election
         self.revision = election.term
-        self.allotment = Allotment(context.shared, context.operators.renting, context.catalog)
+        self.allocator = Allocator(context.shared, context.operators.renting, context.catalog)
         self.strays: dict[
             str, tuple[Report, float]
         ] = {}  # reported and not recorded, and since when
@@ -220,17 +222,17 @@
             return context.tick_s / 4
         shard_statuses: dict[str, ShardStatus] = context.shard_statuses()
         if time.monotonic() - self.election.taken_at < context.workers.lease_s:
-            self.allotment.vacating(context.leaving(), now)
+            self.allocator.vacating(context.leaving(), now)
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
-        decisions = self.allotment.decide(self._lent(), shard_statuses, now)
+        decisions = self.allocator.decide(self._lent(), shard_statuses, now)
         lend: dict[str, str] = {}
-        for decision in decisions + self.allotment.balance(
+        for decision in decisions + self.allocator.balance(
             owners, context.fit_members(), shard_statuses, now
         ):
             match decision:
-                case Rent():
+                case ScaleOut():
                     self._spawn(self._rent(decision))
-                case Move(shard, machine, to):
+                case AssignMachine(shard, machine, to):
                     if shard:
                         context.to_owner(shard, TransferMachine(shard, machine, to), self.revision)
                     else:
@@ -254,12 +256,12 @@
                 case MoveShard(shard, to):
                     log.info("part %s is to go to controller %s", shard, to)
                     context.to_owner(shard, TransferShard(shard, to), self.revision)
-                case Release(machines):
+                case ScaleIn(machines):
                     self._spawn(self._mark_all(machines, "returned"))
         if lend:
             # What is not written now is neither lent nor on its way: counted as that, it stood there for half a lease.
             most = 0 if self.lending else max(1, int(LOANS_S * self.context.store.writes.per_s))
-            self.allotment.not_lent(list(lend)[most:])
+            self.allocator.not_lent(list(lend)[most:])
             if most:
                 self._spawn(self._assign(dict(list(lend.items())[:most])))
         return max(context.tick_s, pause_s(context.now() - now, CHOOSING))
@@ -374,7 +376,7 @@
 
     # -- renting ---------------------------------------------------------------------------------------
 
-    async def _rent(self, rent: Rent) -> None:
+    async def _rent(self, rent: ScaleOut) -> None:
         context = self.context
         context.charters += 1
         # Unique for good: no other process has led with this revision, and in ours the number only grows.
@@ -396,18 +398,18 @@
         except (CompareFailedError, StoreUnavailableError) as why:
             log.debug("charter %s not written: %s", name, why)
             self.renting_names.discard(name)
-            self.allotment.not_rented(rent, context.now(), no_capacity=False)
+            self.allocator.not_rented(rent, context.now(), no_capacity=False)
             return
         await self._carry_out(name, value, revision, ours=rent)
 
     async def _carry_out(
-        self, name: str, value: dict[str, Any], revision: int, ours: Rent | None
+        self, name: str, value: dict[str, Any], revision: int, ours: ScaleOut | None
     ) -> None:
         """`ours`: counted as on its way until it is known what came of it."""
         context = self.context
         names: list[str] | None = None
         refused = False
-        rent = rent_of(value)
+        rent = scale_out_of(value)
         try:
             for _ in range(5):
                 try:
@@ -434,7 +436,7 @@
             )
             now = context.now()
             if ours and names is not None:
-                self.allotment.rented(ours, names, now)
+                self.allocator.rented(ours, names, now)
                 ours = None
             if names:
                 await self._record(rent, names, now)
@@ -446,7 +448,7 @@
             raise
         finally:
             if ours:
-                self.allotment.not_rented(ours, context.now(), refused)
+                self.allocator.not_rented(ours, context.now(), refused)
             self.renting_names.discard(name)
 
     async def _forget_charters(self) -> None:
@@ -467,7 +469,7 @@
                 return
             self.undeleted.pop(name, None)
 
-    async def _record(self, rent: Rent, names: list[str], now: float) -> None:
+    async def _record(self, rent: ScaleOut, names: list[str], now: float) -> None:
         """One that was quicker than our note of it is recorded already, and in the pool or lent."""
         left = {
             name: (
@@ -509,9 +511,9 @@
             for name, charter in left.items()
             if name not in self.undeleted and name not in self.renting_names
         }
-        rents = {name: rent_of(value) for name, (value, _) in left.items()}
+        rents = {name: scale_out_of(value) for name, (value, _) in left.items()}
         known = {name: rent for name, rent in rents.items() if rent.type in self.context.catalog}
-        self.allotment.renting_now += known.values()
+        self.allocator.renting_now += known.values()
         self.renting_names.update(rents)
         self.election.settled(self.revision)
         for name, (value, revision) in left.items():
@@ -573,7 +575,7 @@
         for name, (report, since) in iterate_live(self.strays):
             if self._entry(name) is not None:
                 self.strays.pop(name, None)
-            elif now - since > self.allotment.settle_s:
+            elif now - since > self.allocator.settle_s:
                 self.strays.pop(name, None)
                 await self._adopt(name, report.hull, report.yard, report.loaners, report.address)
 
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -16,8 +16,8 @@
 from ashdock.admission.control import Admission
 from ashdock.admission.shares import Use
 from ashdock.cluster_version import ClusterVersion
+from ashdock.core.duration_histogram import DurationHistogram
 from ashdock.core.shard import Shard
-from ashdock.core.spans import Spans
 from ashdock.election.election import Election
 from ashdock.election.fencing import TermFence
 from ashdock.membership import Membership
@@ -39,8 +39,8 @@
 
 class Duty(Protocol):
     election: Election
-    held_s: Spans
-    gap_s: Spans
+    held_s: DurationHistogram
+    gap_s: DurationHistogram
 
 
 class Seen(Protocol):
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -164,7 +164,7 @@
         return (
             self.shard is None
             or self.phase is not OwnershipPhase.ACTIVE
-            or job_id in self.shard.pipelines.needs.after
+            or job_id in self.shard.dependency_tracker.graph.after
         )
 
     def _may_renew(self) -> bool:
@@ -260,13 +260,13 @@
             return
         now = self.turned_at = self.context.now()
         shard.tick(now)
-        if shard.pipelines.unread and (self.reading is None or self.reading.done()):
+        if shard.dependency_tracker.unread and (self.reading is None or self.reading.done()):
             self.reading = asyncio.create_task(self._read_needs(shard))
         if not self.context.state_fresh():
             shard.resource_requests = []
         elif self._pass_due(shard, now):
             self.passed_at = now
-            shard.passes.schedule(now)
+            shard.scheduler.schedule(now)
             self.failover_timeline.passed(shard.placed > 0, self.context.now())
             # No more than its share of the processor goes into passes, however large the shard.
             ended = self.context.now()
@@ -286,7 +286,7 @@
         """The watch brings every outcome from here on; what was over before has to be looked up. Its word goes for good,
         whatever the watch brings meanwhile."""
         jobs = self.context.jobs_known
-        unread = shard.pipelines.unread
+        unread = shard.dependency_tracker.unread
         while unread and self.phase is OwnershipPhase.ACTIVE:
             needs = list(unread)[:READS_AT_ONCE]
             try:
@@ -296,7 +296,7 @@
             for need, outcome in zip(needs, outcomes, strict=True):
                 unread.pop(need, None)
                 if outcome is not None:
-                    shard.pipelines.settled(need, *outcome, self.context.now())
+                    shard.dependency_tracker.settled(need, *outcome, self.context.now())
                     self.wake.set()
 
     def _pause(self) -> float:
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -323,7 +323,7 @@
         out += [_text(name), F64.pack(idle_s)]
     out.append(U32.pack(len(shard_status.busy)))
     for busy in shard_status.busy:
-        out += [_text(busy.machine), BUSY.pack(busy.priority, busy.loss_s)]
+        out += [_text(busy.machine), BUSY.pack(busy.priority, busy.preemption_cost_s)]
     return b"".join(out)
 
 
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -18,7 +18,7 @@
 from ashdock.crash_loop import CrashLoopDetector
 from ashdock.election.election import Election, KeyHolder
 from ashdock.front import Front
-from ashdock.leader import Leader, rent_of
+from ashdock.leader import Leader, scale_out_of
 from ashdock.membership import Membership
 from ashdock.net.store import (
     Entry,
@@ -288,7 +288,7 @@
 
 def read_charter(body: Plain) -> Plain:
     """`charter/<name>`: what the leader set out to rent."""
-    rent = rent_of(msgspec.json.decode(to_bytes(body)))
+    rent = scale_out_of(msgspec.json.decode(to_bytes(body)))
     return {
         "teams": plain(rent.teams),
         "type": rent.type,
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ashdock.core.allotment import Rent
+from ashdock.core.allocator import ScaleOut
 from ashdock.leader import Leader
 from ashdock.settings import Operators, Team
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
@@ -73,14 +73,14 @@
         leader.election = SimpleNamespace(
             path="leader", may=lambda now, term: True, settled=lambda term: None
         )
-        leader.allotment = SimpleNamespace(renting_now=[], settle_s=1.0)
+        leader.allocator = SimpleNamespace(renting_now=[], settle_s=1.0)
         leader.again, leader.undeleted, leader.released, leader.strays = {}, {}, {}, {}
         leader.renting_names, leader._spawn = set(), left.append
         await leader._settle()
         await leader._clean()
         for carried_out in left:
             carried_out.close()
-        renting = [rent_to_values(rent) for rent in leader.allotment.renting_now]
+        renting = [rent_to_values(rent) for rent in leader.allocator.renting_now]
         transactions = [body for _, _, body in store.requests]
         names = sorted(leader.renting_names)
         return {
@@ -94,6 +94,6 @@
     return bounded(run())
 
 
-def rent_to_values(rent: Rent) -> Plain:
+def rent_to_values(rent: ScaleOut) -> Plain:
     """A request to the cloud."""
     return [plain(rent.teams), rent.type, rent.zone, rent.spot]
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ashdock.cluster_version import ClusterVersion
-from ashdock.core.allotment import Rent
+from ashdock.core.allocator import ScaleOut
 from ashdock.core.shard import Shard
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
@@ -145,7 +145,7 @@
     leader.election = SimpleNamespace(path="leader", may=lambda now, term: True)
     leader._carry_out = carry_out
     teams = tuple((team, number) for team, number in values["teams"])
-    await leader._rent(Rent(teams, values["type"], values["zone"], values["spot"]))
+    await leader._rent(ScaleOut(teams, values["type"], values["zone"], values["spot"]))
 
 
 async def write_machines(store: Store, values: Plain) -> None:
@@ -160,7 +160,9 @@
     store.entries["leader"] = (None, 41)
     report = messages.decode_report(to_bytes(values["report"]))
     leader.pooled = {"vm-1": (report, NOW)}
-    await leader._record(Rent((("red", 1), ("blue", 1)), "g4", "a", True), ["vm-7", "vm-8"], NOW)
+    await leader._record(
+        ScaleOut((("red", 1), ("blue", 1)), "g4", "a", True), ["vm-7", "vm-8"], NOW
+    )
     await leader._adopt("vm-9", "g4", "b", False, "10.1.0.9:9000")
     leader.strays = {"vm-6": (report, NOW)}
     await leader._assign({"vm-1": "red", "vm-6": "blue"})
@@ -172,7 +174,7 @@
     entries = [[path, value, revision] for path, (value, revision) in store.entries.items()]
     shard = loaded_part(entries, values.get("limit"))
     shard.tick(NOW)
-    shard.passes.schedule(NOW)
+    shard.scheduler.schedule(NOW)
     for report in values.get("reports", ()):
         found = messages.decode_report(to_bytes(report))
         shard.reconciler.on_heartbeat(found, NOW + 1, checkin=True)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,13 +9,15 @@
 import msgspec
 import pytest
 
-from ashdock.core import losses, status_reporter
 from ashdock.core import park as parking
 from ashdock.core import placement as placing
-from ashdock.core.allotment import Allotment, Move, MoveShard, Release, Rent
+from ashdock.core import preemption_cost, status_reporter
+from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
 from ashdock.core.job import Job, JobPhase, chunk_size
 from ashdock.core.machine import Machine, trimmed
+from ashdock.core.machine_index import Lent
 from ashdock.core.quota import Usage, can_ever, guaranteed
+from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard import Shard
 from ashdock.core.status_reporter import (
     BusyMachine,
@@ -24,9 +26,7 @@
     ResourceRequest,
     ShardStatus,
 )
-from ashdock.core.stock import Lent
 from ashdock.core.task import Failure, Phase, ranges_of
-from ashdock.core.worth import Worth
 from ashdock.leader import gone_from, lag_of
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
 from ashdock.wire.messages import RUN, Held, MachineType, Report, Spec, decode_run, encode, spec_of
@@ -212,7 +212,7 @@
     shard = shard_with([spec(**more)], zones)
     for n in range(len(zones)):
         shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     live = shard.jobs["req-000001"].live.values()
     assert len(live) == placed and len({shard.machines[p.machine].zone for p in live}) <= most_zones
 
@@ -220,7 +220,7 @@
 def started(shard: Shard) -> None:
     """One task of the job placed on vm-0, committed, and its start sent in the answer to report 2."""
     shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     assert not [
         o
         for o in shard.reconciler.on_heartbeat(report("vm-0", 2), 1.5, True) or []
@@ -344,7 +344,7 @@
     shard = shard_with([spec(shares=2)], "")
     for now in range(1, 2000, 100):
         shard.tick(float(now))
-        shard.passes.schedule(float(now))
+        shard.scheduler.schedule(float(now))
     assert (
         shard.jobs["req-000001"].fails == {}
         and shard.parks.items == []
@@ -374,21 +374,28 @@
 
 
 LEADER = [  # machines, red's wants, blue's empty and busy machines, how many of them beyond its guarantee -> decisions
-    ([], [request()], [], [], 0, [Rent]),
-    ([lent("m1", "")], [request()], [], [], 0, [Move]),
-    ([lent("m1", "blue")], [request()], [("m1", 1.0)], [], 0, [Move]),
-    ([lent("m1", "blue", "b")], [request(zone="a")], [("m1", 1.0)], [], 0, [Rent]),
-    ([lent("m1", "blue")], [], [("m1", 99.0)], [], 0, [Move]),
-    ([lent("m1", "", spot=True)], [request(spot=False)], [], [], 0, [Rent]),
+    ([], [request()], [], [], 0, [ScaleOut]),
+    ([lent("m1", "")], [request()], [], [], 0, [AssignMachine]),
+    ([lent("m1", "blue")], [request()], [("m1", 1.0)], [], 0, [AssignMachine]),
+    ([lent("m1", "blue", "b")], [request(zone="a")], [("m1", 1.0)], [], 0, [ScaleOut]),
+    ([lent("m1", "blue")], [], [("m1", 99.0)], [], 0, [AssignMachine]),
+    ([lent("m1", "", spot=True)], [request(spot=False)], [], [], 0, [ScaleOut]),
     ([], [], [], [], 0, []),
-    ([lent("m1", "")], [], [], [], 0, [Release]),
+    ([lent("m1", "")], [], [], [], 0, [ScaleIn]),
     # Work beyond a guarantee gives way to a team's guarantee, whatever its priority; otherwise only to higher priority.
     ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 3, 50.0)], 1, [Reclaim]),
-    ([lent("m1", "blue")], [request(guaranteed=False)], [], [BusyMachine("m1", 1, 0.0)], 1, [Rent]),
-    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 1, 0.0)], 0, [Rent]),
+    (
+        [lent("m1", "blue")],
+        [request(guaranteed=False)],
+        [],
+        [BusyMachine("m1", 1, 0.0)],
+        1,
+        [ScaleOut],
+    ),
+    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 1, 0.0)], 0, [ScaleOut]),
     ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 5.0)], 0, [Reclaim]),
-    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 7.0)], 0, [Rent]),
-    ([lent("m1", "blue")], [request(slack_s=60.0)], [], [BusyMachine("m1", 0, 5.0)], 0, [Rent]),
+    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 7.0)], 0, [ScaleOut]),
+    ([lent("m1", "blue")], [request(slack_s=60.0)], [], [BusyMachine("m1", 0, 5.0)], 0, [ScaleOut]),
     # A hot team's urgent work, beyond its guarantee, stops nothing that another runs within its own.
     (
         [lent("m1", "blue")],
@@ -396,7 +403,7 @@
         [],
         [BusyMachine("m1", 0, 1.0)],
         0,
-        [Rent],
+        [ScaleOut],
     ),
     (
         [lent("m1", "blue")],
@@ -413,11 +420,18 @@
         [],
         [BusyMachine(f"m{n}", 3, 50.0) for n in range(9)],
         2,
-        [Reclaim, Reclaim, Rent],
+        [Reclaim, Reclaim, ScaleOut],
     ),
     # What was promised nothing takes cheap machines that stand empty, and leaves the dear ones.
-    ([lent("m1", "", spot=True)], [request(idle=True, guaranteed=False)], [], [], 0, [Move]),
-    ([lent("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [Rent]),
+    (
+        [lent("m1", "", spot=True)],
+        [request(idle=True, guaranteed=False)],
+        [],
+        [],
+        0,
+        [AssignMachine],
+    ),
+    ([lent("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [ScaleOut]),
 ]
 
 
@@ -432,17 +446,17 @@
     beyond: int,
     kinds: list[type],
 ) -> None:
-    allotment = Allotment(shared(), Renting(), {"g4": G4})
+    allocator = Allocator(shared(), Renting(), {"g4": G4})
     shard_statuses = {
         "red": ShardStatus("red", 9, resource_requests, [], [], 0, 0, 0),
         "blue": ShardStatus("blue", 9, [], idle, busy, 1, 0, beyond),
     }
-    decisions = allotment.decide(machines, shard_statuses, 0.0)
-    if kinds == [Release]:
+    decisions = allocator.decide(machines, shard_statuses, 0.0)
+    if kinds == [ScaleIn]:
         assert decisions == []  # not before it has stood in the pool for a while
-        decisions = allotment.decide(machines, shard_statuses, 60.0)
+        decisions = allocator.decide(machines, shard_statuses, 60.0)
     assert [type(decision) for decision in decisions] == kinds
-    assert allotment.decide([], {"red": shard_statuses["red"]}, 100.0) == [], (
+    assert allocator.decide([], {"red": shard_statuses["red"]}, 100.0) == [], (
         "nothing is decided while an owner is unheard of"
     )
 
@@ -461,18 +475,18 @@
 def test_parts_go_where_the_work_is_least(
     owners: Any, waiting: Any, alive: list[str], moved: list[str]
 ) -> None:
-    allotment = Allotment(shared(), Renting(), {"g4": G4})
+    allocator = Allocator(shared(), Renting(), {"g4": G4})
     shard_statuses = {
         team: ShardStatus(team, 9, [], [], [], 0, n, 0)
         for team, n in zip(("red", "blue"), waiting, strict=True)
     }
     held = dict(zip(("red", "blue"), owners, strict=True))
-    assert allotment.balance(held, alive, shard_statuses, 0.0) == []  # the company has just changed
-    decisions = allotment.balance(held, alive, shard_statuses, 20.0)
+    assert allocator.balance(held, alive, shard_statuses, 0.0) == []  # the company has just changed
+    decisions = allocator.balance(held, alive, shard_statuses, 20.0)
     assert [decision.shard for decision in decisions if isinstance(decision, MoveShard)] == moved
     assert (
         not moved
-        or allotment.balance({"red": "n0", "blue": "n0"}, alive, shard_statuses, 21.0) == []
+        or allocator.balance({"red": "n0", "blue": "n0"}, alive, shard_statuses, 21.0) == []
     )
 
 
@@ -513,19 +527,19 @@
     idle: bool, spot: bool, machines: int, kinds: list[bool]
 ) -> None:
     """Scans that could wait were given machines at four times the price, which others then lacked."""
-    allotment = Allotment(shared(), Renting(), {"g4": G4})
+    allocator = Allocator(shared(), Renting(), {"g4": G4})
     resource_requests = [request(idle=idle, spot=spot, guaranteed=False, tasks=40)]
     shard_statuses = {
         "red": ShardStatus("red", 9, resource_requests, [], [], machines, 0, 0),
         "blue": ShardStatus("blue", 9, [], [], [], 1, 0, 0),
     }
-    asked: list[Rent] = []
+    asked: list[ScaleOut] = []
     for now in range(4):
         for rent in [
-            d for d in allotment.decide([], shard_statuses, float(now)) if isinstance(d, Rent)
+            d for d in allocator.decide([], shard_statuses, float(now)) if isinstance(d, ScaleOut)
         ]:
             asked.append(rent)
-            allotment.not_rented(rent, float(now), no_capacity=True)
+            allocator.not_rented(rent, float(now), no_capacity=True)
     assert sorted({rent.spot for rent in asked}, reverse=True) == kinds
     assert not idle or sum(rent.number for rent in asked if not rent.spot) <= (
         1 if not machines else 0
@@ -547,8 +561,8 @@
 ) -> None:
     """An array of 25,000 tasks of 4 s each asked for room for all at once: 195 machines."""
     shard = shard_with([spec(shares=tasks, expect_s=run_s, due_s=due_s, accelerators=0.0)], "")
-    shard.team = shard.worth.team = Team("red")  # a guest: nothing is guaranteed
-    shard.passes.schedule(1.0)
+    shard.team = shard.policy.team = Team("red")  # a guest: nothing is guaranteed
+    shard.scheduler.schedule(1.0)
     assert shard.resource_requests[0].tasks == asked and shard.resource_requests[0].idle is (
         due_s is None
     )
@@ -563,12 +577,12 @@
     ]
     shard = shard_with(jobs, "")
     aims = [Objective("finished", 0.5, "w", 400.0)]
-    shard.worth = Worth(
+    shard.policy = SchedulingPolicy(
         Team("red"), msgspec.structs.replace(shard.shared, objectives=aims), shard.catalog
     )
-    assert [job.id[-1] for job in shard.passes.waiting(9.0)] == ["3", "2", "1"]
+    assert [job.id[-1] for job in shard.scheduler.waiting(9.0)] == ["3", "2", "1"]
     shard.jobs["req-000002"].since = -2000.0  # long overdue: nothing starves
-    assert [job.id[-1] for job in shard.passes.waiting(9.0)] == ["2", "3", "1"]
+    assert [job.id[-1] for job in shard.scheduler.waiting(9.0)] == ["2", "3", "1"]
 
 
 def fails(shard: Shard, name: str, tally: int, tasks: list[tuple[str, int]], now: float) -> None:
@@ -586,7 +600,7 @@
     one = shard.jobs["req-000001"]
     for name in ("vm-0", "vm-1"):
         shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     assert len(one.live) == 6
     revision = 20
     for tally in range(1, 4):
@@ -605,7 +619,7 @@
         assert one.reason and "error on vm-" in one.reason, "told from the first failure on"
         if one.doubtful:
             break
-        shard.passes.schedule(tally + 0.6)
+        shard.scheduler.schedule(tally + 0.6)
         revision += 1
     assert one.doubtful and not any(machine.failed for machine in shard.machines.values())
     commit(shard, 90)
@@ -614,7 +628,7 @@
     shard.add_job(queued(spec(2, shares=16, expect_s=50.0), 0.0), 8)
     for now in (40.0, 41.0, 42.0):
         shard.tick(now)
-        shard.passes.schedule(now)
+        shard.scheduler.schedule(now)
     sound = shard.jobs["req-000002"]
     assert len(one.live) <= 1 and sound.live
     assert not any(p.phase is Phase.STOPPING for p in sound.live.values()) and all(
@@ -631,7 +645,7 @@
     """Lent, told as idle before its shard had looked at it, and lent back: two parts' machines went round for a minute."""
     shard = shard_with([], "a")
     shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     assert [name for name, _ in shard.status_reporter.shard_status(9.0).idle] == ["vm-0"]
     shard.add_machine(
         "vm-1", {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.2:9000", "n": 1}, 30, 9.0
@@ -639,7 +653,7 @@
     assert [name for name, _ in shard.status_reporter.shard_status(9.0).idle] == [
         "vm-0"
     ] and shard.status_reporter.shard_status(9.0).seen < 30
-    shard.passes.schedule(9.1)
+    shard.scheduler.schedule(9.1)
     assert [name for name, _ in shard.status_reporter.shard_status(9.1).idle] == [
         "vm-0",
         "vm-1",
@@ -667,7 +681,7 @@
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "at": 0.0}
     heir = shard_with([spec(shares=2)], "", revision=50)
     heir.load([("vm-9", record, 5)], [], [], 14.0)
-    heir.passes.schedule(14.0)
+    heir.scheduler.schedule(14.0)
     assert heir.machines["vm-9"].coming(14.0) is True
     heir.tick(16.0)
     assert heir.machines["vm-9"].why == ""  # it may be up: silence since the takeover has to show
@@ -764,16 +778,16 @@
 
     monkeypatch.setattr(placing, "permits", counted)
     shard = shard_with([spec(1, shares=8)], "ab" * 40)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     for machine in shard.machines.values():
         machine.came_up("10.1.0.1:9000")
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     costs = []
     for batch in (1, 2, 3):
         for n in range(30):
             shard.add_job(queued(spec(batch * 100 + n, shares=1, cpus=40.0), 0.0), 7)
         calls[0] = 0
-        shard.passes.schedule(2.0 + batch)
+        shard.scheduler.schedule(2.0 + batch)
         costs.append(calls[0])
     assert costs[0] == costs[1] == costs[2] <= 80
 
@@ -782,7 +796,7 @@
     shard = shard_with([spec(n, shares=1) for n in range(1, 200)], "a")
     shard.tick(1.0)
     shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     commit(shard, 20)
     seen: list[str] = []
     real = shard.writer._has_unwritten
@@ -812,7 +826,7 @@
 
 @pytest.mark.parametrize(("zones", "needs", "found"), SLOTS)
 def test_room_to_come(zones: str, needs: list[tuple[float, int, str]], found: list[int]) -> None:
-    slots = placing.Slots()
+    slots = placing.PendingCapacity()
     for zone in zones:
         slots.add(G4, zone, False)
     got = [
@@ -837,34 +851,34 @@
 ]
 
 
-@pytest.mark.parametrize(("ours", "theirs", "owed"), DEBTS)
+@pytest.mark.parametrize(("ours", "theirs", "rebalances"), DEBTS)
 def test_like_work_is_served_in_the_order_of_its_waiting(
-    ours: ResourceRequest, theirs: list[ResourceRequest], owed: list[tuple[str, str, int]]
+    ours: ResourceRequest, theirs: list[ResourceRequest], rebalances: list[tuple[str, str, int]]
 ) -> None:
-    allotment = Allotment(shared(), Renting(), {"g4": G4})
-    allotment.refused = {
+    allocator = Allocator(shared(), Renting(), {"g4": G4})
+    allocator.refused = {
         ("g4", zone, spot): (99.0, 1.0) for zone in "abc" for spot in (False, True)
     }
     shard_statuses = {
         "red": ShardStatus("red", 9, [ours], [], [], 0, 0, 0),
         "blue": ShardStatus("blue", 9, theirs, [], [BusyMachine("m1", 1, 5.0)], 1, 0, 0),
     }
-    decisions = allotment.decide([lent("m1", "blue")], shard_statuses, 50.0)
-    assert [(d.shard, d.to, d.number) for d in decisions if isinstance(d, Rebalance)] == owed
+    decisions = allocator.decide([lent("m1", "blue")], shard_statuses, 50.0)
+    assert [(d.shard, d.to, d.number) for d in decisions if isinstance(d, Rebalance)] == rebalances
 
 
 def test_what_comes_free_is_passed_on_before_own_work_takes_it() -> None:
     shard = shard_with([spec(1, shares=1), spec(2, shares=8)], "ab")
     for tally, machine in enumerate(("vm-0", "vm-1"), 1):
         shard.reconciler.on_heartbeat(report(machine, tally), 1.0, True)
-    shard.status_reporter.owe(Rebalance("red", "blue", 1, (), "b", True), 1.0)
-    shard.passes.schedule(1.0)
+    shard.status_reporter.rebalance(Rebalance("red", "blue", 1, (), "b", True), 1.0)
+    shard.scheduler.schedule(1.0)
     assert (
         shard.machines["vm-1"].to == "blue"
         and not shard.machines["vm-1"].live
         and shard.machines["vm-0"].live
     )
-    shard.passes.schedule(1.5)
+    shard.scheduler.schedule(1.5)
     assert shard.machines["vm-0"].to is None  # one was asked for
 
 
@@ -936,30 +950,32 @@
     gangs: list[tuple[int, float]], order: list[int]
 ) -> None:
     shard = shard_with([], "")
-    shard.passes.aims["w"] = [10.0, 60.0]
+    shard.scheduler.aims["w"] = [10.0, 60.0]
     for n, (tasks, at) in enumerate(gangs):
         one = spec(n, shape="ensemble", shares=tasks, accelerators=2.0)
         shard.add_job(queued(one, at), 7)
-    assert [job.id for job in shard.passes.waiting(100.0)] == [f"req-{n:06d}" for n in order]
+    assert [job.id for job in shard.scheduler.waiting(100.0)] == [f"req-{n:06d}" for n in order]
 
 
 def test_rentals_for_all_teams_go_out_together() -> None:
     """The cloud takes few calls a second: dozens of small rentals, a team and a want each, waited a minute in line."""
-    allotment = Allotment(shared(), Renting(), {"g4": G4})
+    allocator = Allocator(shared(), Renting(), {"g4": G4})
     resource_requests = [request(tasks=8, zone=zone) for zone in "abc" for _ in range(3)]
     shard_statuses = {
         team: ShardStatus(team, 9, resource_requests, [], [], 0, 0, 0) for team in ("red", "blue")
     }
-    rents = [d for d in allotment.decide([], shard_statuses, 0.0) if isinstance(d, Rent)]
+    rents = [d for d in allocator.decide([], shard_statuses, 0.0) if isinstance(d, ScaleOut)]
     assert sorted((rent.zone, rent.number) for rent in rents) == [("a", 12), ("b", 12), ("c", 12)]
     assert {team for rent in rents for team, _ in rent.teams} == {"red", "blue"}
     names = [f"m{n}" for n in range(7)]
     assert [team for _, team in rents[0].allotted(names)].count(
         rents[0].teams[0][0]
     ) == 6  # the first has its all
-    many = Allotment(shared(), Renting(), {"g4": G4})
+    many = Allocator(shared(), Renting(), {"g4": G4})
     shard_statuses["red"] = ShardStatus("red", 9, [request(tasks=999, zone="a")], [], [], 0, 0, 0)
-    assert max(d.number for d in many.decide([], shard_statuses, 0.0) if isinstance(d, Rent)) == 50
+    assert (
+        max(d.number for d in many.decide([], shard_statuses, 0.0) if isinstance(d, ScaleOut)) == 50
+    )
 
 
 def test_hundreds_that_start_or_end_together_share_transactions() -> None:
@@ -968,7 +984,7 @@
     shard.usage.team = Team("red", gpus=8, gpus_max=1000)
     for n in range(100):
         shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     assert len(shard.jobs["req-000001"].live) == 400
     writes = [commit(shard, 20)]
     assert sum(map(len, writes)) <= 8 and shard.writer.next_transaction() is None
@@ -1010,7 +1026,7 @@
 
 
 def test_a_rental_for_many_teams_is_a_small_record() -> None:
-    rents = Allotment._requests({(f"team-{n}", "g4", "a", False): 1 for n in range(30)})
+    rents = Allocator._requests({(f"team-{n}", "g4", "a", False): 1 for n in range(30)})
     assert [len(rent.teams) for rent in rents] == [10] and rents[0].number == 10
 
 
@@ -1021,15 +1037,15 @@
     shard = shard_with([spec(1, shares=4, accelerators=4.0, snapshot_s=0.0)], machines="abab")
     for machine in shard.machines.values():
         machine.came_up("10.1.0.1:9000")
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     asked: list[str] = []
-    whole = losses.machine_loss
+    whole = preemption_cost.machine_preemption_cost
 
     def counted(jobs: Mapping[str, Job], machine: Machine, now: float) -> float:
         asked.append(machine.name)
         return whole(jobs, machine, now)
 
-    monkeypatch.setattr(status_reporter, "machine_loss", counted)
+    monkeypatch.setattr(status_reporter, "machine_preemption_cost", counted)
     steps: list[tuple[float, list[str]]] = [
         (1.0, ["vm-0", "vm-1", "vm-2", "vm-3"]),
         (1.5, []),
@@ -1064,7 +1080,7 @@
         shard.status_reporter.transfer_machine(name, "blue", 0.5)
     for name in sorted(set(shard.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
         shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     writes = []
     while (txn := shard.writer.next_transaction(a_second=9.0)) is not None:
         writes.append(txn.writes)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -43,7 +43,7 @@
     )
     for n in range(machines):
         shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     while shard.writer.next_transaction() is not None:
         commit(shard, 20)
     return shard
@@ -101,11 +101,11 @@
 
 def test_a_pass_over_what_has_not_changed() -> None:
     shard = busy_shard()
-    shard.passes.schedule(2.0)
+    shard.scheduler.schedule(2.0)
     waiting = sum(job.spec.tasks - len(job.live) for job in shard.jobs.values())
     assert waiting == 96
     assert (
-        calls(lambda: shard.passes.schedule(2.0)) <= 910
+        calls(lambda: shard.scheduler.schedule(2.0)) <= 910
     )  # 828, for 30 jobs that all wait and no room
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ashdock.cluster_version import CURRENT_FORMS
-from ashdock.core.allotment import Rent
+from ashdock.core.allocator import ScaleOut
 from ashdock.core.status_reporter import Reclaim
 from ashdock.election.candidates import better_candidate, rank_candidates
 from ashdock.election.election import Election, ElectionState, KeyHolder
@@ -276,10 +276,10 @@
             await controller.cloud.rent("late", "g4", "a", False, 1, leader._guard_call)
         with pytest.raises(NotLeaderError):
             leader._guard_call()
-        leader._spawn(leader._rent(rent := Rent((("red", 1),), "g4", "a", False)))
-        leader.allotment.renting_now.append(rent)
+        leader._spawn(leader._rent(rent := ScaleOut((("red", 1),), "g4", "a", False)))
+        leader.allocator.renting_now.append(rent)
         await asyncio.sleep(0.01)
-        assert len(service.world.charters) == calls and rent not in leader.allotment.renting_now
+        assert len(service.world.charters) == calls and rent not in leader.allocator.renting_now
         # Renewed in time, it goes on in its term; replaced, what it still writes fails by the condition.
         assert await leading(service) == first and election.term == before
         service.state.keys["leader"] = (
@@ -433,8 +433,8 @@
         )
         leader = service.controllers[await leading(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
-        leader.allotment.vacating(other.leaving(), leader.context.now())
-        assert leader.allotment.recalling[name][0] == "blue"
+        leader.allocator.vacating(other.leaving(), leader.context.now())
+        assert leader.allocator.recalling[name][0] == "blue"
         assert await service.until_final(["req-000001"], 120) == []
 
     play(monkeypatch, 67, day)
--- a/tests/test_stock.py
+++ b/tests/test_machine_index.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from ashdock.core.stock import Kind, Lent, Stock
+from ashdock.core.machine_index import Kind, Lent, MachineIndex
 
 MACHINE = some.tuples(
     some.sampled_from(["", "red", "blue"]),
@@ -34,10 +34,14 @@
     machines: list[Any], resource_requests: list[Any]
 ) -> None:
     rows = [
-        ((float(loss), 0.0), priority, Lent(f"m{n:02}", shard, "g4", zone, spot, 1, "", images))
-        for n, (shard, zone, spot, priority, loss, images) in enumerate(machines)
+        (
+            (float(preemption_cost), 0.0),
+            priority,
+            Lent(f"m{n:02}", shard, "g4", zone, spot, 1, "", images),
+        )
+        for n, (shard, zone, spot, priority, preemption_cost, images) in enumerate(machines)
     ]
-    stock, left = Stock(rows), {machine.name: (key, machine) for key, _, machine in rows}
+    stock, left = MachineIndex(rows), {machine.name: (key, machine) for key, _, machine in rows}
     for zone, image, most, by, number in resource_requests:
 
         def suits(kind: Kind) -> bool:
@@ -56,10 +60,10 @@
         )
         if image is None:
             assert sum(
-                stock.count(shelf, limit(shelf.kind)) for shelf in stock.shelves_for(suits)
+                stock.count(bucket, limit(bucket.kind)) for bucket in stock.buckets_for(suits)
             ) == len(fitting)
         taken = []
-        for machine in stock.take(stock.shelves_for(suits, image), limit):
+        for machine in stock.take(stock.buckets_for(suits, image), limit):
             taken.append(machine.name)
             if len(taken) == number:
                 break
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -408,7 +408,7 @@
     """Whoever does not hear of a cancellation can't commit a start after it."""
     shard = shard_with([spec(shares=2)], "a")
     shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     txn = shard.writer.next_transaction()
     assert (
         txn is not None
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -383,7 +383,7 @@
         assert not lent & set(leader.strays)
         await asyncio.sleep(3.0)
         assert len(process_started) == 1
-        assert not (set(names) - lent) & set(leader.allotment.coming)  # the rest stays to be lent
+        assert not (set(names) - lent) & set(leader.allocator.coming)  # the rest stays to be lent
         leader.strays.clear()
         monkeypatch.setattr(leader, "_assign_now", inner)
         assert not await service.until_final(["req-000001"], 90)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -15,8 +15,8 @@
 
 from ashdock.cluster_version import CURRENT_FORMS
 from ashdock.core.bounds import Bounds
+from ashdock.core.dependency_graph import NOTHING, Carried, DependencyGraph
 from ashdock.core.job import JobPhase, fitting
-from ashdock.core.needs import NOTHING, Carried, Needs
 from ashdock.core.park import Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, Phase, TaskState
@@ -67,8 +67,8 @@
 }
 
 
-def graph(shape: dict[str, list[str]], due: float = 100.0) -> Needs:
-    needs = Needs()
+def graph(shape: dict[str, list[str]], due: float = 100.0) -> DependencyGraph:
+    needs = DependencyGraph()
     for name, its in shape.items():
         last = not any(name in other for other in shape.values())
         needs.add(name, its, Carried(2 if last else 0, due if last else float("inf")), 10.0, 0.0)
@@ -112,7 +112,7 @@
 
 
 def test_since_when_a_job_may_start() -> None:
-    needs = Needs()
+    needs = DependencyGraph()
     needs.add("c", ["a", "b"], NOTHING, 1.0, 5.0)
     assert needs.done("b", 30.0) == [] and needs.done("a", None) == [("c", 30.0)]
     needs.add("d", ["a"], NOTHING, 1.0, 50.0)
@@ -128,7 +128,7 @@
         return pop(heap)
 
     monkeypatch.setattr(heapq, "heappop", counted)
-    deep = Needs()
+    deep = DependencyGraph()
     for n in range(1, 5000):
         deep.add(f"{n}", [f"{n - 1}"], Carried(0), 1.0, 0.0)
     assert looked[0] <= 2 * 5000
@@ -137,7 +137,7 @@
     assert len(deep.cancelled("0")) == 5000
     # A ladder of diamonds: as many ways through as there are atoms, and few edges.
     looked[0] = 0
-    ladder = Needs()
+    ladder = DependencyGraph()
     for n in range(1, 200):
         ladder.add(f"l{n}", [f"l{n - 1}", f"r{n - 1}"], Carried(0), 1.0, 0.0)
         ladder.add(f"r{n}", [f"l{n - 1}", f"r{n - 1}"], Carried(0), 1.0, 0.0)
@@ -158,11 +158,11 @@
     shard.machines["vm-0"].came_up("x")
     shard.machines["vm-1"].came_up("x")
     shard.tick(1.0)
-    assert list(shard.pipelines.unread) == ["req-000009"]
+    assert list(shard.dependency_tracker.unread) == ["req-000009"]
     first, last = shard.jobs["req-000001"], shard.jobs["req-000002"]
     assert last.waits and first.priority == last.spec.priority and first.due < last.due == 60.0
-    shard.pipelines.settled("req-000009", "done", 3.0, 3.5)
-    shard.passes.schedule(4.0)
+    shard.dependency_tracker.settled("req-000009", "done", 3.0, 3.5)
+    shard.scheduler.schedule(4.0)
     assert (
         len(first.live) == 4
         and not last.live
@@ -179,10 +179,10 @@
             if p.machine == name
         ]
         shard.reconciler.on_heartbeat(report(name, 2, ended), 6.0, checkin=True)
-    shard.passes.schedule(6.5)
+    shard.scheduler.schedule(6.5)
     assert first.phase is JobPhase.OVER and not last.live  # done in memory only
     commit(shard, 21)
-    shard.passes.schedule(7.0)
+    shard.scheduler.schedule(7.0)
     assert not last.waits and len(last.live) == 8 and last.since >= 3.0
 
 
@@ -209,15 +209,15 @@
     # One that comes later and names them: by the word of whoever read how they stand.
     shard.add_job(queued(spec(5, awaits=["req-000003"]), 6.0), 40)
     shard.tick(7.0)
-    assert list(shard.pipelines.unread) == ["req-000003"]
-    shard.pipelines.settled("req-000003", "withdrawn", None, 7.0)
+    assert list(shard.dependency_tracker.unread) == ["req-000003"]
+    shard.dependency_tracker.settled("req-000003", "withdrawn", None, 7.0)
     assert shard.jobs["req-000005"].phase is JobPhase.ORPHANED
 
 
 @pytest.mark.parametrize("first", ["users", "ours"])
 def test_a_user_and_an_owner_withdraw_at_once(first: str) -> None:
     shard = shard_with([spec(2, awaits=["req-000001"])])
-    shard.pipelines.settled("req-000001", "withdrawn", None, 5.0)
+    shard.dependency_tracker.settled("req-000001", "withdrawn", None, 5.0)
     withdrawn = shard.jobs["req-000002"].record() | {"cancelled_at": 5.0}
     if first == "users":
         assert shard.writer.next_transaction() is not None  # and its conditions fail
@@ -530,7 +530,7 @@
     store = Store(keys)
     old = store.shard(shard_with([], "", revision=9))
     old.machines["vm-000001"].came_up("x")
-    old.passes.schedule(20.0)
+    old.scheduler.schedule(20.0)
     late = old.writer.next_transaction()
     assert late is not None and any(path.endswith("/0") for path in late.writes)
     store.shard(new_part(revision=10))
@@ -549,7 +549,7 @@
     store = Store(keys)
     shard = store.shard(new_part(value_kb=8.0))
     shard.machines["vm-000001"].came_up("x")
-    shard.passes.schedule(21.0)
+    shard.scheduler.schedule(21.0)
     late = shard.writer.next_transaction()
     assert late is not None and any(path.endswith("/1") for path in late.writes)
     meant = states(shard)
@@ -576,7 +576,7 @@
     shard.add_job(queued(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7)
     job = shard.jobs["req-000001"]
     job.narrow(8)
-    shard.passes.schedule(1.0)
+    shard.scheduler.schedule(1.0)
     assert len(job.live) == 120
     store = Store({}, bytes_=512, ops=4)
     store.keys |= {
@@ -963,7 +963,7 @@
         controller = next(c for c in service.controllers.values() if "red" in c.owners)
         shard = controller.owners["red"].shard
         assert shard is not None
-        txn, schedule, passes = controller.store.txn, shard.passes.schedule, [service.now()]
+        txn, schedule, passes = controller.store.txn, shard.scheduler.schedule, [service.now()]
 
         async def slow(when: dict[str, int], writes: dict[str, Any], **more: Any) -> int:
             await asyncio.sleep(0.4 if "part/red" in when else 0.0)
@@ -975,7 +975,7 @@
             passes.append(service.now())
             return schedule(now)
 
-        monkeypatch.setattr(shard.passes, "schedule", noted)
+        monkeypatch.setattr(shard.scheduler, "schedule", noted)
         for one in shard.jobs.values():
             for chunk in one.chunks.values():
                 chunk.placed = chunk.touch()
@@ -1010,7 +1010,7 @@
     )
     for name in shard.machines:
         shard.machines[name].came_up("x")
-    shard.passes.schedule(0.5)
+    shard.scheduler.schedule(0.5)
     commit(shard, 20)
     for name in shard.machines:
         shard.reconciler.on_heartbeat(report(name, 1), 1.0, checkin=True)
@@ -1033,7 +1033,7 @@
         31,
     )
     assert shard.jobs["req-000002"].priority == 2
-    shard.passes.schedule(now)
+    shard.scheduler.schedule(now)
     assert sum(p.phase is Phase.STOPPING for p in shard.jobs["req-000001"].live.values()) == stopped
 
 
