--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -122,7 +122,7 @@
         self.catalog: dict[str, MachineType] = {}
         self.machine_type_catalog = MachineTypeCatalog(self)
         self.owners: dict[str, ShardOwner] = {}
-        self.charters = 0  # counted over all our reigns, since names are never reused
+        self.intent_count = 0  # counted over all our reigns, since names are never reused
         self.incarnation = self.rng.getrandbits(48)
         election = Election("machines", "leader", self.label, self.incarnation)
         self.elector: LeaderElector[Leader] = LeaderElector(
@@ -682,7 +682,7 @@
             owner.give_to = frame.to
             owner.wake.set()
         else:
-            owner.note(lambda shard: shard.status_reporter.recall(frame, self.now()))
+            owner.note(lambda shard: shard.status_reporter.reclaim(frame, self.now()))
 
     def _on_frame(self, label: str, frame: Frame) -> None:
         match frame:
--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ashdock.core.machine import capacity
-from ashdock.core.machine_index import Kind, Lent, MachineIndex
+from ashdock.core.machine_index import MachineClass, MachineIndex, MachineView
 from ashdock.core.placement import InfeasibleCache, PendingCapacity
 from ashdock.core.status_reporter import Rebalance, Reclaim, ResourceRequest, ShardStatus
 from ashdock.settings import Renting, Shared
@@ -74,11 +74,11 @@
             tuple[str, str, bool], tuple[float, float]
         ] = {}  # until when, and the last pause
         self.coming: dict[str, tuple[str, float]] = {}  # machine: team it was lent to, and when
-        self.renting_now: list[ScaleOut] = []
-        self.recalling: dict[
+        self.scale_outs: list[ScaleOut] = []
+        self.reclaiming: dict[
             str, tuple[str, float]
         ] = {}  # machine asked of its shard: for which team, and when
-        self.pool_since: dict[str, float] = {}
+        self.unassigned_since: dict[str, float] = {}
         self.sent_back: set[str] = set()  # to the pool, since nobody wanted them
         self.rebalance_asked_at: dict[
             tuple[str, str], float
@@ -96,8 +96,8 @@
 
     # -- what came of earlier choices -----------------------------------------------------------
 
-    def rented(self, rent: ScaleOut, names: list[str], now: float) -> None:
-        self.renting_now.remove(rent)
+    def scaled_out(self, rent: ScaleOut, names: list[str], now: float) -> None:
+        self.scale_outs.remove(rent)
         for name, team in rent.allotted(names):
             self.coming[name] = (team, now)
         if len(names) < rent.number:
@@ -105,8 +105,8 @@
         else:
             self.refused.pop((rent.type, rent.zone, rent.spot), None)
 
-    def not_rented(self, rent: ScaleOut, now: float, no_capacity: bool) -> None:
-        self.renting_now.remove(rent)
+    def scale_out_failed(self, rent: ScaleOut, now: float, no_capacity: bool) -> None:
+        self.scale_outs.remove(rent)
         if no_capacity:
             self._refuse(rent, now)
 
@@ -119,51 +119,59 @@
     # -- choosing -------------------------------------------------------------------------------
 
     def decide(
-        self, machines: Iterable[Lent], shard_statuses: dict[str, ShardStatus], now: float
+        self, machines: Iterable[MachineView], shard_statuses: dict[str, ShardStatus], now: float
     ) -> list[Decision]:
-        lent = {machine.name: machine for machine in machines if not machine.doomed}
+        machine_views = {
+            machine.name: machine for machine in machines if not machine.decommissioned
+        }
         if any(team.name not in shard_statuses for team in self.shared.teams):
             # An owner unheard of may want all that stands empty: neither lend, rent nor return before it is heard.
             return []
-        self._forget_settled(lent, shard_statuses, now)
-        pool = {name: m for name, m in lent.items() if m.shard == "" and name not in self.coming}
-        self.sent_back &= set(lent)
-        for name in list(self.pool_since):
-            if name not in pool:
-                del self.pool_since[name]
-        for name in pool:
-            self.pool_since.setdefault(name, now)
+        self._forget_settled(machine_views, shard_statuses, now)
+        unassigned_machines = {
+            name: m
+            for name, m in machine_views.items()
+            if m.shard == "" and name not in self.coming
+        }
+        self.sent_back &= set(machine_views)
+        for name in list(self.unassigned_since):
+            if name not in unassigned_machines:
+                del self.unassigned_since[name]
+        for name in unassigned_machines:
+            self.unassigned_since.setdefault(name, now)
         idle = {
-            name: (lent[name], idle_s)
+            name: (machine_views[name], idle_s)
             for shard_status in shard_statuses.values()
             for name, idle_s in shard_status.idle
-            if name in lent and lent[name].shard == shard_status.team and name not in self.coming
+            if name in machine_views
+            and machine_views[name].shard == shard_status.team
+            and name not in self.coming
         }
         empty = MachineIndex(
             # The cheap kind first, since it is the one to keep.
             ((float(not machine.spot), rank), 0, machine)
             for rank, machines in (
-                (0.0, pool.values()),
+                (0.0, unassigned_machines.values()),
                 (1.0, [machine for machine, _ in idle.values()]),
             )
             for machine in machines
             if machine.type in self.catalog
         )
         busy = MachineIndex(
-            ((item.preemption_cost_s, 0.0), item.priority, lent[item.machine])
+            ((item.preemption_cost_s, 0.0), item.priority, machine_views[item.machine])
             for shard_status in shard_statuses.values()
             for item in shard_status.busy
-            if item.machine in lent
-            and lent[item.machine].shard == shard_status.team
-            and item.machine not in self.recalling
-            and lent[item.machine].type in self.catalog
+            if item.machine in machine_views
+            and machine_views[item.machine].shard == shard_status.team
+            and item.machine not in self.reclaiming
+            and machine_views[item.machine].type in self.catalog
         )
         self.now = now
         out: list[Decision] = []
         small = {
             team
             for team, shard_status in shard_statuses.items()
-            if shard_status.machines * 2 * len(shard_statuses) < len(lent)
+            if shard_status.machines * 2 * len(shard_statuses) < len(machine_views)
         }
         resource_requests = sorted(
             (
@@ -181,13 +189,13 @@
                 item[1].slack_s,
             ),
         )
-        on_the_way = self._virtual(lent)
+        on_the_way = self._virtual(machine_views)
         rents: dict[tuple[str, str, str, bool], int] = {}
         unmet: list[tuple[str, ResourceRequest, int]] = []
         spare = {
             shard_status.team: shard_status.spare_beyond for shard_status in shard_statuses.values()
         }
-        total = len(lent) + sum(rent.number for rent in self.renting_now)
+        total = len(machine_views) + sum(rent.number for rent in self.scale_outs)
         self.infeasible = InfeasibleCache()
         self.pers.clear()
         for team, request in resource_requests:
@@ -205,12 +213,12 @@
                         left = max(left, request.whole)
                         request = request._replace(zone=zone, tasks=left)
             # Calling back a machine that has the image is sooner than fetching it on one that stands empty.
-            left = self._lend(team, request, left, empty, out, now, cached=True)
-            left = self._recall(team, request, left, busy, spare, out, cached=True)
-            left = self._lend(team, request, left, empty, out, now)
-            left = self._recall(team, request, left, busy, spare, out)
+            left = self._assign(team, request, left, empty, out, now, cached=True)
+            left = self._reclaim(team, request, left, busy, spare, out, cached=True)
+            left = self._assign(team, request, left, empty, out, now)
+            left = self._reclaim(team, request, left, busy, spare, out)
             # With enough requests on their way, the rest is asked for together once those are answered.
-            while left > 0 and len(self.renting_now) < self.most_requests:
+            while left > 0 and len(self.scale_outs) < self.most_requests:
                 offer = self._offer(request, left, rents, now)
                 if (
                     offer is None
@@ -247,25 +255,25 @@
                 for team, shard_status in shard_statuses.items()
                 if team not in small
             },
-            lent,
+            machine_views,
             now,
         )
         asked = self._requests(rents)
         out += asked
-        self.renting_now += asked
+        self.scale_outs += asked
         for name in empty.taken:
-            pool.pop(name, None)
+            unassigned_machines.pop(name, None)
             idle.pop(name, None)
-        out += self._returns(pool, idle, resource_requests, now)
+        out += self._returns(unassigned_machines, idle, resource_requests, now)
         return out
 
-    def vacating(self, machines: Iterable[tuple[str, str]], now: float) -> None:
+    def note_reclaims(self, machines: Iterable[tuple[str, str]], now: float) -> None:
         """What an earlier holder called back and has not come yet: counted as on its way, or as much again was called back for the same wants."""
         for name, to in machines:
             if to and name not in self.coming:
-                self.recalling.setdefault(name, (to, now))
+                self.reclaiming.setdefault(name, (to, now))
 
-    def not_lent(self, machines: Iterable[str]) -> None:
+    def not_assigned(self, machines: Iterable[str]) -> None:
         """What was to move and does not, this time."""
         for name in machines:
             self.coming.pop(name, None)
@@ -284,7 +292,7 @@
         self,
         unmet: list[tuple[str, ResourceRequest, int]],
         shard_statuses: dict[str, ShardStatus],
-        lent: dict[str, Lent],
+        machine_views: dict[str, MachineView],
         now: float,
     ) -> list[Decision]:
         """Where no more is to be had, like work is served in the order of its waiting, whatever its team: a shard
@@ -292,7 +300,7 @@
         were when the cloud ran out, and one team's gangs waited a minute while another's waited seconds."""
         out: list[Decision] = []
         kinds: dict[str, set[tuple[str, str, bool]]] = {}
-        for machine in lent.values() if unmet else ():
+        for machine in machine_views.values() if unmet else ():
             if machine.type in self.catalog:
                 kinds.setdefault(machine.shard, set()).add(
                     (machine.type, machine.zone, machine.spot)
@@ -343,16 +351,19 @@
         return out
 
     def _forget_settled(
-        self, lent: dict[str, Lent], shard_statuses: dict[str, ShardStatus], now: float
+        self,
+        machine_views: dict[str, MachineView],
+        shard_statuses: dict[str, ShardStatus],
+        now: float,
     ) -> None:
         patience = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
-        for name, (team, since) in list(self.recalling.items()):
-            if name in lent and lent[name].shard == team:
+        for name, (team, since) in list(self.reclaiming.items()):
+            if name in machine_views and machine_views[name].shard == team:
                 self.coming[name] = (team, now)
             if name in self.coming or now - since > patience:
-                del self.recalling[name]
+                del self.reclaiming[name]
         for name, (team, since) in list(self.coming.items()):
-            record = lent.get(name)
+            record = machine_views.get(name)
             shard_status = shard_statuses.get(team)
             seen = (
                 record
@@ -363,16 +374,16 @@
             if seen or now - since > self.settle_s:
                 del self.coming[name]
 
-    def _virtual(self, lent: dict[str, Lent]) -> dict[str, PendingCapacity]:
+    def _virtual(self, machine_views: dict[str, MachineView]) -> dict[str, PendingCapacity]:
         """Machines lent or asked for that their shard's picture does not hold yet."""
         out: dict[str, PendingCapacity] = {}
-        for name, (team, _) in [*self.coming.items(), *self.recalling.items()]:
-            machine = lent.get(name)
+        for name, (team, _) in [*self.coming.items(), *self.reclaiming.items()]:
+            machine = machine_views.get(name)
             if machine and machine.type in self.catalog:
                 out.setdefault(team, PendingCapacity()).add(
                     self.catalog[machine.type], machine.zone, machine.spot
                 )
-        for rent in self.renting_now:
+        for rent in self.scale_outs:
             for team, number in rent.teams:
                 out.setdefault(team, PendingCapacity()).add(
                     self.catalog[rent.type], rent.zone, rent.spot, number
@@ -408,7 +419,7 @@
         """How many more of a gang's tasks each zone would take: on what stands empty, can be recalled, or rented."""
         score: dict[str, float] = {}
 
-        def add(kind: Kind, number: int, weight: float) -> None:
+        def add(kind: MachineClass, number: int, weight: float) -> None:
             if number:
                 score[kind.zone] = score.get(kind.zone, 0.0) + number * weight * self._per(
                     kind.type, request
@@ -450,7 +461,7 @@
         return per
 
     def _highest_preemption_cost(
-        self, team: str, request: ResourceRequest, kind: Kind, spare: dict[str, int]
+        self, team: str, request: ResourceRequest, kind: MachineClass, spare: dict[str, int]
     ) -> float:
         """Up to what loss a machine of that class may be recalled; -1: not at all. A guarantee is regained from teams beyond theirs,
         as far as they are beyond it, and work of higher priority takes the place of lower where less is lost by it than a boot's
@@ -467,7 +478,7 @@
         steps = request.priority - kind.priority
         return boot_s * steps if steps > 0 and request.slack_s < boot_s else -1.0
 
-    def _recall(
+    def _reclaim(
         self,
         team: str,
         request: ResourceRequest,
@@ -500,7 +511,7 @@
             buckets, lambda kind: self._highest_preemption_cost(team, request, kind, spare)
         ):
             out.append(Reclaim(machine.shard, team, [machine.name]))
-            self.recalling[machine.name] = (team, self.now)
+            self.reclaiming[machine.name] = (team, self.now)
             spare[machine.shard] -= 1
             left -= max(1, self._per(machine.type, request))
             if left <= 0:
@@ -508,7 +519,7 @@
         self.infeasible.note(alike, ANY_NEED, 1)
         return left
 
-    def _lend(
+    def _assign(
         self,
         team: str,
         request: ResourceRequest,
@@ -533,7 +544,7 @@
             return left
         only_cheap = request.idle and self._cheap(request)
 
-        def suits(kind: Kind) -> bool:
+        def suits(kind: MachineClass) -> bool:
             if (
                 kind.shard == team
                 or (only_cheap and not kind.spot)
@@ -629,8 +640,8 @@
 
     def _returns(
         self,
-        pool: dict[str, Lent],
-        idle: dict[str, tuple[Lent, float]],
+        unassigned_machines: dict[str, MachineView],
+        idle: dict[str, tuple[MachineView, float]],
         resource_requests: list[tuple[str, ResourceRequest]],
         now: float,
     ) -> list[Decision]:
@@ -655,8 +666,8 @@
                 self.sent_back.add(machine.name)
         gone = [
             name
-            for name in pool
-            if now - self.pool_since.get(name, now)
+            for name in unassigned_machines
+            if now - self.unassigned_since.get(name, now)
             > (self.settle_s / 8 if name in self.sent_back else self.settle_s)
         ]
         if gone:
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -16,7 +16,7 @@
     EXPECTED = "expected"  # rented, has not reported to us
     UP = "up"
     LEAVING = "leaving"  # no new tasks: reclaimed, suspect, or wanted elsewhere
-    DOOMED = "doomed"  # durably given up: the leader releases it
+    DECOMMISSIONED = "doomed"  # durably given up: the leader releases it
 
 
 class Machine:
@@ -28,15 +28,15 @@
         self.zone = value["z"]
         self.spot = bool(value["s"])
         self.address: str = value.get("a", "")
-        self.rented: float = value.get("at", now)
+        self.rented_at: float = value.get("at", now)
         self.dated = bool(
             value.get("r")
         )  # whether that is when it was rented, and not when it was found
         self.revision = revision
         self.shape = shape
-        self.phase = MachinePhase.DOOMED if value.get("x") else MachinePhase.EXPECTED
+        self.phase = MachinePhase.DECOMMISSIONED if value.get("x") else MachinePhase.EXPECTED
         self.why = value.get("x", "")
-        self.doom_gen = 0
+        self.decommission_generation = 0
         self.live: dict[tuple[str, int], Placement] = {}
         self.version = 0  # of what is placed here
         self.cpus = shape.cpus
@@ -82,14 +82,14 @@
             "a": self.address,
             "p": shard,
         }
-        value["at"] = round(self.rented, 3)
+        value["at"] = round(self.rented_at, 3)
         if self.dated:
             value["r"] = 1
         # The next part's owner is told which images it need not wait for.
         value["i"] = [[image, self.images[image]] for image in list(reversed(self.images))[:12]]
         if self.tenure:
             value["n"] = self.tenure  # and can give orders before the worker has found it
-        if self.phase is MachinePhase.DOOMED:
+        if self.phase is MachinePhase.DECOMMISSIONED:
             value["x"] = self.why
         return value
 
@@ -105,9 +105,9 @@
             self.phase = MachinePhase.LEAVING
             self.why = why
 
-    def doom(self, why: str) -> None:
-        if self.phase is not MachinePhase.DOOMED:
-            self.phase = MachinePhase.DOOMED
+    def decommission(self, why: str) -> None:
+        if self.phase is not MachinePhase.DECOMMISSIONED:
+            self.phase = MachinePhase.DECOMMISSIONED
             self.why = why
 
     def uses(self, image: str, size: float) -> None:
@@ -159,7 +159,7 @@
         """Whether work may wait for it to boot. One that is late beyond the usual is not waited for."""
         return (
             self.phase is MachinePhase.EXPECTED
-            and now - max(self.rented, self.since - self.shape.boot_s) < 1.6 * self.shape.boot_s
+            and now - max(self.rented_at, self.since - self.shape.boot_s) < 1.6 * self.shape.boot_s
         )
 
     @property
--- a/ashdock/core/machine_index.py
+++ b/ashdock/core/machine_index.py
@@ -16,7 +16,7 @@
 Key = tuple[float, float]  # of what goes first
 
 
-class Lent(NamedTuple):
+class MachineView(NamedTuple):
     """A machine's record, as everyone sees it."""
 
     name: str
@@ -25,11 +25,11 @@
     zone: str
     spot: bool
     revision: int
-    doomed: str
+    decommissioned: str
     images: frozenset[str] = frozenset()
 
 
-class Kind(NamedTuple):
+class MachineClass(NamedTuple):
     type: str
     zone: str
     spot: bool
@@ -40,7 +40,7 @@
 class MachineBucket:
     __slots__ = ("at", "kind", "ready", "rows")
 
-    def __init__(self, kind: Kind) -> None:
+    def __init__(self, kind: MachineClass) -> None:
         self.kind = kind
         self.rows: list[tuple[Key, str]] = []
         self.at = 0  # what comes before is gone
@@ -59,17 +59,17 @@
 class MachineIndex:
     """Of one round. What is taken is gone from all its shelves."""
 
-    def __init__(self, machines: Iterable[tuple[Key, int, Lent]]) -> None:
+    def __init__(self, machines: Iterable[tuple[Key, int, MachineView]]) -> None:
         """Each machine with what goes first, and the priority of what runs there."""
-        self.machines: dict[str, tuple[Key, Kind, Lent]] = {}
-        self.gone: dict[Kind, list[Key]] = {}
+        self.machines: dict[str, tuple[Key, MachineClass, MachineView]] = {}
+        self.gone: dict[MachineClass, list[Key]] = {}
         self.taken: set[str] = set()
         buckets: dict[tuple[str, str, bool, str, int], MachineBucket] = {}
         for key, priority, machine in machines:
             alike = (machine.type, machine.zone, machine.spot, machine.shard, priority)
             bucket = buckets.get(alike)
             if bucket is None:
-                bucket = buckets[alike] = MachineBucket(Kind(*alike))
+                bucket = buckets[alike] = MachineBucket(MachineClass(*alike))
             bucket.add((key, machine.name))
             self.machines[machine.name] = (key, bucket.kind, machine)
         self.buckets = list(buckets.values())
@@ -94,7 +94,7 @@
         return self.holding.get(image, {}).values()
 
     def buckets_for(
-        self, suits: Callable[[Kind], bool], image: str | None = None
+        self, suits: Callable[[MachineClass], bool], image: str | None = None
     ) -> list[MachineBucket]:
         """Those that suit; with an image, of machines that hold it."""
         return [
@@ -113,7 +113,9 @@
             key[0] <= most for key in self.gone.get(bucket.kind, ())
         )
 
-    def take(self, buckets: list[MachineBucket], most: Callable[[Kind], float]) -> Iterator[Lent]:
+    def take(
+        self, buckets: list[MachineBucket], most: Callable[[MachineClass], float]
+    ) -> Iterator[MachineView]:
         """What goes first of all these, one after the other, as long as its key begins with no more than `most` says of its class
         by then. Each is taken before it is given out."""
         heads = [
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -203,7 +203,7 @@
             if revision > known.revision:
                 known.revision = revision
                 if value.get("x"):
-                    known.doom(value["x"])
+                    known.decommission(value["x"])
             return
         if shape is None:
             log.error("machine %s has a type the catalog lacks: %s", name, value["t"])
@@ -550,30 +550,30 @@
         gap = 2 * self.workers.report_s
         unheard = self._patience(now)
         for machine in self.machines.values():
-            if machine.phase is MachinePhase.DOOMED:
+            if machine.phase is MachinePhase.DECOMMISSIONED:
                 continue
             if machine.inherited:
                 if now - machine.since > unheard:
-                    self._doom(machine, "not heard since the part was taken over")
+                    self._decommission(machine, "not heard since the part was taken over")
             elif machine.phase is MachinePhase.EXPECTED:
                 # Some machines never come up, and are charged all the same. Counted from the rental: counted from
                 # when we came to know of it, each takeover kept such a machine for as long again.
                 if (
-                    now - machine.rented > 2.5 * machine.shape.boot_s
+                    now - machine.rented_at > 2.5 * machine.shape.boot_s
                     and now - machine.since > self.silent_s
                 ):
-                    self._doom(machine, "never came up")
+                    self._decommission(machine, "never came up")
             elif (
                 machine.recall_at is not None
                 and now > machine.recall_at
                 and machine.silent_for(now) > gap
             ):
-                self._doom(machine, "taken back")
+                self._decommission(machine, "taken back")
             elif machine.why == "suspect" and not machine.live:
-                self._doom(machine, "suspect")
+                self._decommission(machine, "suspect")
             elif machine.last_at is not None and machine.silent_for(now) > patience:
                 # Silence is no proof that its tasks stopped. Releasing it makes one.
-                self._doom(machine, "silent")
+                self._decommission(machine, "silent")
         for job in list(self.ending.values()):
             if job.live:
                 self._end_cancelled(job, now)
@@ -605,14 +605,14 @@
         for placement in job.live.values():
             machine = self.machines.get(placement.machine)
             if machine and now > limit:
-                self._doom(machine, f"holds a task of cancelled job {job.id}")
+                self._decommission(machine, f"holds a task of cancelled job {job.id}")
 
-    def _doom(self, machine: Machine, why: str) -> None:
-        if machine.phase is MachinePhase.DOOMED:
+    def _decommission(self, machine: Machine, why: str) -> None:
+        if machine.phase is MachinePhase.DECOMMISSIONED:
             return
         log.info("machine %s is given up: %s", machine.name, why)
-        machine.doom(why)
-        machine.doom_gen = 1
+        machine.decommission(why)
+        machine.decommission_generation = 1
         self.note_machine(machine.name)
 
     def zone_of(self, machine: str) -> str:
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -130,7 +130,7 @@
         for name in list(self.changing):
             machine = shard.machines.get(name)
             if machine is None or (
-                machine.to is None and not machine.bump and not machine.doom_gen
+                machine.to is None and not machine.bump and not machine.decommission_generation
             ):
                 del self.changing[name]
                 continue
@@ -282,7 +282,7 @@
         bump = machine.bump and any(
             sent >= self.shard.token(machine) for sent in machine.outstanding.values()
         )
-        if not (moves or bump or machine.doom_gen) or not txn.room(1, 300):
+        if not (moves or bump or machine.decommission_generation) or not txn.room(1, 300):
             return
         to = machine.to if moves and machine.to is not None else self.shard.name
         txn.put(
@@ -295,7 +295,7 @@
 
     def _machine_written(self, machine: Machine, to: str, revision: int) -> None:
         machine.revision = revision
-        machine.doom_gen = 0
+        machine.decommission_generation = 0
         machine.bump = False
         if to != self.shard.name:
             log.info("machine %s goes to %s", machine.name, to or "the pool")
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -266,7 +266,7 @@
             machine.leave("moves")
             self.shard.note_machine(name)
 
-    def recall(self, order: Reclaim, now: float) -> None:
+    def reclaim(self, order: Reclaim, now: float) -> None:
         """Vacate machines for a team that lacks its guarantee, or for work of higher priority."""
         for name in order.machines:
             machine = self.shard.machines.get(name)
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -12,7 +12,7 @@
 from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
 from ashdock.core.bounds import Bounds
 from ashdock.core.machine import images_of, trimmed
-from ashdock.core.machine_index import Lent
+from ashdock.core.machine_index import MachineView
 from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
 from ashdock.election.election import Election
 from ashdock.election.fencing import NotLeaderError
@@ -55,9 +55,11 @@
     return gone
 
 
-def lag_of(listed: list[tuple[str, float]], rented: dict[str, float], now: float) -> float:
+def lag_of(listed: list[tuple[str, float]], scaled_out: dict[str, float], now: float) -> float:
     """How old a list is, by the ages it gives to machines of which we noted when they were rented."""
-    return max((now - rented[name] - age for name, age in listed if name in rented), default=0.0)
+    return max(
+        (now - scaled_out[name] - age for name, age in listed if name in scaled_out), default=0.0
+    )
 
 
 class LeaderContext(Protocol):
@@ -68,7 +70,7 @@
     operators: Operators
     workers: Workers
     tick_s: float
-    charters: int
+    intent_count: int
     bounds: Bounds
     catalog: dict[str, MachineType]
     store: StoreClient
@@ -99,29 +101,29 @@
         self.election = election
         self.revision = election.term
         self.allocator = Allocator(context.shared, context.operators.renting, context.catalog)
-        self.strays: dict[
+        self.unrecorded_reports: dict[
             str, tuple[Report, float]
         ] = {}  # reported and not recorded, and since when
-        self.pooled: dict[
+        self.unassigned: dict[
             str, tuple[Report, float]
         ] = {}  # recorded and lent to nobody: its last word, and when
-        self.lent: dict[
-            str, tuple[int, Lent]
+        self.machine_views: dict[
+            str, tuple[int, MachineView]
         ] = {}  # each record as the allotment sees it, by its revision
         self.released: dict[
             str, float
         ] = {}  # gone, though the cloud's lagging list may still name them
-        self.renting_names: set[str] = set()
-        self.again: dict[
+        self.open_intents: set[str] = set()
+        self.interrupted: dict[
             str, tuple[dict[str, Any], int]
         ] = {}  # charters broken off while our lease was in doubt
-        self.undeleted: dict[str, int] = {}  # charters carried out, and their revisions
-        self.charters_before = (
-            context.charters
+        self.finished_intents: dict[str, int] = {}  # charters carried out, and their revisions
+        self.intents_before = (
+            context.intent_count
         )  # a reign of ours that an outage ended may have left some
         self.listed: dict[str, float] = {}  # machine: when the cloud first listed it
-        self.marking: set[str] = set()  # machines that are being given up
-        self.lending: set[str] = set()  # machines whose loan is being written
+        self.decommissioning: set[str] = set()  # machines that are being given up
+        self.assigning: set[str] = set()  # machines whose loan is being written
         self.releasing = False
         self.unrecorded: dict[str, float] = {}  # machine: since when it is listed without a record
         self.lag_s = context.shared.cloud.list_lag_s  # of the cloud's list, as far as it shows
@@ -144,7 +146,7 @@
 
     @property
     def under_way(self) -> bool:
-        return bool(self.renting_names or self.marking or self.lending or self.releasing)
+        return bool(self.open_intents or self.decommissioning or self.assigning or self.releasing)
 
     def stop(self) -> None:
         self.over = True
@@ -180,29 +182,31 @@
 
     # -- choosing ------------------------------------------------------------------------------------
 
-    def _lent(self) -> list[Lent]:
+    def _machine_views(self) -> list[MachineView]:
         # What reports without a record stands in the pool too: it is recorded when lent, in one write instead of two.
-        strays = [
-            Lent(name, "", report.hull, report.yard, report.loaners, 0, "")
-            for name, (report, _) in self.strays.items()
+        unrecorded_reports = [
+            MachineView(name, "", report.hull, report.yard, report.loaners, 0, "")
+            for name, (report, _) in self.unrecorded_reports.items()
             if f"machine/{name}" not in self.context.machines.entries
         ]
         # Read anew only where a record has changed: thousands of lists of images, looked through several times a second, were most
         # of what leading cost.
-        before, self.lent = self.lent, {}
+        before, self.machine_views = self.machine_views, {}
         for path, entry in self.context.machines.entries.items():
             known = before.get(path)
-            self.lent[path] = (
+            self.machine_views[path] = (
                 known
                 if known is not None and known[0] == entry.revision
-                else (entry.revision, self._lent_of(entry))
+                else (entry.revision, self._machine_view(entry))
             )
-        return strays + [lent for _, lent in self.lent.values()]
+        return unrecorded_reports + [
+            machine_views for _, machine_views in self.machine_views.values()
+        ]
 
     @staticmethod
-    def _lent_of(entry: Entry) -> Lent:
+    def _machine_view(entry: Entry) -> MachineView:
         value = entry.value
-        return Lent(
+        return MachineView(
             entry.path.split("/", 1)[1],
             value["p"],
             value["t"],
@@ -222,21 +226,21 @@
             return context.tick_s / 4
         shard_statuses: dict[str, ShardStatus] = context.shard_statuses()
         if time.monotonic() - self.election.taken_at < context.workers.lease_s:
-            self.allocator.vacating(context.leaving(), now)
+            self.allocator.note_reclaims(context.leaving(), now)
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
-        decisions = self.allocator.decide(self._lent(), shard_statuses, now)
-        lend: dict[str, str] = {}
+        decisions = self.allocator.decide(self._machine_views(), shard_statuses, now)
+        assignments: dict[str, str] = {}
         for decision in decisions + self.allocator.balance(
             owners, context.fit_members(), shard_statuses, now
         ):
             match decision:
                 case ScaleOut():
-                    self._spawn(self._rent(decision))
+                    self._spawn(self._scale_out(decision))
                 case AssignMachine(shard, machine, to):
                     if shard:
                         context.to_owner(shard, TransferMachine(shard, machine, to), self.revision)
                     else:
-                        lend[machine] = to
+                        assignments[machine] = to
                 case Reclaim():
                     log.info(
                         "team %s is to give %s to %s",
@@ -257,13 +261,13 @@
                     log.info("part %s is to go to controller %s", shard, to)
                     context.to_owner(shard, TransferShard(shard, to), self.revision)
                 case ScaleIn(machines):
-                    self._spawn(self._mark_all(machines, "returned"))
-        if lend:
+                    self._spawn(self._decommission_all(machines, "returned"))
+        if assignments:
             # What is not written now is neither lent nor on its way: counted as that, it stood there for half a lease.
-            most = 0 if self.lending else max(1, int(LOANS_S * self.context.store.writes.per_s))
-            self.allocator.not_lent(list(lend)[most:])
+            most = 0 if self.assigning else max(1, int(LOANS_S * self.context.store.writes.per_s))
+            self.allocator.not_assigned(list(assignments)[most:])
             if most:
-                self._spawn(self._assign(dict(list(lend.items())[:most])))
+                self._spawn(self._assign(dict(list(assignments.items())[:most])))
         return max(context.tick_s, pause_s(context.now() - now, CHOOSING))
 
     def _entry(self, name: str) -> Entry | None:
@@ -310,24 +314,24 @@
             return list(left)
         return []
 
-    async def _assign(self, lend: dict[str, str]) -> None:
+    async def _assign(self, assignments: dict[str, str]) -> None:
         """Lend what stands in the pool: no more at a time than is written in a few rounds, the rest by what is lacking then. Hundreds lent at
         once took half a minute; meanwhile each round chose them again, their workers reported as unrecorded again, and what was
         written twice failed and counted (2,648 machines: half of the state service's limit went into that, and starts waited)."""
-        self.lending.update(lend)
+        self.assigning.update(assignments)
         try:
-            await self._assign_now(lend)
+            await self._assign_now(assignments)
         finally:
-            self.lending.clear()
+            self.assigning.clear()
 
-    async def _assign_now(self, lend: dict[str, str]) -> None:
+    async def _assign_now(self, assignments: dict[str, str]) -> None:
         records: dict[str, tuple[int, dict[str, Any] | None]] = {}
-        for name, to in lend.items():
+        for name, to in assignments.items():
             entry = self._entry(name)
             if entry and entry.value["p"] == "" and not entry.value.get("x"):
                 records[name] = (entry.revision, {**entry.value, "p": to} | self._word_of(name))
-            elif entry is None and name in self.strays:
-                report, _ = self.strays.pop(name)
+            elif entry is None and name in self.unrecorded_reports:
+                report, _ = self.unrecorded_reports.pop(name)
                 value = self._value(
                     report.hull, report.yard, report.loaners, report.address, to, self.context.now()
                 )
@@ -337,33 +341,33 @@
                 )  # known to be up, and in which session
         try:
             for name in await self._write_all(records):
-                log.info("machine %s goes from the pool to %s", name, lend[name])
+                log.info("machine %s goes from the pool to %s", name, assignments[name])
         except StoreUnavailableError as why:
             log.debug("not lent: %s", why)
 
     def _word_of(self, name: str) -> dict[str, Any]:
         """Where a machine of the pool is and in which session, if it has just told: its next owner need not wait for its report."""
-        report, at = self.pooled.pop(name, (None, 0.0))
+        report, at = self.unassigned.pop(name, (None, 0.0))
         if report is None or self.context.now() - at > 2 * self.context.workers.report_s:
             return {}
         return {"a": report.address, "n": report.tenure}
 
-    async def _mark(self, name: str, why: str) -> None:
-        await self._mark_all([name], why)
+    async def _decommission(self, name: str, why: str) -> None:
+        await self._decommission_all([name], why)
 
-    async def _mark_all(self, names: list[str], why: str) -> None:
+    async def _decommission_all(self, names: list[str], why: str) -> None:
         """Give machines up durably before they are released, so that nobody lends them meanwhile."""
         # Each round chooses the same machines again until this is written. Without a note of what is under way, each sent the
         # same transactions once more: they filled the line for writes and made each other fail, and a pool of machines that
         # nobody wanted stood there, paid for, to the end of the day.
-        names = [name for name in names if name not in self.marking]
-        self.marking.update(names)
+        names = [name for name in names if name not in self.decommissioning]
+        self.decommissioning.update(names)
         try:
-            await self._mark_now(names, why)
+            await self._decommission_now(names, why)
         finally:
-            self.marking.difference_update(names)
+            self.decommissioning.difference_update(names)
 
-    async def _mark_now(self, names: list[str], why: str) -> None:
+    async def _decommission_now(self, names: list[str], why: str) -> None:
         records: dict[str, tuple[int, dict[str, Any] | None]] = {}
         for name in names:
             entry = self._entry(name)
@@ -376,11 +380,11 @@
 
     # -- renting ---------------------------------------------------------------------------------------
 
-    async def _rent(self, rent: ScaleOut) -> None:
+    async def _scale_out(self, rent: ScaleOut) -> None:
         context = self.context
-        context.charters += 1
+        context.intent_count += 1
         # Unique for good: no other process has led with this revision, and in ours the number only grows.
-        name = f"{context.label}.{self.revision}.{context.charters}"
+        name = f"{context.label}.{self.revision}.{context.intent_count}"
         path = f"charter/{name}"
         value = {
             "teams": [list(team) for team in rent.teams],
@@ -388,7 +392,7 @@
             "z": rent.zone,
             "s": rent.spot,
         }
-        self.renting_names.add(name)
+        self.open_intents.add(name)
         try:
             if not self._may():
                 raise StoreUnavailableError("not ours at the moment")
@@ -397,8 +401,8 @@
             )
         except (CompareFailedError, StoreUnavailableError) as why:
             log.debug("charter %s not written: %s", name, why)
-            self.renting_names.discard(name)
-            self.allocator.not_rented(rent, context.now(), no_capacity=False)
+            self.open_intents.discard(name)
+            self.allocator.scale_out_failed(rent, context.now(), no_capacity=False)
             return
         await self._carry_out(name, value, revision, ours=rent)
 
@@ -436,25 +440,25 @@
             )
             now = context.now()
             if ours and names is not None:
-                self.allocator.rented(ours, names, now)
+                self.allocator.scaled_out(ours, names, now)
                 ours = None
             if names:
                 await self._record(rent, names, now)
-            self.undeleted[name] = revision
-            await self._forget_charters()
+            self.finished_intents[name] = revision
+            await self._delete_finished_intents()
         except NotLeaderError:
             # It stands in the state service: we go on with it once our lease is renewed, or whoever comes after us does.
-            self.again[name] = (value, revision)
+            self.interrupted[name] = (value, revision)
             raise
         finally:
             if ours:
-                self.allocator.not_rented(ours, context.now(), refused)
-            self.renting_names.discard(name)
+                self.allocator.scale_out_failed(ours, context.now(), refused)
+            self.open_intents.discard(name)
 
-    async def _forget_charters(self) -> None:
+    async def _delete_finished_intents(self) -> None:
         """Those that are carried out. One left over would be carried out once more by the next holder, and what it had rented be recorded
         again though it was returned long ago."""
-        for name, revision in iterate_live(self.undeleted):
+        for name, revision in iterate_live(self.finished_intents):
             try:
                 await self.context.store.txn(
                     {f"charter/{name}": revision, self.election.path: self.revision},
@@ -467,7 +471,7 @@
             except StoreUnavailableError as why:
                 log.debug("charter %s not removed: %s", name, why)
                 return
-            self.undeleted.pop(name, None)
+            self.finished_intents.pop(name, None)
 
     async def _record(self, rent: ScaleOut, names: list[str], now: float) -> None:
         """One that was quicker than our note of it is recorded already, and in the pool or lent."""
@@ -489,32 +493,30 @@
     def _ours(self, name: str) -> bool:
         """Whether we have set out to rent it ourselves, since this reign began."""
         head, _, number = name.rpartition(".")
-        return (
-            head == f"{self.context.label}.{self.revision}" and int(number) > self.charters_before
-        )
+        return head == f"{self.context.label}.{self.revision}" and int(number) > self.intents_before
 
     async def _settle(self) -> float:
         """What earlier terms set out to rent. All of it is counted as on its way before anything is chosen: machines that a holder before
         had asked for were asked for again. Then the same request again tells what came of it."""
         self._guard_call()
-        await self._forget_charters()
+        await self._delete_finished_intents()
         entries, _ = await self.context.store.under("charter/")
         # Our own may have been written, carried out and removed since this was read: repeated, the cloud names machines again that
         # may have been released meanwhile, and each would be recorded once more.
         left = {e.path.split("/", 1)[1]: (e.value, e.revision) for e in entries}
         left = {
             name: charter for name, charter in left.items() if not self._ours(name)
-        } | self.again
-        self.again.clear()
+        } | self.interrupted
+        self.interrupted.clear()
         left = {
             name: charter
             for name, charter in left.items()
-            if name not in self.undeleted and name not in self.renting_names
+            if name not in self.finished_intents and name not in self.open_intents
         }
         rents = {name: scale_out_of(value) for name, (value, _) in left.items()}
         known = {name: rent for name, rent in rents.items() if rent.type in self.context.catalog}
-        self.allocator.renting_now += known.values()
-        self.renting_names.update(rents)
+        self.allocator.scale_outs += known.values()
+        self.open_intents.update(rents)
         self.election.settled(self.revision)
         for name, (value, revision) in left.items():
             self._spawn(self._carry_out(name, value, revision, known.get(name)))
@@ -525,38 +527,38 @@
     async def _clean(self) -> float:
         """Release what was given up. The answer proves that the machine and all on it are gone."""
         context = self.context
-        doomed = [
+        decommissioned = [
             (e.path.split("/", 1)[1], e.revision)
             for e in context.machines.entries.values()
             if e.value.get("x")
         ]
-        if doomed and context.state_fresh():
-            doomed = doomed[: min(100, context.bounds.ops)]
+        if decommissioned and context.state_fresh():
+            decommissioned = decommissioned[: min(100, context.bounds.ops)]
             self.releasing = True
             try:
-                await context.cloud.release([name for name, _ in doomed], self._guard_call)
+                await context.cloud.release([name for name, _ in decommissioned], self._guard_call)
                 now = context.now()
-                self.released.update((name, now) for name, _ in doomed)
-                await self._write_all({name: (revision, None) for name, revision in doomed})
+                self.released.update((name, now) for name, _ in decommissioned)
+                await self._write_all({name: (revision, None) for name, revision in decommissioned})
             finally:
                 self.releasing = False
-            log.info("released %s", ",".join(name for name, _ in doomed))
-        await self._adopt_strays()
+            log.info("released %s", ",".join(name for name, _ in decommissioned))
+        await self._adopt_unrecorded()
         return max(context.tick_s, 1 / context.shared.cloud.rps)
 
     def hear(self, report: Report, known: bool) -> None:
         """A machine that is lent to nobody reported. `known`: it is recorded, in the pool."""
         now = self.context.now()
         if known:
-            self.pooled[report.berth] = (report, now)
+            self.unassigned[report.berth] = (report, now)
         elif (
-            report.berth not in self.lending
-            and len(self.strays) < 2000
+            report.berth not in self.assigning
+            and len(self.unrecorded_reports) < 2000
             and report.hull in self.context.catalog
             and not self._late(report.berth, now)
         ):
-            _, since = self.strays.get(report.berth, (None, now))
-            self.strays[report.berth] = (report, since)
+            _, since = self.unrecorded_reports.get(report.berth, (None, now))
+            self.unrecorded_reports[report.berth] = (report, since)
 
     def _late(self, name: str, now: float) -> bool:
         """Whether it may be a word of a machine that was released a moment ago."""
@@ -568,15 +570,15 @@
     ) -> dict[str, Any]:
         return {"t": kind, "z": zone, "s": spot, "a": where, "p": shard, "at": round(now, 3)}
 
-    async def _adopt_strays(self) -> None:
+    async def _adopt_unrecorded(self) -> None:
         """What nobody has wanted for a while is recorded all the same: nothing unrecorded is ever returned."""
         now = self.context.now()
         # Adopting waits, and meanwhile a stray may be lent and so recorded: a list made before ended this loop with a KeyError.
-        for name, (report, since) in iterate_live(self.strays):
+        for name, (report, since) in iterate_live(self.unrecorded_reports):
             if self._entry(name) is not None:
-                self.strays.pop(name, None)
+                self.unrecorded_reports.pop(name, None)
             elif now - since > self.allocator.settle_s:
-                self.strays.pop(name, None)
+                self.unrecorded_reports.pop(name, None)
                 await self._adopt(name, report.hull, report.yard, report.loaners, report.address)
 
     async def _adopt(self, name: str, kind: str, zone: str, spot: bool, where: str) -> None:
@@ -603,14 +605,14 @@
         self._guard_call()
         hosts = await context.cloud.hosts()
         now = context.now()
-        rented = {
+        scaled_out = {
             e.path.split("/", 1)[1]: e.value["at"]
             for e in context.machines.entries.values()
             if e.value.get("r")
         }
         self.lag_s = max(
             self.lag_s * 0.9,
-            lag_of([(host.id, host.age_s) for host in hosts], rented, now),
+            lag_of([(host.id, host.age_s) for host in hosts], scaled_out, now),
             context.shared.cloud.list_lag_s,
         )
         sure_s = 3 * self.lag_s
@@ -619,23 +621,23 @@
             entry = self._entry(name)
             if entry and not entry.value.get("x"):
                 log.info("machine %s is not listed any more", name)
-                await self._mark(name, "not listed any more")
+                await self._decommission(name, "not listed any more")
         unrecorded: dict[str, float] = {}
         for host in hosts:
             entry = self._entry(host.id)
             if host.status == "failed":
                 if entry and not entry.value.get("x"):
                     log.info("machine %s failed", host.id)
-                    await self._mark(host.id, "failed")
+                    await self._decommission(host.id, "failed")
             elif entry is None:
                 # A list may be older than what we know: a machine released under an earlier leader still stands in it. One
                 # that we miss a record of for longer than any list lags is really there.
                 since = unrecorded[host.id] = self.unrecorded.get(host.id, asked)
-                if not self.renting_names and now - since > 2 * self.lag_s:
+                if not self.open_intents and now - since > 2 * self.lag_s:
                     await self._adopt(host.id, host.hull, host.yard, host.loaners, host.address)
         self.unrecorded = unrecorded
-        self.pooled = {
-            name: word for name, word in self.pooled.items() if self._entry(name) is not None
+        self.unassigned = {
+            name: word for name, word in self.unassigned.items() if self._entry(name) is not None
         }
         for name, at in list(self.released.items()):
             if now - at > 20 * self.lag_s + 60:
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -236,7 +236,7 @@
     MachinePhase.EXPECTED: "not up yet",
     MachinePhase.UP: "up",
     MachinePhase.LEAVING: "draining",
-    MachinePhase.DOOMED: "given up",
+    MachinePhase.DECOMMISSIONED: "given up",
 }
 
 
@@ -245,19 +245,19 @@
     name = values["key"].split("/", 1)[1]
     record = msgspec.json.decode(to_bytes(values["value"]))
     machine = Machine(name, record, REVISION, machine_type("g4"), NOW)
-    lent = Leader._lent_of(Entry(values["key"], record, REVISION))
+    machine_views = Leader._machine_view(Entry(values["key"], record, REVISION))
     return {
         "type": machine.type,
         "zone": machine.zone,
         "spot": machine.spot,
         "address": machine.address,
-        "rented_at": machine.rented,
+        "rented_at": machine.rented_at,
         "rental_time_known": machine.dated,
         "phase": MACHINE_PHASES[machine.phase],
         "reason": machine.why,
         "session": machine.tenure,
         "images": plain(images_of(record)),
-        "as_leader": plain(tuple(lent)),
+        "as_leader": plain(tuple(machine_views)),
     }
 
 
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -63,26 +63,31 @@
         leader: Any = Leader.__new__(Leader)
         leader.context = context(
             store,
-            charters=0,
+            intent_count=0,
             catalog={"g4": machine_type("g4")},
             machines=replica(machines),
             cloud=SimpleNamespace(release=release),
             state_fresh=lambda: True,
         )
-        leader.revision, leader.charters_before = 41, 0
+        leader.revision, leader.intents_before = 41, 0
         leader.election = SimpleNamespace(
             path="leader", may=lambda now, term: True, settled=lambda term: None
         )
-        leader.allocator = SimpleNamespace(renting_now=[], settle_s=1.0)
-        leader.again, leader.undeleted, leader.released, leader.strays = {}, {}, {}, {}
-        leader.renting_names, leader._spawn = set(), left.append
+        leader.allocator = SimpleNamespace(scale_outs=[], settle_s=1.0)
+        leader.interrupted, leader.finished_intents, leader.released, leader.unrecorded_reports = (
+            {},
+            {},
+            {},
+            {},
+        )
+        leader.open_intents, leader._spawn = set(), left.append
         await leader._settle()
         await leader._clean()
         for carried_out in left:
             carried_out.close()
-        renting = [rent_to_values(rent) for rent in leader.allocator.renting_now]
+        renting = [rent_to_values(rent) for rent in leader.allocator.scale_outs]
         transactions = [body for _, _, body in store.requests]
-        names = sorted(leader.renting_names)
+        names = sorted(leader.open_intents)
         return {
             "renting": renting,
             "names": names,
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -141,32 +141,39 @@
         """What follows the write is not part of the form."""
 
     leader: Any = Leader.__new__(Leader)
-    leader.context, leader.revision, leader.renting_names = context(store, charters=0), 41, set()
+    leader.context, leader.revision, leader.open_intents = context(store, intent_count=0), 41, set()
     leader.election = SimpleNamespace(path="leader", may=lambda now, term: True)
     leader._carry_out = carry_out
     teams = tuple((team, number) for team, number in values["teams"])
-    await leader._rent(ScaleOut(teams, values["type"], values["zone"], values["spot"]))
+    await leader._scale_out(ScaleOut(teams, values["type"], values["zone"], values["spot"]))
 
 
 async def write_machines(store: Store, values: Plain) -> None:
     """Record a rented machine, adopt a stray, lend one of the pool and give one up."""
     leader: Any = Leader.__new__(Leader)
     catalog = {"g4": machine_type("g4")}
-    pool = [[path, value, revision] for path, (value, revision) in store.entries.items()]
-    leader.context = context(store, machines=replica(pool), catalog=catalog)
+    unassigned_machines = [
+        [path, value, revision] for path, (value, revision) in store.entries.items()
+    ]
+    leader.context = context(store, machines=replica(unassigned_machines), catalog=catalog)
     leader.revision, leader.election = 41, SimpleNamespace(path="leader")
-    leader.lending, leader.strays, leader.marking, leader.released = {}, {}, set(), {}
-    leader.lending, leader.lag_s = set(), 1.0
+    leader.assigning, leader.unrecorded_reports, leader.decommissioning, leader.released = (
+        {},
+        {},
+        set(),
+        {},
+    )
+    leader.assigning, leader.lag_s = set(), 1.0
     store.entries["leader"] = (None, 41)
     report = messages.decode_report(to_bytes(values["report"]))
-    leader.pooled = {"vm-1": (report, NOW)}
+    leader.unassigned = {"vm-1": (report, NOW)}
     await leader._record(
         ScaleOut((("red", 1), ("blue", 1)), "g4", "a", True), ["vm-7", "vm-8"], NOW
     )
     await leader._adopt("vm-9", "g4", "b", False, "10.1.0.9:9000")
-    leader.strays = {"vm-6": (report, NOW)}
+    leader.unrecorded_reports = {"vm-6": (report, NOW)}
     await leader._assign({"vm-1": "red", "vm-6": "blue"})
-    await leader._mark("vm-1", "returned")
+    await leader._decommission("vm-1", "returned")
 
 
 async def write_part_changes(store: Store, values: Plain) -> None:
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -50,15 +50,15 @@
 
         async def adopt(name: str, *_: Any) -> None:
             adopted.append(name)
-            leader.strays.pop(
+            leader.unrecorded_reports.pop(
                 "vm-b", None
             )  # lent, and so recorded, while this one was being written
 
         monkeypatch.setattr(leader, "_adopt", adopt)
         report = Report("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
-        leader.strays = dict.fromkeys(("vm-a", "vm-b", "vm-c"), (report, -1e9))
-        await leader._adopt_strays()
-        assert adopted == ["vm-a", "vm-c"] and not leader.strays
+        leader.unrecorded_reports = dict.fromkeys(("vm-a", "vm-b", "vm-c"), (report, -1e9))
+        await leader._adopt_unrecorded()
+        assert adopted == ["vm-a", "vm-c"] and not leader.unrecorded_reports
 
     play(monkeypatch, day)
 
@@ -93,10 +93,10 @@
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
         label, revision = leader.context.label, leader.revision
-        leader.context.charters = leader.charters_before + 5
+        leader.context.intent_count = leader.intents_before + 5
         value = {"teams": [["red", 1]], "t": "g4", "z": "a", "s": False}
         for name in (
-            f"{label}.{revision}.{leader.charters_before + 3}",
+            f"{label}.{revision}.{leader.intents_before + 3}",
             f"{label}.{revision}.0",
             f"n9.{revision}.7",
         ):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -15,7 +15,7 @@
 from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
 from ashdock.core.job import Job, JobPhase, chunk_size
 from ashdock.core.machine import Machine, trimmed
-from ashdock.core.machine_index import Lent
+from ashdock.core.machine_index import MachineView
 from ashdock.core.quota import Usage, can_ever, guaranteed
 from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard import Shard
@@ -369,36 +369,43 @@
     return ResourceRequest(**usual | more)
 
 
-def lent(name: str, shard: str, zone: str = "a", spot: bool = False) -> Lent:
-    return Lent(name, shard, "g4", zone, spot, 5, "")
+def machine_views(name: str, shard: str, zone: str = "a", spot: bool = False) -> MachineView:
+    return MachineView(name, shard, "g4", zone, spot, 5, "")
 
 
 LEADER = [  # machines, red's wants, blue's empty and busy machines, how many of them beyond its guarantee -> decisions
     ([], [request()], [], [], 0, [ScaleOut]),
-    ([lent("m1", "")], [request()], [], [], 0, [AssignMachine]),
-    ([lent("m1", "blue")], [request()], [("m1", 1.0)], [], 0, [AssignMachine]),
-    ([lent("m1", "blue", "b")], [request(zone="a")], [("m1", 1.0)], [], 0, [ScaleOut]),
-    ([lent("m1", "blue")], [], [("m1", 99.0)], [], 0, [AssignMachine]),
-    ([lent("m1", "", spot=True)], [request(spot=False)], [], [], 0, [ScaleOut]),
+    ([machine_views("m1", "")], [request()], [], [], 0, [AssignMachine]),
+    ([machine_views("m1", "blue")], [request()], [("m1", 1.0)], [], 0, [AssignMachine]),
+    ([machine_views("m1", "blue", "b")], [request(zone="a")], [("m1", 1.0)], [], 0, [ScaleOut]),
+    ([machine_views("m1", "blue")], [], [("m1", 99.0)], [], 0, [AssignMachine]),
+    ([machine_views("m1", "", spot=True)], [request(spot=False)], [], [], 0, [ScaleOut]),
     ([], [], [], [], 0, []),
-    ([lent("m1", "")], [], [], [], 0, [ScaleIn]),
+    ([machine_views("m1", "")], [], [], [], 0, [ScaleIn]),
     # Work beyond a guarantee gives way to a team's guarantee, whatever its priority; otherwise only to higher priority.
-    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 3, 50.0)], 1, [Reclaim]),
+    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 3, 50.0)], 1, [Reclaim]),
     (
-        [lent("m1", "blue")],
+        [machine_views("m1", "blue")],
         [request(guaranteed=False)],
         [],
         [BusyMachine("m1", 1, 0.0)],
         1,
         [ScaleOut],
     ),
-    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 1, 0.0)], 0, [ScaleOut]),
-    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 5.0)], 0, [Reclaim]),
-    ([lent("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 7.0)], 0, [ScaleOut]),
-    ([lent("m1", "blue")], [request(slack_s=60.0)], [], [BusyMachine("m1", 0, 5.0)], 0, [ScaleOut]),
+    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 1, 0.0)], 0, [ScaleOut]),
+    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 5.0)], 0, [Reclaim]),
+    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 7.0)], 0, [ScaleOut]),
+    (
+        [machine_views("m1", "blue")],
+        [request(slack_s=60.0)],
+        [],
+        [BusyMachine("m1", 0, 5.0)],
+        0,
+        [ScaleOut],
+    ),
     # A hot team's urgent work, beyond its guarantee, stops nothing that another runs within its own.
     (
-        [lent("m1", "blue")],
+        [machine_views("m1", "blue")],
         [request(guaranteed=False, priority=2)],
         [],
         [BusyMachine("m1", 0, 1.0)],
@@ -406,7 +413,7 @@
         [ScaleOut],
     ),
     (
-        [lent("m1", "blue")],
+        [machine_views("m1", "blue")],
         [request(guaranteed=False, priority=2)],
         [],
         [BusyMachine("m1", 0, 1.0)],
@@ -415,7 +422,7 @@
     ),
     # A guarantee is regained only as far as the other is beyond its own.
     (
-        [lent(f"m{n}", "blue") for n in range(9)],
+        [machine_views(f"m{n}", "blue") for n in range(9)],
         [request(tasks=12)],
         [],
         [BusyMachine(f"m{n}", 3, 50.0) for n in range(9)],
@@ -424,14 +431,14 @@
     ),
     # What was promised nothing takes cheap machines that stand empty, and leaves the dear ones.
     (
-        [lent("m1", "", spot=True)],
+        [machine_views("m1", "", spot=True)],
         [request(idle=True, guaranteed=False)],
         [],
         [],
         0,
         [AssignMachine],
     ),
-    ([lent("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [ScaleOut]),
+    ([machine_views("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [ScaleOut]),
 ]
 
 
@@ -439,7 +446,7 @@
     ("machines", "resource_requests", "idle", "busy", "beyond", "kinds"), LEADER
 )
 def test_the_leader_chooses(
-    machines: list[Lent],
+    machines: list[MachineView],
     resource_requests: list[ResourceRequest],
     idle: list[tuple[str, float]],
     busy: list[BusyMachine],
@@ -539,7 +546,7 @@
             d for d in allocator.decide([], shard_statuses, float(now)) if isinstance(d, ScaleOut)
         ]:
             asked.append(rent)
-            allocator.not_rented(rent, float(now), no_capacity=True)
+            allocator.scale_out_failed(rent, float(now), no_capacity=True)
     assert sorted({rent.spot for rent in asked}, reverse=True) == kinds
     assert not idle or sum(rent.number for rent in asked if not rent.spot) <= (
         1 if not machines else 0
@@ -661,7 +668,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "rented", "lag"),
+    ("listed", "scaled_out", "lag"),
     [
         ([], {}, 0.0),
         ([("a", 10.0)], {"a": 80.0}, 10.0),
@@ -670,10 +677,10 @@
     ],
 )
 def test_how_old_a_list_is(
-    listed: list[tuple[str, float]], rented: dict[str, float], lag: float
+    listed: list[tuple[str, float]], scaled_out: dict[str, float], lag: float
 ) -> None:
     """A list that lagged several times more than usual showed live machines to be gone, and gone ones to be there."""
-    assert lag_of(listed, rented, 100.0) == lag
+    assert lag_of(listed, scaled_out, 100.0) == lag
 
 
 def test_a_machine_that_never_comes_up_is_given_up_whoever_owns_it() -> None:
@@ -863,7 +870,7 @@
         "red": ShardStatus("red", 9, [ours], [], [], 0, 0, 0),
         "blue": ShardStatus("blue", 9, theirs, [], [BusyMachine("m1", 1, 5.0)], 1, 0, 0),
     }
-    decisions = allocator.decide([lent("m1", "blue")], shard_statuses, 50.0)
+    decisions = allocator.decide([machine_views("m1", "blue")], shard_statuses, 50.0)
     assert [(d.shard, d.to, d.number) for d in decisions if isinstance(d, Rebalance)] == rebalances
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -276,10 +276,10 @@
             await controller.cloud.rent("late", "g4", "a", False, 1, leader._guard_call)
         with pytest.raises(NotLeaderError):
             leader._guard_call()
-        leader._spawn(leader._rent(rent := ScaleOut((("red", 1),), "g4", "a", False)))
-        leader.allocator.renting_now.append(rent)
+        leader._spawn(leader._scale_out(rent := ScaleOut((("red", 1),), "g4", "a", False)))
+        leader.allocator.scale_outs.append(rent)
         await asyncio.sleep(0.01)
-        assert len(service.world.charters) == calls and rent not in leader.allocator.renting_now
+        assert len(service.world.charters) == calls and rent not in leader.allocator.scale_outs
         # Renewed in time, it goes on in its term; replaced, what it still writes fails by the condition.
         assert await leading(service) == first and election.term == before
         service.state.keys["leader"] = (
@@ -365,8 +365,8 @@
         for _ in range(3):
             await asyncio.sleep(4)
             service.crash(await leading(service), 0.3)
-        charters = [path for path in service.state.keys if path.startswith("charter/")]
-        assert charters
+        intent_count = [path for path in service.state.keys if path.startswith("charter/")]
+        assert intent_count
         service.world.down = False
         await all_over(service)
         # Each asked for once more under its own name, and nothing beside it that they already bring.
@@ -433,8 +433,8 @@
         )
         leader = service.controllers[await leading(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
-        leader.allocator.vacating(other.leaving(), leader.context.now())
-        assert leader.allocator.recalling[name][0] == "blue"
+        leader.allocator.note_reclaims(other.leaving(), leader.context.now())
+        assert leader.allocator.reclaiming[name][0] == "blue"
         assert await service.until_final(["req-000001"], 120) == []
 
     play(monkeypatch, 67, day)
--- a/tests/test_machine_index.py
+++ b/tests/test_machine_index.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from ashdock.core.machine_index import Kind, Lent, MachineIndex
+from ashdock.core.machine_index import MachineClass, MachineIndex, MachineView
 
 MACHINE = some.tuples(
     some.sampled_from(["", "red", "blue"]),
@@ -37,17 +37,17 @@
         (
             (float(preemption_cost), 0.0),
             priority,
-            Lent(f"m{n:02}", shard, "g4", zone, spot, 1, "", images),
+            MachineView(f"m{n:02}", shard, "g4", zone, spot, 1, "", images),
         )
         for n, (shard, zone, spot, priority, preemption_cost, images) in enumerate(machines)
     ]
     stock, left = MachineIndex(rows), {machine.name: (key, machine) for key, _, machine in rows}
     for zone, image, most, by, number in resource_requests:
 
-        def suits(kind: Kind) -> bool:
+        def suits(kind: MachineClass) -> bool:
             return zone in ("", kind.zone) and kind.shard != by
 
-        def limit(kind: Kind) -> float:
+        def limit(kind: MachineClass) -> float:
             return most if kind.shard else math.inf
 
         fitting = sorted(
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -358,33 +358,35 @@
         assert leader is not None
         process_started: list[list[str]] = []
 
-        async def write(lend: dict[str, str]) -> None:
-            process_started.append(sorted(lend))
+        async def write(assignments: dict[str, str]) -> None:
+            process_started.append(sorted(assignments))
             await asyncio.sleep(5.0)
 
         inner = leader._assign_now
         monkeypatch.setattr(leader, "_assign_now", write)
         report = Report("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         names = [f"vm-9{n:05d}" for n in range(1000)]
-        leader.strays = {
+        leader.unrecorded_reports = {
             name: (msgspec.structs.replace(report, berth=name), service.now()) for name in names
         }
         most = int(LOANS_S * leader.context.store.all.writes)  # shares of it come and go
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
         while not process_started:
             await asyncio.sleep(0.1)
-        lent = set(process_started[0])
-        assert 0 < len(lent) <= most
-        for name in lent:
-            leader.strays.pop(name, None)
+        machine_views = set(process_started[0])
+        assert 0 < len(machine_views) <= most
+        for name in machine_views:
+            leader.unrecorded_reports.pop(name, None)
             leader.hear(
                 msgspec.structs.replace(report, berth=name), known=False
             )  # it goes on reporting meanwhile
-        assert not lent & set(leader.strays)
+        assert not machine_views & set(leader.unrecorded_reports)
         await asyncio.sleep(3.0)
         assert len(process_started) == 1
-        assert not (set(names) - lent) & set(leader.allocator.coming)  # the rest stays to be lent
-        leader.strays.clear()
+        assert not (set(names) - machine_views) & set(
+            leader.allocator.coming
+        )  # the rest stays to be lent
+        leader.unrecorded_reports.clear()
         monkeypatch.setattr(leader, "_assign_now", inner)
         assert not await service.until_final(["req-000001"], 90)
 
