--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -11,7 +11,7 @@
 import logging
 from typing import Protocol
 
-from ashdock.core.bounds import Bounds
+from ashdock.core.write_limits import WriteLimits
 from ashdock.net.store import StoreClient
 from ashdock.settings import Other
 
@@ -30,7 +30,7 @@
     label: str
     others: list[Other]
     ttl_s: float
-    bounds: Bounds
+    write_limits: WriteLimits
     store: StoreClient
 
 
@@ -47,7 +47,7 @@
 
     @property
     def supports_dependencies(self) -> bool:
-        return self.context.bounds.agreed
+        return self.context.write_limits.agreed
 
     @property
     def fences_commands(self) -> bool:
@@ -103,9 +103,9 @@
     def _agree(self, forms: int, why: str) -> None:
         """In force from here on, in this process; the others find the mark when they look next."""
         context = self.context
-        if forms >= 2 and not context.bounds.agreed:
-            context.bounds.agree()
-            context.store.keep_within()
+        if forms >= 2 and not context.write_limits.agreed:
+            context.write_limits.agree()
+            context.store.apply_write_limits()
         if forms > self.forms:
             self.forms = forms
             if forms >= CURRENT_FORMS:
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -14,10 +14,10 @@
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.cluster_version import ClusterVersion
-from ashdock.core.bounds import Bounds
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
 from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.election.fencing import TermFence
@@ -27,10 +27,10 @@
 from ashdock.leader import Leader
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
-from ashdock.net.budget import Demand
 from ashdock.net.cloud import CloudClient, CloudTrouble
 from ashdock.net.http import Answer, Server
 from ashdock.net.mesh import Mesh
+from ashdock.net.rate_limiter import Demand
 from ashdock.net.store import (
     CompareFailedError,
     LeaseLostError,
@@ -79,7 +79,7 @@
         self.ttl_s = max(self.workers.lease_s / 6, 1.0)
         self.tick_s = min(self.workers.report_s / 4, self.ttl_s / 8)
         self.gather_s = self.tick_s / 16
-        self.bounds = Bounds(self.shared.state)
+        self.write_limits = WriteLimits(self.shared.state)
         self.cluster_version = ClusterVersion(self)
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
@@ -87,7 +87,7 @@
         self.store = StoreClient(
             *address(settings.outside.state, "outside.state"),
             self.shared,
-            self.bounds,
+            self.write_limits,
             places[Use.STATE],
             weights,
         )
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -14,7 +14,6 @@
 from typing import Any
 
 from ashdock.core import park as parking
-from ashdock.core.bounds import Bounds
 from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.estimates import Estimates
 from ashdock.core.heartbeat_reconciler import HeartbeatReconciler
@@ -26,6 +25,7 @@
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
+from ashdock.core.write_limits import WriteLimits
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
 from ashdock.wire.messages import (
@@ -54,7 +54,7 @@
         operators: Operators,
         catalog: dict[str, MachineType],
         rng: random.Random,
-        bounds: Bounds | None = None,
+        write_limits: WriteLimits | None = None,
     ) -> None:
         self.team = team
         self.name = team.name
@@ -68,8 +68,8 @@
         self.machines: dict[str, Machine] = {}
         self.usage = Usage(team)
         self.policy = SchedulingPolicy(team, shared, catalog)
-        self.bounds = bounds or Bounds(shared.state)
-        self.parks = parking.Parks(team.name, self.bounds.value_bytes)
+        self.write_limits = write_limits or WriteLimits(shared.state)
+        self.parks = parking.Parks(team.name, self.write_limits.value_bytes)
         self.chunk_tasks = chunk_size(
             shared.state.value_kb
         )  # as the versions before had it, whatever the limits come to be
@@ -177,7 +177,11 @@
         known = self.jobs.get(spec.id)
         if known:
             return known
-        width = min(self.chunk_tasks, self.bounds.width) if self.bounds.agreed else self.chunk_tasks
+        width = (
+            min(self.chunk_tasks, self.write_limits.width)
+            if self.write_limits.agreed
+            else self.chunk_tasks
+        )
         job = Job(spec, record["at"], revision, width, self.chunk_tasks)
         job.listener = self.writer.touched
         self.stale = True
@@ -193,7 +197,7 @@
 
     def _over(self, job: Job, now: float) -> None:
         self.classes.done(job.id, now)
-        job.over(now if self.bounds.agreed else None)
+        job.over(now if self.write_limits.agreed else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
         shape = self.catalog.get(value["t"])
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from ashdock.core.bounds import Bounds
 from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.job import Chunk, Job, JobPhase, fitting
 from ashdock.core.machine import Machine, MachinePhase, trimmed
 from ashdock.core.park import Parks
 from ashdock.core.quota import guaranteed
 from ashdock.core.task import Phase, Placement
+from ashdock.core.write_limits import WriteLimits
 from ashdock.settings import Shared, Team
 
 log = logging.getLogger("ashdock.shard")
@@ -57,7 +57,7 @@
     revision: int
     clock: float
     shared: Shared
-    bounds: Bounds
+    write_limits: WriteLimits
     chunk_tasks: int
     jobs: dict[str, Job]
     machines: dict[str, Machine]
@@ -97,11 +97,12 @@
             max(
                 4,
                 min(
-                    shard.bounds.ops, int(min(shard.bounds.write_rps / shard.shared.size, a_second))
+                    shard.write_limits.ops,
+                    int(min(shard.write_limits.write_rps / shard.shared.size, a_second)),
                 ),
             )
         )
-        shard.parks.fit(shard.bounds.value_bytes)
+        shard.parks.fit(shard.write_limits.value_bytes)
         whole = txn.ops
         if self.changing:
             # A hot team's own starts filled each transaction, and the machines that it was to pass on stood empty, thirty at a time: none ran
@@ -118,7 +119,7 @@
             else:
                 later.append(job)
         for n, value in shard.parks.writes() if shard.parks.dirty else ():
-            size = shard.bounds.value_bytes
+            size = shard.write_limits.value_bytes
             if txn.room(1, size):
                 revision = shard.parks.revisions[n] if n < len(shard.parks.revisions) else 0
                 txn.put(shard.parks.path(n), value, revision)
@@ -184,13 +185,15 @@
             # A gang is placed whole or not at all, so its chunks go together. Where one transaction does not take them all
             # they go one after the other, and no start before the last; a takeover in between takes the attempt down.
             size = sum(len(value) + 120 for _, value in dirty)
-            if (len(dirty) <= txn.ops or not self.shard.bounds.agreed) and not txn.room(
+            if (len(dirty) <= txn.ops or not self.shard.write_limits.agreed) and not txn.room(
                 len(dirty), size
             ):
                 return False
         for chunk, value in dirty:
             size = len(value) + 120
-            if (job.spec.kind != "gang" or self.shard.bounds.agreed) and not txn.room(1, size):
+            if (job.spec.kind != "gang" or self.shard.write_limits.agreed) and not txn.room(
+                1, size
+            ):
                 return False
             txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
             txn.when[job.job_path] = job.revision
@@ -212,7 +215,7 @@
         if job.reason_gen > job.reason_durable and job.active:
             record = job.record()
             size = 2 * len(msgspec.json.encode(record))
-            if size > 2 * self.shard.bounds.value_bytes:
+            if size > 2 * self.shard.write_limits.value_bytes:
                 job.reason_durable = (
                     job.reason_gen
                 )  # too large as it was submitted: told by its owner's log alone
@@ -237,16 +240,16 @@
             ]
             largest = max((len(value) for _, value in dirty), default=0)
             if (
-                largest <= self.shard.bounds.value_bytes
+                largest <= self.shard.write_limits.value_bytes
                 or job.chunk_tasks == 1
-                or not self.shard.bounds.agreed
+                or not self.shard.write_limits.agreed
             ):
                 return dirty
             job.narrow(
                 max(
                     1,
                     min(
-                        job.chunk_tasks * self.shard.bounds.value_bytes // largest,
+                        job.chunk_tasks * self.shard.write_limits.value_bytes // largest,
                         job.chunk_tasks * 3 // 4,
                     ),
                 )
@@ -264,7 +267,7 @@
         ]
         chunks += [(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()]
         together, later = chunks[: txn.ops - 4], chunks[txn.ops - 4 :]
-        record = fitting(job.record(), self.shard.bounds.value_bytes)
+        record = fitting(job.record(), self.shard.write_limits.value_bytes)
         size = 100 * (len(together) + 2) + len(msgspec.json.encode(record))
         if not txn.room(len(together) + 2, size):
             return False
@@ -287,7 +290,7 @@
         to = machine.to if moves and machine.to is not None else self.shard.name
         txn.put(
             f"machine/{machine.name}",
-            trimmed(machine.value(to), self.shard.bounds.value_bytes),
+            trimmed(machine.value(to), self.shard.write_limits.value_bytes),
             machine.revision,
         )
         txn.bytes += 300
--- a/ashdock/core/bounds.py
+++ b/ashdock/core/write_limits.py
@@ -16,7 +16,7 @@
 TYPICAL_BYTES = 28
 
 
-class Bounds:
+class WriteLimits:
     def __init__(self, limits: StateLimits) -> None:
         self.limits = limits
         self.agreed = False  # every controller is known to understand the new forms
--- a/ashdock/fairness/line.py
+++ b/ashdock/fairness/line.py
@@ -1,7 +1,7 @@
 """A line in which each team has its turn, however many stand there for one of them.
 
 Start-time fair queueing (Goyal, Vin, Cheng, "Start-time Fair Queuing", 1996): what comes is stamped with the moment of a virtual clock at
-which it would begin to be served, were all that stand in line served side by side, each team at its weight; the lowest revision goes first.
+which it would begin to be served, were all that stand in line served side by side, each team at its weight; the lowest start time goes first.
 A team that asks for nothing leaves its share to the others; when it comes back its first request is stamped with the present, and so goes
 before all that the others have asked for in advance. Nobody saves up what he has not used.
 """
@@ -18,7 +18,7 @@
 class Waiting(NamedTuple, Generic[Item]):
     start: float  # on the virtual clock
     amount: float
-    whose: str
+    team: str
     item: Item
 
 
@@ -40,13 +40,13 @@
     def __iter__(self) -> Iterator[Waiting[Item]]:
         return (waiting for queue in self.queues.values() for waiting in queue)
 
-    def _start(self, whose: str) -> float:
-        return max(self.clock, self.served_to.get(whose, 0.0))
+    def _start(self, team: str) -> float:
+        return max(self.clock, self.served_to.get(team, 0.0))
 
-    def add(self, amount: float, item: Item, whose: str = "") -> None:
-        start = self._start(whose)
-        self.served_to[whose] = start + amount / self.weights.get(whose, 1.0)
-        self.queues.setdefault(whose, deque()).append(Waiting(start, amount, whose, item))
+    def add(self, amount: float, item: Item, team: str = "") -> None:
+        start = self._start(team)
+        self.served_to[team] = start + amount / self.weights.get(team, 1.0)
+        self.queues.setdefault(team, deque()).append(Waiting(start, amount, team, item))
 
     def first(self) -> Waiting[Item]:
         """Who is served next. Raises ValueError where nobody waits."""
@@ -54,20 +54,20 @@
 
     def leave(self, waiting: Waiting[Item]) -> None:
         """The first of its team goes, served or not."""
-        queue = self.queues[waiting.whose]
+        queue = self.queues[waiting.team]
         queue.popleft()
         self.clock = max(self.clock, waiting.start)
         if not queue:
-            del self.queues[waiting.whose]
+            del self.queues[waiting.team]
             self.served_to = {
-                whose: to
-                for whose, to in self.served_to.items()
-                if to > self.clock or whose in self.queues
+                team: to
+                for team, to in self.served_to.items()
+                if to > self.clock or team in self.queues
             }
         if not self.queues:
             self.served_to.clear()
 
-    def ahead_of(self, whose: str) -> list[Waiting[Item]]:
+    def ahead_of(self, team: str) -> list[Waiting[Item]]:
         """What would be served before one who came now."""
-        start = self._start(whose)
+        start = self._start(team)
         return [waiting for waiting in self if waiting.start <= start]
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -13,13 +13,13 @@
 from ashdock.admission.control import Admission, Refusal
 from ashdock.admission.shares import Use
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
-from ashdock.core.bounds import Bounds
 from ashdock.core.job import fitting, job_record, spec_of_record
 from ashdock.core.machine import capacity
 from ashdock.core.quota import can_ever
-from ashdock.net.budget import Turn
+from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Answer, Request
 from ashdock.net.mesh import Mesh
+from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import (
     CompareFailedError,
     Entry,
@@ -94,7 +94,7 @@
     shared: Shared
     workers: Workers
     ttl_s: float
-    bounds: Bounds
+    write_limits: WriteLimits
     admission: Admission
     catalog: dict[str, messages.MachineType]
     store: StoreClient
@@ -195,10 +195,10 @@
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
         writes = context.store.writes
         refusal_now = context.admission.submission(
-            writes.behind_s(Turn.USER, spec.team),
+            writes.backlog_s(RequestPriority.USER, spec.team),
             time.monotonic(),
             spec.team,
-            writes.each_s(2, Turn.USER, spec.team),
+            writes.each_s(2, RequestPriority.USER, spec.team),
         )
         if refusal_now:
             return refused(refusal_now)
@@ -208,11 +208,11 @@
         never = self.never(spec)
         if never:
             refusal = error(422, never)
-        elif len(messages.encode(record)) + RECORD_GROWS > context.bounds.declared_bytes:
+        elif len(messages.encode(record)) + RECORD_GROWS > context.write_limits.declared_bytes:
             refusal = error(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
-        elif spec.needs and not context.bounds.agreed:
+        elif spec.needs and not context.write_limits.agreed:
             # A controller of the version before may own the shard, now or soon, and would start the job at once.
             refusal = error(
                 503, "jobs that need others are taken once every controller has the new version", 1
@@ -230,7 +230,9 @@
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
             revision = await self._bounded(
-                context.store.txn({path: 0}, accepted, turn=Turn.USER, whose=spec.team)
+                context.store.txn(
+                    {path: 0}, accepted, priority=RequestPriority.USER, team=spec.team
+                )
             )
         except CompareFailedError:
             try:
@@ -348,7 +350,7 @@
                     "status": "withdrawn",
                     "cancelled_at": round(context.now(), 3),
                 }
-                record = fitting(record, context.bounds.value_bytes)
+                record = fitting(record, context.write_limits.value_bytes)
                 path = entry.path
                 team = spec_of_record(record).team
                 head = f"work/{team}/{job_id}/job"
@@ -357,8 +359,8 @@
                     context.store.txn(
                         {path: entry.revision},
                         {path: record, head: record},
-                        turn=Turn.USER,
-                        whose=team,
+                        priority=RequestPriority.USER,
+                        team=team,
                     )
                 )
                 log.info("job %s withdrawn", job_id)
@@ -402,7 +404,7 @@
         # Only readers who come before the request is sent share it: an answer on its way may be too old.
         await asyncio.sleep(0)
         self.reads.pop(job_id, None)
-        return await self.context.store.get(f"job/{job_id}", turn=Turn.USER)
+        return await self.context.store.get(f"job/{job_id}", priority=RequestPriority.USER)
 
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """A record of it came by."""
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -10,14 +10,14 @@
 from ashdock.admission.processor import CHOOSING, pause_s
 from ashdock.concurrency import iterate_live
 from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
-from ashdock.core.bounds import Bounds
 from ashdock.core.machine import images_of, trimmed
 from ashdock.core.machine_index import MachineView
 from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.fencing import NotLeaderError
-from ashdock.net.budget import Turn
 from ashdock.net.cloud import CloudClient, CloudTrouble, NoCapacity
+from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import (
     CompareFailedError,
     Entry,
@@ -71,7 +71,7 @@
     workers: Workers
     tick_s: float
     intent_count: int
-    bounds: Bounds
+    write_limits: WriteLimits
     catalog: dict[str, MachineType]
     store: StoreClient
     cloud: CloudClient
@@ -278,14 +278,16 @@
         names = list(records)
         written: list[str] = []
         while names:
-            most = max(1, min(self.context.bounds.ops, int(self.context.store.writes.per_s / 2)))
+            most = max(
+                1, min(self.context.write_limits.ops, int(self.context.store.writes.per_s / 2))
+            )
             written += await self._write_some({name: records[name] for name in names[:most]})
             names = names[most:]
         return written
 
     async def _write_some(self, records: dict[str, tuple[int, dict[str, Any] | None]]) -> list[str]:
         store = self.context.store
-        most = self.context.bounds.value_bytes
+        most = self.context.write_limits.value_bytes
         left = {
             name: (revision, value and trimmed(value, most))
             for name, (revision, value) in records.items()
@@ -463,7 +465,7 @@
                 await self.context.store.txn(
                     {f"charter/{name}": revision, self.election.path: self.revision},
                     {f"charter/{name}": None},
-                    turn=Turn.PATIENT,
+                    priority=RequestPriority.BACKGROUND,
                 )
             except CompareFailedError as why:
                 if self.election.path in why.failed:
@@ -533,7 +535,7 @@
             if e.value.get("x")
         ]
         if decommissioned and context.state_fresh():
-            decommissioned = decommissioned[: min(100, context.bounds.ops)]
+            decommissioned = decommissioned[: min(100, context.write_limits.ops)]
             self.releasing = True
             try:
                 await context.cloud.release([name for name, _ in decommissioned], self._guard_call)
--- a/ashdock/machine_type_catalog.py
+++ b/ashdock/machine_type_catalog.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ashdock.core.bounds import Bounds
-from ashdock.net.budget import Turn
+from ashdock.core.write_limits import WriteLimits
 from ashdock.net.cloud import CloudClient, CloudTrouble
+from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import StoreClient
 from ashdock.wire.messages import MachineType
 
@@ -19,7 +19,7 @@
     """What of its controller this uses, and no more."""
 
     tick_s: float
-    bounds: Bounds
+    write_limits: WriteLimits
     cloud: CloudClient
     store: StoreClient
     catalog: dict[str, MachineType]
@@ -43,18 +43,20 @@
                 for entry in entries:
                     context.catalog.update(msgspec.convert(entry.value, dict[str, MachineType]))
             return context.tick_s * 4
-        if context.leader or not await context.store.get("catalog", turn=Turn.PATIENT):
+        if context.leader or not await context.store.get(
+            "catalog", priority=RequestPriority.BACKGROUND
+        ):
             for path, value in self.values().items():
                 # Without a condition: whoever wrote them last, and however late, they are the cloud's.
-                await context.store.txn({}, {path: value}, turn=Turn.PATIENT)
+                await context.store.txn({}, {path: value}, priority=RequestPriority.BACKGROUND)
         return LEARN_S
 
     def values(self) -> dict[str, Any]:
         """One value, as long as the state service takes it; beyond that as many as they need."""
         shapes = msgspec.to_builtins(self.context.catalog)
         if (
-            not self.context.bounds.agreed
-            or len(msgspec.json.encode(shapes)) <= self.context.bounds.value_bytes
+            not self.context.write_limits.agreed
+            or len(msgspec.json.encode(shapes)) <= self.context.write_limits.value_bytes
         ):
             return {"catalog": shapes}
         return {f"catalog/{label}": {label: shape} for label, shape in shapes.items()}
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -104,7 +104,7 @@
         if context.cluster_version.supports_dependencies:
             when[life] = kept.revision if kept else 0
             writes[life] = msgspec.to_builtins(record)
-        revision = await store.txn(when, writes, hold=hold, stays=(life,))
+        revision = await store.txn(when, writes, hold=hold, unleased=(life,))
         context.members.wrote(path, writes[path], revision)
         self.hold = hold  # only now: a hold without our name on it would make us no member
         self.fit = fit
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ashdock.net.budget import Budget, Turn
 from ashdock.net.http import Client, NoAnswer
+from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Shared
 from ashdock.wire.messages import Catalog, Host, Hosts, MachineType, Rented
 
@@ -36,7 +36,7 @@
     def __init__(self, host: str, port: int, shared: Shared, most: int = 0) -> None:
         self.client = Client(host, port, keep=4, most=most)
         # Mostly the leader alone calls; the rest of the limit is left to one that has not heard yet that it is none.
-        self.budget = Budget(shared.cloud.rps * 0.8, burst_s=1.0)
+        self.rate_limiter = RateLimiter(shared.cloud.rps * 0.8, burst_s=1.0)
         self.timeout = shared.workers.lease_s / 2
 
     async def _call(
@@ -44,11 +44,11 @@
         method: str,
         target: str,
         body: bytes = b"",
-        turn: Turn = Turn.WORK,
+        priority: RequestPriority = RequestPriority.NORMAL,
         guard: Callable[[], None] | None = None,
     ) -> tuple[int, bytes]:
         """`guard` raises if the call is no longer ours to make: asked last, since a turn may be long in coming."""
-        await self.budget.wait(1, turn)
+        await self.rate_limiter.wait(1, priority)
         if guard is not None:
             guard()
         try:
@@ -102,7 +102,7 @@
         after = ""
         while True:
             status, answer = await self._call(
-                "GET", f"/hosts?from={quote(after)}&most=500", turn=Turn.PATIENT
+                "GET", f"/hosts?from={quote(after)}&most=500", priority=RequestPriority.BACKGROUND
             )
             if status != 200:
                 raise CloudTrouble(f"status {status}", False)
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -33,7 +33,7 @@
     """A request that has come, whether another may follow it on its connection, and what of that one is here already."""
 
     request: Request
-    stays: bool
+    unleased: bool
     ahead: bytes
 
 
@@ -235,10 +235,10 @@
             return None
         answer = await self._answer(request)
         # Whose connections have outgrown their share is told to close it together with the answer: no request is on its way then.
-        stays = self.connections.answered(writer, time.monotonic()) and received.stays
-        writer.write(message(answer, close=not stays, body=request.method != "HEAD"))
+        unleased = self.connections.answered(writer, time.monotonic()) and received.unleased
+        writer.write(message(answer, close=not unleased, body=request.method != "HEAD"))
         await writer.drain()
-        return received.ahead if stays else None
+        return received.ahead if unleased else None
 
     @staticmethod
     async def _last(writer: asyncio.StreamWriter, answer: Answer) -> None:
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -21,16 +21,23 @@
 from ashdock.election.election import Election
 from ashdock.election.fencing import TermFence
 from ashdock.membership import Membership
-from ashdock.net.budget import Turn
 from ashdock.net.cloud import CloudClient
 from ashdock.net.http import Server
 from ashdock.net.mesh import Mesh
+from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
 from ashdock.timelines import FailoverTimeline, StartupTimeline
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
+# The words of the label `turn`, which others read.
+PRIORITY_LABELS = {
+    RequestPriority.USER: "user",
+    RequestPriority.NORMAL: "work",
+    RequestPriority.BACKGROUND: "patient",
+}
+
 
 class Owning(Protocol):
     shard: Shard | None
@@ -285,8 +292,8 @@
             "how long what waits to be written will take",
             labels=["turn"],
         )
-        for turn in Turn:
-            behind.add_metric([turn.name.lower()], context.store.writes.behind_s(turn))
+        for priority in RequestPriority:
+            behind.add_metric([PRIORITY_LABELS[priority]], context.store.writes.backlog_s(priority))
         yield from (sockets, shares, ended, refused, short, behind)
         yield GaugeMetricFamily(
             "ashdock_processor_late_seconds",
--- a/ashdock/net/budget.py
+++ b/ashdock/net/rate_limiter.py
@@ -11,18 +11,18 @@
 from ashdock.fairness.line import FairLine
 
 
-class Turn(IntEnum):
+class RequestPriority(IntEnum):
     """Who goes first. A quarter goes to the next line all the same, by amount, so that none waits for ever. By number of
     turns, an array's transactions of twenty writes took most of it while users' submissions of two were refused."""
 
     USER = 0  # somebody waits for the answer
-    WORK = 1  # starts, outcomes and machines
-    PATIENT = 2  # what only tidies up
+    NORMAL = 1  # starts, outcomes and machines
+    BACKGROUND = 2  # what only tidies up
 
 
 # How much what is asked counts when the controllers divide a service's limit: where an accept or a start is to be written
 # goes before where the most is.
-WEIGHT = {Turn.USER: 4.0, Turn.WORK: 1.0, Turn.PATIENT: 0.25}
+WEIGHT = {RequestPriority.USER: 4.0, RequestPriority.NORMAL: 1.0, RequestPriority.BACKGROUND: 0.25}
 
 
 class Demand(NamedTuple):
@@ -32,7 +32,7 @@
     writes: float = 0.0
 
 
-class Budget:
+class RateLimiter:
     """A bucket that holds `burst_s` seconds' worth, granted in turn, and within a line by team. What can wait leaves a reserve."""
 
     def __init__(
@@ -48,11 +48,11 @@
         self.left = self.most
         self.used = 0.0  # granted of late, fading by the second
         self.at = time.monotonic()
-        self.lines: dict[Turn, FairLine[asyncio.Future[None]]] = {
-            turn: FairLine(weights) for turn in Turn
+        self.lines: dict[RequestPriority, FairLine[asyncio.Future[None]]] = {
+            priority: FairLine(weights) for priority in RequestPriority
         }
         self.passed = dict.fromkeys(
-            Turn, 0.0
+            RequestPriority, 0.0
         )  # how much has gone past those of a line since its last turn
         self.pump: asyncio.Task[None] | None = None
 
@@ -67,14 +67,16 @@
         self.used *= 0.5 ** (past / 2)
         self.at = now
 
-    def take(self, amount: float = 1.0, turn: Turn = Turn.WORK) -> float:
+    def take(
+        self, amount: float = 1.0, priority: RequestPriority = RequestPriority.NORMAL
+    ) -> float:
         """0 if taken, else the seconds to wait before asking again."""
         self._refill()
-        floor = self.most * self.reserve if turn is Turn.PATIENT else 0.0
+        floor = self.most * self.reserve if priority is RequestPriority.BACKGROUND else 0.0
         need = min(min(amount, self.most) + floor, self.most)
         if self.left >= need - 1e-9:
             self.left -= amount
-            self.used += amount * WEIGHT[turn]
+            self.used += amount * WEIGHT[priority]
             return 0.0
         return max((need - self.left) / self.per_s, 0.001)
 
@@ -89,30 +91,40 @@
         self._refill()
         self.left = min(self.left, 0.0)
 
-    async def wait(self, amount: float = 1.0, turn: Turn = Turn.WORK, whose: str = "") -> None:
-        """In turn: a large transaction used to be overtaken for ever by small ones. `whose`: the team that it is for."""
-        if not any(self.lines.values()) and self.take(amount, turn) == 0:
+    async def wait(
+        self,
+        amount: float = 1.0,
+        priority: RequestPriority = RequestPriority.NORMAL,
+        team: str = "",
+    ) -> None:
+        """In turn: a large transaction used to be overtaken for ever by small ones. `team`: the team that it is for."""
+        if not any(self.lines.values()) and self.take(amount, priority) == 0:
             return
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.lines[turn].add(amount, future, whose)
+        self.lines[priority].add(amount, future, team)
         if self.pump is None or self.pump.done():
-            self.pump = asyncio.create_task(self._grant())
+            self.pump = asyncio.create_task(self._grant_in_order())
         await future
 
-    def _next(self) -> Turn | None:
-        waiting = [turn for turn, line in self.lines.items() if line]
-        return next((turn for turn in waiting if self._overdue(turn)), next(iter(waiting), None))
+    def _next(self) -> RequestPriority | None:
+        waiting = [priority for priority, line in self.lines.items() if line]
+        return next(
+            (priority for priority in waiting if self._overdue(priority)), next(iter(waiting), None)
+        )
 
-    def _overdue(self, turn: Turn) -> bool:
-        return self.passed[turn] >= 3 * self.lines[turn].first().amount
+    def _overdue(self, priority: RequestPriority) -> bool:
+        return self.passed[priority] >= 3 * self.lines[priority].first().amount
 
-    async def _grant(self) -> None:
-        while (turn := self._next()) is not None:
-            first = self.lines[turn].first()
+    async def _grant_in_order(self) -> None:
+        while (priority := self._next()) is not None:
+            first = self.lines[priority].first()
             amount, future = first.amount, first.item
             if not future.done():  # else whoever asked has given up
                 pause = self.take(
-                    amount, Turn.WORK if self._overdue(turn) and turn is Turn.PATIENT else turn
+                    amount,
+                    RequestPriority.NORMAL
+                    if self._overdue(priority) and priority is RequestPriority.BACKGROUND
+                    else priority,
                 )
                 if pause > 0:
                     await asyncio.sleep(
@@ -122,40 +134,44 @@
                 future.set_result(None)
                 for other, line in self.lines.items():
                     self.passed[other] = (
-                        self.passed[other] + amount if line and other > turn else 0.0
+                        self.passed[other] + amount if line and other > priority else 0.0
                     )
-            self.lines[turn].leave(first)
+            self.lines[priority].leave(first)
 
-    def _waiting(self, turn: Turn) -> float:
-        return sum(waiting.amount for waiting in self.lines[turn] if not waiting.item.done())
+    def _waiting(self, priority: RequestPriority) -> float:
+        return sum(waiting.amount for waiting in self.lines[priority] if not waiting.item.done())
 
     @property
     def queued(self) -> float:
         return sum(map(self._waiting, self.lines))
 
-    def behind_s(self, turn: Turn = Turn.PATIENT, whose: str | None = None) -> float:
+    def backlog_s(
+        self, priority: RequestPriority = RequestPriority.BACKGROUND, team: str | None = None
+    ) -> float:
         """How long what is queued up to such a turn will take; of a team, what would go before one of it that came now."""
-        if whose is None:
-            queued = sum(self._waiting(line) for line in self.lines if line <= turn)
+        if team is None:
+            queued = sum(self._waiting(line) for line in self.lines if line <= priority)
         else:
             queued = sum(
                 waiting.amount
-                for waiting in self.lines[turn].ahead_of(whose)
+                for waiting in self.lines[priority].ahead_of(team)
                 if not waiting.item.done()
             )
         return max(0.0, (queued - self.left) / self.per_s)
 
-    def each_s(self, amount: float, turn: Turn, whose: str) -> float:
+    def each_s(self, amount: float, priority: RequestPriority, team: str) -> float:
         """How long so much takes a team at its share of what is granted in that turn, as many as stand in line now."""
-        line = self.lines[turn]
-        weights = {name: line.weights.get(name, 1.0) for name in {*line.queues, whose}}
-        return amount / self.per_s * sum(weights.values()) / weights[whose]
+        line = self.lines[priority]
+        weights = {name: line.weights.get(name, 1.0) for name in {*line.queues, team}}
+        return amount / self.per_s * sum(weights.values()) / weights[team]
 
     @property
     def demand(self) -> float:
         """What is asked for a second, as far as the last seconds tell, by its weight."""
         self._refill()
-        return self.used / 3 + sum(WEIGHT[turn] * self._waiting(turn) for turn in self.lines)
+        return self.used / 3 + sum(
+            WEIGHT[priority] * self._waiting(priority) for priority in self.lines
+        )
 
 
 def shares(total: float, size: int, ours: float, others: Sequence[float | None]) -> float:
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -12,9 +12,9 @@
 import msgspec
 from msgspec import Struct, field
 
-from ashdock.core.bounds import Bounds
-from ashdock.net.budget import Budget, Demand, Turn, shares
+from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Client, NoAnswer
+from ashdock.net.rate_limiter import Demand, RateLimiter, RequestPriority, shares
 from ashdock.settings import Shared
 
 log = logging.getLogger("ashdock.state")
@@ -111,35 +111,38 @@
         host: str,
         port: int,
         shared: Shared,
-        bounds: Bounds,
+        write_limits: WriteLimits,
         most: int = 0,
         weights: Mapping[str, float] | None = None,
     ) -> None:
         """`weights`: of the teams, in each line for what the service takes a second."""
-        self.bounds = bounds
+        self.write_limits = write_limits
         self.client = Client(
             host, port, keep=12, most=max(most - 8, 4) if most else 0
         )  # less the watches
         self.watcher = Client(host, port, keep=8)
         self.size = shared.size
         # A tenth is left for what is in flight while the shares are told anew.
-        self.all = Demand(bounds.rps * 0.9, bounds.write_rps * 0.9)
-        self.requests = Budget(self.all.requests / self.size, weights=weights)
-        self.writes = Budget(self.all.writes / self.size, weights=weights)
+        self.all = Demand(write_limits.rps * 0.9, write_limits.write_rps * 0.9)
+        self.requests = RateLimiter(self.all.requests / self.size, weights=weights)
+        self.writes = RateLimiter(self.all.writes / self.size, weights=weights)
         self.timeout = shared.workers.lease_s / 5
         self.ok_at = time.monotonic()  # when it last answered us properly
         self.bad_since: float | None = None
 
-    def keep_within(self) -> None:
+    def apply_write_limits(self) -> None:
         """The bounds are other ones now."""
-        before, self.all = self.all, Demand(self.bounds.rps * 0.9, self.bounds.write_rps * 0.9)
+        before, self.all = (
+            self.all,
+            Demand(self.write_limits.rps * 0.9, self.write_limits.write_rps * 0.9),
+        )
         self.requests.per_s *= self.all.requests / before.requests
         self.writes.per_s *= self.all.writes / before.writes
 
     @property
     def most_conditions(self) -> int:
         """Four times as many conditions as puts and deletes, as far as they fit into 64 KiB."""
-        return min(4 * self.bounds.ops, 60 * 1024 // CONDITION_BYTES)
+        return min(4 * self.write_limits.ops, 60 * 1024 // CONDITION_BYTES)
 
     @property
     def demand(self) -> Demand:
@@ -211,8 +214,10 @@
         except msgspec.DecodeError as why:
             raise StoreUnavailableError(f"answer not understood: {why}", unknown=True) from None
 
-    async def get(self, path: str, turn: Turn = Turn.WORK) -> Entry | None:
-        await self.requests.wait(1, turn)
+    async def get(
+        self, path: str, priority: RequestPriority = RequestPriority.NORMAL
+    ) -> Entry | None:
+        await self.requests.wait(1, priority)
         status, answer = await self._call("GET", f"/store/{path}")
         if status == 404:
             return None
@@ -221,13 +226,15 @@
         entry = self._decode(_entry, answer)
         return Entry(path, entry.value, entry.revision)
 
-    async def under(self, under: str, turn: Turn = Turn.WORK) -> tuple[list[Entry], int]:
+    async def under(
+        self, under: str, priority: RequestPriority = RequestPriority.NORMAL
+    ) -> tuple[list[Entry], int]:
         """All keys with the prefix, and a revision that the whole list takes in or precedes."""
         out: list[Entry] = []
         after = ""
         revision: int | None = None
         while True:
-            await self.requests.wait(1, turn)
+            await self.requests.wait(1, priority)
             target = f"/store?under={under}&most=500" + (f"&from={after}" if after else "")
             status, answer = await self._call("GET", target)
             if status != 200:
@@ -244,21 +251,21 @@
         when: dict[str, int],
         writes: dict[str, Any],
         hold: int | None = None,
-        turn: Turn = Turn.WORK,
-        whose: str = "",
-        stays: Collection[str] = (),
+        priority: RequestPriority = RequestPriority.NORMAL,
+        team: str = "",
+        unleased: Collection[str] = (),
     ) -> int:
         """Apply the writes (None deletes) if every revision holds. With a `hold` they end with it, but for those that are to stay. The
         revision, or Conflict or Unavailable."""
         if writes:  # one that only compares must not wait behind others' writes
-            await self.writes.wait(len(writes), turn, whose)
-        await self.requests.wait(1, turn, whose)
+            await self.writes.wait(len(writes), priority, team)
+        await self.requests.wait(1, priority, team)
         body: dict[str, Any] = {
             "when": [{"path": path, "stamp": revision} for path, revision in when.items()]
         }
         if writes:
             body["writes"] = [
-                self._write(path, value, None if path in stays else hold)
+                self._write(path, value, None if path in unleased else hold)
                 for path, value in writes.items()
             ]
         try:
@@ -274,7 +281,7 @@
         if status == 400 and b"no such lease" in answer:
             raise LeaseLostError
         if status == 400:
-            self.bounds.refused(
+            self.write_limits.refused(
                 len(writes),
                 max((len(msgspec.json.encode(value)) for value in writes.values()), default=0),
             )
@@ -291,7 +298,7 @@
         return write
 
     async def hold(self, ttl_ms: int) -> int:
-        await self.requests.wait(1, Turn.USER)
+        await self.requests.wait(1, RequestPriority.USER)
         status, answer = await self._call(
             "POST", "/holds", msgspec.json.encode({"ttl_ms": ttl_ms}), first=True
         )
--- a/ashdock/questions.py
+++ b/ashdock/questions.py
@@ -13,7 +13,7 @@
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-from ashdock.net.budget import Turn
+from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import CompareFailedError, Entry, StoreClient, StoreUnavailableError
 
 CALLS_SHARE = 1 / 8  # of our requests to the state service that may go into comparing
@@ -125,7 +125,7 @@
                     for job_id, known in held.items()
                 }
                 try:
-                    await self.store.txn(when, {}, turn=Turn.USER)
+                    await self.store.txn(when, {}, priority=RequestPriority.USER)
                 except CompareFailedError as why:
                     # What failed says nothing of the rest: that is compared again without.
                     differ = {path.split("/", 1)[1] for path in why.failed} & bunch.keys()
@@ -153,7 +153,9 @@
     async def _read(self, job_id: str, future: asyncio.Future[Known | None]) -> None:
         try:
             async with self.reads:
-                entry: Entry | None = await self.store.get(f"job/{job_id}", turn=Turn.PATIENT)
+                entry: Entry | None = await self.store.get(
+                    f"job/{job_id}", priority=RequestPriority.BACKGROUND
+                )
         except StoreUnavailableError as why:
             if not future.done():
                 future.set_exception(why)
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -13,11 +13,11 @@
 
 from ashdock.admission.processor import pass_share, pause_s
 from ashdock.concurrency import StaleContextError, ensure_current
-from ashdock.core.bounds import Bounds
 from ashdock.core.machine import Machine
 from ashdock.core.shard import Shard
-from ashdock.net.budget import Turn
+from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import NoAnswer
+from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import CompareFailedError, StoreClient, StoreUnavailableError, WatchCache
 from ashdock.net.worker import WorkerClient
 from ashdock.settings import Operators, Shared, Team, Workers
@@ -55,7 +55,7 @@
     tick_s: float
     gather_s: float
     rng: random.Random
-    bounds: Bounds
+    write_limits: WriteLimits
     catalog: dict[str, MachineType]
     store: StoreClient
     machines: WatchCache
@@ -121,7 +121,7 @@
             self.context.operators,
             self.context.catalog,
             random.Random(self.context.rng.random()),
-            self.context.bounds,
+            self.context.write_limits,
         )
 
     def _loaded(self) -> None:
@@ -334,8 +334,8 @@
                 revision = await store.txn(
                     txn.when,
                     txn.writes,
-                    turn=Turn.WORK if txn.urgent else Turn.PATIENT,
-                    whose=shard.name,
+                    priority=RequestPriority.NORMAL if txn.urgent else RequestPriority.BACKGROUND,
+                    team=shard.name,
                 )
             except CompareFailedError as why:
                 if not await self._reread(shard, why.failed):
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ashdock.core.bounds import Bounds
+from ashdock.core.write_limits import WriteLimits
 from ashdock.net.cloud import CloudClient
 from ashdock.net.http import NoAnswer
 from ashdock.net.store import (
@@ -94,7 +94,7 @@
 def store_client(exchange: Exchange) -> StoreClient:
     """A client of the store over the exchange."""
     shared = shared_settings()
-    client = StoreClient("10.0.0.9", 2379, shared, Bounds(shared.state))
+    client = StoreClient("10.0.0.9", 2379, shared, WriteLimits(shared.state))
     client.client = client.watcher = exchange  # type: ignore[assignment]
     return client
 
@@ -117,7 +117,7 @@
                 values["conditions"],
                 values["writes"],
                 hold=values.get("lease"),
-                stays=values.get("without_lease", ()),
+                unleased=values.get("without_lease", ()),
             )
         case "grant lease":
             return await client.hold(values["ttl_ms"])
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -9,12 +9,12 @@
 import msgspec
 
 from ashdock.controller import Controller
-from ashdock.core.bounds import Bounds
 from ashdock.core.job import Job, fitting, job_record, spec_of_record
 from ashdock.core.machine import Machine, MachinePhase, images_of, trimmed
 from ashdock.core.park import Park, Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, TaskState
+from ashdock.core.write_limits import WriteLimits
 from ashdock.crash_loop import CrashLoopDetector
 from ashdock.election.election import Election, KeyHolder
 from ashdock.front import Front
@@ -133,7 +133,7 @@
         Operators(),
         {"g4": machine_type("g4")},
         random.Random(1),
-        Bounds(shared.state),
+        WriteLimits(shared.state),
     )
 
 
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -57,7 +57,7 @@
         "tick_s": 0.25,
         "shared": shared,
         "workers": shared.workers,
-        "bounds": client.bounds,
+        "write_limits": client.write_limits,
         "store": client,
         "hold": 9,
         "hold_began": 0.0,
@@ -130,7 +130,7 @@
 
     home = context(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
     if values["limit"]:
-        home.bounds.agreed, home.bounds.value_bytes = True, values["limit"]
+        home.write_limits.agreed, home.write_limits.value_bytes = True, values["limit"]
     await MachineTypeCatalog(home).learn()
 
 
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -16,7 +16,7 @@
 from ashdock.fairness.line import FairLine
 from ashdock.fairness.rush import Rush
 from ashdock.fairness.served import Row, Served, jain
-from ashdock.net.budget import Budget, Turn
+from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Objective, SettingsError, load
 from tests import simtime
 from tests.test_wire import GOOD
@@ -106,8 +106,8 @@
     while line:
         first = line.first()
         line.leave(first)
-        had[first.whose] += first.amount
-        order.setdefault(first.whose, []).append(first.item)
+        had[first.team] += first.amount
+        order.setdefault(first.team, []).append(first.item)
         for one in line.queues:
             for other in line.queues:
                 mine, theirs = (had[team] / line.weights.get(team, 1.0) for team in (one, other))
@@ -125,19 +125,20 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main(net: simtime.Net) -> None:
-        budget = Budget(10.0)
-        budget.take(10.0)
+        rate_limiter = RateLimiter(10.0)
+        rate_limiter.take(10.0)
         waits = [
-            asyncio.create_task(budget.wait(1, Turn.USER, team))
+            asyncio.create_task(rate_limiter.wait(1, RequestPriority.USER, team))
             for team in ["hot"] * 40 + ["quiet"]
         ]
         await asyncio.sleep(0)
         # One more of the quiet team, or of another, would go nearly at once; of the hot team after all that it has asked for.
         assert (
-            budget.behind_s(Turn.USER, "quiet") <= 0.4 and budget.behind_s(Turn.USER, "new") <= 0.4
+            rate_limiter.backlog_s(RequestPriority.USER, "quiet") <= 0.4
+            and rate_limiter.backlog_s(RequestPriority.USER, "new") <= 0.4
         )
-        assert budget.behind_s(Turn.USER, "hot") >= 3.9 and budget.each_s(
-            2, Turn.USER, "hot"
+        assert rate_limiter.backlog_s(RequestPriority.USER, "hot") >= 3.9 and rate_limiter.each_s(
+            2, RequestPriority.USER, "hot"
         ) == pytest.approx(0.4)
         await asyncio.sleep(0.4)
         assert waits[-1].done() and not waits[4].done()
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -14,12 +14,12 @@
 import pytest
 
 from ashdock.cluster_version import CURRENT_FORMS
-from ashdock.core.bounds import Bounds
 from ashdock.core.dependency_graph import NOTHING, Carried, DependencyGraph
 from ashdock.core.job import JobPhase, fitting
 from ashdock.core.park import Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, Phase, TaskState
+from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Client
 from ashdock.settings import NextLimits, Operators, StateLimits
 from ashdock.wire import frames
@@ -45,7 +45,7 @@
     """Of a controller that has seen the mark, within small limits."""
     limits = StateLimits(200, 200, 8.0, 48, NextLimits(value_kb=value_kb, txn_ops=ops))
     common = msgspec.structs.replace(shared(), state=limits)
-    bounds = Bounds(limits)
+    bounds = WriteLimits(limits)
     bounds.agree()
     return Shard(
         next(t for t in common.teams if t.name == team),
@@ -625,7 +625,7 @@
 
 
 def test_what_is_refused_for_its_size_leads_to_smaller_ones() -> None:
-    bounds = Bounds(StateLimits(200, 80, 8.0, 48))
+    bounds = WriteLimits(StateLimits(200, 80, 8.0, 48))
     bounds.refused(48, 3000)
     assert (bounds.ops, bounds.value_bytes) == (24, int(8 * 1024 * 0.9))
     for _ in range(9):
@@ -1042,7 +1042,7 @@
     short: bool, most: int
 ) -> None:
     shard = new_part(value_kb=0.3, ops=48)
-    shard.shared.state.write_rps = shard.bounds.write_rps = 54.0
+    shard.shared.state.write_rps = shard.write_limits.write_rps = 54.0
     shard.add_job(queued(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7)
     job = shard.jobs["req-000001"]
     for task in range(400):
--- a/tests/test_budget.py
+++ b/tests/test_rate_limiter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ashdock.net.budget import Budget, Turn, shares
+from ashdock.net.rate_limiter import RateLimiter, RequestPriority, shares
 from tests import simtime
 
 
@@ -16,17 +16,17 @@
 
     async def main(net: simtime.Net) -> float:
         loop = asyncio.get_running_loop()
-        budget = Budget(10.0)
-        budget.take(10.0)
+        rate_limiter = RateLimiter(10.0)
+        rate_limiter.take(10.0)
 
         async def small() -> None:
             while loop.time() < 20:
-                await budget.wait(1)
+                await rate_limiter.wait(1)
 
         tasks = [asyncio.create_task(small()) for _ in range(5)]
         await asyncio.sleep(1)
         asked = loop.time()
-        await budget.wait(10)
+        await rate_limiter.wait(10)
         took = loop.time() - asked
         for task in tasks:
             task.cancel()
@@ -35,34 +35,34 @@
     assert simtime.run(main, 1, monkeypatch) < 3.0
 
 
-USER, WORK, PATIENT = Turn
+USER, NORMAL, BACKGROUND = RequestPriority
 ORDER = [  # (amount, turn) asked at once of an empty bucket of 10 a second -> the order in which they are granted
-    ([(1, WORK), (1, WORK)], [0, 1]),
-    ([(1, PATIENT), (1, WORK)], [1, 0]),
-    ([(10, WORK), (1, WORK)], [0, 1]),
-    ([(10, WORK), (1, USER)], [1, 0]),
-    ([(1, PATIENT), (1, WORK), (1, WORK), (1, WORK), (1, WORK)], [1, 2, 3, 0, 4]),
-    ([(1, WORK), (1, USER), (1, USER), (1, USER), (1, USER)], [1, 2, 3, 0, 4]),
+    ([(1, NORMAL), (1, NORMAL)], [0, 1]),
+    ([(1, BACKGROUND), (1, NORMAL)], [1, 0]),
+    ([(10, NORMAL), (1, NORMAL)], [0, 1]),
+    ([(10, NORMAL), (1, USER)], [1, 0]),
+    ([(1, BACKGROUND), (1, NORMAL), (1, NORMAL), (1, NORMAL), (1, NORMAL)], [1, 2, 3, 0, 4]),
+    ([(1, NORMAL), (1, USER), (1, USER), (1, USER), (1, USER)], [1, 2, 3, 0, 4]),
     # By amount: a transaction of ten is let past three tens of small ones, not past three.
-    ([(4, WORK), *[(2, USER)] * 8], [1, 2, 3, 4, 5, 6, 0, 7, 8]),
+    ([(4, NORMAL), *[(2, USER)] * 8], [1, 2, 3, 4, 5, 6, 0, 7, 8]),
 ]
 
 
 @pytest.mark.parametrize(("asked", "order"), ORDER)
 def test_turns(
-    asked: list[tuple[float, Turn]], order: list[int], monkeypatch: pytest.MonkeyPatch
+    asked: list[tuple[float, RequestPriority]], order: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main(net: simtime.Net) -> list[int]:
-        budget = Budget(10.0)
-        budget.take(10.0)
+        rate_limiter = RateLimiter(10.0)
+        rate_limiter.take(10.0)
         granted: list[int] = []
 
-        async def one(n: int, amount: float, turn: Turn) -> None:
-            await budget.wait(amount, turn)
+        async def one(n: int, amount: float, priority: RequestPriority) -> None:
+            await rate_limiter.wait(amount, priority)
             granted.append(n)
 
         await asyncio.gather(*(one(n, *what) for n, what in enumerate(asked)))
-        assert budget.queued == 0
+        assert rate_limiter.queued == 0
         return granted
 
     assert simtime.run(main, 1, monkeypatch) == order
@@ -71,14 +71,14 @@
 def test_who_gives_up_waiting_takes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main(net: simtime.Net) -> tuple[float, float]:
         loop = asyncio.get_running_loop()
-        budget = Budget(10.0)
-        budget.take(10.0)
+        rate_limiter = RateLimiter(10.0)
+        rate_limiter.take(10.0)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
-                await budget.wait(10)
+                await rate_limiter.wait(10)
         before = loop.time()
-        await budget.wait(2)
-        return loop.time() - before, budget.queued
+        await rate_limiter.wait(2)
+        return loop.time() - before, rate_limiter.queued
 
     took, queued = simtime.run(main, 1, monkeypatch)
     assert took <= 0.11 and queued == 0
@@ -87,16 +87,16 @@
 def test_what_users_ask_weighs_more_than_what_can_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """The owner of an array of 25,000 tasks drew the limit to itself while other controllers refused submissions."""
 
-    async def main(net: simtime.Net) -> dict[Turn, float]:
+    async def main(net: simtime.Net) -> dict[RequestPriority, float]:
         demands = {}
-        for turn in Turn:
-            budget = Budget(10.0)
-            budget.take(4.0, turn)
-            demands[turn] = budget.demand
+        for priority in RequestPriority:
+            rate_limiter = RateLimiter(10.0)
+            rate_limiter.take(4.0, priority)
+            demands[priority] = rate_limiter.demand
         return demands
 
     demands = simtime.run(main, 1, monkeypatch)
-    assert demands[USER] > 3 * demands[WORK] > 9 * demands[PATIENT]
+    assert demands[USER] > 3 * demands[NORMAL] > 9 * demands[BACKGROUND]
 
 
 SHARES: list[
