--- a/ashdock/cancellation/orphan_leases.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -17,7 +17,7 @@
 
 from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.settings import Workers
-from ashdock.wire.messages import Report, split_task
+from ashdock.wire.messages import Heartbeat, split_task
 
 
 class Watched(Protocol):
@@ -42,11 +42,11 @@
         self.withdrawn = withdrawn
         self.watermark = watermark
 
-    def may_renew(self, report: Report, now: float) -> bool:
+    def may_renew(self, report: Heartbeat, now: float) -> bool:
         """Whether a worker's lease may be kept by us, who do not own it."""
         # By the state service's word alone: what others vouch for says nothing of a start that the owner which is gone had sent.
         if now - self.jobs.whole_since < self.workers.cancel_s or not self.watermark.within(
             self.jobs.known_at, now
         ):
             return False
-        return not any(self.withdrawn(split_task(item.share)[0]) for item in report.shares)
+        return not any(self.withdrawn(split_task(item.task)[0]) for item in report.tasks)
--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -442,7 +442,7 @@
                 0.99,
             )
         for shape in self.catalog.values():
-            for zone in shape.yards:
+            for zone in shape.zones:
                 kinds = (True, False) if request.spot else (False,)
                 if any(
                     self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
@@ -582,7 +582,7 @@
             per = capacity(shape, request.cpus, request.gpus, request.memory)
             if per <= 0 or (request.types and shape.label not in request.types):
                 continue
-            for zone in shape.yards:
+            for zone in shape.zones:
                 if request.zone and zone != request.zone:
                     continue
                 for spot in (True, False):
@@ -592,7 +592,7 @@
                         continue
                     if self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
                         continue
-                    price = (shape.low_price if spot else shape.price) / min(per, left)
+                    price = (shape.spot_price if spot else shape.price) / min(per, left)
                     asked = sum(
                         count
                         for key, count in rents.items()
@@ -650,7 +650,7 @@
         for machine, idle_s in idle.values():
             shape = self.catalog[machine.type]
             # Kept as long as the next job would save by it: a boot's time, less the dearer it stands idle.
-            share = 1.5 if machine.spot else 0.5 + shape.low_price / (2 * shape.price)
+            share = 1.5 if machine.spot else 0.5 + shape.spot_price / (2 * shape.price)
             keep_s = self.renting.idle_boots * shape.boot_s * share
             if idle_s <= keep_s:
                 continue
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -16,7 +16,7 @@
 from ashdock.core.job import Job, JobPhase
 from ashdock.core.status_reporter import StatusReporter
 from ashdock.settings import Workers
-from ashdock.wire.messages import MachineType, Spec
+from ashdock.wire.messages import JobSpec, MachineType
 
 log = logging.getLogger("ashdock.shard")
 
@@ -44,7 +44,9 @@
         """It may not start before all that it needs is durably done."""
         job.waits = True
         own = Carried(job.spec.priority, job.due)
-        self.graph.add(job.id, job.spec.needs or (), own, self._takes(job.spec), job.submitted)
+        self.graph.add(
+            job.id, job.spec.dependencies or (), own, self._takes(job.spec), job.submitted
+        )
         self._carry()
 
     def cancelled(self, job: Job, now: float) -> None:
@@ -54,7 +56,7 @@
         self.settled(job.id, "withdrawn", None, now)
         self._carry()
 
-    def _takes(self, spec: Spec) -> float:
+    def _takes(self, spec: JobSpec) -> float:
         """How long from when it may start until it is done, where it finds room at once."""
         fetch = max(
             (placing.image_s(spec, shape) for shape in self.shard.catalog.values()), default=0.0
--- a/ashdock/core/estimates.py
+++ b/ashdock/core/estimates.py
@@ -4,7 +4,7 @@
 
 from ashdock.core.job import Job
 from ashdock.core.task import Placement
-from ashdock.wire.messages import Spec
+from ashdock.wire.messages import JobSpec
 
 
 class Estimates:
@@ -27,5 +27,5 @@
         known, seen = self.learnt.get(spec.job_class, (1.0, 0))
         self.learnt[spec.job_class] = (known + (ratio - known) * weight, seen + 1)
 
-    def run_s(self, spec: Spec) -> float:
+    def run_s(self, spec: JobSpec) -> float:
         return spec.estimate_s * self.learnt.get(spec.job_class, (1.0, 0))[0]
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -11,7 +11,7 @@
 from ashdock.core.task import Failure, Phase, Placement
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Workers
-from ashdock.wire.messages import ENDED, Held, Order, Report, split_task
+from ashdock.wire.messages import ENDED, Heartbeat, TaskCommand, TaskReport, split_task
 
 log = logging.getLogger("ashdock.shard")
 
@@ -34,13 +34,15 @@
 
     def own_failure(self, machine: Machine, placement: Placement, why: str, now: float) -> None: ...
 
-    def stop(self, placement: Placement, why: str, leeway: float, now: float) -> None: ...
+    def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None: ...
 
     def lapses(self, machine: Machine, now: float) -> bool: ...
 
     def taken_back(self, machine: Machine, notice: float, now: float) -> None: ...
 
-    def orders(self, machine: Machine, now: float, checkin: Report | None) -> list[Order]: ...
+    def orders(
+        self, machine: Machine, now: float, checkin: Heartbeat | None
+    ) -> list[TaskCommand]: ...
 
 
 class HeartbeatReconciler:
@@ -48,15 +50,17 @@
         self.shard = shard
         self.estimates = estimates
 
-    def on_heartbeat(self, report: Report, now: float, checkin: bool) -> list[Order] | None:
+    def on_heartbeat(
+        self, report: Heartbeat, now: float, checkin: bool
+    ) -> list[TaskCommand] | None:
         """Take a worker's report in; the answer's orders, or None if we may not answer."""
-        machine = self.shard.machines.get(report.berth)
+        machine = self.shard.machines.get(report.machine)
         if machine is None:
             return None
         token = self.shard.token(machine)
-        if report.warrant > token:
+        if report.fencing_token > token:
             return None
-        newer = (report.tenure, report.tally) > (machine.tenure, machine.tally)
+        newer = (report.incarnation, report.sequence) > (machine.incarnation, machine.sequence)
         if not newer:
             return []
         if machine.phase is MachinePhase.EXPECTED:
@@ -64,23 +68,25 @@
         machine.came_up(report.address)
         machine.inherited = False
         machine.last_at = now
-        machine.warrant = report.warrant
-        if machine.tenure and report.tenure > machine.tenure:
+        machine.fencing_token = report.fencing_token
+        if machine.incarnation and report.incarnation > machine.incarnation:
             self._incarnation_ended(machine, report, now)
-        machine.tenure, machine.tally = report.tenure, report.tally
+        machine.incarnation, machine.sequence = report.incarnation, report.sequence
         machine.outstanding = {
-            key: sent for key, sent in machine.outstanding.items() if sent >= report.warrant
+            key: sent for key, sent in machine.outstanding.items() if sent >= report.fencing_token
         }
-        if report.recall_s is not None:
-            self.shard.taken_back(machine, report.recall_s, now)
-        self._match(machine, report, now, checkin and report.warrant >= token)
+        if report.reclaim_in_s is not None:
+            self.shard.taken_back(machine, report.reclaim_in_s, now)
+        self._match(machine, report, now, checkin and report.fencing_token >= token)
         if checkin and self.shard.lapses(machine, now):
             return None
         return self.shard.orders(machine, now, report if checkin else None)
 
-    def _incarnation_ended(self, machine: Machine, report: Report, now: float) -> None:
+    def _incarnation_ended(self, machine: Machine, report: Heartbeat, now: float) -> None:
         """The worker's lease ended: it killed and forgot all that it had."""
-        log.info("machine %s is in session %d: its tasks are gone", machine.name, report.tenure)
+        log.info(
+            "machine %s is in session %d: its tasks are gone", machine.name, report.incarnation
+        )
         # Only what we placed ourselves, and ordered or saw in an earlier session: no order of ours is for this one. What an earlier
         # owner placed it may have started in this session, whatever we have ordered or seen of it in the one before: that was noted
         # when the machine was lent, or told by a late report (docs/incidents/ended-again-and-again.md). For those a report under our token that lacks them is proof.
@@ -89,17 +95,17 @@
         for placement in list(machine.live.values()):
             if (
                 placement.taken_over
-                or placement.tenure is None
+                or placement.incarnation is None
                 or placement.key not in machine.live
             ):
                 continue
-            if placement.tenure < report.tenure:
+            if placement.incarnation < report.incarnation:
                 self.shard.lost(placement, "worker lost its controllers", now)
 
-    def _match(self, machine: Machine, report: Report, now: float, proof: bool) -> None:
-        held: dict[tuple[str, int, int], Held] = {}
-        for item in report.shares:
-            held[(*split_task(item.share), item.attempt)] = item
+    def _match(self, machine: Machine, report: Heartbeat, now: float, proof: bool) -> None:
+        held: dict[tuple[str, int, int], TaskReport] = {}
+        for item in report.tasks:
+            held[(*split_task(item.task), item.attempt)] = item
         machine.reported = len(held)
         ended: set[tuple[str, int, int]] = set()
         for placement in list(machine.live.values()):
@@ -116,7 +122,7 @@
                 ended.add(key)
                 self._ended(machine, placement, found, now)
             else:
-                placement.held(found.status, report.tenure, now)
+                placement.held(found.status, report.incarnation, now)
                 if placement.running_at == now:
                     self._runs(placement, now)
                 spec = self.shard.jobs[placement.job].spec
@@ -153,14 +159,17 @@
                 job.id,
                 job.spec.job_class,
                 now - job.since,
-                "could start" if job.spec.needs else "was accepted",
+                "could start" if job.spec.dependencies else "was accepted",
                 waited,
                 now - placement.placed_at,
             )
 
-    def _absent(self, placement: Placement, report: Report) -> bool:
+    def _absent(self, placement: Placement, report: Heartbeat) -> bool:
         """Whether a report under our token that lacks the task proves that it is not, and will not be, there."""
-        if placement.ordered is not None and (report.tenure, report.tally) <= placement.ordered:
+        if (
+            placement.ordered is not None
+            and (report.incarnation, report.sequence) <= placement.ordered
+        ):
             return False
         return placement.phase >= Phase.ORDERED
 
@@ -174,7 +183,7 @@
                 continue
             self.shard.finish(job, other, now)
 
-    def _ended(self, machine: Machine, placement: Placement, item: Held, now: float) -> None:
+    def _ended(self, machine: Machine, placement: Placement, item: TaskReport, now: float) -> None:
         job = self.shard.jobs[placement.job]
         cause = item.cause or "error"
         if cause == "done" and job.spec.kind != "service" and job.active:
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -11,7 +11,7 @@
 
 from ashdock.core.dependency_graph import NOTHING, Carried
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
-from ashdock.wire.messages import Spec
+from ashdock.wire.messages import JobSpec
 
 # The widest a task can be in a chunk: a placement and a failure with its reason, in bytes.
 TASK_BYTES = 112
@@ -58,7 +58,7 @@
 
 class Job:
     def __init__(
-        self, spec: Spec, submitted: float, revision: int, chunk_tasks: int, plain_tasks: int = 0
+        self, spec: JobSpec, submitted: float, revision: int, chunk_tasks: int, plain_tasks: int = 0
     ) -> None:
         self.spec = spec
         self.id = spec.id
@@ -416,7 +416,7 @@
 
 
 def job_record(
-    spec: Spec,
+    spec: JobSpec,
     submitted: float,
     status: str = "queued",
     reason: str | None = None,
@@ -433,10 +433,10 @@
     return record
 
 
-def spec_of_record(record: dict[str, Any]) -> Spec:
+def spec_of_record(record: dict[str, Any]) -> JobSpec:
     """As read from the state service, or as we wrote it a moment ago."""
     spec = record["spec"]
-    return spec if isinstance(spec, Spec) else msgspec.convert(spec, Spec)
+    return spec if isinstance(spec, JobSpec) else msgspec.convert(spec, JobSpec)
 
 
 def fitting(record: dict[str, Any], most: int) -> dict[str, Any]:
@@ -444,7 +444,11 @@
     if len(msgspec.json.encode(record)) <= most:
         return record
     spec = msgspec.structs.replace(
-        spec_of_record(record), job_class="", image="", types=None, needs=msgspec.UNSET
+        spec_of_record(record),
+        job_class="",
+        image="",
+        machine_types=None,
+        dependencies=msgspec.UNSET,
     )
     return {**record, "spec": spec}
 
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -40,13 +40,13 @@
         self.live: dict[tuple[str, int], Placement] = {}
         self.version = 0  # of what is placed here
         self.cpus = shape.cpus
-        self.gpus = shape.accelerators
-        self.memory = shape.ram_gb
+        self.gpus = shape.gpus
+        self.memory = shape.memory_gb
         self.since = now
         self.last_at: float | None = None
-        self.tenure = 0
-        self.tally = 0
-        self.warrant = 0
+        self.incarnation = 0
+        self.sequence = 0
+        self.fencing_token = 0
         self.idle_since: float | None = now
         self.images: dict[
             str, float
@@ -58,7 +58,7 @@
             tuple[str, int], int
         ] = {}  # running here without a placement: attempt
         self.reported = 0  # tasks in the last report
-        self.recall_at: float | None = None
+        self.reclaim_at: float | None = None
         self.no_room_until = 0.0
         self.failed: dict[str, float] = {}  # job: when it last failed here
         self.sending = False  # a direct order is on its way
@@ -69,7 +69,7 @@
         if value.get("n") and value.get("a") and self.phase is MachinePhase.EXPECTED:
             # Lent to us while up. If that is no longer so, its silence shows it.
             self.phase = MachinePhase.UP
-            self.tenure = value["n"]
+            self.incarnation = value["n"]
             self.last_at = now
         self.inherited = False  # it was up for the owner before, and has not reported to us
         self.to: str | None = None  # asked to go to this shard ("" the pool) once empty
@@ -87,8 +87,8 @@
             value["r"] = 1
         # The next part's owner is told which images it need not wait for.
         value["i"] = [[image, self.images[image]] for image in list(reversed(self.images))[:12]]
-        if self.tenure:
-            value["n"] = self.tenure  # and can give orders before the worker has found it
+        if self.incarnation:
+            value["n"] = self.incarnation  # and can give orders before the worker has found it
         if self.phase is MachinePhase.DECOMMISSIONED:
             value["x"] = self.why
         return value
@@ -153,7 +153,7 @@
 
     @property
     def usable(self) -> bool:
-        return self.phase is MachinePhase.UP and self.recall_at is None
+        return self.phase is MachinePhase.UP and self.reclaim_at is None
 
     def coming(self, now: float) -> bool:
         """Whether work may wait for it to boot. One that is late beyond the usual is not waited for."""
@@ -206,4 +206,4 @@
 
 def capacity(shape: MachineType, cpus: float, gpus: float, memory: float) -> int:
     """How many such tasks a whole empty machine takes."""
-    return fits((shape.cpus, shape.accelerators, shape.ram_gb), (cpus, gpus, memory))
+    return fits((shape.cpus, shape.gpus, shape.memory_gb), (cpus, gpus, memory))
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -7,7 +7,7 @@
 
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, capacity, fits, less
-from ashdock.wire.messages import MachineType, Spec
+from ashdock.wire.messages import JobSpec, MachineType
 
 
 class Candidate(NamedTuple):
@@ -16,32 +16,32 @@
     room: int
 
 
-def permits(spec: Spec, machine_type: str, zone: str, spot: bool) -> bool:
+def permits(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
     """What the job allows of a machine, whatever its other tasks do."""
-    if spec.types is not None and machine_type not in spec.types:
+    if spec.machine_types is not None and machine_type not in spec.machine_types:
         return False
     if spec.zone is not None and zone != spec.zone:
         return False
     return spec.spot or not spot
 
 
-def fetch_s(spec: Spec, machine: Machine) -> float:
+def fetch_s(spec: JobSpec, machine: Machine) -> float:
     if spec.image in machine.images:
         return 0.0
     return image_s(spec, machine.shape)
 
 
-def image_s(spec: Spec, shape: MachineType) -> float:
+def image_s(spec: JobSpec, shape: MachineType) -> float:
     """How long its image takes to come."""
     return spec.image_gb / max(shape.fetch_gb_per_s, 1e-3)
 
 
-def cost(spec: Spec, machine: Machine) -> float:
+def cost(spec: JobSpec, machine: Machine) -> float:
     """Delay until the task runs there, with packing as the tie-breaker: full machines
     are filled first, so that empty ones can be returned or take gangs."""
     free = (
-        machine.gpus / machine.shape.accelerators
-        if machine.shape.accelerators
+        machine.gpus / machine.shape.gpus
+        if machine.shape.gpus
         else machine.cpus / machine.shape.cpus
     )
     # Work that may use the cheap kind leaves the dear one to work that may not, or to be returned.
@@ -68,7 +68,7 @@
     return out
 
 
-def zone_cap(spec: Spec) -> int:
+def zone_cap(spec: JobSpec) -> int:
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
@@ -155,7 +155,7 @@
 
     def add_rest(self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int) -> None:
         """What is left of a machine once it has so many tasks."""
-        free = less((shape.cpus, shape.accelerators, shape.ram_gb), need, tasks)
+        free = less((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
         if all(amount > 1e-6 for amount in free[::2]):  # CPUs and memory: nothing runs without
             self.rests.append((shape.label, zone, spot, free))
 
--- a/ashdock/core/preemption_cost.py
+++ b/ashdock/core/preemption_cost.py
@@ -23,4 +23,4 @@
 def machine_preemption_cost(jobs: Mapping[str, Job], machine: Machine, now: float) -> float:
     """The same of all that a machine runs, in seconds of the whole machine."""
     lost = sum(preemption_cost(jobs, placement, now) for placement in machine.live.values())
-    return lost / (machine.shape.accelerators or machine.shape.cpus)
+    return lost / (machine.shape.gpus or machine.shape.cpus)
--- a/ashdock/core/quota.py
+++ b/ashdock/core/quota.py
@@ -5,7 +5,7 @@
 import math
 
 from ashdock.settings import Team
-from ashdock.wire.messages import Spec
+from ashdock.wire.messages import JobSpec
 
 
 class Usage:
@@ -16,22 +16,22 @@
         self.cpus = 0.0
         self.gpus = 0.0
 
-    def take(self, spec: Spec, tasks: int = 1) -> None:
+    def take(self, spec: JobSpec, tasks: int = 1) -> None:
         self.cpus += spec.cpus * tasks
         self.gpus += spec.gpus * tasks
 
-    def give_back(self, spec: Spec, tasks: int = 1) -> None:
+    def give_back(self, spec: JobSpec, tasks: int = 1) -> None:
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
 
-    def room(self, spec: Spec) -> int:
+    def room(self, spec: JobSpec) -> int:
         """How many more tasks of this kind the limit permits."""
         return within(
             self.team.cpus_max - self.cpus, self.team.gpus_max - self.gpus, self.team, spec
         )
 
 
-def within(cpus: float, gpus: float, team: Team, spec: Spec) -> int:
+def within(cpus: float, gpus: float, team: Team, spec: JobSpec) -> int:
     most = math.inf
     if team.cpus_max > 0 and spec.cpus > 0:
         most = min(most, (cpus + 1e-6) / spec.cpus)
@@ -40,7 +40,7 @@
     return max(0, int(min(most, 1 << 30)))
 
 
-def can_ever(team: Team, spec: Spec) -> bool:
+def can_ever(team: Team, spec: JobSpec) -> bool:
     """An array needs room for one task, a gang or a service for all of them."""
     need = 1 if spec.kind == "array" else spec.tasks
     return within(team.cpus_max, team.gpus_max, team, spec) >= need
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -18,7 +18,7 @@
 from ashdock.core.task import Phase, Placement
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Shared, Team, Workers
-from ashdock.wire.messages import MachineType, Spec
+from ashdock.wire.messages import JobSpec, MachineType
 
 log = logging.getLogger("ashdock.shard")
 
@@ -77,11 +77,11 @@
             elif machine.coming(now):
                 self.coming.add(machine.shape, machine.zone, machine.spot)
 
-    def roomy(self, spec: Spec, reserved: set[str]) -> list[Machine]:
+    def roomy(self, spec: JobSpec, reserved: set[str]) -> list[Machine]:
         """Machines with room for a task of it. Within a pass room only shrinks, and what is kept for somebody stays so: who asks as much
         need only look at those that had room for the one before. Each waiting gang looked at each machine, twice."""
         need = (spec.cpus, spec.gpus, spec.memory_gb)
-        key = (need, tuple(spec.types or ()), spec.zone, spec.spot)
+        key = (need, tuple(spec.machine_types or ()), spec.zone, spec.spot)
         found = self.found[key] = [
             machine
             for machine in self.found.get(key, self.open)
@@ -91,7 +91,7 @@
         ]
         return found
 
-    def holders(self, spec: Spec, number: int) -> bool:
+    def holders(self, spec: JobSpec, number: int) -> bool:
         """Whether so many machines with room hold the image, in one zone where the job is to be in one."""
         zones = self.images.get(spec.image)
         if not zones:
@@ -155,7 +155,7 @@
         )
         return (job.submitted - job.due) / 2 < self.slack(job, now) < boot_s
 
-    def aim_s(self, spec: Spec) -> float:
+    def aim_s(self, spec: JobSpec) -> float:
         aims = [
             o.within_s
             for o in self.shard.shared.objectives
@@ -275,7 +275,7 @@
         if (spec.kind == "gang" and permitted < spec.tasks) or permitted <= 0:
             return 0
         need = (spec.cpus, spec.gpus, spec.memory_gb)
-        anywhere = (tuple(spec.types or ()), spec.zone, spec.spot)
+        anywhere = (tuple(spec.machine_types or ()), spec.zone, spec.spot)
         together = (*anywhere, spec.one_zone, spec.spread)
         if look.infeasible.holds(anywhere, need, 1) or (
             spec.kind == "gang" and look.infeasible.holds(together, need, spec.tasks)
@@ -408,7 +408,7 @@
             gpus += spec.gpus * missing
 
             def suits(
-                label: str, where: str, spot: bool, spec: Spec = spec, zone: str = zone
+                label: str, where: str, spot: bool, spec: JobSpec = spec, zone: str = zone
             ) -> bool:
                 return zone in ("", where) and placing.permits(spec, label, where, spot)
 
@@ -419,7 +419,7 @@
                         spec.cpus,
                         spec.gpus,
                         spec.memory_gb,
-                        tuple(spec.types or ()),
+                        tuple(spec.machine_types or ()),
                         spec.zone or zone,
                         spec.spot,
                         spec.one_zone and spec.tasks > 1,
--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -7,7 +7,7 @@
 
 from ashdock.core.job import Job
 from ashdock.settings import Shared, Team
-from ashdock.wire.messages import MachineType, Spec
+from ashdock.wire.messages import JobSpec, MachineType
 
 SPREAD_BOOTS = 4  # an array of short tasks without a deadline is given room to be through in so many boots' time
 
@@ -18,7 +18,7 @@
         self.shared = shared
         self.catalog = catalog
 
-    def promised(self, spec: Spec) -> bool:
+    def promised(self, spec: JobSpec) -> bool:
         """Whether anybody was told when it would run. What was promised nothing uses what is cheap or idle."""
         if (
             self.team.cpus > 0
@@ -29,7 +29,7 @@
             return True
         return any(o.job_class == spec.job_class for o in self.shared.objectives)
 
-    def span(self, spec: Spec) -> float:
+    def span(self, spec: JobSpec) -> float:
         """In what time an array without a deadline had better be through: half its aim, or a few boots."""
         span = SPREAD_BOOTS * max(
             (shape.boot_s for shape in self.catalog.values()), default=self.shared.workers.lease_s
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -32,10 +32,10 @@
     FORGET,
     KILL,
     RUN,
+    Heartbeat,
+    JobSpec,
     MachineType,
-    Order,
-    Report,
-    Spec,
+    TaskCommand,
     split_task,
     task_name,
 )
@@ -139,7 +139,7 @@
                     if parked and parked.states[task] == TaskState.READY:
                         parked.park(task, park.failure)
         for machine in self.machines.values():
-            machine.inherited = bool(machine.live) or machine.tenure > 0
+            machine.inherited = bool(machine.live) or machine.incarnation > 0
         self.taken = sum(machine.inherited for machine in self.machines.values())
         self.taken_at = now
         for job in self.jobs.values():
@@ -190,7 +190,7 @@
         if record["status"] == "withdrawn":
             self.ending[spec.id] = job
             job.cancel(record.get("cancelled_at", record["at"]))
-        elif spec.needs and not started:
+        elif spec.dependencies and not started:
             self.dependency_tracker.add(job)
         job.carried = self.dependency_tracker.graph.of(spec.id)
         return job
@@ -264,11 +264,11 @@
         if job.complete and job.active:
             self._over(job, now)
 
-    def stop(self, placement: Placement, why: str, leeway: float, now: float) -> None:
+    def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
         if placement.never_sent:
             self._release(placement, now)
             return
-        placement.stop(why, leeway, now)
+        placement.stop(why, grace_s, now)
         self.urgent[placement.machine] = None
 
     def lost(self, placement: Placement, why: str, now: float) -> None:
@@ -283,12 +283,12 @@
         if job.live.get(placement.task) is placement:
             self._release(placement, now)
 
-    def _break(self, job: Job, why: str, now: float, leeway: float = 0.0) -> None:
+    def _break(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
         """Take a gang's attempt down as a whole."""
         job.breaking = why
         for placement in list(job.live.values()):
             if job.live.get(placement.task) is placement:
-                self.stop(placement, why, leeway, now)
+                self.stop(placement, why, grace_s, now)
         self._gang_settled(job, now)
 
     def _gang_settled(self, job: Job, now: float) -> None:
@@ -376,33 +376,35 @@
 
     # -- orders ---------------------------------------------------------------------------------
 
-    def orders(self, machine: Machine, now: float, checkin: Report | None) -> list[Order]:
+    def orders(self, machine: Machine, now: float, checkin: Heartbeat | None) -> list[TaskCommand]:
         """What the machine is to do. With a check-in they go into its answer; without, they go directly."""
-        out: list[Order] = []
+        out: list[TaskCommand] = []
         for placement in machine.live.values():
             name = task_name(placement.job, placement.task)
             if placement.phase is Phase.STOPPING:
                 out.append(
-                    Order(
-                        verb=KILL, share=name, attempt=placement.attempt, leeway_s=placement.leeway
+                    TaskCommand(
+                        verb=KILL, task=name, attempt=placement.attempt, grace_s=placement.grace_s
                     )
                 )
             elif placement.phase is Phase.COMMITTED or (
                 placement.phase is Phase.ORDERED and not placement.seen
             ):
-                out.append(Order(verb=RUN, share=name, attempt=placement.attempt))
+                out.append(TaskCommand(verb=RUN, task=name, attempt=placement.attempt))
                 if checkin:
-                    placement.answered_with_start(checkin.tenure, checkin.tally)
+                    placement.answered_with_start(checkin.incarnation, checkin.sequence)
         for (job_id, task), attempt in machine.orphaned_tasks.items():
             out.append(
-                Order(verb=KILL, share=task_name(job_id, task), attempt=attempt, leeway_s=0.0)
+                TaskCommand(verb=KILL, task=task_name(job_id, task), attempt=attempt, grace_s=0.0)
             )
         if checkin or machine.to is not None:
             for job_id, task, attempt in sorted(machine.ended):
                 if (job_id, task, attempt) not in machine.outstanding and self._forgettable(
                     job_id, task, attempt
                 ):
-                    out.append(Order(verb=FORGET, share=task_name(job_id, task), attempt=attempt))
+                    out.append(
+                        TaskCommand(verb=FORGET, task=task_name(job_id, task), attempt=attempt)
+                    )
         return out[:ORDERS_AT_ONCE]
 
     def _forgettable(self, job_id: str, task: int, attempt: int) -> bool:
@@ -418,22 +420,22 @@
         chunk = job.chunk_of(task)
         return job.phase is not JobPhase.OVER and chunk.durable >= chunk.gen
 
-    def direct(self, machine: Machine, now: float) -> list[Order]:
+    def direct(self, machine: Machine, now: float) -> list[TaskCommand]:
         """Orders worth a message of their own; marks their starts as outstanding until answered."""
-        if machine.sending or not machine.address or not machine.tenure:
+        if machine.sending or not machine.address or not machine.incarnation:
             return []
         out = self.orders(machine, now, None)
         token = self.token(machine)
         for order in out:
-            placement = machine.live.get(split_task(order.share))
+            placement = machine.live.get(split_task(order.task))
             if order.verb == RUN and placement:
-                placement.sent_directly(machine.tenure)
+                placement.sent_directly(machine.incarnation)
                 machine.outstanding[(*placement.key, placement.attempt)] = token
         return out
 
-    def direct_answered(self, machine: Machine, orders: list[Order]) -> None:
+    def direct_answered(self, machine: Machine, orders: list[TaskCommand]) -> None:
         for order in orders:
-            machine.outstanding.pop((*split_task(order.share), order.attempt), None)
+            machine.outstanding.pop((*split_task(order.task), order.attempt), None)
 
     def lapses(self, machine: Machine, now: float) -> bool:
         """Whether its worker's session has to end: a start that was not answered may still arrive, its job was cancelled, and the token
@@ -448,7 +450,7 @@
                 return True
         return False
 
-    def direct_unanswered(self, machine: Machine, orders: list[Order]) -> None:
+    def direct_unanswered(self, machine: Machine, orders: list[TaskCommand]) -> None:
         """A start may still arrive, even minutes late: raise the token, so that it cannot."""
         if any(order.verb == RUN for order in orders):
             machine.bump = True
@@ -456,20 +458,20 @@
 
     # -- stopping -------------------------------------------------------------------------------
 
-    def leeway(self, spec: Spec) -> float:
+    def grace_s(self, spec: JobSpec) -> float:
         return spec.save_s + self.workers.gang_peer_s if spec.checkpoint_s > 0 else 0.0
 
     def preempt(self, job: Job, tasks: list[int], why: str, now: float) -> None:
         """Stop work so that what it has can be saved; a gang as a whole and in time."""
-        leeway = self.leeway(job.spec)
+        grace_s = self.grace_s(job.spec)
         if job.spec.kind == "gang":
             if not job.breaking:
-                self._break(job, why, now, leeway)
+                self._break(job, why, now, grace_s)
             return
         for task in tasks:
             placement = job.live.get(task)
             if placement and placement.phase is not Phase.STOPPING:
-                self.stop(placement, why, leeway, now)
+                self.stop(placement, why, grace_s, now)
 
     def drain(self, machine: Machine, now: float) -> None:
         for placement in list(machine.live.values()):
@@ -482,9 +484,9 @@
                 )
 
     def taken_back(self, machine: Machine, notice: float, now: float) -> None:
-        if machine.recall_at is None:
+        if machine.reclaim_at is None:
             log.info("machine %s is being taken back in %.1f s", machine.name, notice)
-        machine.recall_at = now + notice
+        machine.reclaim_at = now + notice
         machine.leave("recalled")
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement or placement.recalled:
@@ -568,8 +570,8 @@
                 ):
                     self._decommission(machine, "never came up")
             elif (
-                machine.recall_at is not None
-                and now > machine.recall_at
+                machine.reclaim_at is not None
+                and now > machine.reclaim_at
                 and machine.silent_for(now) > gap
             ):
                 self._decommission(machine, "taken back")
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -14,7 +14,7 @@
 from ashdock.core.quota import Usage, guaranteed
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Team, Workers
-from ashdock.wire.messages import MachineType, Spec
+from ashdock.wire.messages import JobSpec, MachineType
 
 log = logging.getLogger("ashdock.shard")
 
@@ -116,7 +116,7 @@
         self.shard = shard
         self.rebalances: dict[str, tuple[Rebalance, float]] = {}  # by team, and until when
         self.rows: dict[str, _Row] = {}
-        self.arrived: deque[tuple[float, int, Spec]] = (
+        self.arrived: deque[tuple[float, int, JobSpec]] = (
             deque()
         )  # of late: when, how many machines' worth, and what
 
@@ -159,7 +159,7 @@
         out: set[str] = set()
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         for machine in sorted(idle, key=lambda m: (-len(m.images), m.name)) if keep else ():
-            cpus, gpus = cpus + machine.shape.cpus, gpus + machine.shape.accelerators
+            cpus, gpus = cpus + machine.shape.cpus, gpus + machine.shape.gpus
             if len(out) >= keep or not guaranteed(self.shard.team, cpus, gpus):
                 break
             if any(
@@ -242,7 +242,7 @@
         for item in sorted(busy, key=lambda item: item.preemption_cost_s):
             machine = self.shard.machines[item.machine]
             cpus -= machine.shape.cpus - machine.cpus
-            gpus -= machine.shape.accelerators - machine.gpus
+            gpus -= machine.shape.gpus - machine.gpus
             if guaranteed(self.shard.team, cpus + 1e-3, gpus + 1e-3) and not self._at_least(
                 cpus, gpus
             ):
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -38,9 +38,10 @@
     __slots__ = (
         "attempt",
         "gen",
+        "grace_s",
         "held_at",
+        "incarnation",
         "job",
-        "leeway",
         "machine",
         "ordered",
         "phase",
@@ -51,7 +52,6 @@
         "status",
         "taken_over",
         "task",
-        "tenure",
         "why",
     )
 
@@ -70,11 +70,13 @@
         )
         self.seen = False
         self.taken_over = False  # an earlier owner placed it, and may have ordered its start in a session that we do not know of
-        self.tenure: int | None = None  # the worker's session in which we last ordered or saw it
+        self.incarnation: int | None = (
+            None  # the worker's session in which we last ordered or saw it
+        )
         self.status = ""
         self.held_at: float | None = None  # image held since
         self.running_at: float | None = None
-        self.leeway = 0.0
+        self.grace_s = 0.0
         self.why = ""
         self.recalled = False
 
@@ -91,19 +93,19 @@
         self.phase = Phase.ORDERED
         self.taken_over = True
 
-    def answered_with_start(self, tenure: int, tally: int) -> None:
+    def answered_with_start(self, incarnation: int, sequence: int) -> None:
         if self.phase is Phase.COMMITTED:
             self.phase = Phase.ORDERED
-        self.ordered = (tenure, tally)
-        self.tenure = tenure
+        self.ordered = (incarnation, sequence)
+        self.incarnation = incarnation
 
-    def sent_directly(self, tenure: int) -> None:
-        self.tenure = tenure
+    def sent_directly(self, incarnation: int) -> None:
+        self.incarnation = incarnation
         if self.phase is Phase.COMMITTED:
             self.phase = Phase.ORDERED
 
-    def held(self, status: str, tenure: int, now: float) -> None:
-        self.tenure = tenure
+    def held(self, status: str, incarnation: int, now: float) -> None:
+        self.incarnation = incarnation
         self.seen = True
         self.status = status
         if status != "pulling" and self.held_at is None:
@@ -113,14 +115,14 @@
         if self.phase is not Phase.STOPPING:
             self.phase = Phase.HELD
 
-    def stop(self, why: str, leeway: float, now: float) -> None:
+    def stop(self, why: str, grace_s: float, now: float) -> None:
         if self.phase is Phase.STOPPING:
-            if leeway < self.leeway:  # a second, harder word ends a save
-                self.leeway = leeway
+            if grace_s < self.grace_s:  # a second, harder word ends a save
+                self.grace_s = grace_s
             return
         self.phase = Phase.STOPPING
         self.why = why
-        self.leeway = leeway
+        self.grace_s = grace_s
 
     @property
     def never_sent(self) -> bool:
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -31,7 +31,7 @@
 from ashdock.settings import Shared, Workers
 from ashdock.wire import messages
 from ashdock.wire.frames import ForwardReply
-from ashdock.wire.messages import Malformed, Spec
+from ashdock.wire.messages import JobSpec, MalformedMessageError
 
 log = logging.getLogger("ashdock.front")
 
@@ -70,13 +70,13 @@
 class Answering(Protocol):
     """Whoever owns a shard here."""
 
-    async def report(self, report: messages.Report) -> messages.Orders | None: ...
+    async def report(self, report: messages.Heartbeat) -> messages.HeartbeatResponse | None: ...
 
 
 class Adopting(Protocol):
     """Whoever leads here."""
 
-    def hear(self, report: messages.Report, known: bool) -> None: ...
+    def hear(self, report: messages.Heartbeat, known: bool) -> None: ...
 
 
 class Sent(NamedTuple):
@@ -181,8 +181,8 @@
 
     async def submit(self, body: bytes) -> Answer:
         try:
-            spec = messages.spec_of(messages.decode_run(body))
-        except Malformed as why:
+            spec = messages.job_spec_of(messages.decode_submission(body))
+        except MalformedMessageError as why:
             return error(400, str(why))
         context = self.context
         final = self.finals.get(spec.id)
@@ -212,13 +212,13 @@
             refusal = error(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
-        elif spec.needs and not context.write_limits.agreed:
+        elif spec.dependencies and not context.write_limits.agreed:
             # A controller of the version before may own the shard, now or soon, and would start the job at once.
             refusal = error(
                 503, "jobs that need others are taken once every controller has the new version", 1
             )
         try:
-            if refusal is None and spec.needs:
+            if refusal is None and spec.dependencies:
                 refusal = await self._bounded(self._needs_refused(spec))
             if refusal is not None:
                 # A job that was accepted is never refused afterwards, whatever its later copies say.
@@ -255,7 +255,7 @@
         context.jobs_seen(path, record, revision)
         return Answer(201, messages.encode({"id": spec.id, "status": "queued"}))
 
-    async def _needs_refused(self, spec: Spec) -> Answer | None:
+    async def _needs_refused(self, spec: JobSpec) -> Answer | None:
         """Why a job cannot wait for what it names, if so. That a job exists may be remembered, that it does not may not."""
         gate = asyncio.Semaphore(NEEDS_AT_ONCE)
 
@@ -275,12 +275,12 @@
                 known = known_of(entry.value, entry.revision)
             return f"{need} is a service and is never done" if known.kind == "service" else None
 
-        for reason in await asyncio.gather(*(why(need) for need in spec.needs or ())):
+        for reason in await asyncio.gather(*(why(need) for need in spec.dependencies or ())):
             if reason is not None:
                 return error(422, reason)
         return None
 
-    def never(self, spec: Spec) -> str | None:
+    def never(self, spec: JobSpec) -> str | None:
         """Why the job can never run, if so."""
         context = self.context
         team = next((team for team in context.shared.teams if team.name == spec.team), None)
@@ -289,8 +289,8 @@
         fits = [
             shape
             for shape in context.catalog.values()
-            if (spec.types is None or shape.label in spec.types)
-            and (spec.zone is None or spec.zone in shape.yards)
+            if (spec.machine_types is None or shape.label in spec.machine_types)
+            and (spec.zone is None or spec.zone in shape.zones)
             and capacity(shape, spec.cpus, spec.gpus, spec.memory_gb) > 0
         ]
         if not fits:
@@ -503,13 +503,13 @@
 
     async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
         try:
-            report = messages.decode_report(body)
-        except Malformed as why:
+            report = messages.decode_heartbeat(body)
+        except MalformedMessageError as why:
             return error(400, str(why))
         context = self.context
         if not relayed:
             context.heard_worker()
-        entry = context.machines.entries.get(f"machine/{report.berth}")
+        entry = context.machines.entries.get(f"machine/{report.machine}")
         if entry is None or entry.value["p"] == "":
             return self._ownerless(report, known=entry is not None)
         team = entry.value["p"]
@@ -517,13 +517,13 @@
         if owner is not None:
             orders = await owner.report(report)
             if orders is not None:
-                self.redirected.pop(report.berth, None)
+                self.redirected.pop(report.machine, None)
                 if len(self.answered) > 5000:
                     self.answered.clear()
-                self.answered[report.berth] = time.monotonic()
+                self.answered[report.machine] = time.monotonic()
                 return Answer(200, messages.encode(orders))
             # It waited for a shard that was being read: the machine may have gone to another team meanwhile.
-            entry = context.machines.entries.get(f"machine/{report.berth}")
+            entry = context.machines.entries.get(f"machine/{report.machine}")
             team = entry.value["p"] if entry else ""
         label = context.owner_label(team)
         if label is None or label == context.label or relayed:
@@ -533,48 +533,50 @@
             ) or error(503, "not the owner")
         return await self._elsewhere(report, body, label, team)
 
-    def _ownerless(self, report: messages.Report, known: bool) -> Answer:
+    def _ownerless(self, report: messages.Heartbeat, known: bool) -> Answer:
         """Of a machine that is lent to nobody the leader keeps the lease, as long as it sees what is recorded and the machine holds
         nothing. Sent on by everybody, such a worker asked five times as often, its lease ran out all the same, and a task
         started there a moment before was killed with it. Told the token that it has, it is as free for its next owner as before."""
         leader = self.context.leader
         if leader:
             leader.hear(report, known)
-            if self.context.state_fresh() and not report.shares:
-                self.answered[report.berth] = time.monotonic()
-                return Answer(200, messages.encode(messages.Orders(report.warrant, [])))
+            if self.context.state_fresh() and not report.tasks:
+                self.answered[report.machine] = time.monotonic()
+                return Answer(
+                    200, messages.encode(messages.HeartbeatResponse(report.fencing_token, []))
+                )
         label = self.context.leader_label()
         if leader is None and label and label != self.context.label:
             return Answer(421, messages.encode({"harbour": label}))
         return error(503, "lent to nobody yet")
 
-    def _renew_orphan_lease(self, report: messages.Report) -> Answer | None:
+    def _renew_orphan_lease(self, report: messages.Heartbeat) -> Answer | None:
         """Keep a worker's lease while nobody can own it."""
         now = time.monotonic()
         if self.context.state_fresh() or not self.context.orphan_leases.may_renew(report, now):
             return None
-        if report.berth not in self.orphans_renewed:
+        if report.machine not in self.orphans_renewed:
             log.info(
                 "keeping the lease of %s, whose owner is gone, while the state service does not answer",
-                report.berth,
+                report.machine,
             )
             if len(self.orphans_renewed) > 5000:
                 self.orphans_renewed.clear()
-            self.orphans_renewed.add(report.berth)
-        self.answered[report.berth] = now
-        return Answer(200, messages.encode(messages.Orders(report.warrant, [])))
+            self.orphans_renewed.add(report.machine)
+        self.answered[report.machine] = now
+        return Answer(200, messages.encode(messages.HeartbeatResponse(report.fencing_token, [])))
 
     async def _elsewhere(
-        self, report: messages.Report, body: bytes, label: str, team: str
+        self, report: messages.Heartbeat, body: bytes, label: str, team: str
     ) -> Answer:
         """Send a worker to its owner; if it is back here soon, it can't reach the owner, so pass its report on."""
         context = self.context
         now = time.monotonic()
         lease = context.workers.lease_s
-        token = context.token_of(report.berth)
+        token = context.token_of(report.machine)
         # What we remember holds for one claim. An owner that ended twice within a lease had all its workers here twice: taken for
         # unable to reach it, hundreds were relayed for, and each of their reports was computed by two controllers.
-        sent, since = self.redirected.get(report.berth), self.relaying.get(report.berth)
+        sent, since = self.redirected.get(report.machine), self.relaying.get(report.machine)
         came_back = (
             sent is not None
             and sent.label == label
@@ -586,8 +588,8 @@
         # One that knows the token of the owner in office has been there, and would not be here had it been answered.
         # Sent back, it would wait out another report there, and by then its lease is over. But one that we answered a
         # report ago has not left us: its machine has just gone to another shard, whose orders told it the token.
-        stayed = now - self.answered.get(report.berth, -1e9) < 1.5 * context.workers.report_s
-        was_there = not stayed and report.warrant >= token
+        stayed = now - self.answered.get(report.machine, -1e9) < 1.5 * context.workers.report_s
+        was_there = not stayed and report.fencing_token >= token
         hears = context.mesh.hears(label, context.ttl_s)
         # ForwardReply for as long as a lease lasts, it tries its owner again.
         home = since is not None and now - since.at >= lease
@@ -596,10 +598,10 @@
             answer = await context.relay(label, body)
             if answer is not None and answer.status == 200:
                 if since is None:
-                    log.info("passing on the reports of %s to %s", report.berth, label)
+                    log.info("passing on the reports of %s to %s", report.machine, label)
                     if len(self.relaying) > 5000:
                         self.relaying.clear()
-                    self.relaying[report.berth] = Sent(now, label, token)
+                    self.relaying[report.machine] = Sent(now, label, token)
                 return Answer(200, answer.body)
             # Up to two seconds have gone by: whoever did not answer may have been replaced.
             label = context.owner_label(team) or label
@@ -607,11 +609,11 @@
             answer_ours = self._renew_orphan_lease(report)
             if answer_ours is not None:
                 return answer_ours
-        self.relaying.pop(report.berth, None)
+        self.relaying.pop(report.machine, None)
         if was_there and not hears and (sent is None or now - sent.at > lease / 2):
             # We are on the wrong side ourselves: another may hear its owner.
             label = context.mesh.other_than(label, context.ttl_s) or label
-        self.redirected[report.berth] = Sent(now, label, token)
+        self.redirected[report.machine] = Sent(now, label, token)
         if len(self.redirected) > 5000:
             self.redirected.clear()
         return Answer(421, messages.encode({"harbour": label}))
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -27,7 +27,7 @@
 )
 from ashdock.settings import Operators, Shared, Workers
 from ashdock.wire.frames import ShardCommand, TransferMachine, TransferShard
-from ashdock.wire.messages import MachineType, Report
+from ashdock.wire.messages import Heartbeat, MachineType
 
 log = logging.getLogger("ashdock.leader")
 
@@ -102,10 +102,10 @@
         self.revision = election.term
         self.allocator = Allocator(context.shared, context.operators.renting, context.catalog)
         self.unrecorded_reports: dict[
-            str, tuple[Report, float]
+            str, tuple[Heartbeat, float]
         ] = {}  # reported and not recorded, and since when
         self.unassigned: dict[
-            str, tuple[Report, float]
+            str, tuple[Heartbeat, float]
         ] = {}  # recorded and lent to nobody: its last word, and when
         self.machine_views: dict[
             str, tuple[int, MachineView]
@@ -185,7 +185,7 @@
     def _machine_views(self) -> list[MachineView]:
         # What reports without a record stands in the pool too: it is recorded when lent, in one write instead of two.
         unrecorded_reports = [
-            MachineView(name, "", report.hull, report.yard, report.loaners, 0, "")
+            MachineView(name, "", report.machine_type, report.zone, report.spot, 0, "")
             for name, (report, _) in self.unrecorded_reports.items()
             if f"machine/{name}" not in self.context.machines.entries
         ]
@@ -335,11 +335,16 @@
             elif entry is None and name in self.unrecorded_reports:
                 report, _ = self.unrecorded_reports.pop(name)
                 value = self._value(
-                    report.hull, report.yard, report.loaners, report.address, to, self.context.now()
+                    report.machine_type,
+                    report.zone,
+                    report.spot,
+                    report.address,
+                    to,
+                    self.context.now(),
                 )
                 records[name] = (
                     0,
-                    {**value, "n": report.tenure},
+                    {**value, "n": report.incarnation},
                 )  # known to be up, and in which session
         try:
             for name in await self._write_all(records):
@@ -352,7 +357,7 @@
         report, at = self.unassigned.pop(name, (None, 0.0))
         if report is None or self.context.now() - at > 2 * self.context.workers.report_s:
             return {}
-        return {"a": report.address, "n": report.tenure}
+        return {"a": report.address, "n": report.incarnation}
 
     async def _decommission(self, name: str, why: str) -> None:
         await self._decommission_all([name], why)
@@ -548,19 +553,19 @@
         await self._adopt_unrecorded()
         return max(context.tick_s, 1 / context.shared.cloud.rps)
 
-    def hear(self, report: Report, known: bool) -> None:
+    def hear(self, report: Heartbeat, known: bool) -> None:
         """A machine that is lent to nobody reported. `known`: it is recorded, in the pool."""
         now = self.context.now()
         if known:
-            self.unassigned[report.berth] = (report, now)
+            self.unassigned[report.machine] = (report, now)
         elif (
-            report.berth not in self.assigning
+            report.machine not in self.assigning
             and len(self.unrecorded_reports) < 2000
-            and report.hull in self.context.catalog
-            and not self._late(report.berth, now)
+            and report.machine_type in self.context.catalog
+            and not self._late(report.machine, now)
         ):
-            _, since = self.unrecorded_reports.get(report.berth, (None, now))
-            self.unrecorded_reports[report.berth] = (report, since)
+            _, since = self.unrecorded_reports.get(report.machine, (None, now))
+            self.unrecorded_reports[report.machine] = (report, since)
 
     def _late(self, name: str, now: float) -> bool:
         """Whether it may be a word of a machine that was released a moment ago."""
@@ -581,7 +586,9 @@
                 self.unrecorded_reports.pop(name, None)
             elif now - since > self.allocator.settle_s:
                 self.unrecorded_reports.pop(name, None)
-                await self._adopt(name, report.hull, report.yard, report.loaners, report.address)
+                await self._adopt(
+                    name, report.machine_type, report.zone, report.spot, report.address
+                )
 
     async def _adopt(self, name: str, kind: str, zone: str, spot: bool, where: str) -> None:
         path = f"machine/{name}"
@@ -636,7 +643,9 @@
                 # that we miss a record of for longer than any list lags is really there.
                 since = unrecorded[host.id] = self.unrecorded.get(host.id, asked)
                 if not self.open_intents and now - since > 2 * self.lag_s:
-                    await self._adopt(host.id, host.hull, host.yard, host.loaners, host.address)
+                    await self._adopt(
+                        host.id, host.machine_type, host.zone, host.spot, host.address
+                    )
         self.unrecorded = unrecorded
         self.unassigned = {
             name: word for name, word in self.unassigned.items() if self._entry(name) is not None
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -11,7 +11,15 @@
 from ashdock.net.http import Client, NoAnswer
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Shared
-from ashdock.wire.messages import Catalog, Host, Hosts, MachineType, Rented
+from ashdock.wire.messages import (
+    Catalog,
+    Host,
+    Hosts,
+    MachineType,
+    ReleaseRequest,
+    RentalRequest,
+    Rented,
+)
 
 log = logging.getLogger("ashdock.cloud")
 
@@ -64,7 +72,7 @@
         if status != 200:
             raise CloudTrouble(f"status {status}", False)
         try:
-            return {shape.label: shape for shape in _catalog.decode(answer).hulls}
+            return {shape.label: shape for shape in _catalog.decode(answer).machine_types}
         except msgspec.DecodeError as why:
             raise CloudTrouble(str(why), False) from None
 
@@ -77,22 +85,20 @@
         count: int,
         guard: Callable[[], None] | None = None,
     ) -> list[str]:
-        body = msgspec.json.encode(
-            {"charter": charter, "hull": kind, "yard": zone, "loaners": spot, "how_many": count}
-        )
+        body = msgspec.json.encode(RentalRequest(charter, kind, zone, spot, count))
         status, answer = await self._call("POST", "/hosts", body, guard=guard)
         if status == 503:
             raise NoCapacity
         if status != 200:
             raise CloudTrouble(f"status {status}: {answer[:200]!r}", False)
         try:
-            return _rented.decode(answer).berths
+            return _rented.decode(answer).machines
         except msgspec.DecodeError as why:
             raise CloudTrouble(str(why), True) from None
 
     async def release(self, names: list[str], guard: Callable[[], None] | None = None) -> None:
         status, answer = await self._call(
-            "POST", "/hosts/release", msgspec.json.encode({"berths": names}), guard=guard
+            "POST", "/hosts/release", msgspec.json.encode(ReleaseRequest(names)), guard=guard
         )
         if status != 200:
             raise CloudTrouble(f"status {status}: {answer[:200]!r}", False)
@@ -110,7 +116,7 @@
                 page = _hosts.decode(answer)
             except msgspec.DecodeError as why:
                 raise CloudTrouble(str(why), False) from None
-            out += page.berths
-            if not page.truncated or not page.berths:
+            out += page.machines
+            if not page.truncated or not page.machines:
                 return out
-            after = page.berths[-1].id
+            after = page.machines[-1].id
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -9,7 +9,13 @@
 
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import SettingsError, address
-from ashdock.wire.messages import DirectOrders, Malformed, Order, Report, decode_report
+from ashdock.wire.messages import (
+    DirectCommands,
+    Heartbeat,
+    MalformedMessageError,
+    TaskCommand,
+    decode_heartbeat,
+)
 
 
 class WorkerClient:
@@ -27,15 +33,17 @@
         return sum(client.sockets for client in self.clients.values())
 
     async def orders(
-        self, where: str, token: int, tenure: int, orders: list[Order]
-    ) -> tuple[int, Report | None]:
+        self, where: str, token: int, incarnation: int, commands: list[TaskCommand]
+    ) -> tuple[int, Heartbeat | None]:
         """The status and the worker's report. NoAnswer tells whether the orders may still arrive."""
         client = self._client(where)
-        body = msgspec.json.encode(DirectOrders(warrant=token, tenure=tenure, orders=orders))
+        body = msgspec.json.encode(
+            DirectCommands(fencing_token=token, incarnation=incarnation, commands=commands)
+        )
         status, answer = await client.request("POST", "/orders", body, self.timeout)
         try:
-            return status, decode_report(answer)
-        except Malformed:
+            return status, decode_heartbeat(answer)
+        except MalformedMessageError:
             return status, None
 
     def _client(self, where: str) -> Client:
--- a/ashdock/questions.py
+++ b/ashdock/questions.py
@@ -40,7 +40,9 @@
             spec["kind"],
             tuple(spec.get("needs") or ()),
         )
-    return Known(revision, spec.team, value.get("reason"), spec.kind, tuple(spec.needs or ()))
+    return Known(
+        revision, spec.team, value.get("reason"), spec.kind, tuple(spec.dependencies or ())
+    )
 
 
 class StatusReaderBusyError(Exception):
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -22,7 +22,7 @@
 from ashdock.net.worker import WorkerClient
 from ashdock.settings import Operators, Shared, Team, Workers
 from ashdock.timelines import FailoverTimeline
-from ashdock.wire.messages import MachineType, Order, Orders, Report
+from ashdock.wire.messages import Heartbeat, HeartbeatResponse, MachineType, TaskCommand
 
 log = logging.getLogger("ashdock.shard_owner")
 
@@ -178,7 +178,7 @@
             )
         return may
 
-    async def report(self, report: Report) -> Orders | None:
+    async def report(self, report: Heartbeat) -> HeartbeatResponse | None:
         if self.phase is not OwnershipPhase.ACTIVE:
             try:
                 async with asyncio.timeout(self.context.workers.report_s / 2):
@@ -194,7 +194,7 @@
         self.failover_timeline.heard(self.context.now())
         if shard.stale or shard.writer.touched or shard.writer.changing or shard.urgent:
             self.wake.set()  # most reports say nothing new, and call for no turn
-        return Orders(shard.token(shard.machines[report.berth]), orders)
+        return HeartbeatResponse(shard.token(shard.machines[report.machine]), orders)
 
     # -- the loop ------------------------------------------------------------------------------------
 
@@ -404,18 +404,20 @@
                 self.sends.add(task)
                 task.add_done_callback(self.sends.discard)
 
-    async def _send(self, shard: Shard, machine: Machine, orders: list[Order], token: int) -> None:
+    async def _send(
+        self, shard: Shard, machine: Machine, orders: list[TaskCommand], token: int
+    ) -> None:
         # Under the token that the starts are noted with. It may rise before this runs; sent under the higher one, a start that
         # arrives late would be taken though it counted as harmless.
         try:
             status, report = await self.context.worker_client.orders(
-                machine.address, token, machine.tenure, orders
+                machine.address, token, machine.incarnation, orders
             )
             # Anything else was not said by the worker, which may still carry them out.
             (shard.direct_answered if status in SAID else shard.direct_unanswered)(machine, orders)
             if (
                 report is not None
-                and report.berth == machine.name
+                and report.machine == machine.name
                 and self.phase is OwnershipPhase.ACTIVE
             ):
                 shard.reconciler.on_heartbeat(report, self.context.now(), checkin=False)
--- a/ashdock/wire/messages.py
+++ b/ashdock/wire/messages.py
@@ -1,4 +1,8 @@
-"""The protocol's words and shapes. Nowhere else are they spelled out."""
+"""The protocol's messages in the field's terms.
+
+The protocol's own names are spelled out here alone: once a field, with `field(name=...)`, or as the
+value of an enum. What is decoded carries our terms; what is encoded carries the protocol's.
+"""
 
 from __future__ import annotations
 
@@ -15,35 +19,47 @@
 KINDS = {"sweep": "array", "ensemble": "gang", "daemon": "service"}
 PRIORITIES = {"critical": 3, "high": 2, "standard": 1, "best_effort": 0}
 
+RUN, KILL, FORGET = "run", "kill", "forget"  # verbs of a task command
+ENDED = "ended"  # status of a task that has exited
+
+MAX_TASK_DIGITS = 6  # of a task's number within its job
+
+
+class MalformedMessageError(Exception):
+    """A body that is not a message of the protocol; the text says what is wrong and where."""
+
+
+# -- users ---------------------------------------------------------------------------------------
+
 
-class Run(Struct):
-    """A submission, as users send it."""
+class JobSubmission(Struct):
+    """A job as users submit it (`POST /v2/runs`)."""
 
     id: JobId
-    workload: Text
-    owner: Text
-    shape: Literal["sweep", "ensemble", "daemon"]
-    urgency: Literal["critical", "high", "standard", "best_effort"]
-    shares: Annotated[int, Meta(ge=1, le=100_000)]
+    job_class: Text = field(name="workload")
+    team: Text = field(name="owner")
+    kind: Literal["sweep", "ensemble", "daemon"] = field(name="shape")
+    priority: Literal["critical", "high", "standard", "best_effort"] = field(name="urgency")
+    tasks: Annotated[int, Meta(ge=1, le=100_000)] = field(name="shares")
     cpus: Amount
-    accelerators: Amount
-    ram_gb: Amount
-    bundle: Text
-    size_gb: Amount
-    same_place: bool
+    gpus: Amount = field(name="accelerators")
+    memory_gb: Amount = field(name="ram_gb")
+    image: Text = field(name="bundle")
+    image_gb: Amount = field(name="size_gb")
+    one_zone: bool = field(name="same_place")
     spread: bool
-    loaners: bool
-    expect_s: Amount
-    snapshot_s: Amount
-    flush_s: Amount
-    hulls: list[Text] | None = None
-    yard: Text | None = None
-    due_s: Amount | None = None
-    awaits: list[JobId] | None = None
+    spot: bool = field(name="loaners")
+    estimate_s: Amount = field(name="expect_s")
+    checkpoint_s: Amount = field(name="snapshot_s")
+    save_s: Amount = field(name="flush_s")
+    machine_types: list[Text] | None = field(default=None, name="hulls")
+    zone: Text | None = field(default=None, name="yard")
+    deadline_s: Amount | None = field(default=None, name="due_s")
+    dependencies: list[JobId] | None = field(default=None, name="awaits")
 
 
-class Spec(Struct):
-    """The same in the field's words; also how it is kept in the state service."""
+class JobSpec(Struct):
+    """A job as it is kept in the store, below `spec` of its record."""
 
     id: str
     job_class: str
@@ -62,155 +78,207 @@
     estimate_s: float
     checkpoint_s: float
     save_s: float
-    types: list[str] | None = None
+    machine_types: list[str] | None = field(default=None, name="types")
     zone: str | None = None
     deadline_s: float | None = None
-    # Jobs that have to be done first. Not there at all where there are none: versions before wrote no such field.
-    needs: list[str] | UnsetType = UNSET
-
-
-def spec_of(run: Run) -> Spec:
-    return Spec(
-        id=run.id,
-        job_class=run.workload,
-        team=run.owner,
-        kind=KINDS[run.shape],
-        priority=PRIORITIES[run.urgency],
-        tasks=run.shares,
-        cpus=run.cpus,
-        gpus=run.accelerators,
-        memory_gb=run.ram_gb,
-        image=run.bundle,
-        image_gb=run.size_gb,
-        one_zone=run.same_place,
-        spread=run.spread,
-        spot=run.loaners,
-        estimate_s=run.expect_s,
-        checkpoint_s=run.snapshot_s,
-        save_s=run.flush_s,
-        types=run.hulls,
-        zone=run.yard,
-        deadline_s=run.due_s,
-        needs=list(dict.fromkeys(run.awaits)) if run.awaits else UNSET,
+    # Jobs that have to be done first. Absent where there are none: versions before wrote no such field.
+    dependencies: list[str] | UnsetType = field(default=UNSET, name="needs")
+
+
+def job_spec_of(submission: JobSubmission) -> JobSpec:
+    """The spec of a submitted job."""
+    dependencies = submission.dependencies
+    return JobSpec(
+        id=submission.id,
+        job_class=submission.job_class,
+        team=submission.team,
+        kind=KINDS[submission.kind],
+        priority=PRIORITIES[submission.priority],
+        tasks=submission.tasks,
+        cpus=submission.cpus,
+        gpus=submission.gpus,
+        memory_gb=submission.memory_gb,
+        image=submission.image,
+        image_gb=submission.image_gb,
+        one_zone=submission.one_zone,
+        spread=submission.spread,
+        spot=submission.spot,
+        estimate_s=submission.estimate_s,
+        checkpoint_s=submission.checkpoint_s,
+        save_s=submission.save_s,
+        machine_types=submission.machine_types,
+        zone=submission.zone,
+        deadline_s=submission.deadline_s,
+        dependencies=list(dict.fromkeys(dependencies)) if dependencies else UNSET,
     )
 
 
-class Held(Struct):
+# -- workers -------------------------------------------------------------------------------------
+
+
+class TaskReport(Struct):
     """A task as its worker reports it."""
 
-    share: str
+    task: str = field(name="share")
     attempt: Count = field(name="try")
     status: str
     cause: str | None = None
-    kept: bool = False
+    saved: bool = field(default=False, name="kept")
 
 
-class Report(Struct):
-    berth: Text
+class Heartbeat(Struct):
+    """A worker's heartbeat with the status of its tasks (`POST /checkin`)."""
+
+    machine: Text = field(name="berth")
     address: str
-    hull: str
-    yard: str
-    tenure: Count
-    tally: Count
-    warrant: Count
-    loaners: bool = False
-    recall_s: float | None = None
-    shares: list[Held] = []
+    machine_type: str = field(name="hull")
+    zone: str = field(name="yard")
+    incarnation: Count = field(name="tenure")
+    sequence: Count = field(name="tally")
+    fencing_token: Count = field(name="warrant")
+    spot: bool = field(default=False, name="loaners")
+    reclaim_in_s: float | None = field(default=None, name="recall_s")
+    tasks: list[TaskReport] = field(default_factory=list, name="shares")
+
 
+class TaskCommand(Struct, omit_defaults=True):
+    """What a worker is to do with one attempt of a task."""
 
-class Order(Struct, omit_defaults=True):
     verb: str
-    share: str
+    task: str = field(name="share")
     attempt: int = field(name="try")
-    leeway_s: float | None = None
+    grace_s: float | None = field(default=None, name="leeway_s")
+
+
+class HeartbeatResponse(Struct):
+    """The answer to a heartbeat, under the fencing token of the shard's owner."""
+
+    fencing_token: int = field(name="warrant")
+    commands: list[TaskCommand] = field(name="orders")
 
 
-class Orders(Struct):
-    warrant: int
-    orders: list[Order]
+class DirectCommands(Struct):
+    """Commands sent straight to a worker (`POST /orders`), for one incarnation of it."""
 
+    fencing_token: int = field(name="warrant")
+    incarnation: int = field(name="tenure")
+    commands: list[TaskCommand] = field(name="orders")
 
-class DirectOrders(Struct):
-    warrant: int
-    tenure: int
-    orders: list[Order]
+
+# -- cloud ---------------------------------------------------------------------------------------
 
 
 class MachineType(Struct):
+    """A machine type of the cloud's catalog; prices are per hour."""
+
     label: str
     cpus: float
-    accelerators: float
-    ram_gb: float
+    gpus: float = field(name="accelerators")
+    memory_gb: float = field(name="ram_gb")
     cache_gb: float
     fetch_gb_per_s: float
     price: float
-    low_price: float
+    spot_price: float = field(name="low_price")
     boot_s: float
-    yards: list[str]
+    zones: list[str] = field(name="yards")
 
 
 class Catalog(Struct):
-    hulls: list[MachineType]
+    """The cloud's catalog (`GET /catalog`)."""
+
+    machine_types: list[MachineType] = field(name="hulls")
 
 
 class Host(Struct):
+    """A machine in the cloud's list; `age_s` is its age since it was rented."""
+
     id: str
     address: str
-    hull: str
-    yard: str
+    machine_type: str = field(name="hull")
+    zone: str = field(name="yard")
     status: str
-    loaners: bool = False
+    spot: bool = field(default=False, name="loaners")
     age_s: float = 0.0
 
 
 class Hosts(Struct):
-    berths: list[Host]
+    """A page of the cloud's list (`GET /hosts`)."""
+
+    machines: list[Host] = field(name="berths")
     truncated: bool = False
 
 
 class Rented(Struct):
-    berths: list[str]
+    """The names of rented machines (`POST /hosts`)."""
 
+    machines: list[str] = field(name="berths")
 
-RUN, KILL, FORGET = "run", "kill", "forget"
-ENDED = "ended"
 
-run_decoder = msgspec.json.Decoder(Run)
-report_decoder = msgspec.json.Decoder(Report)
-encode = msgspec.json.encode
+class RentalRequest(Struct):
+    """Rents machines of one type, zone and kind (`POST /hosts`); its name is never used again."""
+
+    intent: str = field(name="charter")
+    machine_type: str = field(name="hull")
+    zone: str = field(name="yard")
+    spot: bool = field(name="loaners")
+    count: int = field(name="how_many")
 
 
-class Malformed(Exception):
-    pass
+class ReleaseRequest(Struct):
+    """Returns machines (`POST /hosts/release`)."""
 
+    machines: list[str] = field(name="berths")
 
-def decode_run(body: bytes) -> Run:
-    # A string that JSON allows but UTF-8 does not (a lone surrogate) must be refused as well.
+
+# -- decoding and encoding -----------------------------------------------------------------------
+
+_submission_decoder = msgspec.json.Decoder(JobSubmission)
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
+encode = msgspec.json.encode
+
+
+def decode_submission(body: bytes) -> JobSubmission:
+    """Decode a submission.
+
+    Raises:
+        MalformedMessageError: it is not one. A string that JSON allows but UTF-8 does not (a lone
+            surrogate) is refused as well.
+    """
     try:
-        return run_decoder.decode(body)
+        return _submission_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as why:
-        raise Malformed(str(why)) from None
+        raise MalformedMessageError(str(why)) from None
+
 
+def decode_heartbeat(body: bytes) -> Heartbeat:
+    """Decode a worker's heartbeat.
 
-def decode_report(body: bytes) -> Report:
+    Raises:
+        MalformedMessageError: it is not one.
+    """
     try:
-        return report_decoder.decode(body)
+        return _heartbeat_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as why:
-        raise Malformed(str(why)) from None
+        raise MalformedMessageError(str(why)) from None
 
 
 def task_name(job: str, task: int) -> str:
+    """The protocol's name of a task: `req-000412/3`."""
     return f"{job}/{task}"
 
 
 def split_task(name: str) -> tuple[str, int]:
+    """Job and number of a task; a name that has no number is a job with task -1."""
     job, _, task = name.rpartition("/")
-    return (job, int(task)) if task.isdigit() and len(task) <= 6 else (name, -1)
+    if task.isdigit() and len(task) <= MAX_TASK_DIGITS:
+        return job, int(task)
+    return name, -1
 
 
 def status_answer(
     job: str, status: str, done: int = 0, running: int = 0, reason: str | None = None
 ) -> bytes:
+    """The body of `GET /v2/runs/{id}`."""
     answer: dict[str, Any] = {"id": job, "status": status, "done": done, "running": running}
     if reason:
         answer["reason"] = reason
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -27,11 +27,11 @@
     machines = [entry for entry in values.get("store", ()) if entry[0].startswith("machine/")]
     owners = {}
     if "orders" in values:
-        orders = messages.Orders(
+        orders = messages.HeartbeatResponse(
             values["orders"]["warrant"], orders_from(values["orders"]["orders"])
         )
 
-        async def report(found: messages.Report) -> messages.Orders:
+        async def report(found: messages.Heartbeat) -> messages.HeartbeatResponse:
             return orders
 
         owners = {"red": SimpleNamespace(report=report)}
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -65,9 +65,9 @@
     return messages.MachineType(label, 8, 4, 64, 100, 1, 2, 1, 6, ["a", "b"])
 
 
-def spec_from(values: Plain) -> messages.Spec:
+def spec_from(values: Plain) -> messages.JobSpec:
     """A job's specification from values under their stored names."""
-    found: messages.Spec = struct_from(messages.Spec, SPEC, values)
+    found: messages.JobSpec = struct_from(messages.JobSpec, SPEC, values)
     return found
 
 
@@ -255,7 +255,7 @@
         "rental_time_known": machine.dated,
         "phase": MACHINE_PHASES[machine.phase],
         "reason": machine.why,
-        "session": machine.tenure,
+        "session": machine.incarnation,
         "images": plain(images_of(record)),
         "as_leader": plain(tuple(machine_views)),
     }
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -27,7 +27,7 @@
 
 ERRORS: dict[type[Exception], str] = {
     FrameError: "bad frame",
-    messages.Malformed: "malformed body",
+    messages.MalformedMessageError: "malformed body",
     SettingsError: "settings",
     CompareFailedError: "conflict",
     StoreUnavailableError: "store unavailable",
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -165,7 +165,7 @@
     )
     leader.assigning, leader.lag_s = set(), 1.0
     store.entries["leader"] = (None, 41)
-    report = messages.decode_report(to_bytes(values["report"]))
+    report = messages.decode_heartbeat(to_bytes(values["report"]))
     leader.unassigned = {"vm-1": (report, NOW)}
     await leader._record(
         ScaleOut((("red", 1), ("blue", 1)), "g4", "a", True), ["vm-7", "vm-8"], NOW
@@ -183,7 +183,7 @@
     shard.tick(NOW)
     shard.scheduler.schedule(NOW)
     for report in values.get("reports", ()):
-        found = messages.decode_report(to_bytes(report))
+        found = messages.decode_heartbeat(to_bytes(report))
         shard.reconciler.on_heartbeat(found, NOW + 1, checkin=True)
     for job_id in values.get("cancelled", ()):
         shard.cancel(job_id, NOW, store.entries[f"job/{job_id}"][1], NOW)
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -10,7 +10,7 @@
 from ashdock.concurrency import StaleContextError, ensure_current, iterate_live
 from ashdock.net.store import Entry, WatchCache
 from ashdock.shard_owner import OwnershipPhase
-from ashdock.wire.messages import Report
+from ashdock.wire.messages import Heartbeat
 from tests import simtime
 from tests.whole import Service, job
 
@@ -55,7 +55,7 @@
             )  # lent, and so recorded, while this one was being written
 
         monkeypatch.setattr(leader, "_adopt", adopt)
-        report = Report("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
+        report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         leader.unrecorded_reports = dict.fromkeys(("vm-a", "vm-b", "vm-c"), (report, -1e9))
         await leader._adopt_unrecorded()
         assert adopted == ["vm-a", "vm-c"] and not leader.unrecorded_reports
@@ -148,7 +148,7 @@
         controller = next(c for c in service.controllers.values() if "red" in c.owners)
         owner = controller.owners["red"]
         assert owner.shard is not None
-        machine = next(m for m in owner.shard.machines.values() if m.address and m.tenure)
+        machine = next(m for m in owner.shard.machines.values() if m.address and m.incarnation)
         sent: list[int] = []
 
         async def orders(where: str, token: int, *_: Any) -> Any:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -29,15 +29,24 @@
 from ashdock.core.task import Failure, Phase, ranges_of
 from ashdock.leader import gone_from, lag_of
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
-from ashdock.wire.messages import RUN, Held, MachineType, Report, Spec, decode_run, encode, spec_of
+from ashdock.wire.messages import (
+    RUN,
+    Heartbeat,
+    JobSpec,
+    MachineType,
+    TaskReport,
+    decode_submission,
+    encode,
+    job_spec_of,
+)
 from tests.whole import job as run_of
 from tests.whole import shared
 
 G4 = MachineType("g4", 32, 4, 192, 80, 2.0, 10.0, 2.5, 6.0, ["a", "b", "c"])
 
 
-def spec(number: int = 1, **more: Any) -> Spec:
-    return spec_of(decode_run(encode(run_of(number, **more))))
+def spec(number: int = 1, **more: Any) -> JobSpec:
+    return job_spec_of(decode_submission(encode(run_of(number, **more))))
 
 
 def queued(one: Any, at: float) -> dict[str, Any]:
@@ -70,9 +79,9 @@
     tasks: Sequence[tuple[str, int, str, str | None]] = (),
     warrant: int = 10,
     tenure: int = 1,
-) -> Report:
-    held = [Held(share, attempt, status, cause) for share, attempt, status, cause in tasks]
-    return Report(machine, "10.1.0.1:9000", "g4", "a", tenure, tally, warrant, shares=held)
+) -> Heartbeat:
+    held = [TaskReport(share, attempt, status, cause) for share, attempt, status, cause in tasks]
+    return Heartbeat(machine, "10.1.0.1:9000", "g4", "a", tenure, tally, warrant, tasks=held)
 
 
 def commit(shard: Shard, revision: int) -> dict[str, Any]:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -96,7 +96,7 @@
             ],
         }
     )
-    assert calls(lambda: messages.decode_report(raw)) <= 5
+    assert calls(lambda: messages.decode_heartbeat(raw)) <= 5
 
 
 def test_a_pass_over_what_has_not_changed() -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -353,7 +353,7 @@
     live = shard.jobs["req-000001"].live[0]
     assert (
         live.status == "running"
-        and (machine.tenure, machine.tally) == (1, 9)
+        and (machine.incarnation, machine.sequence) == (1, 9)
         and machine.last_at == 4.0
     )
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,7 +13,7 @@
 from ashdock.controller import Controller
 from ashdock.leader import LOANS_S
 from ashdock.net.http import Client, NoAnswer
-from ashdock.wire.messages import Report
+from ashdock.wire.messages import Heartbeat
 from tests import simtime
 from tests.simtime import spawn
 from tests.test_whole import play
@@ -364,7 +364,7 @@
 
         inner = leader._assign_now
         monkeypatch.setattr(leader, "_assign_now", write)
-        report = Report("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
+        report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         names = [f"vm-9{n:05d}" for n in range(1000)]
         leader.unrecorded_reports = {
             name: (msgspec.structs.replace(report, berth=name), service.now()) for name in names
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -429,7 +429,7 @@
     ]
     assert one.fails[11].times == 1 and one.live[3].attempt == 2 and one.reason and not one.waits
     assert all(p.phase is Phase.STOPPING for p in (*gang.live.values(), *gone.live.values()))
-    assert new.usage.gpus == 2.0 and new.machines["vm-000001"].tenure == 2
+    assert new.usage.gpus == 2.0 and new.machines["vm-000001"].incarnation == 2
     # What is written for as long as no mark is there is what production would have written.
     one = old.jobs["req-000001"]
     assert [one.chunk_value(n) for n in range(3)] == [
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,7 +14,7 @@
 from ashdock.net.http import Client
 from ashdock.wire import frames
 from ashdock.wire.frames import Hello, OwnershipClaims, PeerHeartbeat
-from ashdock.wire.messages import Held, Report
+from ashdock.wire.messages import Heartbeat, TaskReport
 from tests import ends
 from tests.simtime import spawn
 from tests.test_whole import play
@@ -122,7 +122,7 @@
         lambda job: job == "req-9",
         CancellationWatermark(shared().workers, ["n1"], 0),
     )
-    report = Report(
+    report = Heartbeat(
         "vm-1",
         "10.1.0.1:9000",
         "g4",
@@ -132,7 +132,7 @@
         1,
         True,
         None,
-        [Held(share, 1, "running") for share in holds],
+        [TaskReport(share, 1, "running") for share in holds],
     )
     assert orphan_leases.may_renew(report, 100.0) is may
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -33,7 +33,7 @@
     TransferMachine,
     WatermarkEcho,
 )
-from ashdock.wire.messages import Malformed, decode_report, decode_run, encode
+from ashdock.wire.messages import MalformedMessageError, decode_heartbeat, decode_submission, encode
 from tests import simtime
 from tests.whole import job
 
@@ -243,7 +243,7 @@
         "warrant": 3,
         "shares": [{"share": "req-1/0", "try": 1, "status": "running"}],
     }
-    for decode, good in ((decode_run, encode(job(1))), (decode_report, encode(report))):
+    for decode, good in ((decode_submission, encode(job(1))), (decode_heartbeat, encode(report))):
         decode(good)
         for _ in range(2000):
             raw = bytearray(good)
@@ -254,7 +254,7 @@
                 )
             try:
                 decode(bytes(raw))
-            except Malformed:
+            except MalformedMessageError:
                 pass
 
 
