--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -21,13 +21,13 @@
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.election.fencing import TermFence
-from ashdock.fairness.burden import Burden, Other, Pace
+from ashdock.fairness.load_shedder import HeartbeatLag, LoadShedder, PeerLoad
 from ashdock.front import Front, refused, use_of
 from ashdock.heartbeat_forwarder import HeartbeatForwarder
 from ashdock.leader import Leader
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
-from ashdock.net.cloud import CloudClient, CloudTrouble
+from ashdock.net.cloud import CloudClient, CloudError
 from ashdock.net.http import Answer, Server
 from ashdock.net.mesh import Mesh
 from ashdock.net.rate_limiter import Demand
@@ -117,8 +117,8 @@
             keep=False,
             hold_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8),
         )
-        self.pace = Pace(self.mesh.beat_s)
-        self.burden = Burden(self.mesh.beat_s, 2 * self.workers.lease_s)
+        self.heartbeat_lag = HeartbeatLag(self.mesh.beat_s)
+        self.load_shedder = LoadShedder(self.mesh.beat_s, 2 * self.workers.lease_s)
         self.catalog: dict[str, MachineType] = {}
         self.machine_type_catalog = MachineTypeCatalog(self)
         self.owners: dict[str, ShardOwner] = {}
@@ -252,7 +252,7 @@
                 if pause is None:
                     return
                 await asyncio.sleep(pause)
-            except (StoreUnavailableError, CloudTrouble, CompareFailedError) as why:
+            except (StoreUnavailableError, CloudError, CompareFailedError) as why:
                 log.debug("%s: %s", loop.__name__, why)
                 await asyncio.sleep(self.tick_s)
             except Exception:
@@ -504,7 +504,7 @@
 
     async def _gossip(self) -> float:
         now = time.monotonic()
-        self.pace.beat(now)
+        self.heartbeat_lag.beat(now)
         self._hand_on(now)
         self._share()
         beat = PeerHeartbeat(
@@ -538,8 +538,8 @@
         }
         fit = set(self.fit_members())
         others = {
-            label: Other(
-                peer.pace.gap_s,
+            label: PeerLoad(
+                peer.heartbeat_lag.gap_s,
                 sum(entry.value["owner"] == label for entry in self.shards.entries.values()),
                 peer.beat.leader,
             )
@@ -549,7 +549,9 @@
             and peer.beat.ready
             and peer.heard_within(self.ttl_s)
         }
-        given = self.burden.hand_on(self.pace.gap_s, ours, self.leader is not None, others, now)
+        given = self.load_shedder.hand_on(
+            self.heartbeat_lag.gap_s, ours, self.leader is not None, others, now
+        )
         if given is not None:
             team, label = given
             log.info(
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -150,7 +150,7 @@
 
     def _runs(self, placement: Placement, now: float) -> None:
         job = self.shard.jobs[placement.job]
-        self.shard.classes.served.started(job.id, 1, now)
+        self.shard.classes.attainment.started(job.id, 1, now)
         if job.started_at is None:
             job.started_at = now
             waited = placement.placed_at - job.since
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -505,7 +505,7 @@
             return
         log.info("job %s is cancelled; %d tasks to stop", job_id, len(job.live))
         job.cancel(at)
-        self.classes.served.withdrawn(job_id)
+        self.classes.attainment.withdrawn(job_id)
         job.revision = max(job.revision, revision)
         job.breaking = None
         self.dependency_tracker.cancelled(job, now)
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from ashdock.fairness.served import HALF, Row, Served
+from ashdock.fairness.slo_attainment import HALF, Row, SloAttainment
 from ashdock.settings import Objective
 
 RISES = (
@@ -57,7 +57,7 @@
         self.looks_s = looks_s
         self.looked_at = -math.inf
         self.faded_at = -math.inf
-        self.served = Served()
+        self.attainment = SloAttainment()
         self.recent: dict[
             str, tuple[float, float]
         ] = {}  # by class: of jobs that are over, how many were due, and served
@@ -68,17 +68,17 @@
         self, job: str, job_class: str, team: str, tasks: int, since: float, due_at: float
     ) -> None:
         """Accepted, and free to start."""
-        self.served.made(
+        self.attainment.made(
             job, job_class, team, tasks, since, self.aims.get(job_class, math.inf), due_at
         )
-        self.served.accepted(job)
+        self.attainment.accepted(job)
 
     def done(self, job: str, now: float) -> None:
-        over = self.served.done(job, now)
+        over = self.attainment.done(job, now)
         if over is not None:
             name, row = over
-            due, served = self.recent.get(name, (0.0, 0.0))
-            self.recent[name] = (due + row.due, served + row.served)
+            due, attainment = self.recent.get(name, (0.0, 0.0))
+            self.recent[name] = (due + row.due, attainment + row.attainment)
 
     def look(self, now: float) -> dict[str, float]:
         """Each class's share of late, as far as enough of it is due."""
@@ -88,19 +88,19 @@
         fade = 0.5 ** ((now - self.faded_at) / self.fades_s)
         self.faded_at = now
         self.recent = {
-            name: (due * fade, served * fade)
-            for name, (due, served) in self.recent.items()
+            name: (due * fade, attainment * fade)
+            for name, (due, attainment) in self.recent.items()
             if due * fade > 0.1
         }
         rows: dict[str, Row] = {}
-        for known in self.served.open.values():
+        for known in self.attainment.open.values():
             rows[known.job_class] = rows.get(known.job_class, Row()).plus(known.row(now))
         self.shares = {}
         for name in {*rows, *self.recent}:
-            due, served = self.recent.get(name, (0.0, 0.0))
+            due, attainment = self.recent.get(name, (0.0, 0.0))
             row = rows.get(name, Row())
             if due + row.due >= FEW:
-                self.shares[name] = (served + row.served) / (due + row.due)
+                self.shares[name] = (attainment + row.attainment) / (due + row.due)
         self.rising = {
             name
             for name, share in self.shares.items()
--- a/ashdock/fairness/line.py
+++ b/ashdock/fairness/fair_queue.py
@@ -22,7 +22,7 @@
     item: Item
 
 
-class FairLine(Generic[Item]):
+class FairQueue(Generic[Item]):
     def __init__(self, weights: Mapping[str, float] | None = None) -> None:
         self.weights = weights or {}
         self.clock = 0.0
--- a/ashdock/fairness/rush.py
+++ b/ashdock/fairness/hot_tenants.py
@@ -8,7 +8,7 @@
 SURPLUS = 1.25  # times its share of all that comes, from which on a team is hot
 
 
-class Rush:
+class HotTenantDetector:
     """What came of late from each team, fading; and for each that is told to come back, the moments given out so far."""
 
     def __init__(
--- a/ashdock/fairness/burden.py
+++ b/ashdock/fairness/load_shedder.py
@@ -14,7 +14,7 @@
 BETTER = 1.5  # how many times shorter the gaps of who is to have the shard have to be
 
 
-class Pace:
+class HeartbeatLag:
     """How far apart beats are, of late."""
 
     def __init__(self, beat_s: float) -> None:
@@ -27,7 +27,7 @@
         self.at = now
 
 
-class Other(NamedTuple):
+class PeerLoad(NamedTuple):
     """Another controller that may own parts."""
 
     gap_s: float
@@ -35,7 +35,7 @@
     leads: bool
 
 
-class Burden:
+class LoadShedder:
     def __init__(self, beat_s: float, patience_s: float) -> None:
         """`patience_s`: how long we have to be behind, and how long nothing is handed on after something was."""
         self.beat_s = beat_s
@@ -47,7 +47,7 @@
         gap_s: float,
         ours: Mapping[str, int],
         leads: bool,
-        others: Mapping[str, Other],
+        others: Mapping[str, PeerLoad],
         now: float,
     ) -> tuple[str, str] | None:
         """The shard to hand on and the controller that is to have it. `ours`: the work of each shard here.
--- a/ashdock/fairness/served.py
+++ b/ashdock/fairness/slo_attainment.py
@@ -34,12 +34,12 @@
     started: int = 0  # all of its tasks have run
     done: int = 0
     due: int = 0
-    served: float = 0.0  # of those that are due, each by its share
+    attainment: float = 0.0  # of those that are due, each by its share
 
     @property
     def share(self) -> float:
         """1 while nothing is due."""
-        return self.served / self.due if self.due else 1.0
+        return self.attainment / self.due if self.due else 1.0
 
     def plus(self, other: Row) -> Row:
         return Row(
@@ -48,7 +48,7 @@
             self.started + other.started,
             self.done + other.done,
             self.due + other.due,
-            self.served + other.served,
+            self.attainment + other.attainment,
         )
 
 
@@ -74,19 +74,19 @@
             by_deadline and (no_aim or not math.isinf(self.due_at))
         )
         started = min(self.in_time / self.tasks, 1.0)
-        served = max(started, 1.0 if done and now <= self.due_at else 0.0)
+        attainment = max(started, 1.0 if done and now <= self.due_at else 0.0)
         return Row(
             1,
             int(self.accepted),
             int(self.process_started >= self.tasks),
             int(done),
             int(due),
-            served if due else 0.0,
+            attainment if due else 0.0,
         )
 
 
 @dataclass
-class Served:
+class SloAttainment:
     open: dict[str, _Open] = field(default_factory=dict)
     over: dict[tuple[str, str], Row] = field(default_factory=dict)  # by class and team
     widths: dict[tuple[str, int], Row] = field(
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -27,8 +27,8 @@
     StoreUnavailableError,
     WatchCache,
 )
-from ashdock.questions import Known, Questions, StatusReaderBusyError, known_of
 from ashdock.settings import Shared, Workers
+from ashdock.status_reader import KnownJob, StatusReader, StatusReaderBusyError, known_job_of
 from ashdock.wire import messages
 from ashdock.wire.frames import ForwardReply
 from ashdock.wire.messages import JobSpec, MalformedMessageError
@@ -141,7 +141,9 @@
         self.finals: OrderedDict[str, Final] = OrderedDict()
         self.reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.looking: set[str] = set()  # jobs that others need, being looked up to tell who asks
-        self.questions = Questions(context.store, ANSWER_S, self.saw, context.admission.memory.jobs)
+        self.status_reader = StatusReader(
+            context.store, ANSWER_S, self.saw, context.admission.memory.jobs
+        )
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
         self.answered: dict[str, float] = {}  # worker: when an owner here last answered it
@@ -263,7 +265,7 @@
             final = self.finals.get(need)
             if final is not None:
                 return None
-            known = self.questions.known.get(need)
+            known = self.status_reader.known.get(need)
             if known is None or known.kind == "service":  # one that is withdrawn may be named
                 async with gate:
                     entry = await self._read(need) if need != spec.id else None
@@ -272,7 +274,7 @@
                 self.saw(need, entry.value, entry.revision)
                 if entry.value["status"] != "queued":
                     return None
-                known = known_of(entry.value, entry.revision)
+                known = known_job_of(entry.value, entry.revision)
             return f"{need} is a service and is never done" if known.kind == "service" else None
 
         for reason in await asyncio.gather(*(why(need) for need in spec.dependencies or ())):
@@ -309,14 +311,14 @@
             return Answer(200, self._final(job_id, final))
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
-        remembered = self.questions.known.get(job_id)
+        remembered = self.status_reader.known.get(job_id)
         behind = self.context.admission.question(
             time.monotonic(), remembered.team if remembered else ""
         )
         if behind:
             return refused(behind)
         try:
-            known = await self._bounded(self.questions.ask(job_id))
+            known = await self._bounded(self.status_reader.ask(job_id))
         except StatusReaderBusyError:
             return error(429, "too many questions at once", self._retry_after())
         except StoreUnavailableError:
@@ -408,7 +410,7 @@
 
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """A record of it came by."""
-        self.questions.learn(job_id, value, revision)
+        self.status_reader.learn(job_id, value, revision)
         if value["status"] in ("done", "withdrawn"):
             spec = value["spec"]
             team, tasks = (
@@ -428,7 +430,7 @@
         does not hear the other may hear us."""
         if job_id in self.finals:
             return False
-        self.questions.over(job_id)
+        self.status_reader.over(job_id)
         self._over(job_id, Final("withdrawn", 0, None, None))
         self.context.broadcast_cancellation(job_id, team, revision, at)
         return True
@@ -466,10 +468,10 @@
         return (
             self._final(job_id, final)
             if final
-            else self._unfinished(job_id, known_of(entry.value, entry.revision))
+            else self._unfinished(job_id, known_job_of(entry.value, entry.revision))
         )
 
-    def _unfinished(self, job_id: str, known: Known) -> bytes:
+    def _unfinished(self, job_id: str, known: KnownJob) -> bytes:
         done, running = self.context.counts(known.team, job_id)
         reason = known.reason or (self._waits(known.needs) if not done and not running else None)
         return messages.status_answer(
@@ -481,13 +483,13 @@
         left = [need for need in needs if need not in self.finals]
         for need in left:
             if (
-                need not in self.questions.known
+                need not in self.status_reader.known
                 and need not in self.looking
                 and len(self.looking) < NEEDS_AT_ONCE
             ):
                 self.looking.add(need)
                 self.context.spawn(self._look_up(need))
-        left = [need for need in left if need in self.questions.known]
+        left = [need for need in left if need in self.status_reader.known]
         more = f" and {len(left) - NEEDS_NAMED} more" if len(left) > NEEDS_NAMED else ""
         return f"waits for {', '.join(left[:NEEDS_NAMED])}{more}" if left else None
 
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -16,7 +16,7 @@
 from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.fencing import NotLeaderError
-from ashdock.net.cloud import CloudClient, CloudTrouble, NoCapacity
+from ashdock.net.cloud import CloudClient, CloudError, NoCapacityError
 from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import (
     CompareFailedError,
@@ -161,7 +161,7 @@
                 if again is None:
                     return
                 await asyncio.sleep(again)
-            except (StoreUnavailableError, CloudTrouble, CompareFailedError, NotLeaderError) as why:
+            except (StoreUnavailableError, CloudError, CompareFailedError, NotLeaderError) as why:
                 log.debug("%s: %s", loop.__name__, why or "not ours at the moment")
                 await asyncio.sleep(pause)
             except Exception:
@@ -428,10 +428,10 @@
                         name, rent.type, rent.zone, rent.spot, rent.number, self._guard_call
                     )
                     break
-                except NoCapacity:
+                except NoCapacityError:
                     refused = True
                     break
-                except CloudTrouble as why:
+                except CloudError as why:
                     # The name makes a repeated request harmless: it rents nothing twice.
                     log.debug("charter %s: %s", name, why)
                     await asyncio.sleep(context.workers.lease_s / 10)
--- a/ashdock/machine_type_catalog.py
+++ b/ashdock/machine_type_catalog.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ashdock.core.write_limits import WriteLimits
-from ashdock.net.cloud import CloudClient, CloudTrouble
+from ashdock.net.cloud import CloudClient, CloudError
 from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import StoreClient
 from ashdock.wire.messages import MachineType
@@ -37,7 +37,7 @@
         context = self.context
         try:
             context.catalog.update(await context.cloud.catalog())
-        except CloudTrouble:
+        except CloudError:
             if not context.catalog:
                 entries, _ = await context.store.under("catalog")
                 for entry in entries:
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -28,7 +28,7 @@
 _rented = msgspec.json.Decoder(Rented)
 
 
-class CloudTrouble(Exception):
+class CloudError(Exception):
     """It did not answer properly. If `unknown`, the request may still be carried out."""
 
     def __init__(self, why: str, unknown: bool) -> None:
@@ -36,7 +36,7 @@
         self.unknown = unknown
 
 
-class NoCapacity(Exception):
+class NoCapacityError(Exception):
     pass
 
 
@@ -62,19 +62,19 @@
         try:
             status, answer = await self.client.request(method, target, body, self.timeout)
         except NoAnswer as why:
-            raise CloudTrouble(str(why), why.sent) from None
+            raise CloudError(str(why), why.sent) from None
         if status in (429, 500, 502, 504) or (status == 503 and b"no capacity" not in answer):
-            raise CloudTrouble(f"status {status}", False)
+            raise CloudError(f"status {status}", False)
         return status, answer
 
     async def catalog(self) -> dict[str, MachineType]:
         status, answer = await self._call("GET", "/catalog")
         if status != 200:
-            raise CloudTrouble(f"status {status}", False)
+            raise CloudError(f"status {status}", False)
         try:
             return {shape.label: shape for shape in _catalog.decode(answer).machine_types}
         except msgspec.DecodeError as why:
-            raise CloudTrouble(str(why), False) from None
+            raise CloudError(str(why), False) from None
 
     async def rent(
         self,
@@ -88,20 +88,20 @@
         body = msgspec.json.encode(RentalRequest(charter, kind, zone, spot, count))
         status, answer = await self._call("POST", "/hosts", body, guard=guard)
         if status == 503:
-            raise NoCapacity
+            raise NoCapacityError
         if status != 200:
-            raise CloudTrouble(f"status {status}: {answer[:200]!r}", False)
+            raise CloudError(f"status {status}: {answer[:200]!r}", False)
         try:
             return _rented.decode(answer).machines
         except msgspec.DecodeError as why:
-            raise CloudTrouble(str(why), True) from None
+            raise CloudError(str(why), True) from None
 
     async def release(self, names: list[str], guard: Callable[[], None] | None = None) -> None:
         status, answer = await self._call(
             "POST", "/hosts/release", msgspec.json.encode(ReleaseRequest(names)), guard=guard
         )
         if status != 200:
-            raise CloudTrouble(f"status {status}: {answer[:200]!r}", False)
+            raise CloudError(f"status {status}: {answer[:200]!r}", False)
 
     async def hosts(self) -> list[Host]:
         out: list[Host] = []
@@ -111,11 +111,11 @@
                 "GET", f"/hosts?from={quote(after)}&most=500", priority=RequestPriority.BACKGROUND
             )
             if status != 200:
-                raise CloudTrouble(f"status {status}", False)
+                raise CloudError(f"status {status}", False)
             try:
                 page = _hosts.decode(answer)
             except msgspec.DecodeError as why:
-                raise CloudTrouble(str(why), False) from None
+                raise CloudError(str(why), False) from None
             out += page.machines
             if not page.truncated or not page.machines:
                 return out
--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-from ashdock.fairness.burden import Pace
+from ashdock.fairness.load_shedder import HeartbeatLag
 from ashdock.wire import frames
 from ashdock.wire.frames import Frame, FrameError, Hello, PeerHeartbeat
 
@@ -18,7 +18,7 @@
 
 class Peer:
     def __init__(self, label: str, host: str, port: int, beat_s: float) -> None:
-        self.pace = Pace(beat_s)
+        self.heartbeat_lag = HeartbeatLag(beat_s)
         self.label = label
         self.host = host
         self.port = port
@@ -156,7 +156,7 @@
                 peer.beat_at = time.monotonic()
                 if isinstance(frame, PeerHeartbeat):
                     peer.beat = frame
-                    peer.pace.beat(peer.beat_at)
+                    peer.heartbeat_lag.beat(peer.beat_at)
                 self.on_frame(label, frame)
         except FrameError as why:
             log.info("closed a mesh link of %s: %s", label or "nobody known", why)
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -204,15 +204,15 @@
             if owner.shard is None:
                 continue
             classes = owner.shard.classes
-            for (kind, name), row in classes.served.rows(owner.shard.clock).items():
+            for (kind, name), row in classes.attainment.rows(owner.shard.clock).items():
                 if kind == "class":
                     share.add_metric([team, name], row.share)
                     due.add_metric([team, name], row.due)
                     rises.add_metric([team, name], float(name in classes.rising))
                 elif kind == "largest":
                     largest.add_metric([team, name], row.share)
-            for name, spans in classes.served.waits.items():
-                waits.add_metric([team, name], classes.served.histogram(name), spans.sum_s)
+            for name, spans in classes.attainment.waits.items():
+                waits.add_metric([team, name], classes.attainment.histogram(name), spans.sum_s)
         away = CounterMetricFamily(
             "ashdock_submissions_turned_away", "told to come back, by team", labels=["team"]
         )
@@ -220,9 +220,9 @@
             "ashdock_team_hot", "1 while a team submits more than its share here", labels=["team"]
         )
         admission = self.context.admission
-        for team in admission.rush.teams:
+        for team in admission.hot_tenants.teams:
             away.add_metric([team], admission.turned_away[team])
-            hot.add_metric([team], float(admission.rush.hot(team)))
+            hot.add_metric([team], float(admission.hot_tenants.hot(team)))
         yield from (share, due, largest, rises, waits, away, hot)
 
     def _recovery(self) -> Iterable[Metric]:
--- a/ashdock/net/rate_limiter.py
+++ b/ashdock/net/rate_limiter.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ashdock.fairness.line import FairLine
+from ashdock.fairness.fair_queue import FairQueue
 
 
 class RequestPriority(IntEnum):
@@ -48,8 +48,8 @@
         self.left = self.most
         self.used = 0.0  # granted of late, fading by the second
         self.at = time.monotonic()
-        self.lines: dict[RequestPriority, FairLine[asyncio.Future[None]]] = {
-            priority: FairLine(weights) for priority in RequestPriority
+        self.lines: dict[RequestPriority, FairQueue[asyncio.Future[None]]] = {
+            priority: FairQueue(weights) for priority in RequestPriority
         }
         self.passed = dict.fromkeys(
             RequestPriority, 0.0
--- a/ashdock/questions.py
+++ b/ashdock/status_reader.py
@@ -20,7 +20,7 @@
 UNDER_WAY = 4  # comparisons, and reads of what differed, at a time
 
 
-class Known(NamedTuple):
+class KnownJob(NamedTuple):
     """A job that is not over, as last seen."""
 
     revision: int
@@ -30,17 +30,17 @@
     needs: tuple[str, ...]  # what it waits for, or has waited for
 
 
-def known_of(value: dict[str, Any], revision: int) -> Known:
+def known_job_of(value: dict[str, Any], revision: int) -> KnownJob:
     spec = value["spec"]
     if isinstance(spec, dict):
-        return Known(
+        return KnownJob(
             revision,
             spec["team"],
             value.get("reason"),
             spec["kind"],
             tuple(spec.get("needs") or ()),
         )
-    return Known(
+    return KnownJob(
         revision, spec.team, value.get("reason"), spec.kind, tuple(spec.dependencies or ())
     )
 
@@ -49,16 +49,16 @@
     """More questions than can be checked while their users wait."""
 
 
-class Questions:
+class StatusReader:
     def __init__(self, store: StoreClient, patience_s: float, seen: Any, most: int) -> None:
         """`most`: jobs of which the revision is remembered."""
         self.store = store
         self.patience_s = patience_s
         self.most_known = most
         self.seen = seen  # told of each record read: (job id, record, revision)
-        self.known: OrderedDict[str, Known] = OrderedDict()
+        self.known: OrderedDict[str, KnownJob] = OrderedDict()
         self.waiting: dict[
-            str, asyncio.Future[Known | None]
+            str, asyncio.Future[KnownJob | None]
         ] = {}  # asked, and not yet being compared
         self.next_at = 0.0
         self.calls = asyncio.Semaphore(UNDER_WAY)
@@ -74,7 +74,7 @@
         if value["status"] != "queued":
             self.known.pop(job_id, None)  # final answers are kept elsewhere
             return
-        self.known[job_id] = known_of(value, revision)
+        self.known[job_id] = known_job_of(value, revision)
         if len(self.known) > self.most_known:
             self.known.popitem(last=False)
 
@@ -90,7 +90,7 @@
     def pause_s(self) -> float:
         return 1 / (CALLS_SHARE * self.store.requests.per_s)
 
-    async def ask(self, job_id: str) -> Known | None:
+    async def ask(self, job_id: str) -> KnownJob | None:
         """How the job stands, by a check that begins from here on; None: there is no such job."""
         future = self.waiting.get(job_id)
         if future is None:
@@ -118,7 +118,7 @@
             bunch = {job_id: self.waiting.pop(job_id) for job_id in list(self.waiting)[: self.most]}
             self._spawn(self._check(bunch))
 
-    async def _check(self, bunch: dict[str, asyncio.Future[Known | None]]) -> None:
+    async def _check(self, bunch: dict[str, asyncio.Future[KnownJob | None]]) -> None:
         try:
             while bunch:
                 held = {job_id: self.known.get(job_id) for job_id in bunch}
@@ -152,7 +152,7 @@
         finally:
             self.calls.release()
 
-    async def _read(self, job_id: str, future: asyncio.Future[Known | None]) -> None:
+    async def _read(self, job_id: str, future: asyncio.Future[KnownJob | None]) -> None:
         try:
             async with self.reads:
                 entry: Entry | None = await self.store.get(
@@ -165,4 +165,6 @@
         if entry is not None:
             self.seen(job_id, entry.value, entry.revision)
         if not future.done():
-            future.set_result(known_of(entry.value, entry.revision) if entry is not None else None)
+            future.set_result(
+                known_job_of(entry.value, entry.revision) if entry is not None else None
+            )
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -160,7 +160,7 @@
     ("wire/messages.py", "JSON"),
     ("net/store.py", "watch and state"),
     ("net/rate_limiter.py", "watch and state"),
-    ("fairness/line.py", "watch and state"),
+    ("fairness/fair_queue.py", "watch and state"),
     ("core/heartbeat_reconciler.py", "reports"),
     ("front.py:checkin", "reports"),
     ("front.py:_elsewhere", "reports"),
@@ -179,7 +179,7 @@
     ("core/quota.py", "passes"),
     ("core/estimates.py", "passes"),
     ("fairness/classes.py", "passes"),
-    ("fairness/served.py", "passes"),
+    ("fairness/slo_attainment.py", "passes"),
     ("core/allocator.py", "leader's choices"),
     ("leader.py", "leader's choices"),
     ("election/", "leader's choices"),
@@ -199,7 +199,7 @@
     ("core/park.py", "writing"),
     ("core/shard.py", "writing"),
     ("shard_owner.py", "writing"),
-    ("questions.py", "questions"),
+    ("status_reader.py", "questions"),
     ("front.py", "submissions and questions"),
     ("membership.py", "membership"),
     ("cluster_version.py", "membership"),
@@ -216,7 +216,7 @@
     "reports": "core/heartbeat_reconciler.py:on_heartbeat",
     "passes": "core/scheduler.py:schedule",
     "writing": "core/shard_writer.py:next_transaction",
-    "questions": "questions.py:ask",
+    "questions": "status_reader.py:ask",
     "mesh": "controller.py:_on_frame",
     "leader's choices": "leader.py:_choose",
     "watch and state": "net/store.py:txn",
@@ -436,12 +436,16 @@
             )
         ],
         "jobs that ended": [front.finals],
-        "jobs that are open": [front.questions.known, *(shard.jobs for shard in shards)],
+        "jobs that are open": [front.status_reader.known, *(shard.jobs for shard in shards)],
         "machines": [shard.machines for shard in shards],
         "parks": [shard.parks for shard in shards],
         "of workers": [front.redirected, front.relaying, front.answered],
         "what others told": [controller.remote_statuses, controller.remote_counts],
-        "leader": [controller.leader.strays, controller.leader.listed, controller.leader.released]
+        "leader": [
+            controller.leader.unrecorded_reports,
+            controller.leader.listed,
+            controller.leader.released,
+        ]
         if controller.leader
         else [],
     }
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -23,7 +23,6 @@
 from ashdock.net.store import (
     Entry,
 )
-from ashdock.questions import known_of
 from ashdock.settings import (
     CloudLimits,
     Operators,
@@ -32,6 +31,7 @@
     Team,
     Workers,
 )
+from ashdock.status_reader import known_job_of
 from ashdock.wire import messages
 from tests.forms.adapter.bodies import SPEC
 from tests.forms.adapter.values import (
@@ -106,7 +106,7 @@
     """What a front remembers of a job that is over, and what it tells the others."""
     context = RecordReader()
     front: Any = Front.__new__(Front)
-    front.context, front.questions, front.finals = context, context, {}
+    front.context, front.status_reader, front.finals = context, context, {}
     front.saw(job_id, record, REVISION)
     final = front.finals.get(job_id)
     return {"final": plain(final), "told": context.told}
@@ -117,7 +117,7 @@
     record = msgspec.json.decode(to_bytes(body))
     job = make_part().add_job(record, REVISION)
     spec = attributes_of(spec_of_record(record), SPEC)
-    known = known_of(record, REVISION)
+    known = known_job_of(record, REVISION)
     owned = [job.active, job.reason, job.cancelled_at]
     read = {"spec": spec, "at": job.submitted, "owned": owned, "known": plain(known)}
     return read | read_final(spec["id"], record)
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ashdock.net.cloud import CloudTrouble, NoCapacity
+from ashdock.net.cloud import CloudError, NoCapacityError
 from ashdock.net.http import NoAnswer
 from ashdock.net.store import (
     CompareFailedError,
@@ -35,8 +35,8 @@
     WriteRefusedError: "store refused",
     LeaseLostError: "lease lost",
     WatchExpiredError: "watch expired",
-    CloudTrouble: "cloud trouble",
-    NoCapacity: "no capacity",
+    CloudError: "cloud trouble",
+    NoCapacityError: "no capacity",
     NoAnswer: "no answer",
 }
 
@@ -52,7 +52,7 @@
     else:
         raise error
     values: dict[str, Plain] = {"type": kind, "message": str(error)}
-    if isinstance(error, (StoreUnavailableError, CloudTrouble)):
+    if isinstance(error, (StoreUnavailableError, CloudError)):
         values["outcome_unknown"] = error.unknown
     if isinstance(error, NoAnswer):
         values["outcome_unknown"] = error.sent
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -78,7 +78,7 @@
     )  # when a question about it was last answered
     starts: int = 0
     bad: set[str] = field(default_factory=set)  # submissions that are never to be stored
-    served: Any = None  # an ashdock.fairness.served.Served, where that is counted
+    served: Any = None  # an ashdock.fairness.slo_attainment.Served, where that is counted
     broken: list[tuple[str, str]] = field(default_factory=list)
 
     def _break(self, rule: str, what: str) -> None:
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -12,7 +12,7 @@
     python -m tests.scale cost              where processor time and memory go (tests/cost.py)
     python -m tests.scale duties --times 1.5    calm, and how long nobody holds the machines' duty, by what became of its holder
 
-What was served of each class and team is printed (ashdock/fairness/served.py); where a share is under a half the tool exits with 1.
+What was served of each class and team is printed (ashdock/fairness/slo_attainment.py); where a share is under a half the tool exits with 1.
 
 Controllers are charged for what they compute: each has half a core (--core), and what it does beyond that comes later.
 
@@ -42,7 +42,7 @@
 from hdrh.histogram import HdrHistogram
 from pympler import asizeof
 
-from ashdock.fairness.served import HALF, Served, jain
+from ashdock.fairness.slo_attainment import HALF, SloAttainment, jain
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import Objective, Team
 from tests import cost, courses, simtime, whole
@@ -255,7 +255,7 @@
         self.teams = [team[0] for team in (shape.teams if shape else TEAMS)]
         self.seed = seed
         self.rng = random.Random(seed)
-        self.served = fleet.rules.served = Served()
+        self.served = fleet.rules.served = SloAttainment()
         self.number = 0
         self.took = HdrHistogram(1, 120_000, 3)  # of a submission until it is accepted, ms
         self.asked = HdrHistogram(1, 10_000, 3)  # of a question, ms
@@ -439,7 +439,7 @@
         controller.machines.entries,
         controller.shards.entries,
         controller.front.finals,
-        controller.front.questions.known,
+        controller.front.status_reader.known,
     ]
     tables += [
         controller.front.redirected,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -25,7 +25,7 @@
 from ashdock.front import Final, use_of
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server
 from ashdock.net.worker import WorkerClient
-from ashdock.questions import Known
+from ashdock.status_reader import KnownJob
 from tests import simtime
 from tests.simtime import spawn
 from tests.test_whole import play
@@ -192,7 +192,7 @@
     assert (asked and (asked.status, asked.retry_after)) == question
     assert (submitted and (submitted.status, submitted.retry_after)) == submission
     for _ in range(20):
-        desk.rush.comes("red", 10.0)
+        desk.hot_tenants.comes("red", 10.0)
     assert (
         desk.question(10.0, "red") is not None,
         desk.submission(line, 10.0, "red") is not None,
@@ -386,7 +386,7 @@
         for n in range(2000)
     }
     known = {
-        f"req-{n:06d}": Known(
+        f"req-{n:06d}": KnownJob(
             10**9 + n, "blight-desk", "error on vm-000001; tried again", "sweep", ()
         )
         for n in range(2000)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -19,7 +19,7 @@
 import pytest
 
 from ashdock import garbage_collection
-from ashdock.questions import Questions
+from ashdock.status_reader import StatusReader
 from ashdock.wire import messages
 from tests import cost, scale
 from tests.test_core import commit, report, shard_with, spec
@@ -141,12 +141,12 @@
     state = State()
 
     async def ask() -> None:
-        questions = Questions(state, 1.5, lambda *_: None, 1000)  # type: ignore[arg-type]
+        status_reader = StatusReader(state, 1.5, lambda *_: None, 1000)  # type: ignore[arg-type]
         for n in range(48):
-            questions.learn(
+            status_reader.learn(
                 f"req-{n:06d}", {"status": "queued", "spec": {"team": "red", "kind": "array"}}, 5
             )
-        await asyncio.gather(*(questions.ask(f"req-{n:06d}") for n in range(48)))
+        await asyncio.gather(*(status_reader.ask(f"req-{n:06d}") for n in range(48)))
 
     counted = calls(lambda: asyncio.run(ask()))
     assert (
--- a/tests/test_courses.py
+++ b/tests/test_courses.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ashdock.fairness.served import HALF
+from ashdock.fairness.slo_attainment import HALF
 from tests import courses, scale
 from tests.courses import End, Traffic
 
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from ashdock.fairness.burden import Burden, Other
 from ashdock.fairness.classes import Classes
-from ashdock.fairness.line import FairLine
-from ashdock.fairness.rush import Rush
-from ashdock.fairness.served import Row, Served, jain
+from ashdock.fairness.fair_queue import FairQueue
+from ashdock.fairness.hot_tenants import HotTenantDetector
+from ashdock.fairness.load_shedder import LoadShedder, PeerLoad
+from ashdock.fairness.slo_attainment import Row, SloAttainment, jain
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Objective, SettingsError, load
 from tests import simtime
@@ -45,47 +45,47 @@
     due: int,
     share: float,
 ) -> None:
-    served = Served()
-    served.made("j1", "leaf", "red", 4, 0.0, *aims)
-    served.accepted("j1")
+    attainment = SloAttainment()
+    attainment.made("j1", "leaf", "red", 4, 0.0, *aims)
+    attainment.accepted("j1")
     for at in starts:
-        served.started("j1", 1, at)
+        attainment.started("j1", 1, at)
     if done is not None:
-        served.done("j1", done)
-    rows = served.rows(now)
+        attainment.done("j1", done)
+    rows = attainment.rows(now)
     assert rows["class", "leaf"] == rows["team", "red"] and (
         rows["team", "red"].due,
         rows["team", "red"].share,
     ) == (due, share)
-    assert served.histogram("leaf")[-1:] == ([("+Inf", float(len(starts)))] if starts else [])
+    assert attainment.histogram("leaf")[-1:] == ([("+Inf", float(len(starts)))] if starts else [])
 
 
 def test_the_worst_is_named_and_what_is_withdrawn_is_nobodys_fault() -> None:
-    served = Served()
+    attainment = SloAttainment()
     for n, team in enumerate(["red", "blue", "blue"]):
-        served.made(f"j{n}", "leaf", team, 1, 0.0, 5.0)
-    served.withdrawn("j1")
-    served.started("j0", 1, 1.0)
-    assert served.worst(9.0) == (0.0, "team blue") and served.rows(9.0)["class", "leaf"] == Row(
-        3, 0, 1, 0, 2, 1.0
-    )
+        attainment.made(f"j{n}", "leaf", team, 1, 0.0, 5.0)
+    attainment.withdrawn("j1")
+    attainment.started("j0", 1, 1.0)
+    assert attainment.worst(9.0) == (0.0, "team blue") and attainment.rows(9.0)[
+        "class", "leaf"
+    ] == Row(3, 0, 1, 0, 2, 1.0)
     assert jain([1.0, 1.0]) == 1.0 and jain([1.0, 0.0, 0.0, 0.0]) == 0.25 and jain([]) == 1.0
 
 
 @pytest.mark.parametrize("over", [False, True])
 def test_a_classes_largest_jobs_are_counted_beside_it(over: bool) -> None:
-    served = Served()
+    attainment = SloAttainment()
     for n, tasks in enumerate([1, 1, 1, 1, 4, 5, 8, 9]):
-        served.made(f"j{n}", "leaf", "red", tasks, 0.0, 5.0, 9.5)
-        served.started(f"j{n}", tasks, 9.0 if n == 7 else 1.0)
+        attainment.made(f"j{n}", "leaf", "red", tasks, 0.0, 5.0, 9.5)
+        attainment.started(f"j{n}", tasks, 9.0 if n == 7 else 1.0)
     if over:
         for n in range(8):
-            served.done(f"j{n}", 10.0)
-    rows = served.rows(10.0)
+            attainment.done(f"j{n}", 10.0)
+    rows = attainment.rows(10.0)
     assert rows["class", "leaf"].share == 0.875 and rows["largest", "leaf"] == Row(
         2, 0, 2, 2 if over else 0, 2, 1.0
     )
-    assert served.worst(10.0) == (0.5, "largest leaf")
+    assert attainment.worst(10.0) == (0.5, "largest leaf")
 
 
 @given(
@@ -98,7 +98,7 @@
 ) -> None:
     """The bound of start-time fair queueing: over any stretch in which both wait, what two teams had, each by its weight, differs by no more
     than one request of each."""
-    line: FairLine[int] = FairLine({"a": weight})
+    line: FairQueue[int] = FairQueue({"a": weight})
     for n, (team, amount) in enumerate(asked):
         line.add(amount, n, team)
     had = Totals()
@@ -149,11 +149,11 @@
 
 
 def test_each_who_is_told_to_come_back_has_a_moment_of_its_own() -> None:
-    rush = Rush(["hot", "quiet"], fades_s=6.0, most_s=10.0)
-    times = [rush.returns_in("hot", 0.8, 0.5, 100.0) for _ in range(30)]
+    hot_tenants = HotTenantDetector(["hot", "quiet"], fades_s=6.0, most_s=10.0)
+    times = [hot_tenants.returns_in("hot", 0.8, 0.5, 100.0) for _ in range(30)]
     assert times[:8] == [2, 2, 3, 3, 4, 4, 5, 5] and max(times) == 10 and times == sorted(times)
-    assert rush.returns_in("quiet", 0.2, 0.5, 100.0) == 1
-    assert rush.returns_in("hot", 0.8, 0.5, 140.0) == 2, "what is over is forgotten"
+    assert hot_tenants.returns_in("quiet", 0.2, 0.5, 100.0) == 1
+    assert hot_tenants.returns_in("hot", 0.8, 0.5, 140.0) == 2, "what is over is forgotten"
 
 
 HEAT = [  # submissions of late by team -> those that are hot
@@ -167,14 +167,16 @@
 
 @pytest.mark.parametrize(("came", "hot"), HEAT)
 def test_who_is_hot(came: dict[str, int], hot: list[str]) -> None:
-    rush = Rush(["red", "blue", "green"], fades_s=6.0, most_s=10.0)
+    hot_tenants = HotTenantDetector(["red", "blue", "green"], fades_s=6.0, most_s=10.0)
     for team, number in came.items():
         for _ in range(number):
-            rush.comes(team, 1.0)
-    assert sorted(team for team in came if rush.hot(team)) == hot
-    assert set(rush.came) <= rush.teams, "any name may be sent, and none of them fills a table"
-    rush.comes("blue", 100.0)
-    assert rush.hot("blue") and not rush.hot("red")
+            hot_tenants.comes(team, 1.0)
+    assert sorted(team for team in came if hot_tenants.hot(team)) == hot
+    assert set(hot_tenants.came) <= hot_tenants.teams, (
+        "any name may be sent, and none of them fills a table"
+    )
+    hot_tenants.comes("blue", 100.0)
+    assert hot_tenants.hot("blue") and not hot_tenants.hot("red")
 
 
 WEIGHTS = [
@@ -198,22 +200,22 @@
 
 
 BURDENS: list[
-    tuple[float, dict[str, int], bool, dict[str, Other], tuple[str, str] | None]
+    tuple[float, dict[str, int], bool, dict[str, PeerLoad], tuple[str, str] | None]
 ] = [  # our gap, our shards, leading, others -> what goes where
-    (0.6, {"red": 5, "blue": 9}, True, {"n1": Other(0.5, 0, False)}, None),
-    (2.0, {"red": 5, "blue": 9}, True, {"n1": Other(0.5, 0, False)}, ("red", "n1")),
-    (2.0, {"red": 5, "blue": 9}, False, {"n1": Other(0.5, 1, False)}, None),
-    (2.0, {"red": 5, "blue": 9}, True, {"n1": Other(0.5, 1, False)}, ("red", "n1")),
-    (2.0, {"red": 5, "blue": 9}, True, {"n1": Other(1.5, 0, False)}, None),
-    (2.0, {"red": 5}, True, {"n1": Other(0.5, 0, False)}, ("red", "n1")),
-    (2.0, {"red": 5}, False, {"n1": Other(0.5, 0, False)}, None),
-    (2.0, {}, True, {"n1": Other(0.5, 0, False)}, None),
+    (0.6, {"red": 5, "blue": 9}, True, {"n1": PeerLoad(0.5, 0, False)}, None),
+    (2.0, {"red": 5, "blue": 9}, True, {"n1": PeerLoad(0.5, 0, False)}, ("red", "n1")),
+    (2.0, {"red": 5, "blue": 9}, False, {"n1": PeerLoad(0.5, 1, False)}, None),
+    (2.0, {"red": 5, "blue": 9}, True, {"n1": PeerLoad(0.5, 1, False)}, ("red", "n1")),
+    (2.0, {"red": 5, "blue": 9}, True, {"n1": PeerLoad(1.5, 0, False)}, None),
+    (2.0, {"red": 5}, True, {"n1": PeerLoad(0.5, 0, False)}, ("red", "n1")),
+    (2.0, {"red": 5}, False, {"n1": PeerLoad(0.5, 0, False)}, None),
+    (2.0, {}, True, {"n1": PeerLoad(0.5, 0, False)}, None),
     (2.0, {"red": 5}, True, {}, None),
     (
         2.0,
         {"a": 1, "b": 2, "c": 3},
         False,
-        {"n1": Other(0.5, 1, True), "n2": Other(0.6, 1, False)},
+        {"n1": PeerLoad(0.5, 1, True), "n2": PeerLoad(0.6, 1, False)},
         ("a", "n2"),
     ),
 ]
@@ -224,13 +226,15 @@
     gap_s: float,
     ours: dict[str, int],
     leads: bool,
-    others: dict[str, Other],
+    others: dict[str, PeerLoad],
     given: tuple[str, str] | None,
 ) -> None:
-    burden = Burden(beat_s=0.5, patience_s=10.0)
-    assert burden.hand_on(gap_s, ours, leads, others, 0.0) is None, "not at once"
-    assert burden.hand_on(gap_s, ours, leads, others, 10.0) == given
-    assert burden.hand_on(gap_s, ours, leads, others, 15.0) is None, "nor the next one soon after"
+    load_shedder = LoadShedder(beat_s=0.5, patience_s=10.0)
+    assert load_shedder.hand_on(gap_s, ours, leads, others, 0.0) is None, "not at once"
+    assert load_shedder.hand_on(gap_s, ours, leads, others, 10.0) == given
+    assert load_shedder.hand_on(gap_s, ours, leads, others, 15.0) is None, (
+        "nor the next one soon after"
+    )
 
 
 def test_a_class_that_falls_behind_rises_by_one_job_a_pass() -> None:
@@ -254,7 +258,7 @@
     every = {job.id for job in jobs}
     assert classes.lifted(jobs, every, 2.0) == set(), "nothing is due"
     for n in range(6):
-        classes.served.started(f"a{n}", 1, 3.0)
+        classes.attainment.started(f"a{n}", 1, 3.0)
         classes.done(f"a{n}", 9.0)
     # The longest waiting first; one alone, whatever its priority's others are; and nothing for what cannot run or is doubtful.
     assert classes.lifted(jobs, every, 30.0) == {"g0"} and classes.rising == {"gang"}
@@ -270,7 +274,7 @@
     # Once three quarters are served it rests; what was of long ago is forgotten.
     for n in range(6, 60):
         classes.came(f"g{n}", "gang", "red", 1, 31.0, math.inf)
-        classes.served.started(f"g{n}", 1, 32.0)
+        classes.attainment.started(f"g{n}", 1, 32.0)
     assert classes.lifted(jobs, every, 33.0) == set() and classes.rising == set()
 
 
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ashdock.fairness.served import jain
+from ashdock.fairness.slo_attainment import jain
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import NextLimits
 from tests import simtime
@@ -18,7 +18,7 @@
 WRITES = 30.0  # a second that the state service takes: fifteen submissions, were there nothing else to write
 
 
-class Rush:
+class HotTenantDetector:
     """Users of two teams, over the controllers that live. Each tries until it is taken, as long as the rush lasts."""
 
     def __init__(self, service: Service) -> None:
@@ -100,11 +100,11 @@
     return next(n for n, controller in service.controllers.items() if team in controller.owners)
 
 
-async def quiet(service: Service, rush: Rush) -> None:
+async def quiet(service: Service, hot_tenants: HotTenantDetector) -> None:
     pass
 
 
-async def owner_ends(service: Service, rush: Rush) -> None:
+async def owner_ends(service: Service, hot_tenants: HotTenantDetector) -> None:
     """And the one after it is slow to be heard."""
     await asyncio.sleep(5)
     owner = await owner_of(service, "red")
@@ -114,11 +114,11 @@
     service.state.slow = 0.0
 
 
-async def one_door(service: Service, rush: Rush) -> None:
-    rush.doors = [0]
+async def one_door(service: Service, hot_tenants: HotTenantDetector) -> None:
+    hot_tenants.doors = [0]
 
 
-async def nobody_heard(service: Service, rush: Rush) -> None:
+async def nobody_heard(service: Service, hot_tenants: HotTenantDetector) -> None:
     """A controller that hears no other goes by what it knows itself, and its shares are out of date."""
     await asyncio.sleep(3)
     service.net.cut("10.0.0.0", "10.0.0.1", "10.0.0.2")
@@ -126,13 +126,13 @@
     service.net.heal()
 
 
-async def floods(service: Service, rush: Rush) -> None:
+async def floods(service: Service, hot_tenants: HotTenantDetector) -> None:
     """Questions and withdrawals of the hot team's, besides."""
 
     async def ask() -> None:
         for n in range(200):
             target = f"/v2/runs/req-{n % 60 + 1:06d}"
-            withdraws = n % 10 == 0 and target.rsplit("/", 1)[1] in rush.jobs["red"]
+            withdraws = n % 10 == 0 and target.rsplit("/", 1)[1] in hot_tenants.jobs["red"]
             if withdraws:
                 service.rules.asked_to_cancel.add(target.rsplit("/", 1)[1])
             method, target = ("POST", target + "/withdraw") if withdraws else ("GET", target)
@@ -166,15 +166,19 @@
 ) -> None:
     async def main(net: simtime.Net) -> None:
         service = await process_started(net)
-        rush = Rush(service)
-        await asyncio.gather(rush.run(rates), trouble(service, rush))
+        hot_tenants = HotTenantDetector(service)
+        await asyncio.gather(hot_tenants.run(rates), trouble(service, hot_tenants))
         net.heal()
-        took = rush.took["blue"]
+        took = hot_tenants.took["blue"]
         assert len(took) >= RUSH_S * rates["blue"] * 0.95
         assert sum(seconds <= 1.0 for seconds in took) >= within * len(took), sorted(took)[-5:]
         assert max(took) <= longest
-        assert len(rush.took["red"]) > 60 and rush.returns and max(rush.returns) <= 10
-        assert not await service.until_final(rush.jobs["blue"], 60)
+        assert (
+            len(hot_tenants.took["red"]) > 60
+            and hot_tenants.returns
+            and max(hot_tenants.returns) <= 10
+        )
+        assert not await service.until_final(hot_tenants.jobs["blue"], 60)
         assert not service.rules.broken
 
     simtime.run(main, 51, monkeypatch)
@@ -183,11 +187,11 @@
 def test_two_hot_teams_are_taken_alike(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main(net: simtime.Net) -> None:
         service = await process_started(net)
-        rush = Rush(service)
-        users = asyncio.create_task(rush.run({"red": 40.0, "blue": 15.0}))
+        hot_tenants = HotTenantDetector(service)
+        users = asyncio.create_task(hot_tenants.run({"red": 40.0, "blue": 15.0}))
         await asyncio.sleep(RUSH_S)
-        assert jain(len(took) for took in rush.took.values()) > 0.95, {
-            team: len(took) for team, took in rush.took.items()
+        assert jain(len(took) for took in hot_tenants.took.values()) > 0.95, {
+            team: len(took) for team, took in hot_tenants.took.items()
         }
         users.cancel()
         pages = "".join(
@@ -198,7 +202,7 @@
                 for n in range(3)
             ]
         )
-        for team in rush.took:
+        for team in hot_tenants.took:
             assert (
                 f'ashdock_served_share{{class="w",team="{team}"}}' in pages
                 and f'ashdock_submissions_turned_away_total{{team="{team}"}}' in pages
