--- a/tests/rules.py
+++ b/tests/rules.py
@@ -63,7 +63,7 @@
     began_at: dict[str, float] = field(
         default_factory=dict
     )  # when all of its tasks had started at least once
-    process_started: dict[str, set[int]] = field(default_factory=dict)
+    begun: dict[str, set[int]] = field(default_factory=dict)
     idle_since: dict[str, float] = field(
         default_factory=dict
     )  # since when it has waited beside room that fits
@@ -119,9 +119,9 @@
             self.late_starts.append((job, now - self.cancelled_at[job]))
             if now > self.cancelled_at[job] + self.cancel_s:
                 self._break("ran_cancelled", f"{job}/{task} starts")
-        process_started = self.process_started.setdefault(job, set())
-        process_started.add(task)
-        if len(process_started) == run["shares"]:
+        begun = self.begun.setdefault(job, set())
+        begun.add(task)
+        if len(begun) == run["shares"]:
             self.began_at.setdefault(job, now)
         for need in run.get("awaits") or ():
             if any((need, other) not in self.done for other in range(self.jobs[need]["shares"])):
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -451,7 +451,11 @@
         if owner.shard is not None:
             tables += [owner.shard.machines, owner.shard.jobs, owner.shard.parks]
     if controller.leader is not None:
-        tables += [controller.leader.strays, controller.leader.listed, controller.leader.released]
+        tables += [
+            controller.leader.unrecorded_reports,
+            controller.leader.listed,
+            controller.leader.released,
+        ]
     return int(asizeof.asizeof(*tables))
 
 
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -89,7 +89,7 @@
         await asyncio.gather(*(self.arrive(team, rate) for team, rate in rates.items()))
 
 
-async def process_started(net: simtime.Net) -> Service:
+async def begun(net: simtime.Net) -> Service:
     service = Service(net, machines=12, capacity=12, later=NextLimits(write_rps=WRITES))
     await service.start()
     await asyncio.sleep(8)
@@ -165,7 +165,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main(net: simtime.Net) -> None:
-        service = await process_started(net)
+        service = await begun(net)
         hot_tenants = HotTenantDetector(service)
         await asyncio.gather(hot_tenants.run(rates), trouble(service, hot_tenants))
         net.heal()
@@ -186,7 +186,7 @@
 
 def test_two_hot_teams_are_taken_alike(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main(net: simtime.Net) -> None:
-        service = await process_started(net)
+        service = await begun(net)
         hot_tenants = HotTenantDetector(service)
         users = asyncio.create_task(hot_tenants.run({"red": 40.0, "blue": 15.0}))
         await asyncio.sleep(RUSH_S)
@@ -249,7 +249,7 @@
     """Another team's gangs, and its own of higher priority, while the owner of the array ends, and all that is written is short."""
 
     async def main(net: simtime.Net) -> None:
-        service = await process_started(net)
+        service = await begun(net)
         await service.submit(job(1, shares=100_000, expect_s=1.5, urgency="best_effort"))
         waited: list[float] = []
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -356,10 +356,10 @@
         await asyncio.sleep(3)
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
-        process_started: list[list[str]] = []
+        begun: list[list[str]] = []
 
         async def write(assignments: dict[str, str]) -> None:
-            process_started.append(sorted(assignments))
+            begun.append(sorted(assignments))
             await asyncio.sleep(5.0)
 
         inner = leader._assign_now
@@ -367,22 +367,22 @@
         report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         names = [f"vm-9{n:05d}" for n in range(1000)]
         leader.unrecorded_reports = {
-            name: (msgspec.structs.replace(report, berth=name), service.now()) for name in names
+            name: (msgspec.structs.replace(report, machine=name), service.now()) for name in names
         }
         most = int(LOANS_S * leader.context.store.all.writes)  # shares of it come and go
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
-        while not process_started:
+        while not begun:
             await asyncio.sleep(0.1)
-        machine_views = set(process_started[0])
+        machine_views = set(begun[0])
         assert 0 < len(machine_views) <= most
         for name in machine_views:
             leader.unrecorded_reports.pop(name, None)
             leader.hear(
-                msgspec.structs.replace(report, berth=name), known=False
+                msgspec.structs.replace(report, machine=name), known=False
             )  # it goes on reporting meanwhile
         assert not machine_views & set(leader.unrecorded_reports)
         await asyncio.sleep(3.0)
-        assert len(process_started) == 1
+        assert len(begun) == 1
         assert not (set(names) - machine_views) & set(
             leader.allocator.coming
         )  # the rest stays to be lent
