--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -225,7 +225,7 @@
             self._ownership,
             self._gossip,
             self.machine_type_catalog.learn,
-            self.cluster_version.look,
+            self.cluster_version.refresh,
             self._pace,
             self._run_election,
         ]
@@ -410,7 +410,7 @@
         replicas = (self.shards, self.members, self.machines, self.jobs)
         if not (
             self.catalog
-            and self.cluster_version.looked
+            and self.cluster_version.is_known
             and all(replica.ready.is_set() for replica in replicas)
         ):
             return self.tick_s / 4
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -16,7 +16,7 @@
 
 from ashdock.cluster_version import ClusterVersion
 from ashdock.crash_loop import CrashLoopDetector
-from ashdock.net.store import Entry, LeaseLostError, StoreClient, StoreUnavailableError, WatchCache
+from ashdock.net.store import LeaseLostError, StoreClient, StoreUnavailableError, WatchCache
 from ashdock.timelines import StartupTimeline
 
 log = logging.getLogger("ashdock.controller")
@@ -156,10 +156,10 @@
         )
         self._log_probation()
         eligible = self._is_eligible()
-        conditions = {member_path: _revision_of(entry)}
+        conditions = {member_path: entry.revision if entry else 0}
         writes: dict[str, Any] = {member_path: self._encode(eligible)}
         if context.cluster_version.supports_dependencies:
-            conditions[restarts_path] = _revision_of(previous)
+            conditions[restarts_path] = previous.revision if previous else 0
             writes[restarts_path] = msgspec.to_builtins(record)
         revision = await store.txn(conditions, writes, hold=store_lease, unleased=(restarts_path,))
         context.members.wrote(member_path, writes[member_path], revision)
@@ -208,8 +208,3 @@
         return msgspec.convert(value, MembershipRecord)
     except msgspec.ValidationError:
         return MembershipRecord()
-
-
-def _revision_of(entry: Entry | None) -> int:
-    """The revision to name in a condition; 0: the key must not exist."""
-    return entry.revision if entry else 0
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -119,7 +119,7 @@
 
 async def write_upgrade(store: Store, values: Plain) -> None:
     """Look at the announcements and the mark, and write what is due."""
-    await ClusterVersion(context(store)).look()
+    await ClusterVersion(context(store)).refresh()
 
 
 async def write_catalog_records(store: Store, values: Plain) -> None:
@@ -231,9 +231,9 @@
     async def run() -> Plain:
         home = context(Store(entries))
         cluster_version = ClusterVersion(home)
-        await cluster_version.look()
+        await cluster_version.refresh()
         return {
-            "version": cluster_version.forms,
+            "version": cluster_version.version,
             "missing": cluster_version.missing,
             "narrow_chunks": cluster_version.supports_dependencies,
             "terms": cluster_version.fences_commands,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ashdock.cluster_version import CURRENT_FORMS
+from ashdock.cluster_version import SUPPORTED_VERSION
 from ashdock.core.allocator import ScaleOut
 from ashdock.core.status_reporter import Reclaim
 from ashdock.election.candidates import better_candidate, rank_candidates
@@ -461,7 +461,7 @@
         )
         service.boot(2)
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == CURRENT_FORMS and all(
+        assert service.state.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION and all(
             c.cluster_version.fences_commands for c in service.controllers.values()
         )
         assert await service.until_final(["req-000001"], 60) == []
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from ashdock.cluster_version import CURRENT_FORMS
+from ashdock.cluster_version import SUPPORTED_VERSION
 from ashdock.core.dependency_graph import NOTHING, Carried, DependencyGraph
 from ashdock.core.job import JobPhase, fitting
 from ashdock.core.park import Parks
@@ -869,7 +869,7 @@
             assert not any("done_at" in str(value) for value, _, _ in service.state.keys.values())
         boot(2)
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == CURRENT_FORMS
+        assert service.state.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION
         service.crash(1, 0.5)  # one that has announced stays counted
         service.crash(2, 0.5)
         await asyncio.sleep(3)
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -341,7 +341,7 @@
         service.state.down, service.state.refusing = False, set()
         await asyncio.sleep(LEASE_S)
 
-    monkeypatch.setattr("ashdock.cluster_version.CURRENT_FORMS", 3)
+    monkeypatch.setattr("ashdock.cluster_version.SUPPORTED_VERSION", 3)
     play(monkeypatch, 63, day)
 
 
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -50,7 +50,7 @@
 CONTENT_LENGTH = re.compile(rb"(?im)^content-length: *\d+\r\n")
 
 SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
-FORMS = "ashdock.cluster_version.CURRENT_FORMS"  # what a controller announces: patched to play the version before
+FORMS = "ashdock.cluster_version.SUPPORTED_VERSION"  # what a controller announces: patched to play the version before
 ROLL_PAUSE_S = 3.0  # between the restarts of an upgrade
 
 
@@ -189,7 +189,7 @@
 def _forms() -> int:
     from ashdock import cluster_version
 
-    return cluster_version.CURRENT_FORMS
+    return cluster_version.SUPPORTED_VERSION
 
 
 # -- what is recorded of it ----------------------------------------------------------------------------------
