--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -416,7 +416,7 @@
             return self.tick_s / 4
         if self.hold is None or time.monotonic() > self.membership.lease_expires_at:
             return self.tick_s
-        self.startup_timeline.learnt(time.monotonic())
+        self.startup_timeline.synced(time.monotonic())
         alive = {*self.fit_members(), *([self.label] if self.may_serve() else [])} or {self.label}
         load = dict.fromkeys(sorted(alive), 0)
         orphans: list[Team] = []
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -231,7 +231,7 @@
             "in each state since the start of the process",
             labels=["state"],
         )
-        for state, seconds in self.context.startup_timeline.took.items():
+        for state, seconds in self.context.startup_timeline.durations_s.items():
             startup_timeline.add_metric([state], seconds)
         took = GaugeMetricFamily(
             "ashdock_takeover_seconds",
@@ -239,7 +239,7 @@
             labels=["team", "state"],
         )
         for team, owner in self.context.owners.items():
-            for state, seconds in owner.failover_timeline.took.items():
+            for state, seconds in owner.failover_timeline.durations_s.items():
                 took.add_metric([team, state], seconds)
         yield from (startup_timeline, took)
 
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -127,7 +127,7 @@
     def _loaded(self) -> None:
         self.phase = OwnershipPhase.ACTIVE
         assert self.shard
-        self.failover_timeline.read(self.shard.taken, self.context.now())
+        self.failover_timeline.loaded(self.shard.taken, self.context.now())
         for change in self.early:
             change(self.shard)
         self.early.clear()
@@ -191,7 +191,7 @@
         orders = shard.reconciler.on_heartbeat(report, self.context.now(), checkin=True)
         if orders is None:
             return None
-        self.failover_timeline.heard(self.context.now())
+        self.failover_timeline.heartbeat_received(self.context.now())
         if shard.stale or shard.writer.touched or shard.writer.changing or shard.urgent:
             self.wake.set()  # most reports say nothing new, and call for no turn
         return HeartbeatResponse(shard.token(shard.machines[report.machine]), orders)
@@ -267,7 +267,7 @@
         elif self._pass_due(shard, now):
             self.passed_at = now
             shard.scheduler.schedule(now)
-            self.failover_timeline.passed(shard.placed > 0, self.context.now())
+            self.failover_timeline.cycle_ended(shard.placed > 0, self.context.now())
             # No more than its share of the processor goes into passes, however large the shard.
             ended = self.context.now()
             self.pass_after = ended + pause_s(
@@ -347,7 +347,7 @@
                 callback(revision)
             self._publish(txn.writes, revision)
             if shard.placed:
-                self.failover_timeline.durable(self.context.now())
+                self.failover_timeline.placement_committed(self.context.now())
             # Starts go out between transactions, not after the last of them.
             self._send_urgent(shard)
             # Nor is what could start meanwhile, or is late, to wait for the last: where the state service takes few changes a
--- a/tests/test_recovery.py
+++ b/tests/test_timelines.py
@@ -1,4 +1,4 @@
-"""What a takeover goes through, state by state; and that it is told."""
+"""The states of a startup and of a failover, their durations, and that both are logged and exported."""
 
 from __future__ import annotations
 
@@ -13,64 +13,68 @@
 from tests import simtime
 from tests.whole import Service, job
 
-COURSES: list[tuple[list[tuple[Any, ...]], FailoverState, dict[str, float]]] = [
+FAILOVERS: list[tuple[list[tuple[Any, ...]], FailoverState, dict[str, float]]] = [
     (
-        [("claimed", 1), ("read", 0, 3), ("passed", False, 4)],
+        [("claimed", 1), ("loaded", 0, 3), ("cycle_ended", False, 4)],
         FailoverState.PLACING,
         {"claiming": 1, "reading": 2, "passing": 1},
     ),
     (
-        [("claimed", 1), ("read", 5, 3), ("passed", False, 4)],
-        FailoverState.HEARING,
+        [("claimed", 1), ("loaded", 5, 3), ("cycle_ended", False, 4)],
+        FailoverState.AWAITING_HEARTBEAT,
         {"claiming": 1, "reading": 2},
     ),
     (
         [
             ("claimed", 1),
-            ("read", 5, 3),
-            ("heard", 5),
-            ("heard", 9),
-            ("passed", False, 6),
-            ("durable", 8),
-            ("durable", 9),
+            ("loaded", 5, 3),
+            ("heartbeat_received", 5),
+            ("heartbeat_received", 9),
+            ("cycle_ended", False, 6),
+            ("placement_committed", 8),
+            ("placement_committed", 9),
         ],
         FailoverState.RECOVERED,
         {"claiming": 1, "reading": 2, "hearing": 2, "passing": 1, "placing": 2},
     ),
-    # A machine that was lent to it while up needs no report: something is placed there before any has come.
+    # A machine that was assigned while up needs no heartbeat: tasks are placed there before any has come.
     (
-        [("claimed", 1), ("read", 5, 3), ("passed", True, 4), ("durable", 5)],
+        [("claimed", 1), ("loaded", 5, 3), ("cycle_ended", True, 4), ("placement_committed", 5)],
         FailoverState.RECOVERED,
         {"claiming": 1, "reading": 2, "hearing": 1, "passing": 0, "placing": 1},
     ),
-    ([("heard", 1), ("durable", 2), ("passed", True, 3)], FailoverState.CLAIMING, {}),
+    (
+        [("heartbeat_received", 1), ("placement_committed", 2), ("cycle_ended", True, 3)],
+        FailoverState.CLAIMING,
+        {},
+    ),
 ]
 
 
-@pytest.mark.parametrize(("course", "state", "took"), COURSES)
-def test_a_takeover(
-    course: list[tuple[Any, ...]], state: FailoverState, took: dict[str, float]
+@pytest.mark.parametrize(("events", "state", "durations_s"), FAILOVERS)
+def test_a_failover_goes_through_its_states(
+    events: list[tuple[Any, ...]], state: FailoverState, durations_s: dict[str, float]
 ) -> None:
     failover_timeline = FailoverTimeline("red", 0.0)
-    for what, *words in course:
-        getattr(failover_timeline, what)(*words)
-    assert failover_timeline.state is state and failover_timeline.took == took
+    for event, *arguments in events:
+        getattr(failover_timeline, event)(*arguments)
+    assert failover_timeline.state is state and failover_timeline.durations_s == durations_s
 
 
-def test_a_start() -> None:
+def test_a_startup_goes_through_its_states() -> None:
     startup_timeline = StartupTimeline(10.0)
-    startup_timeline.learnt(11.0)  # not before it is a member
+    startup_timeline.synced(11.0)  # not before it is a member
     startup_timeline.joined(12.0)
     startup_timeline.joined(13.0)
-    startup_timeline.learnt(15.0)
-    startup_timeline.learnt(16.0)
-    assert startup_timeline.state is StartupState.OWNING and startup_timeline.took == {
+    startup_timeline.synced(15.0)
+    startup_timeline.synced(16.0)
+    assert startup_timeline.state is StartupState.READY and startup_timeline.durations_s == {
         "joining": 2.0,
         "learning": 3.0,
     }
 
 
-def test_a_crash_is_told_state_by_state(
+def test_startups_and_failovers_after_a_crash_are_logged_and_exported(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main(net: simtime.Net) -> None:
@@ -93,6 +97,9 @@
 
     with caplog.at_level(logging.INFO):
         simtime.run(main, 5, monkeypatch)
-    said = [record.getMessage() for record in caplog.records]
-    assert sum("may own parts" in line for line in said) == 3
-    assert any(line.startswith("part red places again") and "hearing" in line for line in said)
+    messages = [record.getMessage() for record in caplog.records]
+    assert sum("controller may own shards" in line for line in messages) == 3
+    assert any(
+        line.startswith("shard places tasks again after failover: team=red ") and "hearing" in line
+        for line in messages
+    )
