--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -224,7 +224,7 @@
             self.membership.maintain,
             self._ownership,
             self._gossip,
-            self.machine_type_catalog.learn,
+            self.machine_type_catalog.refresh,
             self.cluster_version.refresh,
             self._pace,
             self._run_election,
@@ -711,14 +711,14 @@
             case WatermarkEcho():
                 self.cancellations.echo_received(label, frame)
             case ForwardedHeartbeat():
-                self.heartbeat_forwarder.heard(label, frame)
+                self.heartbeat_forwarder.request_received(label, frame)
             case ForwardReply():
-                self.heartbeat_forwarder.answered(frame)
+                self.heartbeat_forwarder.reply_received(frame)
             case _:
                 pass
 
     async def relay(self, label: str, body: bytes) -> ForwardReply | None:
-        return await self.heartbeat_forwarder.relay(label, body)
+        return await self.heartbeat_forwarder.forward(label, body)
 
     def counts(self, team: str, job: str) -> tuple[int, int]:
         owner = self.owners.get(team)
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -1,4 +1,8 @@
-"""Reports of workers that can't reach their owner, passed on to it over the mesh."""
+"""Forwards heartbeats of workers that can't reach their shard's owner, over the mesh.
+
+The controller that the worker reaches sends the heartbeat to the owner (frame 6) and hands the owner's answer (frame 7) to
+the worker.
+"""
 
 from __future__ import annotations
 
@@ -10,59 +14,76 @@
 from ashdock.net.mesh import Mesh
 from ashdock.wire.frames import ForwardedHeartbeat, ForwardReply
 
-UNDER_WAY = 500  # things that may be under way here before a report passed on to us is dropped
-PATIENCE_S = 2.0  # half of what a worker waits
+MAX_BACKGROUND_TASKS = 500  # of this controller; beyond that forwarded heartbeats are dropped
+REPLY_TIMEOUT_S = 2.0  # half of what a worker waits for its answer
+REQUEST_NUMBER_MASK = 0xFFFFFFFF  # the frames have 32 bits for the number
 
 
-class Front(Protocol):
-    """Whoever answers workers here."""
+class HeartbeatHandler(Protocol):
+    """Answers workers at this controller."""
 
-    async def checkin(self, body: bytes, relayed: bool = False) -> Answer: ...
+    async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
+        """Answers a heartbeat; `relayed`: another controller has forwarded it."""
+        ...
 
 
 class ForwarderContext(Protocol):
-    """What of its controller this uses, and no more."""
+    """What the forwarder uses of its controller."""
 
     mesh: Mesh
     background: set[asyncio.Task[Any]]
 
     @property
-    def front(self) -> Front: ...
+    def front(self) -> HeartbeatHandler:
+        """Who answers forwarded heartbeats here."""
+        ...
 
-    def spawn(self, job: Coroutine[Any, Any, Any]) -> None: ...
+    def spawn(self, job: Coroutine[Any, Any, Any]) -> None:
+        """Runs a coroutine as a background task of the controller."""
+        ...
 
 
 class HeartbeatForwarder:
+    """Both ends of forwarding: requests sent to owners, and requests from other controllers."""
+
     def __init__(self, context: ForwarderContext) -> None:
+        """Starts with no request outstanding."""
         self.context = context
-        self.waiting: dict[int, asyncio.Future[ForwardReply]] = {}
-        self.number = 0
-
-    def heard(self, label: str, frame: ForwardedHeartbeat) -> None:
-        if len(self.context.background) < UNDER_WAY:
-            self.context.spawn(self._answer(label, frame))
-
-    async def _answer(self, label: str, frame: ForwardedHeartbeat) -> None:
-        answer = await self.context.front.checkin(frame.body, relayed=True)
-        self.context.mesh.send(label, ForwardReply(frame.number, answer.status, answer.body))
-
-    def answered(self, frame: ForwardReply) -> None:
-        future = self.waiting.pop(frame.number, None)
-        if future and not future.done():
-            future.set_result(frame)
-
-    async def relay(self, label: str, body: bytes) -> ForwardReply | None:
-        """Pass a worker's report on to its owner; None if nothing came back in time."""
-        self.number = (self.number + 1) & 0xFFFFFFFF
-        number = self.number
-        future: asyncio.Future[ForwardReply] = asyncio.get_running_loop().create_future()
-        self.waiting[number] = future
+        self.pending: dict[int, asyncio.Future[ForwardReply]] = {}  # by request number
+        self.last_number = 0
+
+    async def forward(self, label: str, body: bytes) -> ForwardReply | None:
+        """Sends a heartbeat to the shard's owner; None if no reply came in time.
+
+        Args:
+            label: the owner.
+            body: the worker's request, as it came.
+        """
+        self.last_number = (self.last_number + 1) & REQUEST_NUMBER_MASK
+        number = self.last_number
+        reply: asyncio.Future[ForwardReply] = asyncio.get_running_loop().create_future()
+        self.pending[number] = reply
         try:
             if not self.context.mesh.send(label, ForwardedHeartbeat(number, body)):
                 return None
-            async with asyncio.timeout(PATIENCE_S):
-                return await future
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                return await reply
         except TimeoutError:
             return None
         finally:
-            self.waiting.pop(number, None)
+            self.pending.pop(number, None)
+
+    def reply_received(self, frame: ForwardReply) -> None:
+        """Hands an owner's reply to the `forward` that waits for it, if one still does."""
+        reply = self.pending.pop(frame.number, None)
+        if reply and not reply.done():
+            reply.set_result(frame)
+
+    def request_received(self, label: str, frame: ForwardedHeartbeat) -> None:
+        """Answers a heartbeat forwarded by the controller `label`, unless this one is overloaded."""
+        if len(self.context.background) < MAX_BACKGROUND_TASKS:
+            self.context.spawn(self._answer(label, frame))
+
+    async def _answer(self, label: str, frame: ForwardedHeartbeat) -> None:
+        answer = await self.context.front.checkin(frame.body, relayed=True)
+        self.context.mesh.send(label, ForwardReply(frame.number, answer.status, answer.body))
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -131,7 +131,7 @@
     home = context(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
     if values["limit"]:
         home.write_limits.agreed, home.write_limits.value_bytes = True, values["limit"]
-    await MachineTypeCatalog(home).learn()
+    await MachineTypeCatalog(home).refresh()
 
 
 async def write_charter(store: Store, values: Plain) -> None:
@@ -252,7 +252,7 @@
     async def run() -> Plain:
         home = context(Store(entries), catalog={}, leader=None)
         home.cloud = SimpleNamespace(catalog=catalog)
-        await MachineTypeCatalog(home).learn()
+        await MachineTypeCatalog(home).refresh()
         return {label: attributes_of(kind, MACHINE_TYPE) for label, kind in home.catalog.items()}
 
     return bounded(run())
