--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -53,7 +53,7 @@
     """What all controllers are known to understand, as this one has read it."""
 
     def __init__(self, context: ClusterVersionContext) -> None:
-        """Starts at the initial version, until `refresh` has read the store."""
+        """Starts at the initial version, until `negotiate` has read the store."""
         self.context = context
         # Set once the store has been read: before that our own write limits may be too large.
         self.known = asyncio.Event()
@@ -80,7 +80,7 @@
         """Whether all controllers tell one another of cancellations."""
         return self.version >= Feature.CANCELLATION_WATERMARK
 
-    async def refresh(self) -> float | None:
+    async def negotiate(self) -> float | None:
         """Reads the version in force, announces ours, and raises the one in force if all have announced more.
 
         Returns:
@@ -137,7 +137,7 @@
         self._activate(version, "announced by all")
 
     def _activate(self, version: int, source: str) -> None:
-        """Brings a version into force in this process; the other controllers find it when they refresh."""
+        """Brings a version into force in this process; the other controllers find it when they negotiate next."""
         context = self.context
         if version >= Feature.DEPENDENCIES and not context.write_limits.agreed:
             context.write_limits.agree()
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -225,7 +225,7 @@
             self._ownership,
             self._gossip,
             self.machine_type_catalog.refresh,
-            self.cluster_version.refresh,
+            self.cluster_version.negotiate,
             self._pace,
             self._run_election,
         ]
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -119,7 +119,7 @@
 
 async def write_upgrade(store: Store, values: Plain) -> None:
     """Look at the announcements and the mark, and write what is due."""
-    await ClusterVersion(context(store)).refresh()
+    await ClusterVersion(context(store)).negotiate()
 
 
 async def write_catalog_records(store: Store, values: Plain) -> None:
@@ -231,7 +231,7 @@
     async def run() -> Plain:
         home = context(Store(entries))
         cluster_version = ClusterVersion(home)
-        await cluster_version.refresh()
+        await cluster_version.negotiate()
         return {
             "version": cluster_version.version,
             "missing": cluster_version.missing,
