--- a/ashdock/concurrency.py
+++ b/ashdock/concurrency.py
@@ -1,13 +1,13 @@
-"""Looking again after an await: the one habit for what was read before one.
+"""Checks for state that may have changed during an `await`.
 
-While a coroutine waits, every other one runs. What it read before may be gone, replaced, or somebody else's by the time it goes
-on; taking it for true ended the leader's loop with a KeyError and brought back owners that had let go. So nothing is kept over an
-await but names and revisions, and what they stand for is looked up anew:
+While a coroutine waits others run: what it read before may be gone or replaced by the time it goes on. Relying on it ended the
+leader's loop with a KeyError and revived shard owners that had been given up. So only names and revisions are kept across an
+`await`, and what they stand for is looked up again:
 
-- a loop that waits goes over a table by `iterate_live`, never over `list(table.items())`;
-- what is taken out after a wait goes by `pop(name, None)`, never by `del`;
-- a state machine asks for its phase again before it goes on, by `ensure_current` or by its own phase;
-- what was decided together goes out together: a message takes the token it was decided under along.
+- a loop that awaits iterates by `iterate_live`, never over `list(table.items())`;
+- what is removed after an `await` is removed by `pop(name, None)`, never by `del`;
+- a state machine checks its phase again before it goes on, by `ensure_current` or by its own phase;
+- what was decided together is sent together: a message carries the fencing token under which it was decided.
 """
 
 from __future__ import annotations
@@ -20,17 +20,24 @@
 
 
 class StaleContextError(Exception):
-    """What this was about ended while it waited: there is nothing left to do."""
+    """What a coroutine worked on ended while it waited: there is nothing left to do."""
 
 
 def iterate_live(table: dict[Key, Value]) -> Iterator[tuple[Key, Value]]:
-    """Each item that is still there when its turn comes, as it is then. What comes meanwhile waits for the next walk."""
+    """Yields each item that is still in the table when its turn comes, with its present value.
+
+    Items added meanwhile are not yielded.
+    """
     for key in list(table):
         if key in table:
             yield key, table[key]
 
 
-def ensure_current(holds: bool, what: str) -> None:
-    """Go on only if what was true before an await still is. Raises Overtaken."""
-    if not holds:
-        raise StaleContextError(what)
+def ensure_current(is_current: bool, reason: str) -> None:
+    """Checks after an `await` that what was true before still is.
+
+    Raises:
+        StaleContextError: with the `reason`, if it is not.
+    """
+    if not is_current:
+        raise StaleContextError(reason)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,8 +1,9 @@
-"""What was read before an await and has changed since: each case ended a loop, or brought back what was gone."""
+"""State that was read before an `await` and has changed since: each case ended a loop, or revived what was gone."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Awaitable, Callable
 from typing import Any
 
 import pytest
@@ -14,8 +15,11 @@
 from tests import simtime
 from tests.whole import Service, job
 
+SEED = 31
+SETTLE_S = 5.0  # from the start of the cluster until the test begins
 
-def test_a_walk_passes_over_what_is_gone_and_tells_what_is_there_now() -> None:
+
+def test_iterate_live_skips_removed_items_and_yields_present_values() -> None:
     table = {"a": 1, "b": 2, "c": 3}
     seen = []
     for key, value in iterate_live(table):
@@ -28,19 +32,23 @@
         ensure_current(False, "gone")
 
 
-def play(monkeypatch: pytest.MonkeyPatch, day: Any) -> None:
+def play(monkeypatch: pytest.MonkeyPatch, day: Callable[[Service], Awaitable[Any]]) -> None:
+    """Plays a day, which may end before any task has run, unlike those of `tests.test_whole.play`."""
+
     async def main(net: simtime.Net) -> None:
         service = Service(net)
         await service.start()
-        await asyncio.sleep(5)
+        await asyncio.sleep(SETTLE_S)
         await day(service)
         assert not service.rules.broken
 
-    simtime.run(main, 31, monkeypatch)
+    simtime.run(main, SEED, monkeypatch)
 
 
-def test_a_stray_lent_while_others_are_adopted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The leader's loop ended with a KeyError, within a minute at twice the second large fleet."""
+def test_an_unrecorded_machine_is_assigned_while_others_are_adopted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The leader's loop ended with a KeyError."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1))
@@ -50,9 +58,8 @@
 
         async def adopt(name: str, *_: Any) -> None:
             adopted.append(name)
-            leader.unrecorded_reports.pop(
-                "vm-b", None
-            )  # lent, and so recorded, while this one was being written
+            # Assigned, and so recorded, while this one was being written.
+            leader.unrecorded_reports.pop("vm-b", None)
 
         monkeypatch.setattr(leader, "_adopt", adopt)
         report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
@@ -64,10 +71,10 @@
 
 
 @pytest.mark.parametrize("phase", [OwnershipPhase.CLAIMING, OwnershipPhase.LOADING])
-def test_an_owner_that_let_go_stays_gone(
+def test_an_owner_lost_while_claiming_or_loading_stays_lost(
     phase: OwnershipPhase, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Let go of while it was claimed or read, it came back to life beside its successor, in no table."""
+    """Given up while it was claimed or loaded, it became active again beside its successor, in no table."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1))
@@ -87,7 +94,9 @@
     play(monkeypatch, day)
 
 
-def test_a_charter_of_this_reign_is_not_carried_out_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_provisioning_intent_of_this_term_is_not_carried_out_twice(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1))
         leader = next(c.leader for c in service.controllers.values() if c.leader)
@@ -109,13 +118,13 @@
         monkeypatch.setattr(leader, "_carry_out", carry_out)
         await leader._settle()
         await asyncio.sleep(0.01)
-        # One from before an outage that ended our reign for a while is left over like any other's.
+        # One from before an outage that interrupted our leadership is repeated like any other leader's.
         assert sorted(carried) == sorted([f"{label}.{revision}.0", f"n9.{revision}.7"])
 
     play(monkeypatch, day)
 
 
-NEWS = [  # (our own writes, then what the watch brings) -> what is held
+WATCH_EVENTS = [  # our own writes, the watch events after them, the revisions then cached
     ([("m/1", None, 9)], [("m/1", {"a": 1}, 7)], {}),
     ([("m/1", None, 9)], [("m/1", {"a": 1}, 7), ("m/1", None, 9)], {}),
     ([("m/1", None, 9)], [("m/1", {"a": 1}, 11)], {"m/1": 11}),
@@ -123,24 +132,24 @@
 ]
 
 
-@pytest.mark.parametrize(("wrote", "watched", "there"), NEWS)
-def test_news_older_than_our_own_write_changes_nothing(
-    wrote: Any, watched: Any, there: dict[str, int]
+@pytest.mark.parametrize(("writes", "events", "revisions"), WATCH_EVENTS)
+def test_a_watch_event_older_than_our_own_write_is_ignored(
+    writes: Any, events: Any, revisions: dict[str, int]
 ) -> None:
-    replica = WatchCache(None, "m/")  # type: ignore[arg-type]
-    replica.entries["m/1"] = Entry("m/1", {"a": 0}, 5)
-    replica.revision = 6
-    for change in wrote:
-        replica.wrote(*change)
-    for change in watched:
-        replica._apply(*change)
-    assert {path: entry.revision for path, entry in replica.entries.items()} == there
+    watch_cache = WatchCache(None, "m/")  # type: ignore[arg-type]
+    watch_cache.entries["m/1"] = Entry("m/1", {"a": 0}, 5)
+    watch_cache.revision = 6
+    for change in writes:
+        watch_cache.wrote(*change)
+    for change in events:
+        watch_cache._apply(*change)
+    assert {path: entry.revision for path, entry in watch_cache.entries.items()} == revisions
 
 
-def test_a_start_goes_out_under_the_token_it_was_noted_with(
+def test_a_run_command_is_sent_under_the_token_it_was_decided_under(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Sent under a higher one, it could arrive late and be taken, though the worker's token told that it could not."""
+    """Under a higher token a late command would be accepted, although the worker's own token had ruled that out."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1))
@@ -156,7 +165,7 @@
             return 200, None
 
         monkeypatch.setattr(controller.worker_client, "orders", orders)
-        noted = owner.shard.token(machine)
+        decided_under = owner.shard.token(machine)
         monkeypatch.setattr(owner.shard, "direct", lambda *_: [object()])
         monkeypatch.setattr(owner.shard, "direct_answered", lambda *_: None)
         owner.shard.urgent[machine.name] = None
@@ -164,6 +173,6 @@
         machine.revision += 1000  # its record was written before the message had left
         await asyncio.sleep(0.01)
         machine.revision -= 1000
-        assert sent == [noted]
+        assert sent == [decided_under]
 
     play(monkeypatch, day)
