--- a/ashdock/cli.py
+++ b/ashdock/cli.py
@@ -127,14 +127,16 @@
     async def run() -> None:
         controller = Controller(settings)
         later = asyncio.create_task(
-            garbage_collection.begin_later(controller.ready, settings.settings.workers.lease_s)
+            garbage_collection.enable_after_startup(
+                controller.ready, settings.settings.workers.lease_s
+            )
         )
         try:
             await controller.run()
         finally:
             later.cancel()
 
-    garbage_collection.put_off()
+    garbage_collection.disable()
     try:
         asyncio.run(run())
     except KeyboardInterrupt:
--- a/ashdock/garbage_collection.py
+++ b/ashdock/garbage_collection.py
@@ -1,8 +1,8 @@
-"""When the interpreter looks for garbage: not while a controller starts, and seldom after that.
+"""Settings of the interpreter's garbage collector: off while a controller starts, and rare after that.
 
-Next to nothing here lies in circles, so what a collection finds is little, and what it looks at is every table of the fleet. At the interpreter's own
-thresholds an owner's collections took 2 to 8 hundredths of its processor time (`python -m tests.scale cost`), most of it in the second after a start,
-when the shards are read.
+Hardly any object here is part of a reference cycle, so a collection finds little, and yet scans every table of the fleet. With
+the interpreter's default thresholds the collections of a shard owner took 0.02 to 0.08 of its processor time
+(`python -m tests.scale cost`), most of it in the second after a start, when the shards are read.
 """
 
 from __future__ import annotations
@@ -11,30 +11,40 @@
 import gc
 from collections.abc import Callable
 
-YOUNG = 10_000  # objects made and not freed until the young are looked at: about a megabyte
-OLDER = 20  # times that until the next older are
+GENERATION_0_THRESHOLD = 10_000  # net allocations until a collection: about a megabyte
+OLDER_GENERATION_THRESHOLD = 20  # collections of a generation until the next older one is included
+STARTUP_POLLS = 10  # how often `enable_after_startup` looks whether the controller is ready
 
 
-def put_off() -> None:
-    """From the start of a process: what was imported stays for good, and nothing is looked at until `begin`."""
+def disable() -> None:
+    """Turns collection off until `enable`; called at the start of a process.
+
+    Objects that exist already, mostly imported modules, are never scanned again.
+    """
     gc.collect()
     gc.freeze()
     gc.disable()
 
 
-async def begin_later(ready: Callable[[], bool], lease_s: float) -> None:
-    """A lease (seconds) after the controller is ready, or after another if it is not by then: its workers are back and its shards read, and what a
-    start makes much of is over."""
-    for _ in range(10):
+async def enable_after_startup(ready: Callable[[], bool], lease_s: float) -> None:
+    """Enables collection one agent lease after the controller is ready, or two after the call if it is not by then.
+
+    By then its workers are back and its shards read, and the burst of allocations is over.
+
+    Args:
+        ready: whether the controller is ready.
+        lease_s: the agent lease, seconds.
+    """
+    for _ in range(STARTUP_POLLS):
         if ready():
             break
-        await asyncio.sleep(lease_s / 10)
+        await asyncio.sleep(lease_s / STARTUP_POLLS)
     await asyncio.sleep(lease_s)
-    begin()
+    enable()
 
 
-def begin() -> None:
-    """What was read at the start stays as well, as good as all."""
+def enable() -> None:
+    """Turns collection on with higher thresholds; what was read at the start is never scanned again."""
     gc.freeze()
-    gc.set_threshold(YOUNG, OLDER, OLDER)
+    gc.set_threshold(GENERATION_0_THRESHOLD, OLDER_GENERATION_THRESHOLD, OLDER_GENERATION_THRESHOLD)
     gc.enable()
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -189,25 +189,27 @@
     before, enabled = gc.get_threshold(), gc.isenabled()
     ready = [False]
     try:
-        garbage_collection.put_off()
+        garbage_collection.disable()
         assert not gc.isenabled()
 
         async def later() -> None:
-            task = asyncio.create_task(garbage_collection.begin_later(lambda: ready[0], 0.1))
+            task = asyncio.create_task(
+                garbage_collection.enable_after_startup(lambda: ready[0], 0.1)
+            )
             await asyncio.sleep(0.05)
             assert not gc.isenabled()
             ready[0] = True
             await task
 
         asyncio.run(later())
+        older = garbage_collection.OLDER_GENERATION_THRESHOLD
         assert (
             gc.isenabled()
-            and gc.get_threshold()
-            == (garbage_collection.YOUNG, garbage_collection.OLDER, garbage_collection.OLDER)
+            and gc.get_threshold() == (garbage_collection.GENERATION_0_THRESHOLD, older, older)
             and gc.get_freeze_count() > 0
         )
         asyncio.run(
-            garbage_collection.begin_later(lambda: False, 0.01)
+            garbage_collection.enable_after_startup(lambda: False, 0.01)
         )  # not ready for long: all the same
     finally:
         gc.unfreeze()
