--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,7 @@
-"""A process that ends and is back within a fraction of a second: what it left behind still lives, and the others have never missed it."""
+"""Controllers that restart within a fraction of a second.
+
+What the process before left behind still exists, and the other controllers have never missed it.
+"""
 
 from __future__ import annotations
 
@@ -19,47 +22,43 @@
 from tests.test_whole import play
 from tests.whole import Service, job, shared
 
-BACK_S = [0.05, 0.3, 1.0]
-LEASE_S, TTL_S = 6.0, 1.0
+DOWNTIMES_S = [0.05, 0.3, 1.0]  # between the end of a process and the start of the next
+AGENT_LEASE_S = 6.0
+MEMBERSHIP_TTL_S = 1.0
+
 
+# -- orphan lease renewal ---------------------------------------------------------------------------------------
 
-# -- leases kept for an owner that is gone -------------------------------------------------------------------
 
+class FakeJobWatch:
+    """Since when the jobs have been watched without a gap, and when they were last known."""
 
-class Jobs:
     def __init__(self, whole_since: float, known_at: float) -> None:
+        """Both as the time of day, seconds."""
         self.whole_since, self.known_at = whole_since, known_at
 
 
 @pytest.mark.parametrize(
-    ("whole_since", "known_at", "holds", "may"),
+    ("whole_since", "known_at", "tasks", "may_renew"),
     [
         (-30.0, 0.0, ["req-1/0"], True),
         (-30.0, -13.9, ["req-1/0"], True),
         (-30.0, -30.0, [], False),
-        (
-            -30.0,
-            -14.0,
-            ["req-1/0"],
-            False,
-        ),  # cancel_s - lease_s: a withdrawal since then might not be obeyed in time
-        (
-            -19.0,
-            0.0,
-            ["req-1/0"],
-            False,
-        ),  # it has not watched for cancel_s: one before may still be due
+        # Known up to cancel_s - lease_s ago: a cancellation since then might not be obeyed in time.
+        (-30.0, -14.0, ["req-1/0"], False),
+        # Not watched for cancel_s yet: a cancellation from before may still be due.
+        (-19.0, 0.0, ["req-1/0"], False),
         (math.inf, -math.inf, [], False),
         (-30.0, 0.0, ["req-1/0", "req-9/3"], False),
         (-30.0, 0.0, ["nonsense"], True),
     ],
 )
-def test_whose_lease_a_deputy_may_keep(
-    whole_since: float, known_at: float, holds: list[str], may: bool
+def test_which_orphan_lease_may_be_renewed(
+    whole_since: float, known_at: float, tasks: list[str], may_renew: bool
 ) -> None:
     orphan_leases = OrphanLeaseRenewer(
         shared().workers,
-        Jobs(100 + whole_since, 100 + known_at),
+        FakeJobWatch(100 + whole_since, 100 + known_at),
         lambda job: job == "req-9",
         CancellationWatermark(shared().workers, ["n1"], 0),
     )
@@ -73,9 +72,9 @@
         1,
         True,
         None,
-        [TaskReport(share, 1, "running") for share in holds],
+        [TaskReport(task, 1, "running") for task in tasks],
     )
-    assert orphan_leases.may_renew(report, 100.0) is may
+    assert orphan_leases.may_renew(report, 100.0) is may_renew
 
 
 async def owned(service: Service, team: str = "red") -> int:
@@ -86,19 +85,19 @@
         await asyncio.sleep(0.05)
 
 
-@pytest.mark.parametrize("back_s", BACK_S)
-def test_an_owner_that_ends_in_an_outage_costs_no_lease(
-    back_s: float, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("downtime_s", DOWNTIMES_S)
+def test_an_owner_that_restarts_in_a_store_outage_costs_no_agent_lease(
+    downtime_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """117 tasks were killed by their leases on a day without any zone cut: nobody may claim in an outage, so nobody answered."""
+    """Nobody may claim in an outage, so without renewal nobody answered, and 117 tasks were killed as their agents' leases expired."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=8, expect_s=60.0))
         await asyncio.sleep(shared().workers.cancel_s + 2)
         service.state.down = True
         await asyncio.sleep(1)
-        service.crash(await owned(service), back_s)
-        await asyncio.sleep(1.5 * LEASE_S)
+        service.crash(await owned(service), downtime_s)
+        await asyncio.sleep(1.5 * AGENT_LEASE_S)
         service.state.down = False
         assert await service.until_final(["req-000001"], 60) == []
         assert {worker.tenure for worker in service.world.workers.values()} == {1}
@@ -107,11 +106,10 @@
 
 
 @pytest.mark.parametrize("outage_s", [5.0, 12.0, 60.0])
-def test_no_lease_is_kept_of_what_its_user_was_told_is_cancelled(
+def test_no_lease_is_renewed_for_a_job_whose_cancellation_was_confirmed(
     outage_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its owner ends, and the state service with it, as the withdrawal is written: no stop is sent. A lease kept all the same
-    is a rule broken."""
+    """Its owner and the store fail as the cancellation is written, so no kill is sent: renewing would break an invariant."""
 
     async def day(service: Service) -> None:
         for number in (1, 2):
@@ -138,14 +136,14 @@
     play(monkeypatch, 42, day)
 
 
-# -- the others have never missed it ---------------------------------------------------------------------------
+# -- restarts that the other controllers do not notice ----------------------------------------------------------
 
 
-@pytest.mark.parametrize("back_s", [0.05, 0.3, 0.6])
-def test_workers_of_an_owner_that_ended_twice_go_back_to_it(
-    back_s: float, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize("downtime_s", [0.05, 0.3, 0.6])
+def test_workers_of_an_owner_that_restarted_twice_return_to_it(
+    downtime_s: float, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Sent to it twice within a lease, they were taken for unable to reach it and relayed for, hundreds of them for a lease."""
+    """Redirected to it twice within a lease, they were taken for unable to reach it, and their heartbeats forwarded for a lease."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=16, expect_s=60.0))
@@ -153,7 +151,7 @@
         owner = await owned(service)
         with caplog.at_level("INFO", logger="ashdock.front"):
             for _ in range(2):
-                service.crash(owner, back_s)
+                service.crash(owner, downtime_s)
                 await asyncio.sleep(3.5)
         assert service.controllers[owner].owners.keys() >= {"red"}
         assert not [text for text in caplog.messages if "passing on" in text]
@@ -163,11 +161,11 @@
     play(monkeypatch, 43, day)
 
 
-@pytest.mark.parametrize("back_s", [0.05, 0.3, 0.6])
-def test_a_leader_that_is_back_leads_at_once(
-    back_s: float, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("downtime_s", [0.05, 0.3, 0.6])
+def test_a_restarted_leader_leads_at_once(
+    downtime_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It waited for the lease of its own last life to run out, and nobody rented meanwhile."""
+    """It waited until the store lease of its process before expired, and nobody scaled out meanwhile."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1))
@@ -175,17 +173,17 @@
         began = service.now()
         leader = next(n for n, c in service.controllers.items() if c.leader)
         before = service.state.keys["leader"][1]
-        service.crash(leader, back_s)
+        service.crash(leader, downtime_s)
         while service.state.keys.get("leader", (0, before))[1] == before:
             await asyncio.sleep(0.02)
-        assert service.now() < began + back_s + TTL_S / 2
-        await asyncio.sleep(2 * TTL_S)  # the old lease ends, and takes nothing with it
+        assert service.now() < began + downtime_s + MEMBERSHIP_TTL_S / 2
+        await asyncio.sleep(2 * MEMBERSHIP_TTL_S)  # the old lease ends, and takes nothing with it
         assert [n for n, c in service.controllers.items() if c.leader] == [leader]
 
     play(monkeypatch, 44, day)
 
 
-def test_frames_of_a_process_that_ended_are_dropped_once_its_successor_has_said_hello(
+def test_frames_of_an_earlier_incarnation_are_dropped_after_the_hello_of_a_later_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(service: Service) -> None:
@@ -218,7 +216,7 @@
     play(monkeypatch, 45, day)
 
 
-def test_parts_of_a_controller_that_keeps_ending_are_for_others_until_it_lives(
+def test_shards_of_a_controller_in_a_crash_loop_are_owned_by_others_until_it_is_steady(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(service: Service) -> None:
@@ -241,7 +239,7 @@
         ].decode()
         assert "ashdock_ends_of_late 5.0" in page and "ashdock_fit 0.0" in page
         assert await service.until_final(["req-000001"], 60) == []
-        await asyncio.sleep(2 * LEASE_S)
+        await asyncio.sleep(2 * AGENT_LEASE_S)
         assert service.controllers[owner].membership.published_eligible
         assert (await Client(f"10.0.0.{owner}", 8080, keep=0).request("GET", "/ready", b"", 2.0))[
             0
@@ -251,10 +249,10 @@
 
 
 @pytest.mark.parametrize("every_s", [0.7, 1.5, 4.0])
-def test_where_all_keep_ending_work_goes_on_between_two_ends(
+def test_tasks_are_done_between_restarts_where_all_controllers_are_in_a_crash_loop(
     every_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """None of them is fit then, and they neither fight for the shards nor leave them."""
+    """None of them is eligible then, and they neither take the shards from one another nor leave them without an owner."""
 
     async def day(service: Service) -> None:
         runs = [job(1, shares=8, expect_s=6.0), job(2, owner="blue", shares=6, expect_s=6.0)]
@@ -276,7 +274,7 @@
             for run in runs
         )
         if every_s > 1:
-            assert done >= 8  # of the tasks most were over before the ends were
+            assert done >= 8  # most tasks end before the restarts do
         assert await service.until_final([run["id"] for run in runs], 60) == []
         again = sum(service.state.keys[path][1] - revision > 0 for path, revision in claims.items())
         assert again <= 2
@@ -285,5 +283,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_rules_hold_on_random_days_of_ends(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invariants_hold_on_random_days_of_restarts(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert ends.day(seed, monkeypatch) == ([], [])
