--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -221,11 +221,11 @@
             "controller %s in %s listens on %s", self.label, self.settings.area, self.settings.bind
         )
         loops = [
-            self.membership.keep,
+            self.membership.maintain,
             self._ownership,
             self._gossip,
-            self.machine_type_catalog.learn,
-            self.cluster_version.look,
+            self.machine_type_catalog.refresh,
+            self.cluster_version.negotiate,
             self._pace,
             self._run_election,
         ]
@@ -334,17 +334,17 @@
 
     @property
     def hold(self) -> int | None:
-        return self.membership.hold
+        return self.membership.store_lease
 
     @property
     def hold_began(self) -> float:
-        return self.membership.began
+        return self.membership.lease_renewed_at
 
     def fit_members(self) -> list[str]:
-        return self.membership.fit_members()
+        return self.membership.eligible_members()
 
     def may_serve(self) -> bool:
-        return self.membership.may_serve()
+        return self.membership.may_own_and_lead()
 
     def renewed(self) -> None:
         self.election_changed.set()
@@ -367,7 +367,7 @@
             try:
                 await self.elector.tend()
             except LeaseLostError:
-                self.membership.lost()
+                self.membership.lease_lost()
         return 0.0
 
     def _leader_key_changed(self, path: str, value: Any, revision: int) -> None:
@@ -410,13 +410,13 @@
         replicas = (self.shards, self.members, self.machines, self.jobs)
         if not (
             self.catalog
-            and self.cluster_version.looked
+            and self.cluster_version.is_known
             and all(replica.ready.is_set() for replica in replicas)
         ):
             return self.tick_s / 4
-        if self.hold is None or time.monotonic() > self.membership.until:
+        if self.hold is None or time.monotonic() > self.membership.lease_expires_at:
             return self.tick_s
-        self.startup_timeline.learnt(time.monotonic())
+        self.startup_timeline.synced(time.monotonic())
         alive = {*self.fit_members(), *([self.label] if self.may_serve() else [])} or {self.label}
         load = dict.fromkeys(sorted(alive), 0)
         orphans: list[Team] = []
@@ -711,14 +711,14 @@
             case WatermarkEcho():
                 self.cancellations.echo_received(label, frame)
             case ForwardedHeartbeat():
-                self.heartbeat_forwarder.heard(label, frame)
+                self.heartbeat_forwarder.request_received(label, frame)
             case ForwardReply():
-                self.heartbeat_forwarder.answered(frame)
+                self.heartbeat_forwarder.reply_received(frame)
             case _:
                 pass
 
     async def relay(self, label: str, body: bytes) -> ForwardReply | None:
-        return await self.heartbeat_forwarder.relay(label, body)
+        return await self.heartbeat_forwarder.forward(label, body)
 
     def counts(self, team: str, job: str) -> tuple[int, int]:
         owner = self.owners.get(team)
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -93,11 +93,11 @@
             ),
             "ashdock_fit": (
                 "1 while parts and lead may be this controller's",
-                float(context.membership.fit),
+                float(context.membership.published_eligible),
             ),
             "ashdock_ends_of_late": (
                 "ends of this controller's processes in quick succession",
-                float(context.membership.crash_loop.record.ends),
+                float(context.membership.crash_loop.record.restarts),
             ),
             "ashdock_state_age_seconds": (
                 "since the state service last answered",
@@ -231,7 +231,7 @@
             "in each state since the start of the process",
             labels=["state"],
         )
-        for state, seconds in self.context.startup_timeline.took.items():
+        for state, seconds in self.context.startup_timeline.durations_s.items():
             startup_timeline.add_metric([state], seconds)
         took = GaugeMetricFamily(
             "ashdock_takeover_seconds",
@@ -239,7 +239,7 @@
             labels=["team", "state"],
         )
         for team, owner in self.context.owners.items():
-            for state, seconds in owner.failover_timeline.took.items():
+            for state, seconds in owner.failover_timeline.durations_s.items():
                 took.add_metric([team, state], seconds)
         yield from (startup_timeline, took)
 
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -71,7 +71,7 @@
 
 
 async def write_membership(store: Store, values: Plain) -> None:
-    """Join, and then say once more whether this controller is fit."""
+    """Join, and then publish that this controller is not eligible."""
     cluster_version = SimpleNamespace(supports_dependencies=values["agreed"])
     path = "member/n1"
     entries = [[path, {"incarnation": 5, "fit": True}, 3]]
@@ -80,7 +80,7 @@
     )
     await membership._join()
     store.entries[path] = (None, 3)
-    await membership._say_fit(False)
+    await membership._publish_eligibility(False)
 
 
 async def write_claim(store: Store, values: Plain) -> None:
@@ -119,7 +119,7 @@
 
 async def write_upgrade(store: Store, values: Plain) -> None:
     """Look at the announcements and the mark, and write what is due."""
-    await ClusterVersion(context(store)).look()
+    await ClusterVersion(context(store)).negotiate()
 
 
 async def write_catalog_records(store: Store, values: Plain) -> None:
@@ -131,7 +131,7 @@
     home = context(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
     if values["limit"]:
         home.write_limits.agreed, home.write_limits.value_bytes = True, values["limit"]
-    await MachineTypeCatalog(home).learn()
+    await MachineTypeCatalog(home).refresh()
 
 
 async def write_charter(store: Store, values: Plain) -> None:
@@ -231,9 +231,9 @@
     async def run() -> Plain:
         home = context(Store(entries))
         cluster_version = ClusterVersion(home)
-        await cluster_version.look()
+        await cluster_version.negotiate()
         return {
-            "version": cluster_version.forms,
+            "version": cluster_version.version,
             "missing": cluster_version.missing,
             "narrow_chunks": cluster_version.supports_dependencies,
             "terms": cluster_version.fences_commands,
@@ -252,7 +252,7 @@
     async def run() -> Plain:
         home = context(Store(entries), catalog={}, leader=None)
         home.cloud = SimpleNamespace(catalog=catalog)
-        await MachineTypeCatalog(home).learn()
+        await MachineTypeCatalog(home).refresh()
         return {label: attributes_of(kind, MACHINE_TYPE) for label, kind in home.catalog.items()}
 
     return bounded(run())
