--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -389,7 +389,7 @@
             async with asyncio.timeout(ANSWER_S):
                 return await call
         except TimeoutError:
-            raise StoreUnavailableError("no answer in time", unknown=True) from None
+            raise StoreUnavailableError("no answer in time", outcome_unknown=True) from None
 
     async def _read(self, job_id: str) -> Entry | None:
         """A read that began after it was asked for... or is shared with others who ask at the same time."""
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -302,10 +302,10 @@
                     when, {f"machine/{name}": value for name, (_, value) in left.items()}
                 )
             except CompareFailedError as why:
-                if self.election.path in why.failed:
+                if self.election.path in why.failed_keys:
                     raise NotLeaderError from None
                 # Somebody was quicker with some of them: the others are written without.
-                lost = {path.split("/", 1)[1] for path in why.failed} & set(left)
+                lost = {path.split("/", 1)[1] for path in why.failed_keys} & set(left)
                 log.debug("machines changed meanwhile: %s", ",".join(sorted(lost)))
                 if not lost:
                     return []
@@ -473,7 +473,7 @@
                     priority=RequestPriority.BACKGROUND,
                 )
             except CompareFailedError as why:
-                if self.election.path in why.failed:
+                if self.election.path in why.failed_keys:
                     raise NotLeaderError from None
             except StoreUnavailableError as why:
                 log.debug("charter %s not removed: %s", name, why)
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -29,11 +29,11 @@
 
 
 class CloudError(Exception):
-    """It did not answer properly. If `unknown`, the request may still be carried out."""
+    """It did not answer properly. If `outcome_unknown`, the request may still be carried out."""
 
-    def __init__(self, why: str, unknown: bool) -> None:
+    def __init__(self, why: str, outcome_unknown: bool) -> None:
         super().__init__(why)
-        self.unknown = unknown
+        self.outcome_unknown = outcome_unknown
 
 
 class NoCapacityError(Exception):
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -15,46 +15,34 @@
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Client, NoAnswer
 from ashdock.net.rate_limiter import Demand, RateLimiter, RequestPriority, shares
+from ashdock.net.store_errors import (
+    CompareFailedError,
+    LeaseLostError,
+    StoreRateLimitedError,
+    StoreUnavailableError,
+    WatchExpiredError,
+    WriteRefusedError,
+)
 from ashdock.settings import Shared
 
+__all__ = [
+    "CompareFailedError",
+    "Entry",
+    "LeaseLostError",
+    "StoreClient",
+    "StoreRateLimitedError",
+    "StoreUnavailableError",
+    "WatchCache",
+    "WatchExpiredError",
+    "WriteRefusedError",
+]
+
 log = logging.getLogger("ashdock.state")
 
 
 CONDITION_BYTES = 160  # of one on the longest key of a job
 
 
-class StoreUnavailableError(Exception):
-    """The state service did not do it, or it is not known whether it did (`unknown`)."""
-
-    def __init__(self, why: str, unknown: bool = False) -> None:
-        super().__init__(why)
-        self.unknown = unknown
-
-
-class StoreRateLimitedError(StoreUnavailableError):
-    """More than it takes a second."""
-
-
-class WriteRefusedError(StoreUnavailableError):
-    """Not to be had as it stands: too many changes, or too large a value. What comes next will be smaller."""
-
-
-class CompareFailedError(Exception):
-    """A condition did not hold."""
-
-    def __init__(self, failed: list[str]) -> None:
-        super().__init__(",".join(failed))
-        self.failed = failed
-
-
-class LeaseLostError(Exception):
-    """The lease named is over."""
-
-
-class WatchExpiredError(Exception):
-    """The watch's starting point is too old: read again."""
-
-
 class Entry(NamedTuple):
     path: str
     value: Any
@@ -189,9 +177,9 @@
             raise StoreUnavailableError(str(why), why.sent) from None
         if status in (429, 503) or status >= 500:
             if status == 429:
-                raise StoreRateLimitedError(f"status {status}")
+                raise StoreRateLimitedError.from_status(status)
             self._bad(f"status {status}")
-            raise StoreUnavailableError(f"status {status}")
+            raise StoreUnavailableError.from_status(status)
         if not watch:
             self.ok_at = max(self.ok_at, started)
             if self.bad_since is not None:
@@ -212,7 +200,9 @@
         try:
             return decoder.decode(answer)
         except msgspec.DecodeError as why:
-            raise StoreUnavailableError(f"answer not understood: {why}", unknown=True) from None
+            raise StoreUnavailableError(
+                f"answer not understood: {why}", outcome_unknown=True
+            ) from None
 
     async def get(
         self, path: str, priority: RequestPriority = RequestPriority.NORMAL
@@ -222,7 +212,7 @@
         if status == 404:
             return None
         if status != 200:
-            raise StoreUnavailableError(f"status {status}")
+            raise StoreUnavailableError.from_status(status)
         entry = self._decode(_entry, answer)
         return Entry(path, entry.value, entry.revision)
 
@@ -238,7 +228,7 @@
             target = f"/store?under={under}&most=500" + (f"&from={after}" if after else "")
             status, answer = await self._call("GET", target)
             if status != 200:
-                raise StoreUnavailableError(f"status {status}")
+                raise StoreUnavailableError.from_status(status)
             page = self._decode(_list, answer)
             revision = page.revision if revision is None else revision
             out += [Entry(entry.path, entry.value, entry.revision) for entry in page.entries]
@@ -277,16 +267,16 @@
         if status == 200:
             return int(self._decode(_committed, answer).revision)
         if status == 409:
-            raise CompareFailedError(self._decode(_failed, answer).failed)
+            raise CompareFailedError(self._decode(_failed, answer).failed, when)
         if status == 400 and b"no such lease" in answer:
-            raise LeaseLostError
+            raise LeaseLostError(hold)
         if status == 400:
             self.write_limits.refused(
                 len(writes),
                 max((len(msgspec.json.encode(value)) for value in writes.values()), default=0),
             )
-            raise WriteRefusedError(f"status {status}: {answer[:200]!r}")
-        raise StoreUnavailableError(f"status {status}: {answer[:200]!r}")
+            raise WriteRefusedError.from_status(status, answer)
+        raise StoreUnavailableError.from_status(status, answer)
 
     @staticmethod
     def _write(path: str, value: Any, hold: int | None) -> dict[str, Any]:
@@ -303,25 +293,25 @@
             "POST", "/holds", msgspec.json.encode({"ttl_ms": ttl_ms}), first=True
         )
         if status != 200:
-            raise StoreUnavailableError(f"status {status}")
+            raise StoreUnavailableError.from_status(status)
         return int(self._decode(_permit, answer).permit)
 
     async def renew(self, hold: int, timeout: float) -> None:
         self.requests.take(1)
         status, _ = await self._call("POST", f"/holds/{hold}/renew", timeout=timeout, first=True)
         if status == 404:
-            raise LeaseLostError
+            raise LeaseLostError(hold)
         if status != 200:
-            raise StoreUnavailableError(f"status {status}")
+            raise StoreUnavailableError.from_status(status)
 
     async def changes(self, under: str, after: int, hold_ms: int) -> tuple[list[Change], int]:
         await self.requests.wait(1)
         target = f"/changes?under={under}&from={after}&hold_ms={hold_ms}"
         status, answer = await self._call("GET", target, timeout=hold_ms / 1000 + 30, watch=True)
         if status == 410:
-            raise WatchExpiredError
+            raise WatchExpiredError(under, after)
         if status != 200:
-            raise StoreUnavailableError(f"status {status}")
+            raise StoreUnavailableError.from_status(status)
         news = self._decode(_news, answer)
         return news.news, news.revision
 
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -338,7 +338,7 @@
                     team=shard.name,
                 )
             except CompareFailedError as why:
-                if not await self._reread(shard, why.failed):
+                if not await self._reread(shard, why.failed_keys):
                     return
                 continue
             except StoreUnavailableError:
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -130,7 +130,7 @@
                     await self.store.txn(when, {}, priority=RequestPriority.USER)
                 except CompareFailedError as why:
                     # What failed says nothing of the rest: that is compared again without.
-                    differ = {path.split("/", 1)[1] for path in why.failed} & bunch.keys()
+                    differ = {path.split("/", 1)[1] for path in why.failed_keys} & bunch.keys()
                     if not differ:
                         raise StoreUnavailableError(
                             "a comparison failed and did not say where"
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -53,7 +53,7 @@
         raise error
     values: dict[str, Plain] = {"type": kind, "message": str(error)}
     if isinstance(error, (StoreUnavailableError, CloudError)):
-        values["outcome_unknown"] = error.unknown
+        values["outcome_unknown"] = error.outcome_unknown
     if isinstance(error, NoAnswer):
         values["outcome_unknown"] = error.sent
     return values
