--- a/ashdock/cancellation/orphan_leases.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -5,9 +5,9 @@
 answer them instead: with the token that the worker has, which takes nothing from anybody, and without an order. It starts
 nothing, stops nothing and proves nothing. What it must not do is keep alive what its user was told is cancelled:
 
-- it knows each withdrawal that was recorded up to `known_at`, and renews nothing of a job that it knows to be withdrawn;
-- one recorded later is told later, so what it renews before `known_at + cancel_s - lease_s` is gone in time;
-- one recorded before it watched (`whole_since`) is older than `cancel_s`, or it renews nothing at all.
+- it knows each withdrawal that was recorded up to `synced_at`, and renews nothing of a job that it knows to be withdrawn;
+- one recorded later is told later, so what it renews before `synced_at + cancel_s - lease_s` is gone in time;
+- one recorded before it watched (`complete_since`) is older than `cancel_s`, or it renews nothing at all.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 class Watched(Protocol):
     """What is known of the jobs' records."""
 
-    whole_since: float
-    known_at: float
+    complete_since: float
+    synced_at: float
 
 
 class OrphanLeaseRenewer:
@@ -45,8 +45,8 @@
     def may_renew(self, report: Heartbeat, now: float) -> bool:
         """Whether a worker's lease may be kept by us, who do not own it."""
         # By the state service's word alone: what others vouch for says nothing of a start that the owner which is gone had sent.
-        if now - self.jobs.whole_since < self.workers.cancel_s or not self.watermark.within(
-            self.jobs.known_at, now
+        if now - self.jobs.complete_since < self.workers.cancel_s or not self.watermark.within(
+            self.jobs.synced_at, now
         ):
             return False
         return not any(self.withdrawn(split_task(item.task)[0]) for item in report.tasks)
--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -62,7 +62,7 @@
     async def look(self) -> float | None:
         context = self.context
         store = context.store
-        entries, _ = await store.under(UNDER)
+        entries, _ = await store.list_prefix(UNDER)
         found = {entry.path: entry for entry in entries}
         if MARK in found:
             self._agree(int(found[MARK].value["forms"]), "as the mark says")
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -36,8 +36,8 @@
     LeaseLostError,
     StoreClient,
     StoreUnavailableError,
-    WatchCache,
 )
+from ashdock.net.watch_cache import WatchCache
 from ashdock.net.worker import WorkerClient
 from ashdock.settings import Settings, Team, address
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
@@ -114,8 +114,8 @@
         self.jobs = WatchCache(
             self.store,
             "job/",
-            keep=False,
-            hold_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8),
+            keep_entries=False,
+            wait_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8),
         )
         self.heartbeat_lag = HeartbeatLag(self.mesh.beat_s)
         self.load_shedder = LoadShedder(self.mesh.beat_s, 2 * self.workers.lease_s)
@@ -283,18 +283,18 @@
     # -- how well we are connected ---------------------------------------------------------------------------
 
     def state_fresh(self) -> bool:
-        return self.store.bad_since is None and self.store.silent_for < self.ttl_s
+        return self.store.unavailable_since is None and self.store.silent_for < self.ttl_s
 
     def may_renew(self, read_at: float) -> bool:
         """Whether running work of a shard that was read at `read_at` may be kept alive: what could have been cancelled without our
         knowledge will be gone in time all the same."""
         return self.cancellations.watermark.may_renew(
-            max(read_at, self.jobs.known_at), time.monotonic()
+            max(read_at, self.jobs.synced_at), time.monotonic()
         )
 
     def cancellations_age(self) -> float:
         now = time.monotonic()
-        return now - self.cancellations.watermark.known_until(self.jobs.known_at, now)
+        return now - self.cancellations.watermark.known_until(self.jobs.synced_at, now)
 
     def alone_without_state(self) -> bool:
         """Others are served, or may be: users had better ask them. Where nobody is heard either we are most likely cut off; one that went on
@@ -592,7 +592,7 @@
             path = f"part/{team}"
             known = self.shards.entries.get(path)
             if known is None or known.revision < revision:
-                self.shards.wrote(path, {"owner": label}, revision)
+                self.shards.apply_own_write(path, {"owner": label}, revision)
             ours = self.owners.get(team)
             if ours is not None and ours.shard and ours.shard.revision < revision:
                 ours.lost(f"claimed by {label}, as the mesh tells")
@@ -605,7 +605,7 @@
                 others.append(Demand(peer.beat.requests, peer.beat.writes))
             elif f"member/{peer.label}" in self.members.entries or not self.members.ready.is_set():
                 others.append(None)
-        self.store.share_with(others)
+        self.store.update_fair_share(others)
 
     def tell_leader(self, shard: Shard) -> None:
         """At once when a shard comes to lack something; what it no longer lacks can wait for the next beat."""
--- a/ashdock/election/elector.py
+++ b/ashdock/election/elector.py
@@ -16,8 +16,8 @@
     LeaseLostError,
     StoreClient,
     StoreUnavailableError,
-    WatchCache,
 )
+from ashdock.net.watch_cache import WatchCache
 
 log = logging.getLogger("ashdock.duties")
 
@@ -171,7 +171,7 @@
         election.taking()
         try:
             term = await context.store.txn(
-                {election.path: entry.revision if entry else 0}, {election.path: value}, hold=hold
+                {election.path: entry.revision if entry else 0}, {election.path: value}, lease=hold
             )
         except CompareFailedError:
             election.refused()
@@ -179,7 +179,7 @@
         except (LeaseLostError, StoreUnavailableError):
             election.refused()
             raise
-        self.replica.wrote(election.path, value, term)
+        self.replica.apply_own_write(election.path, value, term)
         if context.hold != hold:  # our membership ended meanwhile, and the key with it
             election.refused()
             return
@@ -232,13 +232,13 @@
         value: dict[str, Any] = {"label": to, "incarnation": 0, "by": election.label}
         try:
             revision = await self.context.store.txn(
-                {election.path: election.term}, {election.path: value}, hold=self.context.hold
+                {election.path: election.term}, {election.path: value}, lease=self.context.hold
             )
         except CompareFailedError:
             return  # the watch will tell who has it
         self.lose(f"handed on to {to}")
         self.named_at = time.monotonic()
-        self.replica.wrote(election.path, value, revision)
+        self.replica.apply_own_write(election.path, value, revision)
 
     async def _drop(self, revision: int) -> None:
         path = self.election.path
@@ -247,7 +247,7 @@
         except CompareFailedError:
             return
         self.lose("given up")
-        self.replica.wrote(path, None, gone)
+        self.replica.apply_own_write(path, None, gone)
 
     async def _reclaim(self) -> None:
         """The one we named has not come: free the seat for all."""
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -25,8 +25,8 @@
     Entry,
     StoreClient,
     StoreUnavailableError,
-    WatchCache,
 )
+from ashdock.net.watch_cache import WatchCache
 from ashdock.settings import Shared, Workers
 from ashdock.status_reader import KnownJob, StatusReader, StatusReaderBusyError, known_job_of
 from ashdock.wire import messages
@@ -377,7 +377,8 @@
         """While the state service is known not to answer, users are told so at once."""
         store = self.context.store
         return (
-            store.bad_since is None or time.monotonic() - store.bad_since < self.context.ttl_s / 8
+            store.unavailable_since is None
+            or time.monotonic() - store.unavailable_since < self.context.ttl_s / 8
         )
 
     def _retry_after(self) -> int:
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -23,8 +23,8 @@
     Entry,
     StoreClient,
     StoreUnavailableError,
-    WatchCache,
 )
+from ashdock.net.watch_cache import WatchCache
 from ashdock.settings import Operators, Shared, Workers
 from ashdock.wire.frames import ShardCommand, TransferMachine, TransferShard
 from ashdock.wire.messages import Heartbeat, MachineType
@@ -312,7 +312,7 @@
                 left = {name: record for name, record in left.items() if name not in lost}
                 continue
             for name, (_, value) in left.items():
-                self.context.machines.wrote(f"machine/{name}", value, revision)
+                self.context.machines.apply_own_write(f"machine/{name}", value, revision)
             return list(left)
         return []
 
@@ -507,7 +507,7 @@
         had asked for were asked for again. Then the same request again tells what came of it."""
         self._guard_call()
         await self._delete_finished_intents()
-        entries, _ = await self.context.store.under("charter/")
+        entries, _ = await self.context.store.list_prefix("charter/")
         # Our own may have been written, carried out and removed since this was read: repeated, the cloud names machines again that
         # may have been released meanwhile, and each would be recorded once more.
         left = {e.path.split("/", 1)[1]: (e.value, e.revision) for e in entries}
@@ -604,7 +604,7 @@
                 {path: 0, self.election.path: self.revision}, {path: value}
             )
             log.info("machine %s adopted", name)
-            context.machines.wrote(path, value, revision)
+            context.machines.apply_own_write(path, value, revision)
         except CompareFailedError:
             pass
 
--- a/ashdock/machine_type_catalog.py
+++ b/ashdock/machine_type_catalog.py
@@ -39,7 +39,7 @@
             context.catalog.update(await context.cloud.catalog())
         except CloudError:
             if not context.catalog:
-                entries, _ = await context.store.under("catalog")
+                entries, _ = await context.store.list_prefix("catalog")
                 for entry in entries:
                     context.catalog.update(msgspec.convert(entry.value, dict[str, MachineType]))
             return context.tick_s * 4
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -11,7 +11,8 @@
 
 from ashdock.cluster_version import ClusterVersion
 from ashdock.crash_loop import CrashLoopDetector
-from ashdock.net.store import LeaseLostError, StoreClient, StoreUnavailableError, WatchCache
+from ashdock.net.store import LeaseLostError, StoreClient, StoreUnavailableError
+from ashdock.net.watch_cache import WatchCache
 from ashdock.timelines import StartupTimeline
 
 log = logging.getLogger("ashdock.controller")
@@ -59,7 +60,7 @@
             if self.hold is None:
                 await self._join()
             else:
-                await context.store.renew(self.hold, timeout=context.ttl_s / 2)
+                await context.store.renew_lease(self.hold, timeout=context.ttl_s / 2)
                 self.crash_loop.look(context.now())
                 if self.fit is not self._sound():
                     await self._say_fit(not self.fit)
@@ -84,7 +85,9 @@
         store = context.store
         path, life = f"member/{context.label}", f"life/{context.label}"
         hold, entry, (crash_loop, _) = await asyncio.gather(
-            store.hold(int(context.ttl_s * 1000)), store.get(path), store.under("life/")
+            store.grant_lease(int(context.ttl_s * 1000)),
+            store.get(path),
+            store.list_prefix("life/"),
         )
         kept = next((other for other in crash_loop if other.path == life), None)
         record = self.crash_loop.process_started(
@@ -104,8 +107,8 @@
         if context.cluster_version.supports_dependencies:
             when[life] = kept.revision if kept else 0
             writes[life] = msgspec.to_builtins(record)
-        revision = await store.txn(when, writes, hold=hold, unleased=(life,))
-        context.members.wrote(path, writes[path], revision)
+        revision = await store.txn(when, writes, lease=hold, unleased=(life,))
+        context.members.apply_own_write(path, writes[path], revision)
         self.hold = hold  # only now: a hold without our name on it would make us no member
         self.fit = fit
 
@@ -129,8 +132,8 @@
             else "hears nobody but the state service: parts and lead are for others",
         )
         value = self._entry(fit)
-        revision = await context.store.txn({path: entry.revision}, {path: value}, hold=self.hold)
-        context.members.wrote(path, value, revision)
+        revision = await context.store.txn({path: entry.revision}, {path: value}, lease=self.hold)
+        context.members.apply_own_write(path, value, revision)
         self.fit = fit
 
     def fit_members(self) -> list[str]:
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -1,16 +1,17 @@
-"""The state service's end."""
+"""Client of the store, the consensus-backed key-value store that holds all state that outlives a process.
+
+Keys are read one at a time or by prefix, written by compare-and-swap, bound to store leases, and
+watched. Each request waits for this controller's share of the rate that the store takes.
+"""
 
 from __future__ import annotations
 
-import asyncio
 import logging
-import math
 import time
 from collections.abc import Collection, Mapping
-from typing import Any, NamedTuple
+from typing import TypeVar
 
 import msgspec
-from msgspec import Struct, field
 
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Client, NoAnswer
@@ -23,139 +24,153 @@
     WatchExpiredError,
     WriteRefusedError,
 )
+from ashdock.net.store_messages import (
+    Change,
+    Compare,
+    Delete,
+    Entry,
+    LeaseRequest,
+    Put,
+    TransactionRequest,
+    Value,
+    committed_decoder,
+    compare_failed_decoder,
+    entry_decoder,
+    lease_decoder,
+    list_decoder,
+    watch_decoder,
+)
 from ashdock.settings import Shared
 
-__all__ = [
+__all__ = [  # the errors and the entry belong to the client's interface
     "CompareFailedError",
     "Entry",
     "LeaseLostError",
     "StoreClient",
     "StoreRateLimitedError",
     "StoreUnavailableError",
-    "WatchCache",
     "WatchExpiredError",
     "WriteRefusedError",
 ]
 
-log = logging.getLogger("ashdock.state")
-
-
-CONDITION_BYTES = 160  # of one on the longest key of a job
-
-
-class Entry(NamedTuple):
-    path: str
-    value: Any
-    revision: int
-
-
-class _Entry(Struct):
-    path: str
-    revision: int = field(name="stamp")
-    value: Any = None
-
+log = logging.getLogger("ashdock.store")
 
-class _List(Struct):
-    entries: list[_Entry]
-    revision: int = field(name="ledger")
-    truncated: bool = False
+Answer = TypeVar("Answer")
 
+USABLE_RATE = 0.9  # of the store's limits; the rest is for requests in flight while shares change
+REQUEST_SOCKETS = 12  # connections kept open for requests
+WATCH_SOCKETS = 8  # connections kept open for watches; not available to requests
+MIN_REQUEST_SOCKETS = 4
+REQUESTS_PER_LEASE = 5  # a request may take this fraction of an agent lease
+WATCH_MARGIN_S = 30  # how much longer than its wait a watch may take to be answered
+PAGE_ENTRIES = 500  # of a list
+MAX_COMPARES_BYTES = 60 * 1024  # of a transaction's body of at most 64 KiB
+COMPARE_BYTES = 160  # of one on the longest key of a job
+COMPARES_PER_WRITE = 4  # the store takes four times as many compares as puts and deletes
 
-class _Committed(Struct):
-    revision: int = field(name="ledger")
+OK = 200
+BAD_REQUEST = 400
+NOT_FOUND = 404
+CONFLICT = 409
+GONE = 410
+TOO_MANY_REQUESTS = 429
+SERVER_ERRORS = 500  # this status and all above it
+UNKNOWN_LEASE = b"no such lease"  # in the answer to a transaction whose lease has expired
 
 
-class _Failed(Struct):
-    failed: list[str] = []
+def _usable_rate(limits: WriteLimits) -> Demand:
+    """Requests and writes a second that all controllers together may send."""
+    return Demand(limits.rps * USABLE_RATE, limits.write_rps * USABLE_RATE)
 
 
-class _Lease(Struct):
-    permit: int
-
-
-class Change(Struct):
-    revision: int = field(name="stamp")
-    set: str | None = None
-    delete: str | None = None
-    value: Any = None
-
-
-class _News(Struct):
-    revision: int = field(name="ledger")
-    news: list[Change] = []
-
-
-_entry = msgspec.json.Decoder(_Entry)
-_list = msgspec.json.Decoder(_List)
-_committed = msgspec.json.Decoder(_Committed)
-_failed = msgspec.json.Decoder(_Failed)
-_permit = msgspec.json.Decoder(_Lease)
-_news = msgspec.json.Decoder(_News)
+class StoreClient:
+    """Reads, writes and watches keys, at this controller's share of the store's rate.
 
+    Attributes:
+        usable_rate: what all controllers together may send a second.
+        requests: rate limiter of requests.
+        writes: rate limiter of puts and deletes, of which a transaction has many.
+        unavailable_since: monotonic time of the first failed request since the last proper answer.
+    """
 
-class StoreClient:
     def __init__(
         self,
         host: str,
         port: int,
         shared: Shared,
         write_limits: WriteLimits,
-        most: int = 0,
+        max_sockets: int = 0,
         weights: Mapping[str, float] | None = None,
     ) -> None:
-        """`weights`: of the teams, in each line for what the service takes a second."""
+        """Open no connection yet.
+
+        Args:
+            host: the store's host.
+            port: the store's port.
+            shared: the settings that all controllers have in common.
+            write_limits: what the store takes in one transaction and in one second.
+            max_sockets: bound of the open connections; 0: none.
+            weights: of the teams, in the queues of both rate limiters.
+        """
         self.write_limits = write_limits
-        self.client = Client(
-            host, port, keep=12, most=max(most - 8, 4) if most else 0
-        )  # less the watches
-        self.watcher = Client(host, port, keep=8)
-        self.size = shared.size
-        # A tenth is left for what is in flight while the shares are told anew.
-        self.all = Demand(write_limits.rps * 0.9, write_limits.write_rps * 0.9)
-        self.requests = RateLimiter(self.all.requests / self.size, weights=weights)
-        self.writes = RateLimiter(self.all.writes / self.size, weights=weights)
-        self.timeout = shared.workers.lease_s / 5
-        self.ok_at = time.monotonic()  # when it last answered us properly
-        self.bad_since: float | None = None
+        max_requests = max(max_sockets - WATCH_SOCKETS, MIN_REQUEST_SOCKETS) if max_sockets else 0
+        self.client = Client(host, port, keep=REQUEST_SOCKETS, most=max_requests)
+        self.watch_client = Client(host, port, keep=WATCH_SOCKETS)
+        self.controllers = shared.size
+        self.usable_rate = _usable_rate(write_limits)
+        self.requests = RateLimiter(self.usable_rate.requests / self.controllers, weights=weights)
+        self.writes = RateLimiter(self.usable_rate.writes / self.controllers, weights=weights)
+        self.timeout_s = shared.workers.lease_s / REQUESTS_PER_LEASE
+        self.answered_at = time.monotonic()  # start of the last request with a proper answer
+        self.unavailable_since: float | None = None
 
     def apply_write_limits(self) -> None:
-        """The bounds are other ones now."""
-        before, self.all = (
-            self.all,
-            Demand(self.write_limits.rps * 0.9, self.write_limits.write_rps * 0.9),
-        )
-        self.requests.per_s *= self.all.requests / before.requests
-        self.writes.per_s *= self.all.writes / before.writes
+        """Scale this controller's rates after the write limits have changed."""
+        before, self.usable_rate = self.usable_rate, _usable_rate(self.write_limits)
+        self.requests.per_s *= self.usable_rate.requests / before.requests
+        self.writes.per_s *= self.usable_rate.writes / before.writes
 
     @property
-    def most_conditions(self) -> int:
-        """Four times as many conditions as puts and deletes, as far as they fit into 64 KiB."""
-        return min(4 * self.write_limits.ops, 60 * 1024 // CONDITION_BYTES)
+    def max_compares(self) -> int:
+        """The most compares of one transaction."""
+        return min(COMPARES_PER_WRITE * self.write_limits.ops, MAX_COMPARES_BYTES // COMPARE_BYTES)
 
     @property
     def demand(self) -> Demand:
+        """Requests and writes a second that this controller has been asking for."""
         return Demand(self.requests.demand, self.writes.demand)
 
-    def share_with(self, others: list[Demand | None]) -> None:
-        """Whoever leads, or owns the larger part, has more to write than the rest: shares follow demand."""
-        ours = self.demand
+    def update_fair_share(self, others: list[Demand | None]) -> None:
+        """Set this controller's rates by its demand and that of the others.
+
+        The leader, or the owner of the larger shards, has more to write than the rest.
+
+        Args:
+            others: of each other controller that may be alive; None: not heard of.
+        """
+        demand = self.demand
         self.requests.per_s = shares(
-            self.all.requests,
-            self.size,
-            ours.requests,
+            self.usable_rate.requests,
+            self.controllers,
+            demand.requests,
             [other and other.requests for other in others],
         )
         self.writes.per_s = shares(
-            self.all.writes, self.size, ours.writes, [other and other.writes for other in others]
+            self.usable_rate.writes,
+            self.controllers,
+            demand.writes,
+            [other and other.writes for other in others],
         )
 
     @property
     def silent_for(self) -> float:
-        return time.monotonic() - self.ok_at
+        """Seconds since the start of the last request that was answered properly."""
+        return time.monotonic() - self.answered_at
 
     @property
     def sockets(self) -> int:
-        return self.client.sockets + self.watcher.sockets
+        """Open connections."""
+        return self.client.sockets + self.watch_client.sockets
 
     async def _call(
         self,
@@ -166,243 +181,213 @@
         watch: bool = False,
         first: bool = False,
     ) -> tuple[int, bytes]:
-        started = time.monotonic()
+        """Send a request; its status, if that is no failure of the store, and the answer's body."""
+        started_at = time.monotonic()
+        client = self.watch_client if watch else self.client
         try:
-            client = self.watcher if watch else self.client
             status, answer = await client.request(
-                method, target, body, timeout or self.timeout, first=first
+                method, target, body, timeout or self.timeout_s, first=first
             )
-        except NoAnswer as why:
-            self._bad(str(why))
-            raise StoreUnavailableError(str(why), why.sent) from None
-        if status in (429, 503) or status >= 500:
-            if status == 429:
-                raise StoreRateLimitedError.from_status(status)
-            self._bad(f"status {status}")
-            raise StoreUnavailableError.from_status(status)
-        if not watch:
-            self.ok_at = max(self.ok_at, started)
-            if self.bad_since is not None:
-                log.info(
-                    "the state service answers again after %.1f s",
-                    time.monotonic() - self.bad_since,
-                )
-                self.bad_since = None
+        except NoAnswer as error:
+            self._note_failure(str(error))
+            raise StoreUnavailableError(str(error), outcome_unknown=error.sent) from None
+        if status == TOO_MANY_REQUESTS:
+            raise StoreRateLimitedError.from_status(status)
+        if status >= SERVER_ERRORS:
+            failure = StoreUnavailableError.from_status(status)
+            self._note_failure(str(failure))
+            raise failure
+        if not watch:  # a watch is answered long after it was asked
+            self._note_answer(started_at)
         return status, answer
 
-    def _bad(self, why: str) -> None:
-        if self.bad_since is None:
-            self.bad_since = time.monotonic()
-            log.info("the state service does not answer: %s", why)
+    def _note_answer(self, started_at: float) -> None:
+        self.answered_at = max(self.answered_at, started_at)
+        if self.unavailable_since is not None:
+            outage_s = time.monotonic() - self.unavailable_since
+            log.info("store answers again: outage_s=%.1f", outage_s)
+            self.unavailable_since = None
+
+    def _note_failure(self, reason: str) -> None:
+        if self.unavailable_since is None:
+            self.unavailable_since = time.monotonic()
+            log.info("store does not answer: reason=%s", reason)
 
     @staticmethod
-    def _decode(decoder: msgspec.json.Decoder[Any], answer: bytes) -> Any:
+    def _decode(decoder: msgspec.json.Decoder[Answer], answer: bytes) -> Answer:
         try:
             return decoder.decode(answer)
-        except msgspec.DecodeError as why:
-            raise StoreUnavailableError(
-                f"answer not understood: {why}", outcome_unknown=True
-            ) from None
+        except msgspec.DecodeError as error:
+            reason = f"answer not understood: {error}"
+            raise StoreUnavailableError(reason, outcome_unknown=True) from None
 
     async def get(
         self, path: str, priority: RequestPriority = RequestPriority.NORMAL
     ) -> Entry | None:
+        """Read a key; None if there is no such key.
+
+        Raises:
+            StoreUnavailableError: it could not be read.
+        """
         await self.requests.wait(1, priority)
         status, answer = await self._call("GET", f"/store/{path}")
-        if status == 404:
+        if status == NOT_FOUND:
             return None
-        if status != 200:
+        if status != OK:
             raise StoreUnavailableError.from_status(status)
-        entry = self._decode(_entry, answer)
-        return Entry(path, entry.value, entry.revision)
+        found = self._decode(entry_decoder, answer)
+        return Entry(path, found.value, found.revision)
 
-    async def under(
-        self, under: str, priority: RequestPriority = RequestPriority.NORMAL
+    async def list_prefix(
+        self, prefix: str, priority: RequestPriority = RequestPriority.NORMAL
     ) -> tuple[list[Entry], int]:
-        """All keys with the prefix, and a revision that the whole list takes in or precedes."""
-        out: list[Entry] = []
+        """Read all keys with the prefix, in order, page by page.
+
+        Returns:
+            The entries, and the store's revision at the first page: all changes up to it are in the
+            list, later ones may be.
+
+        Raises:
+            StoreUnavailableError: a page could not be read.
+        """
+        entries: list[Entry] = []
         after = ""
         revision: int | None = None
         while True:
             await self.requests.wait(1, priority)
-            target = f"/store?under={under}&most=500" + (f"&from={after}" if after else "")
+            target = f"/store?under={prefix}&most={PAGE_ENTRIES}"
+            if after:
+                target += f"&from={after}"
             status, answer = await self._call("GET", target)
-            if status != 200:
+            if status != OK:
                 raise StoreUnavailableError.from_status(status)
-            page = self._decode(_list, answer)
+            page = self._decode(list_decoder, answer)
             revision = page.revision if revision is None else revision
-            out += [Entry(entry.path, entry.value, entry.revision) for entry in page.entries]
+            entries += [Entry(entry.path, entry.value, entry.revision) for entry in page.entries]
             if not page.truncated or not page.entries:
-                return out, revision or 0
+                return entries, revision or 0
             after = page.entries[-1].path
 
     async def txn(
         self,
-        when: dict[str, int],
-        writes: dict[str, Any],
-        hold: int | None = None,
+        compare: Mapping[str, int],
+        writes: Mapping[str, Value],
+        lease: int | None = None,
         priority: RequestPriority = RequestPriority.NORMAL,
         team: str = "",
         unleased: Collection[str] = (),
     ) -> int:
-        """Apply the writes (None deletes) if every revision holds. With a `hold` they end with it, but for those that are to stay. The
-        revision, or Conflict or Unavailable."""
+        """Apply all writes if every key compared has the revision given (compare-and-swap).
+
+        Args:
+            compare: the expected revision by key; 0: there must be no such key.
+            writes: the new value by key; None deletes.
+            lease: store lease on which the keys written go when it expires.
+            priority: in the queues of the rate limiters.
+            team: for whom the transaction is, in the queues of the rate limiters.
+            unleased: keys that stay although there is a lease.
+
+        Returns:
+            The revision of the keys written.
+
+        Raises:
+            CompareFailedError: a revision differs; nothing was written.
+            LeaseLostError: the lease has expired; nothing was written.
+            StoreRateLimitedError: the store takes no more in this second; nothing was written.
+            WriteRefusedError: the transaction is too large; nothing was written.
+            StoreUnavailableError: no proper answer; it may have been applied if `outcome_unknown`.
+        """
         if writes:  # one that only compares must not wait behind others' writes
             await self.writes.wait(len(writes), priority, team)
         await self.requests.wait(1, priority, team)
-        body: dict[str, Any] = {
-            "when": [{"path": path, "stamp": revision} for path, revision in when.items()]
-        }
-        if writes:
-            body["writes"] = [
-                self._write(path, value, None if path in unleased else hold)
-                for path, value in writes.items()
-            ]
+        request = self._transaction(compare, writes, lease, unleased)
         try:
-            status, answer = await self._call("POST", "/txn", msgspec.json.encode(body))
+            status, answer = await self._call("POST", "/txn", msgspec.json.encode(request))
         except StoreRateLimitedError:
-            # One of the limits is lower than we think, or others use more of it: what is saved up is not spent on top.
+            # A limit is lower than configured, or others use more of it: saved tokens are not spent on top.
             (self.writes if writes else self.requests).spend()
             raise
-        if status == 200:
-            return int(self._decode(_committed, answer).revision)
-        if status == 409:
-            raise CompareFailedError(self._decode(_failed, answer).failed, when)
-        if status == 400 and b"no such lease" in answer:
-            raise LeaseLostError(hold)
-        if status == 400:
-            self.write_limits.refused(
-                len(writes),
-                max((len(msgspec.json.encode(value)) for value in writes.values()), default=0),
-            )
-            raise WriteRefusedError.from_status(status, answer)
-        raise StoreUnavailableError.from_status(status, answer)
+        if status == OK:
+            return self._decode(committed_decoder, answer).revision
+        if status == CONFLICT:
+            failed_keys = self._decode(compare_failed_decoder, answer).failed_keys
+            raise CompareFailedError(failed_keys, compare)
+        if status != BAD_REQUEST:
+            raise StoreUnavailableError.from_status(status, answer)
+        if UNKNOWN_LEASE in answer:
+            raise LeaseLostError(lease)
+        self._lower_write_limits(writes)
+        raise WriteRefusedError.from_status(status, answer)
 
     @staticmethod
-    def _write(path: str, value: Any, hold: int | None) -> dict[str, Any]:
-        if value is None:
-            return {"delete": path}
-        write = {"set": path, "value": value}
-        if hold is not None:
-            write["permit"] = hold
-        return write
-
-    async def hold(self, ttl_ms: int) -> int:
+    def _transaction(
+        compare: Mapping[str, int],
+        writes: Mapping[str, Value],
+        lease: int | None,
+        unleased: Collection[str],
+    ) -> TransactionRequest:
+        conditions = [Compare(path, revision) for path, revision in compare.items()]
+        if not writes:
+            return TransactionRequest(conditions)
+        changes: list[Put | Delete] = [
+            Delete(path) if value is None else Put(path, value, None if path in unleased else lease)
+            for path, value in writes.items()
+        ]
+        return TransactionRequest(conditions, changes)
+
+    def _lower_write_limits(self, writes: Mapping[str, Value]) -> None:
+        largest = max((len(msgspec.json.encode(value)) for value in writes.values()), default=0)
+        self.write_limits.refused(len(writes), largest)
+
+    async def grant_lease(self, ttl_ms: int) -> int:
+        """Create a store lease that expires `ttl_ms` milliseconds after its last renewal.
+
+        Returns:
+            The lease's number.
+
+        Raises:
+            StoreUnavailableError: no proper answer; a lease that was granted all the same expires unused.
+        """
         await self.requests.wait(1, RequestPriority.USER)
-        status, answer = await self._call(
-            "POST", "/holds", msgspec.json.encode({"ttl_ms": ttl_ms}), first=True
-        )
-        if status != 200:
+        body = msgspec.json.encode(LeaseRequest(ttl_ms))
+        status, answer = await self._call("POST", "/holds", body, first=True)
+        if status != OK:
             raise StoreUnavailableError.from_status(status)
-        return int(self._decode(_permit, answer).permit)
+        return self._decode(lease_decoder, answer).lease
 
-    async def renew(self, hold: int, timeout: float) -> None:
-        self.requests.take(1)
-        status, _ = await self._call("POST", f"/holds/{hold}/renew", timeout=timeout, first=True)
-        if status == 404:
-            raise LeaseLostError(hold)
-        if status != 200:
-            raise StoreUnavailableError.from_status(status)
+    async def renew_lease(self, lease: int, timeout: float) -> None:
+        """Renew a store lease. Does not wait for the rate limiter: a lease must not expire in a queue.
 
-    async def changes(self, under: str, after: int, hold_ms: int) -> tuple[list[Change], int]:
-        await self.requests.wait(1)
-        target = f"/changes?under={under}&from={after}&hold_ms={hold_ms}"
-        status, answer = await self._call("GET", target, timeout=hold_ms / 1000 + 30, watch=True)
-        if status == 410:
-            raise WatchExpiredError(under, after)
-        if status != 200:
+        Raises:
+            LeaseLostError: it has expired.
+            StoreUnavailableError: no proper answer within `timeout` seconds.
+        """
+        self.requests.take(1)
+        status, _ = await self._call("POST", f"/holds/{lease}/renew", timeout=timeout, first=True)
+        if status == NOT_FOUND:
+            raise LeaseLostError(lease)
+        if status != OK:
             raise StoreUnavailableError.from_status(status)
-        news = self._decode(_news, answer)
-        return news.news, news.revision
 
+    async def watch(
+        self, prefix: str, after_revision: int, wait_ms: int
+    ) -> tuple[list[Change], int]:
+        """Wait for changes of keys with the prefix, for `wait_ms` milliseconds at most.
 
-class WatchCache:
-    """A prefix kept in memory by watching it. Behind the store by a few milliseconds, or by an outage."""
+        Returns:
+            The changes after the revision given, in order, and the revision up to which these are all.
 
-    def __init__(
-        self, store: StoreClient, under: str, keep: bool = True, hold_ms: int = 20_000
-    ) -> None:
-        self.store = store
-        self.keep = keep  # if not, only changes from now on are passed on, and nothing is held
-        self.under = under
-        self.hold_ms = hold_ms
-        self.entries: dict[str, Entry] = {}
-        self.deleted: dict[
-            str, int
-        ] = {}  # by ourselves, at what revision, until the watch has come so far
-        self.revision = 0
-        self.ready = asyncio.Event()
-        self.news: list[Any] = []  # called with (path, value or None, revision)
-        self.on_gap: Any = None  # called when changes were missed that nothing here can make up for
-        self.whole_since = math.inf  # no change has been missed since
-        self.known_at = -math.inf  # all changes up to then have been passed on
-
-    def on_change(self, call: Any) -> None:
-        self.news.append(call)
-
-    def _apply(self, path: str, value: Any, revision: int) -> None:
-        known = self.entries.get(path)
-        if (known and known.revision >= revision) or self.deleted.get(path, 0) >= revision:
-            return  # older than our own write, which the watch has not come to yet: a machine released was back for a moment
-        if value is None:
-            self.entries.pop(path, None)
-        elif self.keep:
-            self.entries[path] = Entry(path, value, revision)
-        for call in self.news:
-            call(path, value, revision)
-
-    def wrote(self, path: str, value: Any, revision: int) -> None:
-        """Our own write, taken in without waiting for the watch to bring it back."""
-        if revision > self.revision:
-            self._apply(path, value, revision)
-            if value is None and self.keep:
-                self.deleted[path] = revision
-
-    async def run(self) -> None:
-        pause = 0.05
-        while True:
-            try:
-                if not self.ready.is_set():
-                    await self._read()
-                    self.whole_since = time.monotonic()
-                asked = time.monotonic()
-                news, revision = await self.store.changes(self.under, self.revision, self.hold_ms)
-                for change in news:
-                    if change.set is not None:
-                        self._apply(change.set, change.value, change.revision)
-                    elif change.delete is not None:
-                        self._apply(change.delete, None, change.revision)
-                self.revision = max(self.revision, revision)
-                self.known_at = asked
-                if self.deleted:
-                    self.deleted = {
-                        path: revision
-                        for path, revision in self.deleted.items()
-                        if revision > self.revision
-                    }
-                pause = 0.05
-                if news:
-                    # Each watch opened is a request: where changes come by the dozen a second, they are taken by the bunch.
-                    await asyncio.sleep(4 / self.store.all.requests * self.store.size)
-            except WatchExpiredError:
-                self.ready.clear()
-                self.whole_since = math.inf
-                if self.on_gap:
-                    self.on_gap()
-            except StoreUnavailableError:
-                await asyncio.sleep(pause)
-                pause = min(pause * 2, 1.0)
-
-    async def _read(self) -> None:
-        if not self.keep:
-            _, self.revision = await self.store.under("leader")
-            self.ready.set()
-            return
-        entries, revision = await self.store.under(self.under)
-        found = {entry.path for entry in entries}
-        for path in [path for path in self.entries if path not in found]:
-            self._apply(path, None, revision)
-        for entry in entries:
-            self._apply(*entry)
-        self.revision = revision
-        self.ready.set()
+        Raises:
+            WatchExpiredError: the store no longer has all changes since that revision.
+            StoreUnavailableError: no proper answer.
+        """
+        await self.requests.wait(1)
+        target = f"/changes?under={prefix}&from={after_revision}&hold_ms={wait_ms}"
+        timeout_s = wait_ms / 1000 + WATCH_MARGIN_S
+        status, answer = await self._call("GET", target, timeout=timeout_s, watch=True)
+        if status == GONE:
+            raise WatchExpiredError(prefix, after_revision)
+        if status != OK:
+            raise StoreUnavailableError.from_status(status)
+        page = self._decode(watch_decoder, answer)
+        return page.changes, page.revision
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -18,7 +18,8 @@
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import NoAnswer
 from ashdock.net.rate_limiter import RequestPriority
-from ashdock.net.store import CompareFailedError, StoreClient, StoreUnavailableError, WatchCache
+from ashdock.net.store import CompareFailedError, StoreClient, StoreUnavailableError
+from ashdock.net.watch_cache import WatchCache
 from ashdock.net.worker import WorkerClient
 from ashdock.settings import Operators, Shared, Team, Workers
 from ashdock.timelines import FailoverTimeline
@@ -227,7 +228,7 @@
         store = self.context.store
         value = {"owner": self.context.label}
         revision = await store.txn({path: self.claimed_from}, {path: value})
-        self.context.shards.wrote(path, value, revision)
+        self.context.shards.apply_own_write(path, value, revision)
         ensure_current(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
         self._claimed(revision)
         shard = self.shard
@@ -235,7 +236,9 @@
         self.read_at = time.monotonic()
         # Read after the claim: no earlier owner can write from here on, so this is all there is.
         (machines, seen), (work, _), (parks, _) = await asyncio.gather(
-            store.under("machine/"), store.under(f"work/{name}/"), store.under(f"park/{name}/")
+            store.list_prefix("machine/"),
+            store.list_prefix(f"work/{name}/"),
+            store.list_prefix(f"park/{name}/"),
         )
         # Another may have claimed it meanwhile: one that let go here used to come back to life as nobody's owner.
         ensure_current(self.phase is OwnershipPhase.LOADING, "given up while it was being read")
@@ -321,7 +324,7 @@
         except StoreUnavailableError:
             # It may yet be applied. Until we know, the fence tells: our next write fails if it was.
             return
-        self.context.shards.wrote(path, value, revision)
+        self.context.shards.apply_own_write(path, value, revision)
         self.lost(f"given to {to}")
 
     async def _commit(self, shard: Shard) -> None:
@@ -361,7 +364,7 @@
     def _publish(self, writes: dict[str, Any], revision: int) -> None:
         for path, value in writes.items():
             if path.startswith("machine/"):
-                self.context.machines.wrote(path, value, revision)
+                self.context.machines.apply_own_write(path, value, revision)
             elif path.startswith("job/"):
                 self.context.jobs_seen(path, value, revision)
 
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -84,7 +84,7 @@
 
     @property
     def most(self) -> int:
-        return self.store.most_conditions
+        return self.store.max_compares
 
     @property
     def pause_s(self) -> float:
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -160,6 +160,7 @@
     ("wire/messages.py", "JSON"),
     ("net/store.py", "watch and state"),
     ("net/store_errors.py", "watch and state"),
+    ("net/watch_cache.py", "watch and state"),
     ("net/rate_limiter.py", "watch and state"),
     ("fairness/fair_queue.py", "watch and state"),
     ("core/heartbeat_reconciler.py", "reports"),
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -65,7 +65,7 @@
     )
     home.write_limits.agreed = not values.get("old_controllers")
     if values.get("store_down"):
-        home.store.bad_since = -1e9
+        home.store.unavailable_since = -1e9
     return home
 
 
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -95,7 +95,7 @@
     """A client of the store over the exchange."""
     shared = shared_settings()
     client = StoreClient("10.0.0.9", 2379, shared, WriteLimits(shared.state))
-    client.client = client.watcher = exchange  # type: ignore[assignment]
+    client.client = client.watch_client = exchange  # type: ignore[assignment]
     return client
 
 
@@ -110,22 +110,24 @@
         case "get":
             return plain(await client.get(**values))
         case "list":
-            entries, revision = await client.under(**values)
+            entries, revision = await client.list_prefix(values["under"])
             return {"entries": plain(entries), "revision": revision}
         case "transaction":
             return await client.txn(
                 values["conditions"],
                 values["writes"],
-                hold=values.get("lease"),
+                lease=values.get("lease"),
                 unleased=values.get("without_lease", ()),
             )
         case "grant lease":
-            return await client.hold(values["ttl_ms"])
+            return await client.grant_lease(values["ttl_ms"])
         case "renew lease":
-            return await client.renew(values["lease"], 1.0)
+            return await client.renew_lease(values["lease"], 1.0)
         case "watch":
-            changes, revision = await client.changes(**values)
-            found = [[c.set, c.delete, c.value, c.revision] for c in changes]
+            changes, revision = await client.watch(
+                values["under"], values["after"], values["hold_ms"]
+            )
+            found = [[c.put_path, c.deleted_path, c.value, c.revision] for c in changes]
             return {"changes": found, "revision": revision}
     raise ValueError(f"no such call: {call}")
 
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -42,7 +42,7 @@
 def replica(entries: Iterable[Plain]) -> Any:
     """A prefix of the store as a controller keeps it in memory."""
     return SimpleNamespace(
-        entries=entries_by_path(list(entries)), wrote=lambda path, value, revision: None
+        entries=entries_by_path(list(entries)), apply_own_write=lambda path, value, revision: None
     )
 
 
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -8,7 +8,8 @@
 import pytest
 
 from ashdock.concurrency import StaleContextError, ensure_current, iterate_live
-from ashdock.net.store import Entry, WatchCache
+from ashdock.net.store import Entry
+from ashdock.net.watch_cache import WatchCache
 from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Heartbeat
 from tests import simtime
@@ -131,7 +132,7 @@
     replica.entries["m/1"] = Entry("m/1", {"a": 0}, 5)
     replica.revision = 6
     for change in wrote:
-        replica.wrote(*change)
+        replica.apply_own_write(*change)
     for change in watched:
         replica._apply(*change)
     assert {path: entry.revision for path, entry in replica.entries.items()} == there
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -127,7 +127,7 @@
     """Of 48 asked together about jobs that are known: one comparison."""
 
     class State:
-        most_conditions = 48
+        max_compares = 48
 
         class requests:
             per_s = 1e6
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -32,7 +32,7 @@
         return 503, b"{}"
 
     controller.store.client.request = refused  # type: ignore[method-assign]
-    controller.store.watcher.request = waits  # type: ignore[method-assign]
+    controller.store.watch_client.request = waits  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
@@ -369,7 +369,7 @@
         leader.unrecorded_reports = {
             name: (msgspec.structs.replace(report, berth=name), service.now()) for name in names
         }
-        most = int(LOANS_S * leader.context.store.all.writes)  # shares of it come and go
+        most = int(LOANS_S * leader.context.store.usable_rate.writes)  # shares of it come and go
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
         while not process_started:
             await asyncio.sleep(0.1)
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -288,7 +288,7 @@
         writer = teller.mesh.peers[heard.label].writer
         assert writer is not None and intervals == 1
         service.state.refusing = {f"10.0.0.{owner}"}
-        known = heard.jobs.known_at
+        known = heard.jobs.synced_at
         if lost == "full":
             # For this moment only: a link that stays full is given up all the same, later.
             writer.transport.get_write_buffer_size = lambda: BACKLOG + 1  # type: ignore[method-assign]
@@ -314,7 +314,7 @@
         service.doors = [0, 1, 2]
         await asyncio.sleep(3)
         assert (
-            heard.cancellations.watermark.known_until(heard.jobs.known_at, service.now())
+            heard.cancellations.watermark.known_until(heard.jobs.synced_at, service.now())
             > service.now() - 2
         )
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -86,12 +86,12 @@
 
 
 class Jobs:
-    def __init__(self, whole_since: float, known_at: float) -> None:
-        self.whole_since, self.known_at = whole_since, known_at
+    def __init__(self, complete_since: float, synced_at: float) -> None:
+        self.complete_since, self.synced_at = complete_since, synced_at
 
 
 @pytest.mark.parametrize(
-    ("whole_since", "known_at", "holds", "may"),
+    ("complete_since", "synced_at", "holds", "may"),
     [
         (-30.0, 0.0, ["req-1/0"], True),
         (-30.0, -13.9, ["req-1/0"], True),
@@ -114,11 +114,11 @@
     ],
 )
 def test_whose_lease_a_deputy_may_keep(
-    whole_since: float, known_at: float, holds: list[str], may: bool
+    complete_since: float, synced_at: float, holds: list[str], may: bool
 ) -> None:
     orphan_leases = OrphanLeaseRenewer(
         shared().workers,
-        Jobs(100 + whole_since, 100 + known_at),
+        Jobs(100 + complete_since, 100 + synced_at),
         lambda job: job == "req-9",
         CancellationWatermark(shared().workers, ["n1"], 0),
     )
