--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -195,12 +195,12 @@
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
-        writes = context.store.writes
+        writes = context.store.write_limiter
         refusal_now = context.admission.submission(
             writes.backlog_s(RequestPriority.USER, spec.team),
             time.monotonic(),
             spec.team,
-            writes.each_s(2, RequestPriority.USER, spec.team),
+            writes.service_time_s(2, RequestPriority.USER, spec.team),
         )
         if refusal_now:
             return refused(refusal_now)
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -264,7 +264,11 @@
                     self._spawn(self._decommission_all(machines, "returned"))
         if assignments:
             # What is not written now is neither lent nor on its way: counted as that, it stood there for half a lease.
-            most = 0 if self.assigning else max(1, int(LOANS_S * self.context.store.writes.per_s))
+            most = (
+                0
+                if self.assigning
+                else max(1, int(LOANS_S * self.context.store.write_limiter.per_s))
+            )
             self.allocator.not_assigned(list(assignments)[most:])
             if most:
                 self._spawn(self._assign(dict(list(assignments.items())[:most])))
@@ -279,7 +283,8 @@
         written: list[str] = []
         while names:
             most = max(
-                1, min(self.context.write_limits.ops, int(self.context.store.writes.per_s / 2))
+                1,
+                min(self.context.write_limits.ops, int(self.context.store.write_limiter.per_s / 2)),
             )
             written += await self._write_some({name: records[name] for name in names[:most]})
             names = names[most:]
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -56,7 +56,7 @@
         guard: Callable[[], None] | None = None,
     ) -> tuple[int, bytes]:
         """`guard` raises if the call is no longer ours to make: asked last, since a turn may be long in coming."""
-        await self.rate_limiter.wait(1, priority)
+        await self.rate_limiter.acquire(1, priority)
         if guard is not None:
             guard()
         try:
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -293,7 +293,9 @@
             labels=["turn"],
         )
         for priority in RequestPriority:
-            behind.add_metric([PRIORITY_LABELS[priority]], context.store.writes.backlog_s(priority))
+            behind.add_metric(
+                [PRIORITY_LABELS[priority]], context.store.write_limiter.backlog_s(priority)
+            )
         yield from (sockets, shares, ended, refused, short, behind)
         yield GaugeMetricFamily(
             "ashdock_processor_late_seconds",
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -15,7 +15,7 @@
 
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Client, NoAnswer
-from ashdock.net.rate_limiter import Demand, RateLimiter, RequestPriority, shares
+from ashdock.net.rate_limiter import Demand, RateLimiter, RequestPriority, fair_share
 from ashdock.net.store_errors import (
     CompareFailedError,
     LeaseLostError,
@@ -88,8 +88,8 @@
 
     Attributes:
         usable_rate: what all controllers together may send a second.
-        requests: rate limiter of requests.
-        writes: rate limiter of puts and deletes, of which a transaction has many.
+        request_limiter: rate limiter of requests.
+        write_limiter: rate limiter of puts and deletes, of which a transaction has many.
         unavailable_since: monotonic time of the first failed request since the last proper answer.
     """
 
@@ -118,8 +118,12 @@
         self.watch_client = Client(host, port, keep=WATCH_SOCKETS)
         self.controllers = shared.size
         self.usable_rate = _usable_rate(write_limits)
-        self.requests = RateLimiter(self.usable_rate.requests / self.controllers, weights=weights)
-        self.writes = RateLimiter(self.usable_rate.writes / self.controllers, weights=weights)
+        self.request_limiter = RateLimiter(
+            self.usable_rate.requests / self.controllers, weights=weights
+        )
+        self.write_limiter = RateLimiter(
+            self.usable_rate.writes / self.controllers, weights=weights
+        )
         self.timeout_s = shared.workers.lease_s / REQUESTS_PER_LEASE
         self.answered_at = time.monotonic()  # start of the last request with a proper answer
         self.unavailable_since: float | None = None
@@ -127,8 +131,8 @@
     def apply_write_limits(self) -> None:
         """Scale this controller's rates after the write limits have changed."""
         before, self.usable_rate = self.usable_rate, _usable_rate(self.write_limits)
-        self.requests.per_s *= self.usable_rate.requests / before.requests
-        self.writes.per_s *= self.usable_rate.writes / before.writes
+        self.request_limiter.per_s *= self.usable_rate.requests / before.requests
+        self.write_limiter.per_s *= self.usable_rate.writes / before.writes
 
     @property
     def max_compares(self) -> int:
@@ -138,7 +142,7 @@
     @property
     def demand(self) -> Demand:
         """Requests and writes a second that this controller has been asking for."""
-        return Demand(self.requests.demand, self.writes.demand)
+        return Demand(self.request_limiter.demand, self.write_limiter.demand)
 
     def update_fair_share(self, others: list[Demand | None]) -> None:
         """Set this controller's rates by its demand and that of the others.
@@ -149,13 +153,13 @@
             others: of each other controller that may be alive; None: not heard of.
         """
         demand = self.demand
-        self.requests.per_s = shares(
+        self.request_limiter.per_s = fair_share(
             self.usable_rate.requests,
             self.controllers,
             demand.requests,
             [other and other.requests for other in others],
         )
-        self.writes.per_s = shares(
+        self.write_limiter.per_s = fair_share(
             self.usable_rate.writes,
             self.controllers,
             demand.writes,
@@ -229,7 +233,7 @@
         Raises:
             StoreUnavailableError: it could not be read.
         """
-        await self.requests.wait(1, priority)
+        await self.request_limiter.acquire(1, priority)
         status, answer = await self._call("GET", f"/store/{path}")
         if status == NOT_FOUND:
             return None
@@ -254,7 +258,7 @@
         after = ""
         revision: int | None = None
         while True:
-            await self.requests.wait(1, priority)
+            await self.request_limiter.acquire(1, priority)
             target = f"/store?under={prefix}&most={PAGE_ENTRIES}"
             if after:
                 target += f"&from={after}"
@@ -298,14 +302,14 @@
             StoreUnavailableError: no proper answer; it may have been applied if `outcome_unknown`.
         """
         if writes:  # one that only compares must not wait behind others' writes
-            await self.writes.wait(len(writes), priority, team)
-        await self.requests.wait(1, priority, team)
+            await self.write_limiter.acquire(len(writes), priority, team)
+        await self.request_limiter.acquire(1, priority, team)
         request = self._transaction(compare, writes, lease, unleased)
         try:
             status, answer = await self._call("POST", "/txn", msgspec.json.encode(request))
         except StoreRateLimitedError:
             # A limit is lower than configured, or others use more of it: saved tokens are not spent on top.
-            (self.writes if writes else self.requests).spend()
+            (self.write_limiter if writes else self.request_limiter).drain()
             raise
         if status == OK:
             return self._decode(committed_decoder, answer).revision
@@ -348,7 +352,7 @@
         Raises:
             StoreUnavailableError: no proper answer; a lease that was granted all the same expires unused.
         """
-        await self.requests.wait(1, RequestPriority.USER)
+        await self.request_limiter.acquire(1, RequestPriority.USER)
         body = msgspec.json.encode(LeaseRequest(ttl_ms))
         status, answer = await self._call("POST", "/holds", body, first=True)
         if status != OK:
@@ -362,7 +366,7 @@
             LeaseLostError: it has expired.
             StoreUnavailableError: no proper answer within `timeout` seconds.
         """
-        self.requests.take(1)
+        self.request_limiter.try_acquire(1)
         status, _ = await self._call("POST", f"/holds/{lease}/renew", timeout=timeout, first=True)
         if status == NOT_FOUND:
             raise LeaseLostError(lease)
@@ -381,7 +385,7 @@
             WatchExpiredError: the store no longer has all changes since that revision.
             StoreUnavailableError: no proper answer.
         """
-        await self.requests.wait(1)
+        await self.request_limiter.acquire(1)
         target = f"/changes?under={prefix}&from={after_revision}&hold_ms={wait_ms}"
         timeout_s = wait_ms / 1000 + WATCH_MARGIN_S
         status, answer = await self._call("GET", target, timeout=timeout_s, watch=True)
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -330,7 +330,9 @@
     async def _commit(self, shard: Shard) -> None:
         store = self.context.store
         for _ in range(16):
-            txn = shard.writer.next_transaction(store.writes.short, store.writes.per_s)
+            txn = shard.writer.next_transaction(
+                store.write_limiter.scarce, store.write_limiter.per_s
+            )
             if txn is None or self.phase is not OwnershipPhase.ACTIVE:
                 return
             try:
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -88,7 +88,7 @@
 
     @property
     def pause_s(self) -> float:
-        return 1 / (CALLS_SHARE * self.store.requests.per_s)
+        return 1 / (CALLS_SHARE * self.store.request_limiter.per_s)
 
     async def ask(self, job_id: str) -> KnownJob | None:
         """How the job stands, by a check that begins from here on; None: there is no such job."""
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -129,7 +129,7 @@
     class State:
         max_compares = 48
 
-        class requests:
+        class request_limiter:
             per_s = 1e6
 
         compared = 0
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -126,9 +126,9 @@
 ) -> None:
     async def main(net: simtime.Net) -> None:
         rate_limiter = RateLimiter(10.0)
-        rate_limiter.take(10.0)
+        rate_limiter.try_acquire(10.0)
         waits = [
-            asyncio.create_task(rate_limiter.wait(1, RequestPriority.USER, team))
+            asyncio.create_task(rate_limiter.acquire(1, RequestPriority.USER, team))
             for team in ["hot"] * 40 + ["quiet"]
         ]
         await asyncio.sleep(0)
@@ -137,9 +137,11 @@
             rate_limiter.backlog_s(RequestPriority.USER, "quiet") <= 0.4
             and rate_limiter.backlog_s(RequestPriority.USER, "new") <= 0.4
         )
-        assert rate_limiter.backlog_s(RequestPriority.USER, "hot") >= 3.9 and rate_limiter.each_s(
-            2, RequestPriority.USER, "hot"
-        ) == pytest.approx(0.4)
+        assert rate_limiter.backlog_s(
+            RequestPriority.USER, "hot"
+        ) >= 3.9 and rate_limiter.service_time_s(2, RequestPriority.USER, "hot") == pytest.approx(
+            0.4
+        )
         await asyncio.sleep(0.4)
         assert waits[-1].done() and not waits[4].done()
         await asyncio.gather(*waits)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -96,8 +96,8 @@
 
         service.state.server.handler = count
         for controller in service.controllers.values():
-            controller.store.writes.left = (
-                -20 * controller.store.writes.per_s
+            controller.store.write_limiter.tokens = (
+                -20 * controller.store.write_limiter.per_s
             )  # comparing writes nothing, so waits for no writes
         asked = Counter[int]()
 
@@ -116,7 +116,7 @@
         assert sum(asked.values()) == 1200
         assert calls["compares"] <= 3 * 5 * 4 and calls["reads"] <= 20
         for controller in service.controllers.values():
-            controller.store.writes.left = 1.0
+            controller.store.write_limiter.tokens = 1.0
         # A change is seen at once, whichever controller is asked.
         assert await service.withdraw("req-000007") == "withdrawn"
         for n in range(3):
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -1,32 +1,31 @@
-"""What a controller may ask of the state service: turns, reserves, and shares that follow demand."""
+"""The rate limiter: the order in which requests are granted, its reserve, and fair shares by demand."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 import pytest
 
-from ashdock.net.rate_limiter import RateLimiter, RequestPriority, shares
+from ashdock.net.rate_limiter import RateLimiter, RequestPriority, fair_share
 from tests import simtime
 
 
 def test_a_large_transaction_is_not_overtaken_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A group commit that asks for a whole second's worth used to wait until no small request came any more."""
+    """One that asks for a whole second's worth would else wait until no small request comes any more."""
 
     async def main(net: simtime.Net) -> float:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
-        rate_limiter.take(10.0)
+        rate_limiter.try_acquire(10.0)
 
         async def small() -> None:
             while loop.time() < 20:
-                await rate_limiter.wait(1)
+                await rate_limiter.acquire(1)
 
         tasks = [asyncio.create_task(small()) for _ in range(5)]
         await asyncio.sleep(1)
         asked = loop.time()
-        await rate_limiter.wait(10)
+        await rate_limiter.acquire(10)
         took = loop.time() - asked
         for task in tasks:
             task.cancel()
@@ -36,62 +35,62 @@
 
 
 USER, NORMAL, BACKGROUND = RequestPriority
-ORDER = [  # (amount, turn) asked at once of an empty bucket of 10 a second -> the order in which they are granted
+ORDER = [  # (amount, priority) asked at once of an empty bucket of 10 a second -> the order in which they are granted
     ([(1, NORMAL), (1, NORMAL)], [0, 1]),
     ([(1, BACKGROUND), (1, NORMAL)], [1, 0]),
     ([(10, NORMAL), (1, NORMAL)], [0, 1]),
     ([(10, NORMAL), (1, USER)], [1, 0]),
     ([(1, BACKGROUND), (1, NORMAL), (1, NORMAL), (1, NORMAL), (1, NORMAL)], [1, 2, 3, 0, 4]),
     ([(1, NORMAL), (1, USER), (1, USER), (1, USER), (1, USER)], [1, 2, 3, 0, 4]),
-    # By amount: a transaction of ten is let past three tens of small ones, not past three.
+    # By amount: a transaction of four is overtaken by three times four, not by three requests.
     ([(4, NORMAL), *[(2, USER)] * 8], [1, 2, 3, 4, 5, 6, 0, 7, 8]),
 ]
 
 
 @pytest.mark.parametrize(("asked", "order"), ORDER)
-def test_turns(
+def test_order_of_grants(
     asked: list[tuple[float, RequestPriority]], order: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main(net: simtime.Net) -> list[int]:
         rate_limiter = RateLimiter(10.0)
-        rate_limiter.take(10.0)
+        rate_limiter.try_acquire(10.0)
         granted: list[int] = []
 
-        async def one(n: int, amount: float, priority: RequestPriority) -> None:
-            await rate_limiter.wait(amount, priority)
-            granted.append(n)
+        async def acquire(index: int, amount: float, priority: RequestPriority) -> None:
+            await rate_limiter.acquire(amount, priority)
+            granted.append(index)
 
-        await asyncio.gather(*(one(n, *what) for n, what in enumerate(asked)))
+        await asyncio.gather(*(acquire(index, *request) for index, request in enumerate(asked)))
         assert rate_limiter.queued == 0
         return granted
 
     assert simtime.run(main, 1, monkeypatch) == order
 
 
-def test_who_gives_up_waiting_takes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cancelled_wait_takes_no_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main(net: simtime.Net) -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
-        rate_limiter.take(10.0)
+        rate_limiter.try_acquire(10.0)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
-                await rate_limiter.wait(10)
+                await rate_limiter.acquire(10)
         before = loop.time()
-        await rate_limiter.wait(2)
+        await rate_limiter.acquire(2)
         return loop.time() - before, rate_limiter.queued
 
     took, queued = simtime.run(main, 1, monkeypatch)
     assert took <= 0.11 and queued == 0
 
 
-def test_what_users_ask_weighs_more_than_what_can_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The owner of an array of 25,000 tasks drew the limit to itself while other controllers refused submissions."""
+def test_demand_weighs_user_requests_most(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Else the owner of an array of 25,000 tasks takes the rate while other controllers refuse submissions."""
 
     async def main(net: simtime.Net) -> dict[RequestPriority, float]:
         demands = {}
         for priority in RequestPriority:
             rate_limiter = RateLimiter(10.0)
-            rate_limiter.take(4.0, priority)
+            rate_limiter.try_acquire(4.0, priority)
             demands[priority] = rate_limiter.demand
         return demands
 
@@ -99,9 +98,8 @@
     assert demands[USER] > 3 * demands[NORMAL] > 9 * demands[BACKGROUND]
 
 
-SHARES: list[
-    tuple[float, list[Any], float]
-] = [  # our demand, those of two others -> our share of 60 among three
+# own demand, those of the others (None: not heard) -> own share of a rate of 60 among three
+FAIR_SHARES: list[tuple[float, list[float | None], float]] = [
     (0.0, [0.0, 0.0], 20.0),
     (10.0, [0.0, 0.0], 40.0),
     (0.0, [10.0, 10.0], 10.0),
@@ -113,15 +111,15 @@
 ]
 
 
-@pytest.mark.parametrize(("ours", "others", "share"), SHARES)
-def test_shares_follow_demand(ours: float, others: list[Any], share: float) -> None:
-    assert shares(60.0, 3, ours, others) == pytest.approx(share)
+@pytest.mark.parametrize(("own", "others", "share"), FAIR_SHARES)
+def test_fair_shares_follow_demand(own: float, others: list[float | None], share: float) -> None:
+    assert fair_share(60.0, 3, own, others) == pytest.approx(share)
 
 
-def test_shares_that_agree_never_exceed_the_whole() -> None:
+def test_fair_shares_add_up_to_the_rate() -> None:
     for demands in ([5.0, 1.0, 0.0], [0.0, 0.0, 0.0], [100.0, 100.0, 3.0]):
         total = sum(
-            shares(60.0, 3, one, [d for m, d in enumerate(demands) if m != n])
-            for n, one in enumerate(demands)
+            fair_share(60.0, 3, own, demands[:index] + demands[index + 1 :])
+            for index, own in enumerate(demands)
         )
         assert total == pytest.approx(60.0)
