--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -47,7 +47,7 @@
 
     @property
     def supports_dependencies(self) -> bool:
-        return self.context.write_limits.agreed
+        return self.context.write_limits.announced_apply
 
     @property
     def fences_commands(self) -> bool:
@@ -103,8 +103,8 @@
     def _agree(self, forms: int, why: str) -> None:
         """In force from here on, in this process; the others find the mark when they look next."""
         context = self.context
-        if forms >= 2 and not context.write_limits.agreed:
-            context.write_limits.agree()
+        if forms >= 2 and not context.write_limits.announced_apply:
+            context.write_limits.apply_announced()
             context.store.apply_write_limits()
         if forms > self.forms:
             self.forms = forms
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -178,8 +178,8 @@
         if known:
             return known
         width = (
-            min(self.chunk_tasks, self.write_limits.width)
-            if self.write_limits.agreed
+            min(self.chunk_tasks, self.write_limits.typical_chunk_tasks)
+            if self.write_limits.announced_apply
             else self.chunk_tasks
         )
         job = Job(spec, record["at"], revision, width, self.chunk_tasks)
@@ -197,7 +197,7 @@
 
     def _over(self, job: Job, now: float) -> None:
         self.classes.done(job.id, now)
-        job.over(now if self.write_limits.agreed else None)
+        job.over(now if self.write_limits.announced_apply else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
         shape = self.catalog.get(value["t"])
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -185,15 +185,15 @@
             # A gang is placed whole or not at all, so its chunks go together. Where one transaction does not take them all
             # they go one after the other, and no start before the last; a takeover in between takes the attempt down.
             size = sum(len(value) + 120 for _, value in dirty)
-            if (len(dirty) <= txn.ops or not self.shard.write_limits.agreed) and not txn.room(
-                len(dirty), size
-            ):
+            if (
+                len(dirty) <= txn.ops or not self.shard.write_limits.announced_apply
+            ) and not txn.room(len(dirty), size):
                 return False
         for chunk, value in dirty:
             size = len(value) + 120
-            if (job.spec.kind != "gang" or self.shard.write_limits.agreed) and not txn.room(
-                1, size
-            ):
+            if (
+                job.spec.kind != "gang" or self.shard.write_limits.announced_apply
+            ) and not txn.room(1, size):
                 return False
             txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
             txn.when[job.job_path] = job.revision
@@ -242,7 +242,7 @@
             if (
                 largest <= self.shard.write_limits.value_bytes
                 or job.chunk_tasks == 1
-                or not self.shard.write_limits.agreed
+                or not self.shard.write_limits.announced_apply
             ):
                 return dirty
             job.narrow(
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -210,11 +210,14 @@
         never = self.never(spec)
         if never:
             refusal = error(422, never)
-        elif len(messages.encode(record)) + RECORD_GROWS > context.write_limits.declared_bytes:
+        elif (
+            len(messages.encode(record)) + RECORD_GROWS
+            > context.write_limits.configured_value_bytes
+        ):
             refusal = error(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
-        elif spec.dependencies and not context.write_limits.agreed:
+        elif spec.dependencies and not context.write_limits.announced_apply:
             # A controller of the version before may own the shard, now or soon, and would start the job at once.
             refusal = error(
                 503, "jobs that need others are taken once every controller has the new version", 1
--- a/ashdock/machine_type_catalog.py
+++ b/ashdock/machine_type_catalog.py
@@ -55,7 +55,7 @@
         """One value, as long as the state service takes it; beyond that as many as they need."""
         shapes = msgspec.to_builtins(self.context.catalog)
         if (
-            not self.context.write_limits.agreed
+            not self.context.write_limits.announced_apply
             or len(msgspec.json.encode(shapes)) <= self.context.write_limits.value_bytes
         ):
             return {"catalog": shapes}
--- a/ashdock/net/rate_limiter.py
+++ b/ashdock/net/rate_limiter.py
@@ -19,7 +19,7 @@
 MAX_PAUSE_S = (
     0.1  # until a waiting request is tried again: the rate may change, or a more urgent one come
 )
-MIN_PAUSE_S = 0.001  # below what the event loop's timers tell apart
+MIN_PAUSE_S = 0.001  # so that a request that lacks next to nothing is not tried again at once
 ROUNDING = 1e-9  # tokens that floating-point arithmetic may be short of
 DEMAND_HALF_LIFE_S = 2.0  # after which a granted request counts half in the demand
 DEMAND_WINDOW_S = 3.0  # the sum of what is granted, so weighted, is that of about three seconds
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -341,7 +341,7 @@
 
     def _lower_write_limits(self, writes: Mapping[str, Value]) -> None:
         largest = max((len(msgspec.json.encode(value)) for value in writes.values()), default=0)
-        self.write_limits.refused(len(writes), largest)
+        self.write_limits.lower_after_refusal(len(writes), largest)
 
     async def grant_lease(self, ttl_ms: int) -> int:
         """Create a store lease that expires `ttl_ms` milliseconds after its last renewal.
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -63,7 +63,7 @@
         broadcast_cancellation=lambda *words: None,
         counts=lambda team, job: tuple(values.get("counts", (0, 0))),
     )
-    home.write_limits.agreed = not values.get("old_controllers")
+    home.write_limits.announced_apply = not values.get("old_controllers")
     if values.get("store_down"):
         home.store.unavailable_since = -1e9
     return home
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -51,7 +51,7 @@
 
     shard = make_part()
     if limit is not None:
-        shard.write_limits.agreed, shard.write_limits.value_bytes = True, limit
+        shard.write_limits.announced_apply, shard.write_limits.value_bytes = True, limit
     machines = [
         (path.split("/", 1)[1], value, revision) for path, value, revision in under("machine/")
     ]
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -130,7 +130,7 @@
 
     home = context(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
     if values["limit"]:
-        home.write_limits.agreed, home.write_limits.value_bytes = True, values["limit"]
+        home.write_limits.announced_apply, home.write_limits.value_bytes = True, values["limit"]
     await MachineTypeCatalog(home).learn()
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -46,7 +46,7 @@
     limits = StateLimits(200, 200, 8.0, 48, NextLimits(value_kb=value_kb, txn_ops=ops))
     common = msgspec.structs.replace(shared(), state=limits)
     bounds = WriteLimits(limits)
-    bounds.agree()
+    bounds.apply_announced()
     return Shard(
         next(t for t in common.teams if t.name == team),
         revision,
@@ -626,13 +626,13 @@
 
 def test_what_is_refused_for_its_size_leads_to_smaller_ones() -> None:
     bounds = WriteLimits(StateLimits(200, 80, 8.0, 48))
-    bounds.refused(48, 3000)
+    bounds.lower_after_refusal(48, 3000)
     assert (bounds.ops, bounds.value_bytes) == (24, int(8 * 1024 * 0.9))
     for _ in range(9):
-        bounds.refused(bounds.ops, 3000)
+        bounds.lower_after_refusal(bounds.ops, 3000)
     assert bounds.ops == 4 and bounds.value_bytes == 2250
     for _ in range(20):
-        bounds.refused(4, bounds.value_bytes)
+        bounds.lower_after_refusal(4, bounds.value_bytes)
     assert bounds.value_bytes == 512
     shard = new_part()
     long = spec(1, hulls=["g4", *(f"type-{n:03d}" for n in range(100))])
