--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -617,7 +617,7 @@
         context = self.context
         asked = context.now()
         self._guard_call()
-        hosts = await context.cloud.hosts()
+        hosts = await context.cloud.list_machines()
         now = context.now()
         scaled_out = {
             e.path.split("/", 1)[1]: e.value["at"]
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -145,7 +145,7 @@
         case "release":
             return await client.release(values["names"])
         case "list hosts":
-            return [attributes_of(host, HOST) for host in await client.hosts()]
+            return [attributes_of(host, HOST) for host in await client.list_machines()]
     raise ValueError(f"no such call: {call}")
 
 
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ashdock.net.cloud import CloudError, NoCapacityError
+from ashdock.net.cloud import CloudUnavailableError, NoCapacityError
 from ashdock.net.http import NoAnswer
 from ashdock.net.store import (
     CompareFailedError,
@@ -35,7 +35,7 @@
     WriteRefusedError: "store refused",
     LeaseLostError: "lease lost",
     WatchExpiredError: "watch expired",
-    CloudError: "cloud trouble",
+    CloudUnavailableError: "cloud trouble",
     NoCapacityError: "no capacity",
     NoAnswer: "no answer",
 }
@@ -52,7 +52,7 @@
     else:
         raise error
     values: dict[str, Plain] = {"type": kind, "message": str(error)}
-    if isinstance(error, (StoreUnavailableError, CloudError)):
+    if isinstance(error, (StoreUnavailableError, CloudUnavailableError)):
         values["outcome_unknown"] = error.outcome_unknown
     if isinstance(error, NoAnswer):
         values["outcome_unknown"] = error.sent
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -14,7 +14,7 @@
 from ashdock.leader import Leader
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
-from ashdock.net.cloud import CloudError
+from ashdock.net.cloud import CloudUnavailableError
 from ashdock.settings import (
     Other,
     Team,
@@ -247,7 +247,7 @@
     """`catalog` and `catalog/<label>`, read while the cloud does not answer."""
 
     async def catalog() -> dict[str, messages.MachineType]:
-        raise CloudError("no answer", True)
+        raise CloudUnavailableError("no answer", True)
 
     async def run() -> Plain:
         home = context(Store(entries), catalog={}, leader=None)
