--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -526,7 +526,7 @@
         # As many frames as they need; each other controller keeps what it was told of jobs that still count.
         for at in range(0, len(counts), COUNTS_AT_ONCE):
             self.mesh.broadcast(TaskCounts(counts[at : at + COUNTS_AT_ONCE]))
-        self.worker_client.sweep()
+        self.worker_client.close_idle()
         return self.mesh.beat_s
 
     def _hand_on(self, now: float) -> None:
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -283,7 +283,7 @@
         )
         for (asked, of), number in admission.refused.items():
             refused.add_metric([asked, of.value], number)
-        refused.add_metric(["order", "sockets"], context.worker_client.refused)
+        refused.add_metric(["order", "sockets"], context.worker_client.deferred)
         short = GaugeMetricFamily("ashdock_short", "1 while something runs short", labels=["of"])
         for of, shortage in admission.shortages.items():
             short.add_metric([of.value], float(shortage.began is not None))
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -1,9 +1,10 @@
-"""The workers' end for orders sent straight to them."""
+"""Client of the workers, for commands that are sent straight to them."""
 
 from __future__ import annotations
 
 import time
 from collections import OrderedDict
+from typing import NamedTuple
 
 import msgspec
 
@@ -18,60 +19,120 @@
 )
 
 
+class CommandReply(NamedTuple):
+    """What a worker answered to commands.
+
+    Attributes:
+        status: the HTTP status.
+        heartbeat: the status of its tasks; None if the answer is not a heartbeat.
+    """
+
+    status: int
+    heartbeat: Heartbeat | None
+
+
 class WorkerClient:
-    """Keeps a connection to each worker that it talks to, no more than `most` in all; those longest unused are closed first."""
+    """Keeps one connection to each worker that commands go to, within a bound for all of them.
 
-    def __init__(self, timeout: float, idle_s: float, most: int) -> None:
-        self.timeout = timeout
+    Attributes:
+        clients: by the worker's address, the least recently used first.
+        deferred: how often commands were left to the answer to a heartbeat, as no connection was free.
+    """
+
+    def __init__(self, timeout_s: float, idle_s: float, max_sockets: int) -> None:
+        """Open no connection yet.
+
+        Args:
+            timeout_s: of one request.
+            idle_s: after which a connection that is not used is closed.
+            max_sockets: most connections; beyond it the least recently used is closed.
+        """
+        self.timeout_s = timeout_s
         self.idle_s = idle_s
-        self.most = most
-        self.clients: OrderedDict[str, Client] = OrderedDict()  # the longest unused first
-        self.refused = 0  # orders that had to go with the answer to a report instead
+        self.max_sockets = max_sockets
+        self.clients: OrderedDict[str, Client] = OrderedDict()
+        self.deferred = 0
 
     @property
     def sockets(self) -> int:
+        """Open connections."""
         return sum(client.sockets for client in self.clients.values())
 
-    async def orders(
-        self, where: str, token: int, incarnation: int, commands: list[TaskCommand]
-    ) -> tuple[int, Heartbeat | None]:
-        """The status and the worker's report. NoAnswer tells whether the orders may still arrive."""
-        client = self._client(where)
-        body = msgspec.json.encode(
-            DirectCommands(fencing_token=token, incarnation=incarnation, commands=commands)
+    async def send_commands(
+        self,
+        worker_address: str,
+        fencing_token: int,
+        incarnation: int,
+        commands: list[TaskCommand],
+    ) -> CommandReply:
+        """Send commands to a worker.
+
+        Args:
+            worker_address: host and port.
+            fencing_token: a worker takes no commands under a lower one than it has seen.
+            incarnation: of the agent that the commands are for.
+            commands: what it is to do.
+
+        Returns:
+            The worker's reply.
+
+        Raises:
+            NoAnswer: none came; its `sent` says whether the commands may still arrive.
+        """
+        client = self._client(worker_address)
+        request = DirectCommands(
+            fencing_token=fencing_token, incarnation=incarnation, commands=commands
         )
-        status, answer = await client.request("POST", "/orders", body, self.timeout)
+        body = msgspec.json.encode(request)
+        status, answer = await client.request("POST", "/orders", body, self.timeout_s)
         try:
-            return status, decode_heartbeat(answer)
+            return CommandReply(status, decode_heartbeat(answer))
         except MalformedMessageError:
-            return status, None
+            return CommandReply(status, None)
 
-    def _client(self, where: str) -> Client:
-        client = self.clients.get(where)
+    def _client(self, worker_address: str) -> Client:
+        client = self.clients.get(worker_address)
         if client is None:
-            if len(self.clients) >= self.most:
-                self._make_place()
-            try:
-                client = self.clients[where] = Client(
-                    *address(where, "worker"), keep=1, idle_s=self.idle_s
-                )
-            except SettingsError as why:
-                raise NoAnswer(str(why), sent=False) from None
-        self.clients.move_to_end(where)
+            if len(self.clients) >= self.max_sockets:
+                self._close_least_recently_used()
+            client = self.clients[worker_address] = self._new_client(worker_address)
+        self.clients.move_to_end(worker_address)
         return client
 
-    def _make_place(self) -> None:
-        """Each client here holds one connection, or is about to. Where all are at it, the orders wait for the worker's report: starts
-        that each took a socket for as long as a silent machine lets them hang left none for whoever reports."""
-        idle = next((where for where, client in self.clients.items() if not client.under_way), None)
+    def _new_client(self, worker_address: str) -> Client:
+        try:
+            host, port = address(worker_address, "worker")
+        except SettingsError as error:  # the worker's heartbeat gave an address that is none
+            raise NoAnswer(str(error), sent=False) from None
+        return Client(host, port, keep=1, idle_s=self.idle_s)
+
+    def _close_least_recently_used(self) -> None:
+        """Make room for one more connection, among those without a request under way.
+
+        Commands to machines that do not answer may occupy all connections until they time out. Others
+        are not given more sockets, which heartbeats need; their commands wait for the next heartbeat.
+
+        Raises:
+            NoAnswer: all connections are in use.
+        """
+        idle = next(
+            (
+                worker_address
+                for worker_address, client in self.clients.items()
+                if not client.under_way
+            ),
+            None,
+        )
         if idle is None:
-            self.refused += 1
-            raise NoAnswer("no connection to spare", sent=False)
+            self.deferred += 1
+            reason = "no connection to spare"
+            raise NoAnswer(reason, sent=False)
         self.clients.pop(idle).close()
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
+        """Close connections that have not been used for `idle_s` seconds."""
         now = time.monotonic()
-        for where, client in list(self.clients.items()):
+        for worker_address, client in list(self.clients.items()):
             if now - client.last_used > self.idle_s and not client.under_way:
                 client.close()
-                del self.clients[where]
+                del self.clients[worker_address]
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -415,7 +415,7 @@
         # Under the token that the starts are noted with. It may rise before this runs; sent under the higher one, a start that
         # arrives late would be taken though it counted as harmless.
         try:
-            status, report = await self.context.worker_client.orders(
+            status, report = await self.context.worker_client.send_commands(
                 machine.address, token, machine.incarnation, orders
             )
             # Anything else was not said by the worker, which may still carry them out.
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -152,7 +152,7 @@
 async def call_worker(client: WorkerClient, values: Plain) -> Plain:
     """Orders sent straight to a worker; the status and its report."""
     orders = orders_from(values["orders"])
-    status, report = await client.orders(
+    status, report = await client.send_commands(
         "10.1.0.1:9000", values["warrant"], values["tenure"], orders
     )
     return {"status": status, "report": report and report_to_values(report)}
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -247,17 +247,19 @@
 
         for n in range(6):
             await Server(hangs if n > 3 else handle, limited(100)).start(f"10.1.0.{n}", 9000)
-        client = WorkerClient(timeout=4.0, idle_s=30.0, most=2)
+        client = WorkerClient(timeout_s=4.0, idle_s=30.0, max_sockets=2)
         for n in range(4):
-            await client.orders(f"10.1.0.{n}:9000", 1, 1, [])
+            await client.send_commands(f"10.1.0.{n}:9000", 1, 1, [])
             assert client.sockets <= 2
-        hanging = [asyncio.create_task(client.orders(f"10.1.0.{n}:9000", 1, 1, [])) for n in (4, 5)]
+        hanging = [
+            asyncio.create_task(client.send_commands(f"10.1.0.{n}:9000", 1, 1, [])) for n in (4, 5)
+        ]
         await asyncio.sleep(0.1)
         with pytest.raises(NoAnswer) as why:
-            await client.orders("10.1.0.0:9000", 1, 1, [])
-        assert not why.value.sent and client.refused == 1 and client.sockets == 2
+            await client.send_commands("10.1.0.0:9000", 1, 1, [])
+        assert not why.value.sent and client.deferred == 1 and client.sockets == 2
         await asyncio.gather(*hanging, return_exceptions=True)
-        await client.orders("10.1.0.0:9000", 1, 1, [])
+        await client.send_commands("10.1.0.0:9000", 1, 1, [])
 
     simtime.run(main, 1, monkeypatch)
 
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -152,11 +152,11 @@
         machine = next(m for m in owner.shard.machines.values() if m.address and m.incarnation)
         sent: list[int] = []
 
-        async def orders(where: str, token: int, *_: Any) -> Any:
+        async def send_commands(worker_address: str, token: int, *_: Any) -> Any:
             sent.append(token)
             return 200, None
 
-        monkeypatch.setattr(controller.worker_client, "orders", orders)
+        monkeypatch.setattr(controller.worker_client, "send_commands", send_commands)
         noted = owner.shard.token(machine)
         monkeypatch.setattr(owner.shard, "direct", lambda *_: [object()])
         monkeypatch.setattr(owner.shard, "direct_answered", lambda *_: None)
