--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -47,7 +47,7 @@
 
     def tell(self, job_id: str, team: str, revision: int, at: float) -> None:
         if self.context.cluster_version.broadcasts_cancellations:
-            self.context.mesh.tell(CancelledJobs([(job_id, team, revision, at)]))
+            self.context.mesh.broadcast_without_gaps(CancelledJobs([(job_id, team, revision, at)]))
 
     def heard(self, cancelled: CancelledJobs) -> None:
         """Durable, or it would not have been told: an owner that the state service refuses stops just these jobs, and in time."""
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -29,7 +29,7 @@
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudClient, CloudError
 from ashdock.net.http import Answer, Server
-from ashdock.net.mesh import Mesh
+from ashdock.net.mesh import Mesh, PeerAddress
 from ashdock.net.rate_limiter import Demand
 from ashdock.net.store import (
     CompareFailedError,
@@ -97,12 +97,15 @@
         self.worker_client = WorkerClient(
             self.workers.lease_s / 5, 10 * self.workers.report_s, places[Use.ORDERS]
         )
-        peers = [(other.label, *address(other.endpoint, "others")) for other in settings.others]
+        peers = [
+            PeerAddress(other.label, *address(other.endpoint, "others"))
+            for other in settings.others
+        ]
         self.mesh = Mesh(
             self.label,
             peers,
             self._on_frame,
-            beat_s=self.ttl_s / 5,
+            heartbeat_interval_s=self.ttl_s / 5,
             on_link=lambda label: self.cancellations.watermark.linked(label),
         )
         self.cancellations: CancellationBroadcaster = CancellationBroadcaster(self)
@@ -117,8 +120,8 @@
             keep_entries=False,
             wait_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8),
         )
-        self.heartbeat_lag = HeartbeatLag(self.mesh.beat_s)
-        self.load_shedder = LoadShedder(self.mesh.beat_s, 2 * self.workers.lease_s)
+        self.heartbeat_lag = HeartbeatLag(self.mesh.heartbeat_interval_s)
+        self.load_shedder = LoadShedder(self.mesh.heartbeat_interval_s, 2 * self.workers.lease_s)
         self.catalog: dict[str, MachineType] = {}
         self.machine_type_catalog = MachineTypeCatalog(self)
         self.owners: dict[str, ShardOwner] = {}
@@ -303,9 +306,9 @@
         if silent < self.ttl_s / 2:
             return False
         beats = [
-            peer.beat
+            peer.heartbeat
             for peer in self.mesh.peers.values()
-            if peer.beat is not None and peer.heard_within(self.ttl_s)
+            if peer.heartbeat is not None and peer.seen_within(self.ttl_s)
         ]
         if not beats:
             return bool(self.mesh.peers) and silent > self.ttl_s
@@ -314,9 +317,7 @@
     def cut_off(self) -> bool:
         """Only the state service is left to us: no other controller is heard, and no worker. Others had better own our shards."""
         quiet = max(2 * self.workers.report_s, self.ttl_s)
-        if not self.mesh.peers or any(
-            peer.heard_within(quiet) for peer in self.mesh.peers.values()
-        ):
+        if not self.mesh.peers or any(peer.seen_within(quiet) for peer in self.mesh.peers.values()):
             return False
         return time.monotonic() - max(self.last_report, self.started) > quiet
 
@@ -527,7 +528,7 @@
         for at in range(0, len(counts), COUNTS_AT_ONCE):
             self.mesh.broadcast(TaskCounts(counts[at : at + COUNTS_AT_ONCE]))
         self.worker_client.close_idle()
-        return self.mesh.beat_s
+        return self.mesh.heartbeat_interval_s
 
     def _hand_on(self, now: float) -> None:
         """Short of the processor for long, with another controller that is not: a shard goes there, as if the leader wished it."""
@@ -541,13 +542,13 @@
             label: PeerLoad(
                 peer.heartbeat_lag.gap_s,
                 sum(entry.value["owner"] == label for entry in self.shards.entries.values()),
-                peer.beat.leader,
+                peer.heartbeat.leader,
             )
             for label, peer in self.mesh.peers.items()
             if label in fit
-            and peer.beat is not None
-            and peer.beat.ready
-            and peer.heard_within(self.ttl_s)
+            and peer.heartbeat is not None
+            and peer.heartbeat.ready
+            and peer.seen_within(self.ttl_s)
         }
         given = self.load_shedder.hand_on(
             self.heartbeat_lag.gap_s, ours, self.leader is not None, others, now
@@ -601,8 +602,8 @@
         """Divide what the state service takes among those that live, by what each asks."""
         others: list[Demand | None] = []
         for peer in self.mesh.peers.values():
-            if peer.beat is not None and peer.heard_within(self.ttl_s):
-                others.append(Demand(peer.beat.requests, peer.beat.writes))
+            if peer.heartbeat is not None and peer.seen_within(self.ttl_s):
+                others.append(Demand(peer.heartbeat.requests, peer.heartbeat.writes))
             elif f"member/{peer.label}" in self.members.entries or not self.members.ready.is_set():
                 others.append(None)
         self.store.update_fair_share(others)
@@ -628,7 +629,7 @@
         out = [
             row
             for at, frame in self.remote_reclaims.values()
-            if now - at < self.mesh.beat_s * 2
+            if now - at < self.mesh.heartbeat_interval_s * 2
             for row in frame.machines
         ]
         for shard in self._active_shards():
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -596,7 +596,7 @@
         # report ago has not left us: its machine has just gone to another shard, whose orders told it the token.
         stayed = now - self.answered.get(report.machine, -1e9) < 1.5 * context.workers.report_s
         was_there = not stayed and report.fencing_token >= token
-        hears = context.mesh.hears(label, context.ttl_s)
+        hears = context.mesh.has_seen(label, context.ttl_s)
         # ForwardReply for as long as a lease lasts, it tries its owner again.
         home = since is not None and now - since.at >= lease
         heartbeat_forwarder = not home and ((was_there and hears) or came_back or since is not None)
@@ -618,7 +618,7 @@
         self.relaying.pop(report.machine, None)
         if was_there and not hears and (sent is None or now - sent.at > lease / 2):
             # We are on the wrong side ourselves: another may hear its owner.
-            label = context.mesh.other_than(label, context.ttl_s) or label
+            label = context.mesh.other_live_peer(label, context.ttl_s) or label
         self.redirected[report.machine] = Sent(now, label, token)
         if len(self.redirected) > 5000:
             self.redirected.clear()
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -56,7 +56,7 @@
         leader_label=lambda: values.get("leader"),
         owner_label=lambda team: values.get("owner"),
         token_of=lambda machine: REVISION,
-        mesh=SimpleNamespace(hears=lambda label, within: True),
+        mesh=SimpleNamespace(has_seen=lambda label, within: True),
         state_fresh=lambda: True,
         ready=lambda: values.get("ready", True),
         heard_worker=lambda: None,
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -232,7 +232,9 @@
         slow = service.controllers[0]
         assert set(slow.owners) == {"red", "blue"} and slow.leader is not None
         slow.elector.allowed = ["n0"]  # else the lead goes first, to one that owns nothing
-        slow.mesh.beat_s *= 4  # each round of its loop takes four times as long as it is meant to
+        slow.mesh.heartbeat_interval_s *= (
+            4  # each round of its loop takes four times as long as it is meant to
+        )
         await asyncio.sleep(50)
         assert slow.leader is not None and [
             len(controller.owners) for _, controller in sorted(service.controllers.items())
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ashdock.cancellation.watermark import CancellationWatermark
-from ashdock.net.mesh import BACKLOG
+from ashdock.net.mesh import MAX_UNSENT_BYTES
 from tests.simtime import spawn
 from tests.standins import STATE
 from tests.test_restarts import owned
@@ -291,7 +291,7 @@
         known = heard.jobs.synced_at
         if lost == "full":
             # For this moment only: a link that stays full is given up all the same, later.
-            writer.transport.get_write_buffer_size = lambda: BACKLOG + 1  # type: ignore[method-assign]
+            writer.transport.get_write_buffer_size = lambda: MAX_UNSENT_BYTES + 1  # type: ignore[method-assign]
         elif lost == "closed":
             writer.close()
         service.doors = [(owner + 1) % 3]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -266,7 +266,7 @@
             + frames.pack(OwnershipClaims([("red", 1 << 40)]))
         )
         await asyncio.sleep(0.05)
-        beat = controller.mesh.peers["n1"].beat
+        beat = controller.mesh.peers["n1"].heartbeat
         assert (
             beat is not None
             and beat.incarnation == 2
