--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -68,7 +68,7 @@
     @property
     def supports_dependencies(self) -> bool:
         """Whether jobs with dependencies are accepted and the store's smaller limits kept to."""
-        return self.context.write_limits.agreed
+        return self.context.write_limits.announced_apply
 
     @property
     def fences_commands(self) -> bool:
@@ -86,7 +86,7 @@
         Returns:
             Seconds until this is to be called again; None once the version in force is ours.
         """
-        entries, _ = await self.context.store.under(PREFIX)
+        entries, _ = await self.context.store.list_prefix(PREFIX)
         found = {entry.path: entry for entry in entries}
         if CLUSTER_VERSION_KEY in found:
             self._activate(_version_of(found[CLUSTER_VERSION_KEY]), "stored")
@@ -139,8 +139,8 @@
     def _activate(self, version: int, source: str) -> None:
         """Brings a version into force in this process; the other controllers find it when they negotiate next."""
         context = self.context
-        if version >= Feature.DEPENDENCIES and not context.write_limits.agreed:
-            context.write_limits.agree()
+        if version >= Feature.DEPENDENCIES and not context.write_limits.announced_apply:
+            context.write_limits.apply_announced()
             context.store.apply_write_limits()
         if version <= self.version:
             return
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -25,8 +25,8 @@
     Entry,
     StoreClient,
     StoreUnavailableError,
-    WatchCache,
 )
+from ashdock.net.watch_cache import WatchCache
 from ashdock.settings import Shared, Workers
 from ashdock.status_reader import KnownJob, StatusReader, StatusReaderBusyError, known_job_of
 from ashdock.wire import messages
@@ -195,12 +195,12 @@
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
-        writes = context.store.writes
+        writes = context.store.write_limiter
         refusal_now = context.admission.submission(
             writes.backlog_s(RequestPriority.USER, spec.team),
             time.monotonic(),
             spec.team,
-            writes.each_s(2, RequestPriority.USER, spec.team),
+            writes.service_time_s(2, RequestPriority.USER, spec.team),
         )
         if refusal_now:
             return refused(refusal_now)
@@ -210,11 +210,14 @@
         never = self.never(spec)
         if never:
             refusal = error(422, never)
-        elif len(messages.encode(record)) + RECORD_GROWS > context.write_limits.declared_bytes:
+        elif (
+            len(messages.encode(record)) + RECORD_GROWS
+            > context.write_limits.configured_value_bytes
+        ):
             refusal = error(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
-        elif spec.dependencies and not context.write_limits.agreed:
+        elif spec.dependencies and not context.write_limits.announced_apply:
             # A controller of the version before may own the shard, now or soon, and would start the job at once.
             refusal = error(
                 503, "jobs that need others are taken once every controller has the new version", 1
@@ -377,7 +380,8 @@
         """While the state service is known not to answer, users are told so at once."""
         store = self.context.store
         return (
-            store.bad_since is None or time.monotonic() - store.bad_since < self.context.ttl_s / 8
+            store.unavailable_since is None
+            or time.monotonic() - store.unavailable_since < self.context.ttl_s / 8
         )
 
     def _retry_after(self) -> int:
@@ -389,7 +393,7 @@
             async with asyncio.timeout(ANSWER_S):
                 return await call
         except TimeoutError:
-            raise StoreUnavailableError("no answer in time", unknown=True) from None
+            raise StoreUnavailableError("no answer in time", outcome_unknown=True) from None
 
     async def _read(self, job_id: str) -> Entry | None:
         """A read that began after it was asked for... or is shared with others who ask at the same time."""
@@ -592,7 +596,7 @@
         # report ago has not left us: its machine has just gone to another shard, whose orders told it the token.
         stayed = now - self.answered.get(report.machine, -1e9) < 1.5 * context.workers.report_s
         was_there = not stayed and report.fencing_token >= token
-        hears = context.mesh.hears(label, context.ttl_s)
+        hears = context.mesh.has_seen(label, context.ttl_s)
         # ForwardReply for as long as a lease lasts, it tries its owner again.
         home = since is not None and now - since.at >= lease
         heartbeat_forwarder = not home and ((was_there and hears) or came_back or since is not None)
@@ -614,7 +618,7 @@
         self.relaying.pop(report.machine, None)
         if was_there and not hears and (sent is None or now - sent.at > lease / 2):
             # We are on the wrong side ourselves: another may hear its owner.
-            label = context.mesh.other_than(label, context.ttl_s) or label
+            label = context.mesh.other_live_peer(label, context.ttl_s) or label
         self.redirected[report.machine] = Sent(now, label, token)
         if len(self.redirected) > 5000:
             self.redirected.clear()
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -23,8 +23,8 @@
     Entry,
     StoreClient,
     StoreUnavailableError,
-    WatchCache,
 )
+from ashdock.net.watch_cache import WatchCache
 from ashdock.settings import Operators, Shared, Workers
 from ashdock.wire.frames import ShardCommand, TransferMachine, TransferShard
 from ashdock.wire.messages import Heartbeat, MachineType
@@ -264,7 +264,11 @@
                     self._spawn(self._decommission_all(machines, "returned"))
         if assignments:
             # What is not written now is neither lent nor on its way: counted as that, it stood there for half a lease.
-            most = 0 if self.assigning else max(1, int(LOANS_S * self.context.store.writes.per_s))
+            most = (
+                0
+                if self.assigning
+                else max(1, int(LOANS_S * self.context.store.write_limiter.per_s))
+            )
             self.allocator.not_assigned(list(assignments)[most:])
             if most:
                 self._spawn(self._assign(dict(list(assignments.items())[:most])))
@@ -279,7 +283,8 @@
         written: list[str] = []
         while names:
             most = max(
-                1, min(self.context.write_limits.ops, int(self.context.store.writes.per_s / 2))
+                1,
+                min(self.context.write_limits.ops, int(self.context.store.write_limiter.per_s / 2)),
             )
             written += await self._write_some({name: records[name] for name in names[:most]})
             names = names[most:]
@@ -302,17 +307,17 @@
                     when, {f"machine/{name}": value for name, (_, value) in left.items()}
                 )
             except CompareFailedError as why:
-                if self.election.path in why.failed:
+                if self.election.path in why.failed_keys:
                     raise NotLeaderError from None
                 # Somebody was quicker with some of them: the others are written without.
-                lost = {path.split("/", 1)[1] for path in why.failed} & set(left)
+                lost = {path.split("/", 1)[1] for path in why.failed_keys} & set(left)
                 log.debug("machines changed meanwhile: %s", ",".join(sorted(lost)))
                 if not lost:
                     return []
                 left = {name: record for name, record in left.items() if name not in lost}
                 continue
             for name, (_, value) in left.items():
-                self.context.machines.wrote(f"machine/{name}", value, revision)
+                self.context.machines.apply_own_write(f"machine/{name}", value, revision)
             return list(left)
         return []
 
@@ -473,7 +478,7 @@
                     priority=RequestPriority.BACKGROUND,
                 )
             except CompareFailedError as why:
-                if self.election.path in why.failed:
+                if self.election.path in why.failed_keys:
                     raise NotLeaderError from None
             except StoreUnavailableError as why:
                 log.debug("charter %s not removed: %s", name, why)
@@ -507,7 +512,7 @@
         had asked for were asked for again. Then the same request again tells what came of it."""
         self._guard_call()
         await self._delete_finished_intents()
-        entries, _ = await self.context.store.under("charter/")
+        entries, _ = await self.context.store.list_prefix("charter/")
         # Our own may have been written, carried out and removed since this was read: repeated, the cloud names machines again that
         # may have been released meanwhile, and each would be recorded once more.
         left = {e.path.split("/", 1)[1]: (e.value, e.revision) for e in entries}
@@ -604,7 +609,7 @@
                 {path: 0, self.election.path: self.revision}, {path: value}
             )
             log.info("machine %s adopted", name)
-            context.machines.wrote(path, value, revision)
+            context.machines.apply_own_write(path, value, revision)
         except CompareFailedError:
             pass
 
@@ -612,7 +617,7 @@
         context = self.context
         asked = context.now()
         self._guard_call()
-        hosts = await context.cloud.hosts()
+        hosts = await context.cloud.list_machines()
         now = context.now()
         scaled_out = {
             e.path.split("/", 1)[1]: e.value["at"]
--- a/ashdock/machine_type_catalog.py
+++ b/ashdock/machine_type_catalog.py
@@ -57,7 +57,7 @@
         return REFRESH_INTERVAL_S
 
     async def _load(self) -> None:
-        entries, _ = await self.context.store.under(CATALOG_KEY)
+        entries, _ = await self.context.store.list_prefix(CATALOG_KEY)
         for entry in entries:
             self.context.catalog.update(msgspec.convert(entry.value, dict[str, MachineType]))
 
@@ -74,7 +74,10 @@
         """The values to store by key: one for all types if it is within the write limits, else one for each type."""
         limits = self.context.write_limits
         types_by_label = msgspec.to_builtins(self.context.catalog)
-        if not limits.agreed or len(msgspec.json.encode(types_by_label)) <= limits.value_bytes:
+        if (
+            not limits.announced_apply
+            or len(msgspec.json.encode(types_by_label)) <= limits.value_bytes
+        ):
             return {CATALOG_KEY: types_by_label}
         return {
             f"{CATALOG_KEY}/{label}": {label: machine_type}
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -16,7 +16,8 @@
 
 from ashdock.cluster_version import ClusterVersion
 from ashdock.crash_loop import CrashLoopDetector
-from ashdock.net.store import LeaseLostError, StoreClient, StoreUnavailableError, WatchCache
+from ashdock.net.store import LeaseLostError, StoreClient, StoreUnavailableError
+from ashdock.net.watch_cache import WatchCache
 from ashdock.timelines import StartupTimeline
 
 log = logging.getLogger("ashdock.controller")
@@ -132,7 +133,7 @@
 
     async def _renew(self, store_lease: int) -> None:
         context = self.context
-        await context.store.renew(store_lease, timeout=context.ttl_s * RENEWAL_TIMEOUT_TTL)
+        await context.store.renew_lease(store_lease, timeout=context.ttl_s * RENEWAL_TIMEOUT_TTL)
         self.crash_loop.advance(context.now())
         if self.published_eligible is not self._is_eligible():
             await self._publish_eligibility(not self.published_eligible)
@@ -144,9 +145,9 @@
         member_path = MEMBER_PREFIX + context.label
         restarts_path = RESTARTS_PREFIX + context.label
         store_lease, entry, (restart_entries, _) = await asyncio.gather(
-            store.hold(int(context.ttl_s * 1000)),
+            store.grant_lease(int(context.ttl_s * 1000)),
             store.get(member_path),
-            store.under(RESTARTS_PREFIX),
+            store.list_prefix(RESTARTS_PREFIX),
         )
         previous = next((other for other in restart_entries if other.path == restarts_path), None)
         record = self.crash_loop.process_started(
@@ -161,8 +162,8 @@
         if context.cluster_version.supports_dependencies:
             conditions[restarts_path] = previous.revision if previous else 0
             writes[restarts_path] = msgspec.to_builtins(record)
-        revision = await store.txn(conditions, writes, hold=store_lease, unleased=(restarts_path,))
-        context.members.wrote(member_path, writes[member_path], revision)
+        revision = await store.txn(conditions, writes, lease=store_lease, unleased=(restarts_path,))
+        context.members.apply_own_write(member_path, writes[member_path], revision)
         # Only now: a lease without an entry on it does not make this controller a member.
         self.store_lease = store_lease
         self.published_eligible = eligible
@@ -179,9 +180,9 @@
             log.info("controller is not eligible to own shards or lead: it reaches only the store")
         value = self._encode(eligible)
         revision = await context.store.txn(
-            {path: entry.revision}, {path: value}, hold=self.store_lease
+            {path: entry.revision}, {path: value}, lease=self.store_lease
         )
-        context.members.wrote(path, value, revision)
+        context.members.apply_own_write(path, value, revision)
         self.published_eligible = eligible
 
     def _is_eligible(self) -> bool:
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -84,11 +84,11 @@
 
     @property
     def most(self) -> int:
-        return self.store.most_conditions
+        return self.store.max_compares
 
     @property
     def pause_s(self) -> float:
-        return 1 / (CALLS_SHARE * self.store.requests.per_s)
+        return 1 / (CALLS_SHARE * self.store.request_limiter.per_s)
 
     async def ask(self, job_id: str) -> KnownJob | None:
         """How the job stands, by a check that begins from here on; None: there is no such job."""
@@ -130,7 +130,7 @@
                     await self.store.txn(when, {}, priority=RequestPriority.USER)
                 except CompareFailedError as why:
                     # What failed says nothing of the rest: that is compared again without.
-                    differ = {path.split("/", 1)[1] for path in why.failed} & bunch.keys()
+                    differ = {path.split("/", 1)[1] for path in why.failed_keys} & bunch.keys()
                     if not differ:
                         raise StoreUnavailableError(
                             "a comparison failed and did not say where"
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -56,16 +56,16 @@
         leader_label=lambda: values.get("leader"),
         owner_label=lambda team: values.get("owner"),
         token_of=lambda machine: REVISION,
-        mesh=SimpleNamespace(hears=lambda label, within: True),
+        mesh=SimpleNamespace(has_seen=lambda label, within: True),
         state_fresh=lambda: True,
         ready=lambda: values.get("ready", True),
         heard_worker=lambda: None,
         broadcast_cancellation=lambda *words: None,
         counts=lambda team, job: tuple(values.get("counts", (0, 0))),
     )
-    home.write_limits.agreed = not values.get("old_controllers")
+    home.write_limits.announced_apply = not values.get("old_controllers")
     if values.get("store_down"):
-        home.store.bad_since = -1e9
+        home.store.unavailable_since = -1e9
     return home
 
 
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -14,7 +14,7 @@
 from ashdock.leader import Leader
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
-from ashdock.net.cloud import CloudError
+from ashdock.net.cloud import CloudUnavailableError
 from ashdock.settings import (
     Other,
     Team,
@@ -42,7 +42,7 @@
 def replica(entries: Iterable[Plain]) -> Any:
     """A prefix of the store as a controller keeps it in memory."""
     return SimpleNamespace(
-        entries=entries_by_path(list(entries)), wrote=lambda path, value, revision: None
+        entries=entries_by_path(list(entries)), apply_own_write=lambda path, value, revision: None
     )
 
 
@@ -130,7 +130,7 @@
 
     home = context(store, catalog={}, leader=True, cloud=SimpleNamespace(catalog=catalog))
     if values["limit"]:
-        home.write_limits.agreed, home.write_limits.value_bytes = True, values["limit"]
+        home.write_limits.announced_apply, home.write_limits.value_bytes = True, values["limit"]
     await MachineTypeCatalog(home).refresh()
 
 
@@ -247,7 +247,7 @@
     """`catalog` and `catalog/<label>`, read while the cloud does not answer."""
 
     async def catalog() -> dict[str, messages.MachineType]:
-        raise CloudError("no answer", True)
+        raise CloudUnavailableError("no answer", True)
 
     async def run() -> Plain:
         home = context(Store(entries), catalog={}, leader=None)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -9,7 +9,8 @@
 import pytest
 
 from ashdock.concurrency import StaleContextError, ensure_current, iterate_live
-from ashdock.net.store import Entry, WatchCache
+from ashdock.net.store import Entry
+from ashdock.net.watch_cache import WatchCache
 from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Heartbeat
 from tests import simtime
@@ -140,7 +141,7 @@
     watch_cache.entries["m/1"] = Entry("m/1", {"a": 0}, 5)
     watch_cache.revision = 6
     for change in writes:
-        watch_cache.wrote(*change)
+        watch_cache.apply_own_write(*change)
     for change in events:
         watch_cache._apply(*change)
     assert {path: entry.revision for path, entry in watch_cache.entries.items()} == revisions
@@ -160,11 +161,11 @@
         machine = next(m for m in owner.shard.machines.values() if m.address and m.incarnation)
         sent: list[int] = []
 
-        async def orders(where: str, token: int, *_: Any) -> Any:
+        async def send_commands(worker_address: str, token: int, *_: Any) -> Any:
             sent.append(token)
             return 200, None
 
-        monkeypatch.setattr(controller.worker_client, "orders", orders)
+        monkeypatch.setattr(controller.worker_client, "send_commands", send_commands)
         decided_under = owner.shard.token(machine)
         monkeypatch.setattr(owner.shard, "direct", lambda *_: [object()])
         monkeypatch.setattr(owner.shard, "direct_answered", lambda *_: None)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -127,9 +127,9 @@
     """Of 48 asked together about jobs that are known: one comparison."""
 
     class State:
-        most_conditions = 48
+        max_compares = 48
 
-        class requests:
+        class request_limiter:
             per_s = 1e6
 
         compared = 0
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -33,13 +33,13 @@
 class FakeJobWatch:
     """Since when the jobs have been watched without a gap, and when they were last known."""
 
-    def __init__(self, whole_since: float, known_at: float) -> None:
+    def __init__(self, complete_since: float, synced_at: float) -> None:
         """Both as the time of day, seconds."""
-        self.whole_since, self.known_at = whole_since, known_at
+        self.complete_since, self.synced_at = complete_since, synced_at
 
 
 @pytest.mark.parametrize(
-    ("whole_since", "known_at", "tasks", "may_renew"),
+    ("complete_since", "synced_at", "tasks", "may_renew"),
     [
         (-30.0, 0.0, ["req-1/0"], True),
         (-30.0, -13.9, ["req-1/0"], True),
@@ -54,11 +54,11 @@
     ],
 )
 def test_which_orphan_lease_may_be_renewed(
-    whole_since: float, known_at: float, tasks: list[str], may_renew: bool
+    complete_since: float, synced_at: float, tasks: list[str], may_renew: bool
 ) -> None:
     orphan_leases = OrphanLeaseRenewer(
         shared().workers,
-        FakeJobWatch(100 + whole_since, 100 + known_at),
+        FakeJobWatch(100 + complete_since, 100 + synced_at),
         lambda job: job == "req-9",
         CancellationWatermark(shared().workers, ["n1"], 0),
     )
@@ -205,7 +205,7 @@
             + frames.pack(OwnershipClaims([("red", 1 << 40)]))
         )
         await asyncio.sleep(0.05)
-        beat = controller.mesh.peers["n1"].beat
+        beat = controller.mesh.peers["n1"].heartbeat
         assert (
             beat is not None
             and beat.incarnation == 2
