--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -18,7 +18,8 @@
 from ashdock.crash_loop import CrashLoopDetector
 from ashdock.election.election import Election, KeyHolder
 from ashdock.front import Front
-from ashdock.leader import Leader, scale_out_of
+from ashdock.leader import Leader
+from ashdock.leader.leader import scale_out_of
 from ashdock.membership import Membership
 from ashdock.net.store import (
     Entry,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -27,7 +27,7 @@
     ShardStatus,
 )
 from ashdock.core.task import Failure, Phase, ranges_of
-from ashdock.leader import gone_from, lag_of
+from ashdock.leader.leader import gone_from, lag_of
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
 from ashdock.wire.messages import (
     RUN,
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ashdock.controller import Controller
-from ashdock.leader import LOANS_S
+from ashdock.leader.leader import LOANS_S
 from ashdock.net.http import Client, NoAnswer
 from ashdock.wire.messages import Heartbeat
 from tests import simtime
