--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -76,7 +76,7 @@
 class Adopting(Protocol):
     """Whoever leads here."""
 
-    def hear(self, report: messages.Heartbeat, known: bool) -> None: ...
+    def on_heartbeat(self, heartbeat: messages.Heartbeat, recorded: bool) -> None: ...
 
 
 class Sent(NamedTuple):
@@ -541,7 +541,7 @@
         started there a moment before was killed with it. Told the token that it has, it is as free for its next owner as before."""
         leader = self.context.leader
         if leader:
-            leader.hear(report, known)
+            leader.on_heartbeat(report, known)
             if self.context.state_fresh() and not report.tasks:
                 self.answered[report.machine] = time.monotonic()
                 return Answer(
--- /dev/null
+++ b/ashdock/leader/machine_records.py
@@ -0,0 +1,214 @@
+"""Records of machines (`machine/<name>`) as the leader reads and writes them."""
+
+from __future__ import annotations
+
+import logging
+from typing import Any, NamedTuple
+
+from ashdock.core.machine import images_of, trimmed
+from ashdock.core.machine_index import MachineView
+from ashdock.core.write_limits import WriteLimits
+from ashdock.leader.leadership import Leadership
+from ashdock.net.store import CompareFailedError, Entry, StoreClient, WatchCache
+from ashdock.wire.messages import Heartbeat, Host
+
+log = logging.getLogger("ashdock.leader")
+
+MACHINE_PREFIX = "machine/"
+ABSENT = 0  # the revision of a key that does not exist
+
+# The stored names of a machine's record.
+TYPE = "t"
+ZONE = "z"
+SPOT = "s"
+ADDRESS = "a"
+SHARD = "p"  # "": unassigned
+TIMESTAMP = "at"  # seconds of the time of day at which it was rented or found
+IS_SCALE_OUT_TIME = "r"  # present if the timestamp is the time at which it was rented
+INCARNATION = "n"
+DECOMMISSIONED = "x"  # why; absent or empty: not decommissioned
+
+
+class MachineRecord(NamedTuple):
+    """A machine's record as the leader creates it."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+    address: str  # "": not known yet
+    shard: str  # "": unassigned
+    timestamp: float  # seconds of the time of day
+    is_scale_out_time: bool = False  # whether the timestamp is that of the scale-out
+    incarnation: int | None = None  # None: has not reported
+
+    @classmethod
+    def of(cls, source: Heartbeat | Host, shard: str, now: float) -> MachineRecord:
+        """The record of a machine that was found by its heartbeat or in the cloud's list."""
+        return cls(source.machine_type, source.zone, source.spot, source.address, shard, now)
+
+    def to_stored(self) -> dict[str, Any]:
+        """The value that is stored."""
+        value: dict[str, Any] = {
+            TYPE: self.machine_type,
+            ZONE: self.zone,
+            SPOT: self.spot,
+            ADDRESS: self.address,
+            SHARD: self.shard,
+            TIMESTAMP: round(self.timestamp, 3),
+        }
+        if self.is_scale_out_time:
+            value[IS_SCALE_OUT_TIME] = 1
+        if self.incarnation is not None:
+            value[INCARNATION] = self.incarnation
+        return value
+
+
+class RecordWrite(NamedTuple):
+    """One change of a machine's record: applied if the record still has `revision`."""
+
+    revision: int  # ABSENT: it must not exist
+    value: dict[str, Any] | None  # None: delete
+
+
+def machine_path(name: str) -> str:
+    """The key of a machine's record."""
+    return f"{MACHINE_PREFIX}{name}"
+
+
+def machine_name(path: str) -> str:
+    """The machine whose record has the key `path`."""
+    return path.split("/", 1)[1]
+
+
+def is_decommissioned(entry: Entry) -> bool:
+    """Whether the machine is durably given up."""
+    return bool(entry.value.get(DECOMMISSIONED))
+
+
+def machine_view(entry: Entry) -> MachineView:
+    """A record as the allocator sees it."""
+    value = entry.value
+    return MachineView(
+        machine_name(entry.path),
+        value[SHARD],
+        value[TYPE],
+        value[ZONE],
+        value[SPOT],
+        entry.revision,
+        value.get(DECOMMISSIONED, ""),
+        frozenset(image for image, _ in images_of(value)),
+    )
+
+
+class MachineRecords:
+    """The records of all machines: read from the watch cache, written under the term and their revisions."""
+
+    def __init__(
+        self,
+        store: StoreClient,
+        cache: WatchCache,
+        leadership: Leadership,
+        write_limits: WriteLimits,
+    ) -> None:
+        """Read from `cache`; write to `store` within `write_limits` while `leadership` lasts."""
+        self.store = store
+        self.cache = cache
+        self.leadership = leadership
+        self.write_limits = write_limits
+
+    def entry(self, name: str) -> Entry | None:
+        """A machine's record, or None if there is none."""
+        return self.cache.entries.get(machine_path(name))
+
+    def decommissioned(self) -> list[tuple[str, int]]:
+        """Names and revisions of the machines that are to be released."""
+        return [
+            (machine_name(entry.path), entry.revision)
+            for entry in self.cache.entries.values()
+            if is_decommissioned(entry)
+        ]
+
+    def scale_out_times(self) -> dict[str, float]:
+        """When each machine was rented, of those of which this is known."""
+        return {
+            machine_name(entry.path): entry.value[TIMESTAMP]
+            for entry in self.cache.entries.values()
+            if entry.value.get(IS_SCALE_OUT_TIME)
+        }
+
+    def writes_within(self, seconds: float) -> int:
+        """How many records may be written in so many seconds at this controller's share of the limit."""
+        return max(1, int(seconds * self.store.writes.per_s))
+
+    async def create(self, name: str, record: MachineRecord) -> bool:
+        """Write the record of a machine that has none.
+
+        Returns:
+            Whether it was written: another record, or another leader, may have been first.
+        """
+        path = machine_path(name)
+        value = record.to_stored()
+        try:
+            revision = await self.store.txn(
+                {path: ABSENT, **self.leadership.condition}, {path: value}
+            )
+        except CompareFailedError:
+            return False
+        log.info("unrecorded machine adopted machine=%s", name)
+        self.cache.wrote(path, value, revision)
+        return True
+
+    async def write_all(self, writes: dict[str, RecordWrite]) -> list[str]:
+        """Write records that still have the given revisions, many to a transaction.
+
+        Returns:
+            The machines whose records were written.
+
+        Raises:
+            NotLeaderError: Another controller was elected meanwhile.
+            StoreUnavailableError: The store did not answer; some may have been written.
+        """
+        names = list(writes)
+        written: list[str] = []
+        while names:
+            batch_size = max(1, min(self.write_limits.ops, int(self.store.writes.per_s / 2)))
+            written += await self._write_batch({name: writes[name] for name in names[:batch_size]})
+            names = names[batch_size:]
+        return written
+
+    async def _write_batch(self, writes: dict[str, RecordWrite]) -> list[str]:
+        """Write records in one transaction, leaving out those that have changed meanwhile."""
+        max_bytes = self.write_limits.value_bytes
+        remaining = {
+            name: RecordWrite(write.revision, write.value and trimmed(write.value, max_bytes))
+            for name, write in writes.items()
+        }
+        while remaining:
+            try:
+                revision = await self._write_transaction(remaining)
+            except CompareFailedError as error:
+                self.leadership.check_not_replaced(error.failed)
+                changed = {machine_name(path) for path in error.failed} & set(remaining)
+                log.debug(
+                    "machine records changed meanwhile machines=%s", ",".join(sorted(changed))
+                )
+                if not changed:
+                    return []
+                remaining = {
+                    name: write for name, write in remaining.items() if name not in changed
+                }
+                continue
+            for name, write in remaining.items():
+                self.cache.wrote(machine_path(name), write.value, revision)
+            return list(remaining)
+        return []
+
+    async def _write_transaction(self, writes: dict[str, RecordWrite]) -> int:
+        """Write all or none of the records; the revision that they have then."""
+        compares = {
+            **self.leadership.condition,
+            **{machine_path(name): write.revision for name, write in writes.items()},
+        }
+        return await self.store.txn(
+            compares, {machine_path(name): write.value for name, write in writes.items()}
+        )
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -218,7 +218,7 @@
     "writing": "core/shard_writer.py:next_transaction",
     "questions": "status_reader.py:ask",
     "mesh": "controller.py:_on_frame",
-    "leader's choices": "leader/leader.py:_choose",
+    "leader's choices": "leader/leader.py:_allocate",
     "watch and state": "net/store.py:txn",
     "submissions and questions": "front.py:submit",
     "pictures": "core/status_reporter.py:shard_status",
@@ -442,9 +442,9 @@
         "of workers": [front.redirected, front.relaying, front.answered],
         "what others told": [controller.remote_statuses, controller.remote_counts],
         "leader": [
-            controller.leader.unrecorded_reports,
-            controller.leader.listed,
-            controller.leader.released,
+            controller.leader.heartbeats.unrecorded,
+            controller.leader.inventory.first_listed,
+            controller.leader.inventory.released_at,
         ]
         if controller.leader
         else [],
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -18,8 +18,8 @@
 from ashdock.crash_loop import CrashLoopDetector
 from ashdock.election.election import Election, KeyHolder
 from ashdock.front import Front
-from ashdock.leader import Leader
-from ashdock.leader.leader import scale_out_of
+from ashdock.leader.machine_records import MachineRecord, machine_view
+from ashdock.leader.provisioning_intent import scale_out_from_stored
 from ashdock.membership import Membership
 from ashdock.net.store import (
     Entry,
@@ -246,7 +246,7 @@
     name = values["key"].split("/", 1)[1]
     record = msgspec.json.decode(to_bytes(values["value"]))
     machine = Machine(name, record, REVISION, machine_type("g4"), NOW)
-    machine_views = Leader._machine_view(Entry(values["key"], record, REVISION))
+    as_leader = machine_view(Entry(values["key"], record, REVISION))
     return {
         "type": machine.type,
         "zone": machine.zone,
@@ -258,7 +258,7 @@
         "reason": machine.why,
         "session": machine.incarnation,
         "images": plain(images_of(record)),
-        "as_leader": plain(tuple(machine_views)),
+        "as_leader": plain(tuple(as_leader)),
     }
 
 
@@ -276,7 +276,7 @@
 
 def write_leader_machine(values: Plain) -> Plain:
     """A machine's record as the leader first writes it."""
-    record = Leader._value(
+    record = MachineRecord(
         values["type"],
         values["zone"],
         values["spot"],
@@ -284,12 +284,12 @@
         values["part"],
         values["at"],
     )
-    return encoded(record)
+    return encoded(record.to_stored())
 
 
 def read_charter(body: Plain) -> Plain:
     """`charter/<name>`: what the leader set out to rent."""
-    rent = scale_out_of(msgspec.json.decode(to_bytes(body)))
+    rent = scale_out_from_stored(msgspec.json.decode(to_bytes(body)))
     return {
         "teams": plain(rent.teams),
         "type": rent.type,
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from ashdock.core.allocator import ScaleOut
-from ashdock.leader import Leader
 from ashdock.settings import Operators, Team
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from ashdock.timelines import FailoverTimeline
@@ -15,7 +14,7 @@
 from tests.forms.adapter.exchanges import Store, bounded
 from tests.forms.adapter.records import NOW, machine_type
 from tests.forms.adapter.values import Plain, plain
-from tests.forms.adapter.writers import context, replica
+from tests.forms.adapter.writers import context, provisioner_of, replica
 
 
 def take_over_part(entries: Plain) -> Plain:
@@ -60,34 +59,22 @@
             released.extend(names)
 
         machines = [entry for entry in entries if entry[0].startswith("machine/")]
-        leader: Any = Leader.__new__(Leader)
-        leader.context = context(
+        home = context(
             store,
             intent_count=0,
             catalog={"g4": machine_type("g4")},
             machines=replica(machines),
             cloud=SimpleNamespace(release=release),
-            state_fresh=lambda: True,
-        )
-        leader.revision, leader.intents_before = 41, 0
-        leader.election = SimpleNamespace(
-            path="leader", may=lambda now, term: True, settled=lambda term: None
-        )
-        leader.allocator = SimpleNamespace(scale_outs=[], settle_s=1.0)
-        leader.interrupted, leader.finished_intents, leader.released, leader.unrecorded_reports = (
-            {},
-            {},
-            {},
-            {},
         )
-        leader.open_intents, leader._spawn = set(), left.append
-        await leader._settle()
-        await leader._clean()
+        allocator = SimpleNamespace(scale_outs=[])
+        provisioner = provisioner_of(home, results=allocator, spawn=left.append)
+        await provisioner.resume_intents()
+        await provisioner.scale_in()
         for carried_out in left:
             carried_out.close()
-        renting = [rent_to_values(rent) for rent in leader.allocator.scale_outs]
+        renting = [rent_to_values(rent) for rent in allocator.scale_outs]
         transactions = [body for _, _, body in store.requests]
-        names = sorted(leader.open_intents)
+        names = sorted(provisioner.open_intents)
         return {
             "renting": renting,
             "names": names,
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -11,7 +11,12 @@
 from ashdock.core.shard import Shard
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
-from ashdock.leader import Leader
+from ashdock.leader.assignments import Assignments
+from ashdock.leader.heartbeats import NotedHeartbeat, UnassignedHeartbeats
+from ashdock.leader.inventory import InventoryReconciler
+from ashdock.leader.leadership import Leadership
+from ashdock.leader.machine_records import MachineRecords
+from ashdock.leader.provisioner import Provisioner
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudError
@@ -38,6 +43,8 @@
     to_bytes,
 )
 
+TERM = 41  # the revision of the leader's key
+
 
 def replica(entries: Iterable[Plain]) -> Any:
     """A prefix of the store as a controller keeps it in memory."""
@@ -70,6 +77,60 @@
     return SimpleNamespace(**(base | more))
 
 
+def leadership() -> Leadership:
+    """The fence of a term that lasts."""
+    election: Any = SimpleNamespace(
+        path="leader", may=lambda now, term: True, settled=lambda term: None
+    )
+    return Leadership(election, TERM)
+
+
+def machine_records_of(home: Any) -> MachineRecords:
+    """The machines' records as the leader writes them."""
+    return MachineRecords(home.store, home.machines, leadership(), home.write_limits)
+
+
+def provisioner_of(home: Any, **more: Any) -> Any:
+    """The leader's provisioner, with an allocator that decides nothing."""
+    home = SimpleNamespace(**({"machines": replica([]), "catalog": {}, "cloud": None} | vars(home)))
+    collaborators: Any = {
+        "store": home.store,
+        "cloud": home.cloud,
+        "records": machine_records_of(home),
+        "leadership": leadership(),
+        "results": SimpleNamespace(scale_outs=[]),
+        "naming": home,
+        "catalog": home.catalog,
+        "write_limits": home.write_limits,
+        "state_fresh": lambda: True,
+        "on_released": lambda names: None,
+        "spawn": lambda job: job.close(),
+        "now": home.now,
+        "lease_s": home.workers.lease_s,
+        "tick_s": home.tick_s,
+    }
+    return Provisioner(**(collaborators | more))
+
+
+def inventory_of(
+    home: Any, records: MachineRecords, assignments: Assignments
+) -> InventoryReconciler:
+    """The leader's reconciliation, with a cloud that is not asked."""
+    return InventoryReconciler(
+        cloud=SimpleNamespace(),  # type: ignore[arg-type]
+        records=records,
+        assignments=assignments,
+        heartbeats=assignments.heartbeats,
+        leadership=records.leadership,
+        catalog=home.catalog,
+        scaling_out=lambda: False,
+        now=home.now,
+        min_lag_s=1.0,
+        lease_s=home.workers.lease_s,
+        adopt_after_s=1.0,
+    )
+
+
 async def write_membership(store: Store, values: Plain) -> None:
     """Join, and then say once more whether this controller is fit."""
     cluster_version = SimpleNamespace(supports_dependencies=values["agreed"])
@@ -140,40 +201,37 @@
     async def carry_out(*words: Any, **more: Any) -> None:
         """What follows the write is not part of the form."""
 
-    leader: Any = Leader.__new__(Leader)
-    leader.context, leader.revision, leader.open_intents = context(store, intent_count=0), 41, set()
-    leader.election = SimpleNamespace(path="leader", may=lambda now, term: True)
-    leader._carry_out = carry_out
+    provisioner = provisioner_of(context(store, intent_count=0))
+    provisioner._carry_out = carry_out
     teams = tuple((team, number) for team, number in values["teams"])
-    await leader._scale_out(ScaleOut(teams, values["type"], values["zone"], values["spot"]))
+    await provisioner.scale_out(ScaleOut(teams, values["type"], values["zone"], values["spot"]))
 
 
 async def write_machines(store: Store, values: Plain) -> None:
     """Record a rented machine, adopt a stray, lend one of the pool and give one up."""
-    leader: Any = Leader.__new__(Leader)
-    catalog = {"g4": machine_type("g4")}
     unassigned_machines = [
         [path, value, revision] for path, (value, revision) in store.entries.items()
     ]
-    leader.context = context(store, machines=replica(unassigned_machines), catalog=catalog)
-    leader.revision, leader.election = 41, SimpleNamespace(path="leader")
-    leader.assigning, leader.unrecorded_reports, leader.decommissioning, leader.released = (
-        {},
-        {},
-        set(),
-        {},
+    home = context(
+        store,
+        machines=replica(unassigned_machines),
+        catalog={"g4": machine_type("g4")},
+        intent_count=0,
     )
-    leader.assigning, leader.lag_s = set(), 1.0
-    store.entries["leader"] = (None, 41)
+    records, heartbeats = machine_records_of(home), UnassignedHeartbeats()
+    assignments = Assignments(records, heartbeats, home.now, home.workers.report_s)
+    inventory = inventory_of(home, records, assignments)
+    store.entries["leader"] = (None, TERM)
     report = messages.decode_heartbeat(to_bytes(values["report"]))
-    leader.unassigned = {"vm-1": (report, NOW)}
-    await leader._record(
+    heartbeats.recorded = {"vm-1": NotedHeartbeat(report, NOW)}
+    await provisioner_of(home)._record_machines(
         ScaleOut((("red", 1), ("blue", 1)), "g4", "a", True), ["vm-7", "vm-8"], NOW
     )
-    await leader._adopt("vm-9", "g4", "b", False, "10.1.0.9:9000")
-    leader.unrecorded_reports = {"vm-6": (report, NOW)}
-    await leader._assign({"vm-1": "red", "vm-6": "blue"})
-    await leader._decommission("vm-1", "returned")
+    listed = messages.Host("vm-9", "10.1.0.9:9000", "g4", "b", "up")
+    await inventory._adopt("vm-9", listed)
+    heartbeats.unrecorded = {"vm-6": NotedHeartbeat(report, NOW)}
+    await assignments.assign({"vm-1": "red", "vm-6": "blue"})
+    await assignments.decommission(["vm-1"], "returned")
 
 
 async def write_part_changes(store: Store, values: Plain) -> None:
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -8,6 +8,8 @@
 import pytest
 
 from ashdock.concurrency import StaleContextError, ensure_current, iterate_live
+from ashdock.leader.heartbeats import NotedHeartbeat
+from ashdock.leader.provisioning_intent import ProvisioningIntent
 from ashdock.net.store import Entry, WatchCache
 from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Heartbeat
@@ -50,15 +52,17 @@
 
         async def adopt(name: str, *_: Any) -> None:
             adopted.append(name)
-            leader.unrecorded_reports.pop(
+            leader.heartbeats.unrecorded.pop(
                 "vm-b", None
             )  # lent, and so recorded, while this one was being written
 
-        monkeypatch.setattr(leader, "_adopt", adopt)
+        monkeypatch.setattr(leader.inventory, "_adopt", adopt)
         report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
-        leader.unrecorded_reports = dict.fromkeys(("vm-a", "vm-b", "vm-c"), (report, -1e9))
-        await leader._adopt_unrecorded()
-        assert adopted == ["vm-a", "vm-c"] and not leader.unrecorded_reports
+        leader.heartbeats.unrecorded = dict.fromkeys(
+            ("vm-a", "vm-b", "vm-c"), NotedHeartbeat(report, -1e9)
+        )
+        await leader.inventory.adopt_unrecorded()
+        assert adopted == ["vm-a", "vm-c"] and not leader.heartbeats.unrecorded
 
     play(monkeypatch, day)
 
@@ -92,22 +96,22 @@
         await service.submit(job(1))
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
-        label, revision = leader.context.label, leader.revision
-        leader.context.intent_count = leader.intents_before + 5
+        label, revision = leader.context.label, leader.term
+        leader.context.intent_count = leader.provisioner.intents_before + 5
         value = {"teams": [["red", 1]], "t": "g4", "z": "a", "s": False}
         for name in (
-            f"{label}.{revision}.{leader.intents_before + 3}",
+            f"{label}.{revision}.{leader.provisioner.intents_before + 3}",
             f"{label}.{revision}.0",
             f"n9.{revision}.7",
         ):
             service.state.keys[f"charter/{name}"] = (value, 1, None)
         carried: list[str] = []
 
-        async def carry_out(name: str, *_: Any, **__: Any) -> None:
-            carried.append(name)
+        async def carry_out(intent: ProvisioningIntent, *_: Any, **__: Any) -> None:
+            carried.append(intent.name)
 
-        monkeypatch.setattr(leader, "_carry_out", carry_out)
-        await leader._settle()
+        monkeypatch.setattr(leader.provisioner, "_carry_out", carry_out)
+        await leader._resume_intents()
         await asyncio.sleep(0.01)
         # One from before an outage that ended our reign for a while is left over like any other's.
         assert sorted(carried) == sorted([f"{label}.{revision}.0", f"n9.{revision}.7"])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -27,7 +27,7 @@
     ShardStatus,
 )
 from ashdock.core.task import Failure, Phase, ranges_of
-from ashdock.leader.leader import gone_from, lag_of
+from ashdock.leader.inventory import list_lag, missing_machines
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
 from ashdock.wire.messages import (
     RUN,
@@ -531,7 +531,7 @@
 def test_what_the_lists_show(lists: list[tuple[float, str]], gone: list[str]) -> None:
     listed: dict[str, float] = {}
     for now, names in lists:
-        last = gone_from(listed, list(names), now, 12.0)
+        last = missing_machines(listed, list(names), now, 12.0)
     assert last == gone
 
 
@@ -689,7 +689,7 @@
     listed: list[tuple[str, float]], scaled_out: dict[str, float], lag: float
 ) -> None:
     """A list that lagged several times more than usual showed live machines to be gone, and gone ones to be there."""
-    assert lag_of(listed, scaled_out, 100.0) == lag
+    assert list_lag(listed, scaled_out, 100.0) == lag
 
 
 def test_a_machine_that_never_comes_up_is_given_up_whoever_owns_it() -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -15,6 +15,7 @@
 from ashdock.election.candidates import better_candidate, rank_candidates
 from ashdock.election.election import Election, ElectionState, KeyHolder
 from ashdock.election.fencing import NotLeaderError, TermFence
+from ashdock.leader.machine_records import RecordWrite
 from ashdock.settings import SettingsError, load
 from ashdock.wire import frames
 from ashdock.wire.frames import FencedCommand, FrameError, FrameKind, TransferMachine, TransferShard
@@ -273,10 +274,12 @@
         # As if all of it had slept: its clock has gone on, and nothing of it has run since.
         election.until = time.monotonic() - asleep_s
         with pytest.raises(NotLeaderError):
-            await controller.cloud.rent("late", "g4", "a", False, 1, leader._guard_call)
+            await controller.cloud.rent("late", "g4", "a", False, 1, leader.leadership.check)
         with pytest.raises(NotLeaderError):
-            leader._guard_call()
-        leader._spawn(leader._scale_out(rent := ScaleOut((("red", 1),), "g4", "a", False)))
+            leader.leadership.check()
+        leader._spawn(
+            leader.provisioner.scale_out(rent := ScaleOut((("red", 1),), "g4", "a", False))
+        )
         leader.allocator.scale_outs.append(rent)
         await asyncio.sleep(0.01)
         assert len(service.world.charters) == calls and rent not in leader.allocator.scale_outs
@@ -290,8 +293,8 @@
         await service.state._apply([])
         path = next(path for path in service.state.keys if path.startswith("machine/"))
         with pytest.raises(NotLeaderError):
-            await leader._write_some(
-                {path.removeprefix("machine/"): (service.state.keys[path][1], None)}
+            await leader.records._write_batch(
+                {path.removeprefix("machine/"): RecordWrite(service.state.keys[path][1], None)}
             )
         assert path in service.state.keys
         del service.state.keys["leader"]
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -11,7 +11,8 @@
 import pytest
 
 from ashdock.controller import Controller
-from ashdock.leader.leader import LOANS_S
+from ashdock.leader.assignments import MAX_ASSIGN_S
+from ashdock.leader.heartbeats import NotedHeartbeat
 from ashdock.net.http import Client, NoAnswer
 from ashdock.wire.messages import Heartbeat
 from tests import simtime
@@ -362,32 +363,33 @@
             process_started.append(sorted(assignments))
             await asyncio.sleep(5.0)
 
-        inner = leader._assign_now
-        monkeypatch.setattr(leader, "_assign_now", write)
+        inner = leader.assignments._write_assignments
+        monkeypatch.setattr(leader.assignments, "_write_assignments", write)
         report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         names = [f"vm-9{n:05d}" for n in range(1000)]
-        leader.unrecorded_reports = {
-            name: (msgspec.structs.replace(report, berth=name), service.now()) for name in names
+        leader.heartbeats.unrecorded = {
+            name: NotedHeartbeat(msgspec.structs.replace(report, berth=name), service.now())
+            for name in names
         }
-        most = int(LOANS_S * leader.context.store.all.writes)  # shares of it come and go
+        most = int(MAX_ASSIGN_S * leader.context.store.all.writes)  # shares of it come and go
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
         while not process_started:
             await asyncio.sleep(0.1)
         machine_views = set(process_started[0])
         assert 0 < len(machine_views) <= most
         for name in machine_views:
-            leader.unrecorded_reports.pop(name, None)
-            leader.hear(
-                msgspec.structs.replace(report, berth=name), known=False
+            leader.heartbeats.unrecorded.pop(name, None)
+            leader.on_heartbeat(
+                msgspec.structs.replace(report, berth=name), recorded=False
             )  # it goes on reporting meanwhile
-        assert not machine_views & set(leader.unrecorded_reports)
+        assert not machine_views & set(leader.heartbeats.unrecorded)
         await asyncio.sleep(3.0)
         assert len(process_started) == 1
         assert not (set(names) - machine_views) & set(
             leader.allocator.coming
         )  # the rest stays to be lent
-        leader.unrecorded_reports.clear()
-        monkeypatch.setattr(leader, "_assign_now", inner)
+        leader.heartbeats.unrecorded.clear()
+        monkeypatch.setattr(leader.assignments, "_write_assignments", inner)
         assert not await service.until_final(["req-000001"], 90)
 
     play(monkeypatch, 34, day)
