--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -368,7 +368,7 @@
         report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         names = [f"vm-9{n:05d}" for n in range(1000)]
         leader.heartbeats.unrecorded = {
-            name: NotedHeartbeat(msgspec.structs.replace(report, berth=name), service.now())
+            name: NotedHeartbeat(msgspec.structs.replace(report, machine=name), service.now())
             for name in names
         }
         most = int(MAX_ASSIGN_S * leader.context.store.all.writes)  # shares of it come and go
@@ -380,7 +380,7 @@
         for name in machine_views:
             leader.heartbeats.unrecorded.pop(name, None)
             leader.on_heartbeat(
-                msgspec.structs.replace(report, berth=name), recorded=False
+                msgspec.structs.replace(report, machine=name), recorded=False
             )  # it goes on reporting meanwhile
         assert not machine_views & set(leader.heartbeats.unrecorded)
         await asyncio.sleep(3.0)
