--- a/ashdock/leader/assignments.py
+++ b/ashdock/leader/assignments.py
@@ -102,21 +102,24 @@
         return RecordWrite(entry.revision, value)
 
     def _assignment_of_unrecorded(self, name: str, shard: str) -> RecordWrite | None:
-        noted = self.heartbeats.unrecorded.pop(name, None)
-        if noted is None:
+        machine = self.heartbeats.unrecorded.pop(name, None)
+        if machine is None:
             return None
         # It is known to be up, and in which incarnation.
-        record = MachineRecord.of(noted.heartbeat, shard, self.now())._replace(
-            incarnation=noted.heartbeat.incarnation
+        record = MachineRecord.of(machine.heartbeat, shard, self.now())._replace(
+            incarnation=machine.heartbeat.incarnation
         )
         return RecordWrite(ABSENT, record.to_stored())
 
     def _take_recent_heartbeat(self, name: str) -> dict[str, Any]:
         """Address and incarnation of a machine that reported just now: its next owner need not wait for its heartbeat."""
-        noted = self.heartbeats.recorded.pop(name, None)
-        if noted is None or self.now() - noted.at > RECENT_INTERVALS * self.report_interval_s:
+        received = self.heartbeats.recorded.pop(name, None)
+        if (
+            received is None
+            or self.now() - received.received_at > RECENT_INTERVALS * self.report_interval_s
+        ):
             return {}
-        return {ADDRESS: noted.heartbeat.address, INCARNATION: noted.heartbeat.incarnation}
+        return {ADDRESS: received.heartbeat.address, INCARNATION: received.heartbeat.incarnation}
 
     async def decommission(self, names: list[str], reason: str) -> None:
         """Mark machines as decommissioned, durably, before they are released: nobody assigns them meanwhile."""
--- a/ashdock/leader/heartbeats.py
+++ b/ashdock/leader/heartbeats.py
@@ -7,11 +7,18 @@
 from ashdock.wire.messages import Heartbeat
 
 
-class NotedHeartbeat(NamedTuple):
-    """A machine's last heartbeat with a time: when it came, or since when the machine reports unrecorded."""
+class ReceivedHeartbeat(NamedTuple):
+    """The last heartbeat of an unassigned machine that has a record."""
 
     heartbeat: Heartbeat
-    at: float  # seconds of the time of day
+    received_at: float  # seconds of the time of day
+
+
+class UnrecordedMachine(NamedTuple):
+    """A machine that reports without a record."""
+
+    heartbeat: Heartbeat  # the last one
+    since: float  # when the first one came, in seconds of the time of day
 
 
 class UnassignedHeartbeats:
@@ -19,15 +26,15 @@
 
     def __init__(self) -> None:
         """Start without any."""
-        self.recorded: dict[str, NotedHeartbeat] = {}  # have a record; `at`: of the last heartbeat
-        self.unrecorded: dict[str, NotedHeartbeat] = {}  # have none; `at`: of the first heartbeat
+        self.recorded: dict[str, ReceivedHeartbeat] = {}
+        self.unrecorded: dict[str, UnrecordedMachine] = {}
 
     def note_recorded(self, heartbeat: Heartbeat, now: float) -> None:
         """An unassigned machine that has a record reported."""
-        self.recorded[heartbeat.machine] = NotedHeartbeat(heartbeat, now)
+        self.recorded[heartbeat.machine] = ReceivedHeartbeat(heartbeat, now)
 
     def note_unrecorded(self, heartbeat: Heartbeat, now: float) -> None:
         """A machine without a record reported; the time of its first heartbeat is kept."""
         known = self.unrecorded.get(heartbeat.machine)
-        since = known.at if known is not None else now
-        self.unrecorded[heartbeat.machine] = NotedHeartbeat(heartbeat, since)
+        since = known.since if known is not None else now
+        self.unrecorded[heartbeat.machine] = UnrecordedMachine(heartbeat, since)
--- a/ashdock/leader/inventory.py
+++ b/ashdock/leader/inventory.py
@@ -120,12 +120,12 @@
         """Record machines that nobody has wanted for a while: nothing unrecorded is ever released."""
         now = self.now()
         # Adopting waits, and meanwhile a machine may be assigned and so recorded.
-        for name, noted in iterate_live(self.heartbeats.unrecorded):
+        for name, machine in iterate_live(self.heartbeats.unrecorded):
             if self.records.entry(name) is not None:
                 self.heartbeats.unrecorded.pop(name, None)
-            elif now - noted.at > self.adopt_after_s:
+            elif now - machine.since > self.adopt_after_s:
                 self.heartbeats.unrecorded.pop(name, None)
-                await self._adopt(name, noted.heartbeat)
+                await self._adopt(name, machine.heartbeat)
 
     async def _adopt(self, name: str, source: Heartbeat | Host) -> None:
         """Record a machine as unassigned, unless it is recorded, of an unknown type, or released."""
@@ -197,8 +197,8 @@
     def _drop_outdated(self, now: float) -> None:
         """Drop what was noted of machines that have no record any more, or were released long ago."""
         self.heartbeats.recorded = {
-            name: noted
-            for name, noted in self.heartbeats.recorded.items()
+            name: received
+            for name, received in self.heartbeats.recorded.items()
             if self.records.entry(name) is not None
         }
         forget_after_s = FORGET_RELEASED_LAGS * self.lag_s + FORGET_RELEASED_S
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -75,7 +75,7 @@
     def leaving(self) -> list[tuple[str, str]]:
         """Machines that are being reclaimed, each with the team that it is for."""
 
-    def to_owner(self, team: str, word: ShardCommand, term: int) -> None:
+    def to_owner(self, team: str, command: ShardCommand, term: int, /) -> None:
         """Send a command to the owner of a team's shard, fenced by the term."""
 
 
@@ -100,7 +100,23 @@
         self.assignments = Assignments(
             self.records, self.heartbeats, context.now, context.workers.report_s
         )
-        self.inventory = InventoryReconciler(
+        self.inventory = self._new_inventory()
+        self.provisioner = self._new_provisioner()
+        self.stopped = False
+        self.background: set[asyncio.Task[None]] = set()
+        self.loops = [
+            asyncio.create_task(self._run_loop(step))
+            for step in (
+                self._resume_intents,
+                self._allocate,
+                self._scale_in_and_adopt,
+                self._reconcile_inventory,
+            )
+        ]
+
+    def _new_inventory(self) -> InventoryReconciler:
+        context = self.context
+        return InventoryReconciler(
             cloud=context.cloud,
             records=self.records,
             assignments=self.assignments,
@@ -113,7 +129,10 @@
             lease_s=context.workers.lease_s,
             adopt_after_s=self.allocator.settle_s,
         )
-        self.provisioner = Provisioner(
+
+    def _new_provisioner(self) -> Provisioner:
+        context = self.context
+        return Provisioner(
             store=context.store,
             cloud=context.cloud,
             records=self.records,
@@ -129,17 +148,6 @@
             lease_s=context.workers.lease_s,
             tick_s=context.tick_s,
         )
-        self.stopped = False
-        self.background: set[asyncio.Task[None]] = set()
-        self.loops = [
-            asyncio.create_task(self._run_loop(step))
-            for step in (
-                self._resume_intents,
-                self._allocate,
-                self._scale_in_and_adopt,
-                self._reconcile_inventory,
-            )
-        ]
 
     # -- life ----------------------------------------------------------------------------------
 
--- a/ashdock/leader/provisioner.py
+++ b/ashdock/leader/provisioner.py
@@ -58,10 +58,10 @@
 
     scale_outs: list[ScaleOut]
 
-    def scaled_out(self, rent: ScaleOut, names: list[str], now: float) -> None:
+    def scaled_out(self, scale_out: ScaleOut, names: list[str], now: float, /) -> None:
         """The machines `names` were rented."""
 
-    def scale_out_failed(self, rent: ScaleOut, now: float, no_capacity: bool) -> None:
+    def scale_out_failed(self, scale_out: ScaleOut, now: float, /, no_capacity: bool) -> None:
         """Nothing is known to have been rented."""
 
 
--- a/ashdock/leader/snapshot.py
+++ b/ashdock/leader/snapshot.py
@@ -30,13 +30,13 @@
             MachineView(
                 name,
                 "",
-                noted.heartbeat.machine_type,
-                noted.heartbeat.zone,
-                noted.heartbeat.spot,
+                machine.heartbeat.machine_type,
+                machine.heartbeat.zone,
+                machine.heartbeat.spot,
                 ABSENT,
                 "",
             )
-            for name, noted in self.heartbeats.unrecorded.items()
+            for name, machine in self.heartbeats.unrecorded.items()
             if machine_path(name) not in entries
         ]
         before, self.views = self.views, {}
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -12,7 +12,7 @@
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.leader.assignments import Assignments
-from ashdock.leader.heartbeats import NotedHeartbeat, UnassignedHeartbeats
+from ashdock.leader.heartbeats import ReceivedHeartbeat, UnassignedHeartbeats, UnrecordedMachine
 from ashdock.leader.inventory import InventoryReconciler
 from ashdock.leader.leadership import Leadership
 from ashdock.leader.machine_records import MachineRecords
@@ -223,13 +223,13 @@
     inventory = inventory_of(home, records, assignments)
     store.entries["leader"] = (None, TERM)
     report = messages.decode_heartbeat(to_bytes(values["report"]))
-    heartbeats.recorded = {"vm-1": NotedHeartbeat(report, NOW)}
+    heartbeats.recorded = {"vm-1": ReceivedHeartbeat(report, NOW)}
     await provisioner_of(home)._record_machines(
         ScaleOut((("red", 1), ("blue", 1)), "g4", "a", True), ["vm-7", "vm-8"], NOW
     )
     listed = messages.Host("vm-9", "10.1.0.9:9000", "g4", "b", "up")
     await inventory._adopt("vm-9", listed)
-    heartbeats.unrecorded = {"vm-6": NotedHeartbeat(report, NOW)}
+    heartbeats.unrecorded = {"vm-6": UnrecordedMachine(report, NOW)}
     await assignments.assign({"vm-1": "red", "vm-6": "blue"})
     await assignments.decommission(["vm-1"], "returned")
 
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ashdock.concurrency import StaleContextError, ensure_current, iterate_live
-from ashdock.leader.heartbeats import NotedHeartbeat
+from ashdock.leader.heartbeats import UnrecordedMachine
 from ashdock.leader.provisioning_intent import ProvisioningIntent
 from ashdock.net.store import Entry, WatchCache
 from ashdock.shard_owner import OwnershipPhase
@@ -59,7 +59,7 @@
         monkeypatch.setattr(leader.inventory, "_adopt", adopt)
         report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         leader.heartbeats.unrecorded = dict.fromkeys(
-            ("vm-a", "vm-b", "vm-c"), NotedHeartbeat(report, -1e9)
+            ("vm-a", "vm-b", "vm-c"), UnrecordedMachine(report, -1e9)
         )
         await leader.inventory.adopt_unrecorded()
         assert adopted == ["vm-a", "vm-c"] and not leader.heartbeats.unrecorded
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -12,7 +12,7 @@
 
 from ashdock.controller import Controller
 from ashdock.leader.assignments import MAX_ASSIGN_S
-from ashdock.leader.heartbeats import NotedHeartbeat
+from ashdock.leader.heartbeats import UnrecordedMachine
 from ashdock.net.http import Client, NoAnswer
 from ashdock.wire.messages import Heartbeat
 from tests import simtime
@@ -368,7 +368,7 @@
         report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         names = [f"vm-9{n:05d}" for n in range(1000)]
         leader.heartbeats.unrecorded = {
-            name: NotedHeartbeat(msgspec.structs.replace(report, machine=name), service.now())
+            name: UnrecordedMachine(msgspec.structs.replace(report, machine=name), service.now())
             for name in names
         }
         most = int(MAX_ASSIGN_S * leader.context.store.all.writes)  # shares of it come and go
