--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -266,7 +266,7 @@
     assert pieces.recorded() == ["vm-0"] and not pieces.store.transactions
 
 
-def test_a_term_ends_by_the_local_clock_or_by_another_term(pieces: Pieces) -> None:
+def test_leadership_is_fenced_by_lease_time_and_term(pieces: Pieces) -> None:
     pieces.leadership.check()
     assert pieces.leadership.may_act() and pieces.leadership.may_decide()
     assert not Leadership(pieces.election, TERM - 1).may_act()
@@ -337,7 +337,7 @@
     assert pieces.store.attempts == 2 and not pieces.assignments.under_way
 
 
-def test_what_the_store_did_not_take_is_free_to_be_decided_again(pieces: Pieces) -> None:
+def test_failed_writes_are_no_longer_under_way(pieces: Pieces) -> None:
     pieces.machine("vm-0")
     pieces.store.down = True
     asyncio.run(pieces.assignments.assign({"vm-0": "red"}))
@@ -356,7 +356,7 @@
     assert scale_out_from_stored(earlier) == ScaleOut((("red", 2),), "g4", "a", False)
 
 
-def test_an_intent_is_durable_before_the_cloud_is_asked_and_gone_afterwards(
+def test_an_intent_is_written_before_the_request_and_deleted_after_it(
     pieces: Pieces,
 ) -> None:
     pieces.cloud.answers = [CloudError("no answer", True), ["vm-1", "vm-2"]]
@@ -454,8 +454,8 @@
 
 
 def test_a_decommissioned_machine_is_deleted_after_its_release(pieces: Pieces) -> None:
-    gone: list[str] = []
-    provisioner = pieces.provisioner(on_released=gone.extend)
+    released: list[str] = []
+    provisioner = pieces.provisioner(on_released=released.extend)
     pieces.machine("vm-0")
     for n in range(1, 7):
         pieces.machine(f"vm-{n}", x="returned")
@@ -465,9 +465,9 @@
     pieces.fresh, pieces.cloud.answers = True, [CloudError("no answer", True)]
     with pytest.raises(CloudError):
         asyncio.run(provisioner.scale_in())
-    assert len(pieces.recorded()) == 7 and not gone and not provisioner.under_way
+    assert len(pieces.recorded()) == 7 and not released and not provisioner.under_way
     asyncio.run(provisioner.scale_in())
-    assert gone == ["vm-1", "vm-2", "vm-3", "vm-4"], "as many as a transaction takes"
+    assert released == ["vm-1", "vm-2", "vm-3", "vm-4"], "as many as a transaction takes"
     assert pieces.recorded() == ["vm-0", "vm-5", "vm-6"]
     pieces.write_limits.ops = 10 * MAX_RELEASED
     asyncio.run(provisioner.scale_in())
@@ -477,7 +477,7 @@
 # -- inventory ---------------------------------------------------------------------------------------
 
 
-def test_an_unrecorded_machine_that_nobody_wants_is_adopted(pieces: Pieces) -> None:
+def test_an_unassigned_unrecorded_machine_is_adopted(pieces: Pieces) -> None:
     inventory = pieces.inventory()
     inventory.on_heartbeat(heartbeat("vm-9"), recorded=False)
     inventory.on_heartbeat(heartbeat("vm-8", "h9"), recorded=False)
@@ -551,7 +551,7 @@
     assert inventory.lag_s == 18.0
 
 
-def test_what_was_noted_of_machines_that_are_gone_is_dropped(pieces: Pieces) -> None:
+def test_notes_about_deleted_machines_are_dropped(pieces: Pieces) -> None:
     inventory = pieces.inventory()
     pieces.machine("vm-0")
     for name in ("vm-0", "vm-1"):
