--- a/tests/scale.py
+++ b/tests/scale.py
@@ -451,7 +451,8 @@
         if owner.shard is not None:
             tables += [owner.shard.machines, owner.shard.jobs, owner.shard.parks]
     if controller.leader is not None:
-        tables += [controller.leader.strays, controller.leader.listed, controller.leader.released]
+        inventory = controller.leader.inventory
+        tables += [inventory.heartbeats.unrecorded, inventory.first_listed, inventory.released_at]
     return int(asizeof.asizeof(*tables))
 
 
