--- /dev/null
+++ b/ashdock/leader/leader.py
@@ -0,0 +1,290 @@
+"""The leader's loops: the allocator decides on a snapshot of the machines, and the pieces of this package carry it out."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable, Coroutine
+from typing import Any, Protocol
+
+from ashdock.admission.processor import CHOOSING, pause_s
+from ashdock.core.allocator import (
+    Allocator,
+    AssignMachine,
+    Decision,
+    MoveShard,
+    ScaleIn,
+    ScaleOut,
+)
+from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.write_limits import WriteLimits
+from ashdock.election.election import Election
+from ashdock.election.fencing import NotLeaderError
+from ashdock.leader.assignments import Assignments
+from ashdock.leader.heartbeats import UnassignedHeartbeats
+from ashdock.leader.inventory import InventoryReconciler
+from ashdock.leader.leadership import Leadership
+from ashdock.leader.machine_records import MachineRecords
+from ashdock.leader.provisioner import Provisioner
+from ashdock.leader.snapshot import MachineSnapshot
+from ashdock.net.cloud import CloudClient, CloudError
+from ashdock.net.store import StoreClient
+from ashdock.net.store_errors import CompareFailedError, StoreUnavailableError
+from ashdock.net.watch_cache import WatchCache
+from ashdock.settings import Operators, Shared, Workers
+from ashdock.wire.frames import ShardCommand, TransferMachine, TransferShard
+from ashdock.wire.messages import Heartbeat, MachineType
+
+log = logging.getLogger("ashdock.leader")
+
+RETRY_TICKS = 2  # ticks until a loop whose store, cloud or term failed is tried again
+RETRY_AFTER_FAULT_S = 1.0  # until a loop that ended with a fault of ours is begun again
+NOT_DECIDING_TICKS = 1 / 4  # ticks until it is asked again whether something new may be begun
+RESUME_INTENTS_LEASES = 2  # agent leases between two looks at the intents of earlier terms
+MAX_LIST_RATE = 1 / 8  # share of the cloud's rate limit that the requests for its list may take
+
+
+class LeaderContext(Protocol):
+    """What of its controller the leader uses, and no more."""
+
+    label: str
+    shared: Shared
+    operators: Operators
+    workers: Workers
+    tick_s: float
+    intent_count: int
+    write_limits: WriteLimits
+    catalog: dict[str, MachineType]
+    store: StoreClient
+    cloud: CloudClient
+    machines: WatchCache
+
+    def now(self) -> float:
+        """The time of day in seconds."""
+
+    def state_fresh(self) -> bool:
+        """Whether the watch caches are up to date."""
+
+    def fit_members(self) -> list[str]:
+        """The controllers that may own shards."""
+
+    def owner_label(self, team: str) -> str | None:
+        """The controller that owns a team's shard."""
+
+    def shard_statuses(self) -> dict[str, ShardStatus]:
+        """The last status of each shard that has been heard of."""
+
+    def leaving(self) -> list[tuple[str, str]]:
+        """Machines that are being reclaimed, each with the team that it is for."""
+
+    def to_owner(self, team: str, command: ShardCommand, term: int, /) -> None:
+        """Send a command to the owner of a team's shard, fenced by the term."""
+
+
+class Leader:
+    """One term of leadership over the machines.
+
+    Its writes have the leader's key in their condition, its commands and intents hold the term, and its calls to the cloud
+    rest on what is durable and on names that are never used twice (docs/duties.md).
+    """
+
+    def __init__(self, context: LeaderContext, election: Election) -> None:
+        """Begin the loops of the term that `election` has just entered."""
+        self.context = context
+        self.term = election.term
+        self.leadership = Leadership(election, self.term)
+        self.allocator = Allocator(context.shared, context.operators.renting, context.catalog)
+        self.heartbeats = UnassignedHeartbeats()
+        self.snapshot = MachineSnapshot(context.machines, self.heartbeats)
+        self.records = MachineRecords(
+            context.store, context.machines, self.leadership, context.write_limits
+        )
+        self.assignments = Assignments(
+            self.records, self.heartbeats, context.now, context.workers.report_s
+        )
+        self.inventory = self._new_inventory()
+        self.provisioner = self._new_provisioner()
+        self.stopped = False
+        self.background: set[asyncio.Task[None]] = set()
+        self.loops = [
+            asyncio.create_task(self._run_loop(step))
+            for step in (
+                self._resume_intents,
+                self._allocate,
+                self._scale_in_and_adopt,
+                self._reconcile_inventory,
+            )
+        ]
+
+    def _new_inventory(self) -> InventoryReconciler:
+        context = self.context
+        return InventoryReconciler(
+            cloud=context.cloud,
+            records=self.records,
+            assignments=self.assignments,
+            heartbeats=self.heartbeats,
+            leadership=self.leadership,
+            catalog=context.catalog,
+            scaling_out=lambda: self.provisioner.scaling_out,
+            now=context.now,
+            min_lag_s=context.shared.cloud.list_lag_s,
+            lease_s=context.workers.lease_s,
+            adopt_after_s=self.allocator.settle_s,
+        )
+
+    def _new_provisioner(self) -> Provisioner:
+        context = self.context
+        return Provisioner(
+            store=context.store,
+            cloud=context.cloud,
+            records=self.records,
+            leadership=self.leadership,
+            results=self.allocator,
+            naming=context,
+            catalog=context.catalog,
+            write_limits=context.write_limits,
+            state_fresh=context.state_fresh,
+            on_released=self.inventory.note_released,
+            spawn=self._spawn,
+            now=context.now,
+            lease_s=context.workers.lease_s,
+            tick_s=context.tick_s,
+        )
+
+    # -- life ----------------------------------------------------------------------------------
+
+    @property
+    def under_way(self) -> bool:
+        """Whether something has begun that the next leader would have to find out about."""
+        return self.provisioner.under_way or self.assignments.under_way
+
+    def stop(self) -> None:
+        """End all that this term does, at once."""
+        self.stopped = True
+        for task in [*self.loops, *self.background]:
+            task.cancel()
+
+    async def _run_loop(self, step: Callable[[], Awaitable[float]]) -> None:
+        """Repeat a step, each time after the pause in seconds that it returns."""
+        name = getattr(step, "__name__", repr(step))
+        while not self.stopped:
+            try:
+                pause = await step()
+                await asyncio.sleep(pause)
+            except (
+                StoreUnavailableError,
+                CloudError,
+                CompareFailedError,
+                NotLeaderError,
+            ) as error:
+                log.debug("leader's loop interrupted step=%s error=%r", name, error)
+                await asyncio.sleep(self.context.tick_s * RETRY_TICKS)
+            except Exception:  # a fault in one step must not end the loop for the rest of the term
+                log.exception("leader's loop failed step=%s", name)
+                await asyncio.sleep(RETRY_AFTER_FAULT_S)
+
+    def _spawn(self, job: Coroutine[Any, Any, None]) -> None:
+        """Run something beside the loops."""
+        task = asyncio.create_task(self._run_while_leader(job))
+        self.background.add(task)
+        task.add_done_callback(self.background.discard)
+
+    @staticmethod
+    async def _run_while_leader(job: Coroutine[Any, Any, None]) -> None:
+        try:
+            await job
+        except NotLeaderError:
+            log.debug("work left to the next leader")
+
+    def on_heartbeat(self, heartbeat: Heartbeat, recorded: bool) -> None:
+        """Note a heartbeat of a machine that is assigned to no shard; `recorded`: it has a record."""
+        self.inventory.on_heartbeat(heartbeat, recorded)
+
+    # -- the four loops ------------------------------------------------------------------------
+
+    async def _resume_intents(self) -> float:
+        await self.provisioner.resume_intents()
+        return RESUME_INTENTS_LEASES * self.context.workers.lease_s
+
+    async def _scale_in_and_adopt(self) -> float:
+        await self.provisioner.scale_in()
+        await self.inventory.adopt_unrecorded()
+        return max(self.context.tick_s, 1 / self.context.shared.cloud.rps)
+
+    async def _reconcile_inventory(self) -> float:
+        await self.inventory.reconcile()
+        cloud = self.context.shared.cloud
+        return max(cloud.list_lag_s, 1 / (MAX_LIST_RATE * cloud.rps))
+
+    async def _allocate(self) -> float:
+        """One round of the allocator."""
+        context = self.context
+        now = context.now()
+        if not context.state_fresh() or not context.machines.ready.is_set():
+            return context.tick_s
+        if not self.leadership.may_decide():
+            return context.tick_s * NOT_DECIDING_TICKS
+        shard_statuses = context.shard_statuses()
+        if self.leadership.term_age_s() < context.workers.lease_s:
+            self.allocator.note_reclaims(context.leaving(), now)
+        owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
+        machine_views = self.snapshot.machine_views()
+        decisions = self.allocator.decide(machine_views, shard_statuses, now)
+        moves = self.allocator.balance(owners, context.fit_members(), shard_statuses, now)
+        self._dispatch(decisions + moves)
+        return max(context.tick_s, pause_s(context.now() - now, CHOOSING))
+
+    # -- decisions -----------------------------------------------------------------------------
+
+    def _dispatch(self, decisions: list[Decision]) -> None:
+        """Begin what was decided; assignments of unassigned machines are written together."""
+        assignments: dict[str, str] = {}
+        for decision in decisions:
+            match decision:
+                case ScaleOut():
+                    self._spawn(self.provisioner.scale_out(decision))
+                case ScaleIn(machines):
+                    self._spawn(self.assignments.decommission(machines, "returned"))
+                case AssignMachine("", machine, to):
+                    assignments[machine] = to
+                case _:
+                    self._send_to_owner(decision)
+        if assignments:
+            self._assign(assignments)
+
+    def _send_to_owner(self, decision: AssignMachine | MoveShard | Reclaim | Rebalance) -> None:
+        """Send the owner of a shard what it is to do."""
+        command: ShardCommand
+        match decision:
+            case AssignMachine(shard, machine, to):
+                command = TransferMachine(shard, machine, to)
+            case MoveShard(shard, to):
+                log.info("shard is to be transferred shard=%s to=%s", shard, to)
+                command = TransferShard(shard, to)
+            case Reclaim(shard, to, machines):
+                log.info(
+                    "machines are reclaimed machines=%s from_team=%s to_team=%s",
+                    ",".join(machines),
+                    shard,
+                    to,
+                )
+                command = decision
+            case Rebalance():
+                log.info(
+                    "machines are rebalanced as they come free number=%d from_team=%s to_team=%s",
+                    decision.number,
+                    decision.shard,
+                    decision.to,
+                )
+                command = decision
+        self.context.to_owner(decision.shard, command, self.term)
+
+    def _assign(self, assignments: dict[str, str]) -> None:
+        """Write as many assignments as may be written now; the rest are decided again.
+
+        What is not written is neither assigned nor on its way: counted as that, a machine stood idle for half a lease.
+        """
+        limit = self.assignments.limit()
+        self.allocator.not_assigned(list(assignments)[limit:])
+        if limit:
+            self._spawn(self.assignments.assign(dict(list(assignments.items())[:limit])))
