--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -16,7 +16,7 @@
 from ashdock.cluster_version import ClusterVersion
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
-from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.shard_status import Rebalance, Reclaim, ShardStatus
 from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -13,7 +13,7 @@
 from ashdock.core.machine import capacity
 from ashdock.core.machine_index import MachineClass, MachineIndex, MachineView
 from ashdock.core.placement import InfeasibleCache, PendingCapacity
-from ashdock.core.status_reporter import Rebalance, Reclaim, ResourceRequest, ShardStatus
+from ashdock.core.shard_status import Rebalance, Reclaim, ResourceRequest, ShardStatus
 from ashdock.settings import Renting, Shared
 from ashdock.wire.messages import MachineType
 
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -14,7 +14,8 @@
 from ashdock.core.preemption_cost import preemption_cost
 from ashdock.core.quota import Usage, guaranteed
 from ashdock.core.scheduling_policy import SchedulingPolicy
-from ashdock.core.status_reporter import ResourceRequest, StatusReporter
+from ashdock.core.shard_status import ResourceRequest
+from ashdock.core.status_reporter import StatusReporter
 from ashdock.core.task import Phase, Placement
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Shared, Team, Workers
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -22,8 +22,9 @@
 from ashdock.core.quota import Usage
 from ashdock.core.scheduler import Scheduler
 from ashdock.core.scheduling_policy import SchedulingPolicy
+from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.shard_writer import ShardWriter
-from ashdock.core.status_reporter import ResourceRequest, StatusReporter
+from ashdock.core.status_reporter import StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
 from ashdock.core.write_limits import WriteLimits
 from ashdock.fairness.classes import Classes
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -12,6 +12,7 @@
 from ashdock.core.machine import Machine, MachinePhase, capacity
 from ashdock.core.preemption_cost import machine_preemption_cost
 from ashdock.core.quota import Usage, guaranteed
+from ashdock.core.shard_status import BusyMachine, Rebalance, Reclaim, ResourceRequest, ShardStatus
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Team, Workers
 from ashdock.wire.messages import JobSpec, MachineType
@@ -21,67 +22,6 @@
 BOOTS_BACK = 4  # how many boots' time of arrivals tells what is to be expected
 
 
-class ResourceRequest(NamedTuple):
-    """Room that a shard lacks, as its owner tells the leader."""
-
-    cpus: float
-    gpus: float
-    memory: float
-    types: tuple[str, ...]
-    zone: str
-    spot: bool
-    together: bool  # all in one zone
-    tasks: int
-    priority: int
-    guaranteed: bool
-    slack_s: float  # until it had better run
-    image: str = ""
-    whole: int = (
-        0  # gang in one zone of the owner's choosing: all its tasks, should another zone do better
-    )
-    idle: bool = False  # nothing was promised: no guarantee, no deadline, no aim
-
-
-class Reclaim(NamedTuple):
-    """Machines that a shard is to vacate for another team."""
-
-    shard: str
-    to: str
-    machines: list[str]
-
-
-class Rebalance(NamedTuple):
-    """Machines that a shard is to pass on as they come free, to a team whose like work has waited longer."""
-
-    shard: str
-    to: str
-    number: int
-    types: tuple[str, ...]
-    zone: str
-    spot: bool
-
-
-class BusyMachine(NamedTuple):
-    """A machine at work: what stopping it would cost."""
-
-    machine: str
-    priority: int  # the highest on it
-    preemption_cost_s: float  # work lost, in seconds of the whole machine
-
-
-class ShardStatus(NamedTuple):
-    """What the leader is told of a shard."""
-
-    team: str
-    seen: int  # the latest assignment of a machine that this picture takes in
-    resource_requests: list[ResourceRequest]
-    idle: list[tuple[str, float]]  # empty machines, and for how long
-    busy: list[BusyMachine]
-    machines: int
-    waiting: int
-    spare_beyond: int  # machines held beyond the guarantee
-
-
 class _Row(NamedTuple):
     """What is told of a machine, as of which version of what is placed there, and for how long."""
 
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -12,7 +12,7 @@
 from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
 from ashdock.core.machine import images_of, trimmed
 from ashdock.core.machine_index import MachineView
-from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.shard_status import Rebalance, Reclaim, ShardStatus
 from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.fencing import NotLeaderError
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ashdock.core.status_reporter import (
+from ashdock.core.shard_status import (
     BusyMachine,
     Rebalance,
     Reclaim,
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ashdock.core.status_reporter import (
+from ashdock.core.shard_status import (
     BusyMachine,
     Rebalance,
     Reclaim,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,7 +19,7 @@
 from ashdock.core.quota import Usage, can_ever, guaranteed
 from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard import Shard
-from ashdock.core.status_reporter import (
+from ashdock.core.shard_status import (
     BusyMachine,
     Rebalance,
     Reclaim,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,7 +11,7 @@
 
 from ashdock.cluster_version import CURRENT_FORMS
 from ashdock.core.allocator import ScaleOut
-from ashdock.core.status_reporter import Reclaim
+from ashdock.core.shard_status import Reclaim
 from ashdock.election.candidates import better_candidate, rank_candidates
 from ashdock.election.election import Election, ElectionState, KeyHolder
 from ashdock.election.fencing import NotLeaderError, TermFence
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ashdock import cli
-from ashdock.core.status_reporter import (
+from ashdock.core.shard_status import (
     BusyMachine,
     Rebalance,
     Reclaim,
