--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -10,7 +10,7 @@
 from ashdock.cluster_version import ClusterVersion
 from ashdock.net.mesh import Mesh
 from ashdock.settings import Workers
-from ashdock.wire.frames import CancelledJobs, WatermarkEcho
+from ashdock.wire.peer_messages import CancelledJobs, WatermarkEcho
 
 
 class FinishedJobs(Protocol):
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -42,7 +42,8 @@
 from ashdock.settings import Settings, Team, address
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from ashdock.timelines import StartupTimeline
-from ashdock.wire.frames import (
+from ashdock.wire.messages import MachineType
+from ashdock.wire.peer_messages import (
     CancelledJobs,
     FencedCommand,
     ForwardedHeartbeat,
@@ -58,7 +59,6 @@
     TransferShard,
     WatermarkEcho,
 )
-from ashdock.wire.messages import MachineType
 
 log = logging.getLogger("ashdock.controller")
 
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -30,8 +30,8 @@
 from ashdock.settings import Shared, Workers
 from ashdock.status_reader import KnownJob, StatusReader, StatusReaderBusyError, known_job_of
 from ashdock.wire import messages
-from ashdock.wire.frames import ForwardReply
 from ashdock.wire.messages import JobSpec, MalformedMessageError
+from ashdock.wire.peer_messages import ForwardReply
 
 log = logging.getLogger("ashdock.front")
 
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -8,7 +8,7 @@
 
 from ashdock.net.http import Answer
 from ashdock.net.mesh import Mesh
-from ashdock.wire.frames import ForwardedHeartbeat, ForwardReply
+from ashdock.wire.peer_messages import ForwardedHeartbeat, ForwardReply
 
 UNDER_WAY = 500  # things that may be under way here before a report passed on to us is dropped
 PATIENCE_S = 2.0  # half of what a worker waits
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -26,8 +26,8 @@
     WatchCache,
 )
 from ashdock.settings import Operators, Shared, Workers
-from ashdock.wire.frames import ShardCommand, TransferMachine, TransferShard
 from ashdock.wire.messages import Heartbeat, MachineType
+from ashdock.wire.peer_messages import ShardCommand, TransferMachine, TransferShard
 
 log = logging.getLogger("ashdock.leader")
 
--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -9,7 +9,8 @@
 
 from ashdock.fairness.load_shedder import HeartbeatLag
 from ashdock.wire import frames
-from ashdock.wire.frames import Frame, FrameError, Hello, PeerHeartbeat
+from ashdock.wire.frame_errors import FrameError
+from ashdock.wire.peer_messages import Frame, Hello, PeerHeartbeat
 
 log = logging.getLogger("ashdock.mesh")
 
--- a/ashdock/wire/__init__.py
+++ b/ashdock/wire/__init__.py
@@ -0,0 +1,1 @@
+"""The protocol: its messages, and the frames between controllers."""
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -1,14 +1,18 @@
-"""What passes between controllers: frames packed by hand with struct.
+"""The codec of the frames between controllers.
 
-A frame is a head (magic, version, kind, length) and a body. A frame that is cut short, too long, of
-another version or malformed raises BadFrame, and the link it came on is closed.
+A frame is a header (magic, version, kind, length of the body) and a body, in network byte order. One table,
+`CODECS`, says of each message its kind on the wire and how its body is packed and unpacked.
+
+In a body, a text is its length in bytes (2 bytes) and UTF-8; a list is its number of rows (4 bytes) and the
+rows. Frames are packed with struct and not as JSON because shard statuses are the bulk of the traffic.
 """
 
 from __future__ import annotations
 
 import struct
+from collections.abc import Callable, Iterable
 from enum import IntEnum
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from ashdock.core.shard_status import (
     BusyMachine,
@@ -17,417 +21,519 @@
     ResourceRequest,
     ShardStatus,
 )
+from ashdock.wire.frame_errors import (
+    FrameTooLongError,
+    FrameVersionError,
+    NotACommandError,
+    NotAFrameError,
+    RowCountError,
+    TextEncodingError,
+    TrailingBytesError,
+    TruncatedFrameError,
+    UnknownKindError,
+    UnknownMessageError,
+)
+from ashdock.wire.peer_messages import (
+    CancelledJobs,
+    FencedCommand,
+    ForwardedHeartbeat,
+    ForwardReply,
+    Frame,
+    Hello,
+    OwnershipClaims,
+    PeerHeartbeat,
+    PriorityInheritance,
+    ReclaimsInProgress,
+    ShardCommand,
+    TaskCounts,
+    TransferMachine,
+    TransferShard,
+    WatermarkEcho,
+)
 
 MAGIC = b"AD"
 VERSION = 3
-HEAD = struct.Struct("!2sBBI")
-MOST = 512 * 1024
+HEAD = struct.Struct("!2sBBI")  # magic, version, kind, length of the body
+MOST = 512 * 1024  # bytes of a body: bounds what a peer can make a controller hold in memory
 
 U16 = struct.Struct("!H")
 U32 = struct.Struct("!I")
 U64 = struct.Struct("!Q")
 F64 = struct.Struct("!d")
-WANT = struct.Struct(
-    "!dddIB??dBI?"
-)  # cpus gpus memory tasks priority spot together slack guaranteed whole idle
-OWED = struct.Struct("!I?")  # number, spot
-BUSY = struct.Struct("!Bd")  # priority, loss
-CANCELLED = struct.Struct("!Qd")  # revision, time of day
-VOUCH = struct.Struct("!QQ")
-AHEAD = struct.Struct("!bd")  # priority, when it had better be done
-BEAT = struct.Struct(
-    "!Qdd??dd"
-)  # incarnation, age of the state's last answer, of the last worker's; ready, leader; demand
-
 
-class FrameError(Exception):
-    pass
+# incarnation, state_age, worker_age, ready, leader, requests, writes
+PEER_HEARTBEAT = struct.Struct("!Qdd??dd")
+# seen, machines, waiting, spare_beyond
+SHARD_STATUS = struct.Struct("!QIII")
+# cpus, gpus, memory, tasks, priority, spot, together, slack_s, guaranteed, whole, idle, number of types
+RESOURCE_REQUEST = struct.Struct("!dddIB??dBI?H")
+# priority, preemption_cost_s
+BUSY_MACHINE = struct.Struct("!Bd")
+# number, status
+FORWARD_REPLY = struct.Struct("!IH")
+# done, running
+TASK_COUNT = struct.Struct("!II")
+# number, spot, number of types
+REBALANCE = struct.Struct("!I?H")
+# priority, time of day
+INHERITED_PRIORITY = struct.Struct("!bd")
+# revision, time of day
+CANCELLED_JOB = struct.Struct("!Qd")
+# number, back
+WATERMARK_ECHO = struct.Struct("!QQ")
 
 
 class FrameKind(IntEnum):
+    """The number of a message on the wire."""
+
     HELLO = 1
-    BEAT = 2
-    PICTURE = 3
-    YIELD = 4
-    RECALL = 5
-    RELAY = 6
-    RELAYED = 7
-    COUNTS = 8
-    GIVE = 9
-    OWED = 10
-    CLAIMS = 11
-    AHEAD = 12
-    TERMED = 13
-    LEAVING = 14
-    CANCELLED = 15
-    VOUCH = 16
+    PEER_HEARTBEAT = 2
+    SHARD_STATUS = 3
+    TRANSFER_MACHINE = 4
+    RECLAIM = 5
+    FORWARDED_HEARTBEAT = 6
+    FORWARD_REPLY = 7
+    TASK_COUNTS = 8
+    TRANSFER_SHARD = 9
+    REBALANCE = 10
+    OWNERSHIP_CLAIMS = 11
+    PRIORITY_INHERITANCE = 12
+    FENCED_COMMAND = 13
+    RECLAIMS_IN_PROGRESS = 14
+    CANCELLED_JOBS = 15
+    WATERMARK_ECHO = 16
+
+
+COMMAND_KINDS = frozenset(
+    {
+        FrameKind.TRANSFER_MACHINE,
+        FrameKind.RECLAIM,
+        FrameKind.TRANSFER_SHARD,
+        FrameKind.REBALANCE,
+    }
+)
 
 
-class Hello(NamedTuple):
-    label: str
+# -- fields --------------------------------------------------------------------------------------
 
 
-class PeerHeartbeat(NamedTuple):
-    incarnation: int
-    state_age: float
-    worker_age: float
-    ready: bool
-    leader: bool
-    requests: float = 0.0  # asked of the state service a second
-    writes: float = 0.0
+class _Reader:
+    """Reads a body from its start; raises a FrameError where it is malformed."""
 
+    def __init__(self, data: bytes) -> None:
+        self.data = data
+        self.at = 0
 
-class TransferMachine(NamedTuple):
-    shard: str
-    machine: str
-    to: str
+    def take(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """The next fields of that layout."""
+        if self.at + layout.size > len(self.data):
+            raise TruncatedFrameError(layout.size, len(self.data) - self.at)
+        fields = layout.unpack_from(self.data, self.at)
+        self.at += layout.size
+        return fields
 
+    def raw(self, size: int) -> bytes:
+        """The next bytes."""
+        if self.at + size > len(self.data):
+            raise TruncatedFrameError(size, len(self.data) - self.at)
+        found = self.data[self.at : self.at + size]
+        self.at += size
+        return found
 
-class ForwardedHeartbeat(NamedTuple):
-    number: int
-    body: bytes
+    def text(self) -> str:
+        raw = self.raw(self.take(U16)[0])
+        try:
+            return raw.decode("utf-8")
+        except UnicodeDecodeError:
+            raise TextEncodingError(raw) from None
 
+    def blob(self) -> bytes:
+        """Bytes behind their length (4 bytes)."""
+        return self.raw(self.take(U32)[0])
 
-class ForwardReply(NamedTuple):
-    number: int
-    status: int
-    body: bytes
+    def count(self) -> int:
+        """The number of a list's rows; a row takes a byte at least, so it cannot exceed what is left."""
+        count: int = self.take(U32)[0]
+        left = len(self.data) - self.at
+        if count > left:
+            raise RowCountError(count, left)
+        return count
 
+    def end(self) -> None:
+        """Nothing may be left."""
+        if self.at != len(self.data):
+            raise TrailingBytesError(len(self.data) - self.at)
 
-class TaskCounts(NamedTuple):
-    jobs: list[tuple[str, int, int]]  # id, done, running
 
+def _text(value: str) -> bytes:
+    raw = value.encode("utf-8")
+    return U16.pack(len(raw)) + raw
 
-class TransferShard(NamedTuple):
-    """The leader asks a shard's owner to hand the shard to another controller."""
 
-    shard: str
-    to: str
+def _blob(value: bytes) -> bytes:
+    return U32.pack(len(value)) + value
 
 
-class PriorityInheritance(NamedTuple):
-    """What a shard's jobs make of the jobs of other shards that they need: whose, and what priority and time are carried back.
-    Versions before do not know it: it is sent only once every controller is of the new version."""
+def _texts(values: Iterable[str]) -> bytes:
+    return b"".join(map(_text, values))
 
-    shard: str
-    jobs: list[tuple[str, int, float]]
 
+# -- messages, in the order of their kinds -------------------------------------------------------
 
-class OwnershipClaims(NamedTuple):
-    """The shards that the sender owns, with the revisions of its claims."""
 
-    shards: list[tuple[str, int]]
+def _pack_hello(message: Hello) -> bytes:
+    return _text(message.label)
 
 
-ShardCommand = (
-    TransferMachine | Reclaim | TransferShard | Rebalance
-)  # what a holder of the machines' duty asks of a shard's owner
+def _unpack_hello(reader: _Reader) -> Hello:
+    return Hello(reader.text())
 
 
-class FencedCommand(NamedTuple):
-    """A word and the term under which it was given. Versions before do not know it: it is sent only once every controller does."""
+def _pack_peer_heartbeat(message: PeerHeartbeat) -> bytes:
+    return PEER_HEARTBEAT.pack(*message)
 
-    term: int
-    word: ShardCommand
 
+def _unpack_peer_heartbeat(reader: _Reader) -> PeerHeartbeat:
+    return PeerHeartbeat(*reader.take(PEER_HEARTBEAT))
 
-class ReclaimsInProgress(NamedTuple):
-    """The machines that a shard is vacating, and for whom ("" is the pool): a new holder has not asked for them itself. Sent as `FencedCommand` is."""
 
-    shard: str
-    machines: list[tuple[str, str]]
+def _pack_shard_status(status: ShardStatus) -> bytes:
+    fields = SHARD_STATUS.pack(status.seen, status.machines, status.waiting, status.spare_beyond)
+    out = [_text(status.team), fields, U32.pack(len(status.resource_requests))]
+    out += map(_pack_resource_request, status.resource_requests)
+    out.append(U32.pack(len(status.idle)))
+    for machine, idle_s in status.idle:
+        out += [_text(machine), F64.pack(idle_s)]
+    out.append(U32.pack(len(status.busy)))
+    for busy in status.busy:
+        out += [_text(busy.machine), BUSY_MACHINE.pack(busy.priority, busy.preemption_cost_s)]
+    return b"".join(out)
 
 
-class CancelledJobs(NamedTuple):
-    """Jobs of which the sender knows, durably, that they are cancelled: job, team, revision of the record, time of day when it was cancelled.
-    Versions before do not know it: it is sent only once every controller does."""
+def _unpack_shard_status(reader: _Reader) -> ShardStatus:
+    team = reader.text()
+    seen, machines, waiting, spare_beyond = reader.take(SHARD_STATUS)
+    requests = [_unpack_resource_request(reader) for _ in range(reader.count())]
+    idle = [(reader.text(), float(reader.take(F64)[0])) for _ in range(reader.count())]
+    busy = [BusyMachine(reader.text(), *reader.take(BUSY_MACHINE)) for _ in range(reader.count())]
+    return ShardStatus(team, seen, requests, idle, busy, machines, waiting, spare_beyond)
 
-    jobs: list[tuple[str, str, int, float]]
 
+def _pack_resource_request(request: ResourceRequest) -> bytes:
+    fields = RESOURCE_REQUEST.pack(
+        request.cpus,
+        request.gpus,
+        request.memory,
+        request.tasks,
+        request.priority,
+        request.spot,
+        request.together,
+        request.slack_s,
+        request.guaranteed,
+        request.whole,
+        request.idle,
+        len(request.types),
+    )
+    return fields + _texts(request.types) + _text(request.zone) + _text(request.image)
 
-class WatermarkEcho(NamedTuple):
-    """`number` is to be sent back; `back` is the last number that the sender had of the receiver. All cancellations that it had learnt of
-    before, since this link began, went out on it before. Sent as `CancelledJobs` is."""
 
-    number: int
-    back: int
+def _unpack_resource_request(reader: _Reader) -> ResourceRequest:
+    (
+        cpus,
+        gpus,
+        memory,
+        tasks,
+        priority,
+        spot,
+        together,
+        slack_s,
+        guaranteed,
+        whole,
+        idle,
+        type_count,
+    ) = reader.take(RESOURCE_REQUEST)
+    types = tuple(reader.text() for _ in range(type_count))
+    zone = reader.text()
+    image = reader.text()
+    return ResourceRequest(
+        cpus,
+        gpus,
+        memory,
+        types,
+        zone,
+        spot,
+        together,
+        tasks,
+        priority,
+        bool(guaranteed),
+        slack_s,
+        image,
+        whole,
+        idle,
+    )
 
 
-Frame = (
-    Hello
-    | PeerHeartbeat
-    | ShardStatus
-    | TransferMachine
-    | Reclaim
-    | ForwardedHeartbeat
-    | ForwardReply
-    | TaskCounts
-    | TransferShard
-    | Rebalance
-    | OwnershipClaims
-    | PriorityInheritance
-    | FencedCommand
-    | ReclaimsInProgress
-    | CancelledJobs
-    | WatermarkEcho
-)
-WORDS = (FrameKind.YIELD, FrameKind.RECALL, FrameKind.GIVE, FrameKind.OWED)
+def _pack_transfer_machine(message: TransferMachine) -> bytes:
+    return _text(message.shard) + _text(message.machine) + _text(message.to)
 
 
-def _text(value: str) -> bytes:
-    raw = value.encode("utf-8")
-    return U16.pack(len(raw)) + raw
+def _unpack_transfer_machine(reader: _Reader) -> TransferMachine:
+    return TransferMachine(reader.text(), reader.text(), reader.text())
 
 
-def _blob(value: bytes) -> bytes:
-    return U32.pack(len(value)) + value
+def _pack_reclaim(message: Reclaim) -> bytes:
+    count = U32.pack(len(message.machines))
+    return _text(message.shard) + _text(message.to) + count + _texts(message.machines)
 
 
-class _Reader:
-    def __init__(self, data: bytes) -> None:
-        self.data = data
-        self.at = 0
+def _unpack_reclaim(reader: _Reader) -> Reclaim:
+    return Reclaim(reader.text(), reader.text(), [reader.text() for _ in range(reader.count())])
 
-    def take(self, kind: struct.Struct) -> tuple:  # type: ignore[type-arg]
-        if self.at + kind.size > len(self.data):
-            raise FrameError("cut short")
-        out = kind.unpack_from(self.data, self.at)
-        self.at += kind.size
-        return out
 
-    def raw(self, size: int) -> bytes:
-        if self.at + size > len(self.data):
-            raise FrameError("cut short")
-        out = self.data[self.at : self.at + size]
-        self.at += size
-        return out
+def _pack_forwarded_heartbeat(message: ForwardedHeartbeat) -> bytes:
+    return U32.pack(message.number) + _blob(message.body)
 
-    def text(self) -> str:
-        raw = self.raw(self.take(U16)[0])
-        try:
-            return raw.decode("utf-8")
-        except UnicodeDecodeError:
-            raise FrameError("not UTF-8") from None
 
-    def blob(self) -> bytes:
-        return self.raw(self.take(U32)[0])
+def _unpack_forwarded_heartbeat(reader: _Reader) -> ForwardedHeartbeat:
+    return ForwardedHeartbeat(reader.take(U32)[0], reader.blob())
 
-    def many(self) -> int:
-        """A count; each item takes a byte at least, so it cannot exceed what is left."""
-        count: int = self.take(U32)[0]
-        if count > len(self.data) - self.at:
-            raise FrameError("count beyond the frame")
-        return count
 
-    def end(self) -> None:
-        if self.at != len(self.data):
-            raise FrameError("bytes left over")
+def _pack_forward_reply(message: ForwardReply) -> bytes:
+    return FORWARD_REPLY.pack(message.number, message.status) + _blob(message.body)
 
 
-def pack(frame: Frame) -> bytes:
-    kind, body = _body(frame)
-    if len(body) > MOST:
-        raise FrameError("too long")
-    return HEAD.pack(MAGIC, VERSION, kind, len(body)) + body
-
-
-def _body(frame: Frame) -> tuple[FrameKind, bytes]:
-    match frame:
-        case Hello(label):
-            return FrameKind.HELLO, _text(label)
-        case PeerHeartbeat():
-            return FrameKind.BEAT, BEAT.pack(*frame)
-        case ShardStatus():
-            return FrameKind.PICTURE, _pack_shard_status(frame)
-        case TransferMachine(shard, machine, to):
-            return FrameKind.YIELD, _text(shard) + _text(machine) + _text(to)
-        case Reclaim():
-            names = b"".join(map(_text, frame.machines))
-            return FrameKind.RECALL, _text(frame.shard) + _text(frame.to) + U32.pack(
-                len(frame.machines)
-            ) + names
-        case ForwardedHeartbeat(number, body):
-            return FrameKind.RELAY, U32.pack(number) + _blob(body)
-        case ForwardReply(number, status, body):
-            return FrameKind.RELAYED, U32.pack(number) + U16.pack(status) + _blob(body)
-        case TaskCounts(jobs):
-            rows = b"".join(
-                _text(job) + U32.pack(done) + U32.pack(running) for job, done, running in jobs
-            )
-            return FrameKind.COUNTS, U32.pack(len(jobs)) + rows
-        case TransferShard(shard, to):
-            return FrameKind.GIVE, _text(shard) + _text(to)
-        case Rebalance(shard, to, number, types, zone, spot):
-            names = U16.pack(len(types)) + b"".join(map(_text, types))
-            return FrameKind.OWED, _text(shard) + _text(to) + OWED.pack(
-                number, spot
-            ) + names + _text(zone)
-        case OwnershipClaims(shards):
-            return FrameKind.CLAIMS, U32.pack(len(shards)) + b"".join(
-                _text(shard) + U64.pack(revision) for shard, revision in shards
-            )
-        case PriorityInheritance(shard, jobs):
-            rows = b"".join(
-                _text(job) + AHEAD.pack(priority, finish_by) for job, priority, finish_by in jobs
-            )
-            return FrameKind.AHEAD, _text(shard) + U32.pack(len(jobs)) + rows
-        case CancelledJobs(jobs):
-            rows = b"".join(
-                _text(job) + _text(team) + CANCELLED.pack(revision, at)
-                for job, team, revision, at in jobs
-            )
-            return FrameKind.CANCELLED, U32.pack(len(jobs)) + rows
-        case WatermarkEcho(number, back):
-            return FrameKind.VOUCH, VOUCH.pack(number, back)
-        case ReclaimsInProgress(shard, rows):
-            names = b"".join(_text(machine) + _text(to) for machine, to in rows)
-            return FrameKind.LEAVING, _text(shard) + U32.pack(len(rows)) + names
-        case FencedCommand(term, word):
-            kind, body = _body(word)
-            return FrameKind.TERMED, U64.pack(term) + bytes([kind]) + body
-    raise FrameError(f"no such frame: {frame!r}")
-
-
-def _pack_shard_status(shard_status: ShardStatus) -> bytes:
-    out = [
-        _text(shard_status.team),
-        U64.pack(shard_status.seen),
-        U32.pack(shard_status.machines),
-        U32.pack(shard_status.waiting),
+def _unpack_forward_reply(reader: _Reader) -> ForwardReply:
+    number, status = reader.take(FORWARD_REPLY)
+    return ForwardReply(number, status, reader.blob())
+
+
+def _pack_task_counts(message: TaskCounts) -> bytes:
+    rows = [_text(job) + TASK_COUNT.pack(done, running) for job, done, running in message.jobs]
+    return U32.pack(len(rows)) + b"".join(rows)
+
+
+def _unpack_task_counts(reader: _Reader) -> TaskCounts:
+    return TaskCounts([(reader.text(), *reader.take(TASK_COUNT)) for _ in range(reader.count())])
+
+
+def _pack_transfer_shard(message: TransferShard) -> bytes:
+    return _text(message.shard) + _text(message.to)
+
+
+def _unpack_transfer_shard(reader: _Reader) -> TransferShard:
+    return TransferShard(reader.text(), reader.text())
+
+
+def _pack_rebalance(message: Rebalance) -> bytes:
+    fields = REBALANCE.pack(message.number, message.spot, len(message.types))
+    names = _text(message.shard) + _text(message.to)
+    return names + fields + _texts(message.types) + _text(message.zone)
+
+
+def _unpack_rebalance(reader: _Reader) -> Rebalance:
+    shard = reader.text()
+    to = reader.text()
+    number, spot, type_count = reader.take(REBALANCE)
+    types = tuple(reader.text() for _ in range(type_count))
+    return Rebalance(shard, to, number, types, reader.text(), spot)
+
+
+def _pack_ownership_claims(message: OwnershipClaims) -> bytes:
+    rows = [_text(shard) + U64.pack(revision) for shard, revision in message.shards]
+    return U32.pack(len(rows)) + b"".join(rows)
+
+
+def _unpack_ownership_claims(reader: _Reader) -> OwnershipClaims:
+    return OwnershipClaims([(reader.text(), reader.take(U64)[0]) for _ in range(reader.count())])
+
+
+def _pack_priority_inheritance(message: PriorityInheritance) -> bytes:
+    rows = [
+        _text(job) + INHERITED_PRIORITY.pack(priority, finish_by)
+        for job, priority, finish_by in message.jobs
     ]
-    out += [U32.pack(shard_status.spare_beyond), U32.pack(len(shard_status.resource_requests))]
-    for request in shard_status.resource_requests:
-        out.append(
-            WANT.pack(
-                request.cpus,
-                request.gpus,
-                request.memory,
-                request.tasks,
-                request.priority,
-                request.spot,
-                request.together,
-                request.slack_s,
-                request.guaranteed,
-                request.whole,
-                request.idle,
-            )
-        )
-        out += [
-            U16.pack(len(request.types)),
-            *map(_text, request.types),
-            _text(request.zone),
-            _text(request.image),
-        ]
-    out.append(U32.pack(len(shard_status.idle)))
-    for name, idle_s in shard_status.idle:
-        out += [_text(name), F64.pack(idle_s)]
-    out.append(U32.pack(len(shard_status.busy)))
-    for busy in shard_status.busy:
-        out += [_text(busy.machine), BUSY.pack(busy.priority, busy.preemption_cost_s)]
-    return b"".join(out)
+    return _text(message.shard) + U32.pack(len(rows)) + b"".join(rows)
 
 
-def _unpack_shard_status(reader: _Reader) -> ShardStatus:
-    team = reader.text()
-    seen = reader.take(U64)[0]
-    machines, waiting, beyond = (reader.take(U32)[0] for _ in range(3))
-    resource_requests = []
-    for _ in range(reader.many()):
-        cpus, gpus, memory, tasks, priority, spot, together, slack, promised, whole, idle = (
-            reader.take(WANT)
-        )
-        types = tuple(reader.text() for _ in range(reader.take(U16)[0]))
-        zone, image = reader.text(), reader.text()
-        resource_requests.append(
-            ResourceRequest(
-                cpus,
-                gpus,
-                memory,
-                types,
-                zone,
-                spot,
-                together,
-                tasks,
-                priority,
-                bool(promised),
-                slack,
-                image,
-                whole,
-                idle,
-            )
-        )
-    empty = [(reader.text(), float(reader.take(F64)[0])) for _ in range(reader.many())]
-    busy = [BusyMachine(reader.text(), *reader.take(BUSY)) for _ in range(reader.many())]
-    return ShardStatus(team, seen, resource_requests, empty, busy, machines, waiting, beyond)
+def _unpack_priority_inheritance(reader: _Reader) -> PriorityInheritance:
+    shard = reader.text()
+    jobs = [(reader.text(), *reader.take(INHERITED_PRIORITY)) for _ in range(reader.count())]
+    return PriorityInheritance(shard, jobs)
+
+
+def _pack_fenced_command(message: FencedCommand) -> bytes:
+    codec = CODEC_OF_MESSAGE.get(type(message.command))
+    if codec is None:
+        raise UnknownMessageError(message.command)
+    return U64.pack(message.term) + bytes([codec.kind]) + codec.pack(message.command)
+
+
+def _unpack_fenced_command(reader: _Reader) -> FencedCommand:
+    term = reader.take(U64)[0]
+    kind = reader.raw(1)[0]
+    if kind not in COMMAND_KINDS:
+        raise NotACommandError(kind)
+    command = unpack(kind, reader.raw(len(reader.data) - reader.at))
+    if not isinstance(command, ShardCommand):
+        raise NotACommandError(kind)
+    return FencedCommand(term, command)
+
+
+def _pack_reclaims_in_progress(message: ReclaimsInProgress) -> bytes:
+    rows = [_text(machine) + _text(to) for machine, to in message.machines]
+    return _text(message.shard) + U32.pack(len(rows)) + b"".join(rows)
+
+
+def _unpack_reclaims_in_progress(reader: _Reader) -> ReclaimsInProgress:
+    shard = reader.text()
+    return ReclaimsInProgress(
+        shard, [(reader.text(), reader.text()) for _ in range(reader.count())]
+    )
+
+
+def _pack_cancelled_jobs(message: CancelledJobs) -> bytes:
+    rows = [
+        _text(job) + _text(team) + CANCELLED_JOB.pack(revision, cancelled_at)
+        for job, team, revision, cancelled_at in message.jobs
+    ]
+    return U32.pack(len(rows)) + b"".join(rows)
+
+
+def _unpack_cancelled_jobs(reader: _Reader) -> CancelledJobs:
+    return CancelledJobs(
+        [(reader.text(), reader.text(), *reader.take(CANCELLED_JOB)) for _ in range(reader.count())]
+    )
+
+
+def _pack_watermark_echo(message: WatermarkEcho) -> bytes:
+    return WATERMARK_ECHO.pack(*message)
+
+
+def _unpack_watermark_echo(reader: _Reader) -> WatermarkEcho:
+    return WatermarkEcho(*reader.take(WATERMARK_ECHO))
+
+
+# -- the table -----------------------------------------------------------------------------------
+
+
+class FrameCodec(NamedTuple):
+    """How one message travels.
+
+    Attributes:
+        kind: Its number on the wire.
+        message: Its type.
+        pack: Its body from the message.
+        unpack: The message from its body.
+    """
+
+    kind: FrameKind
+    message: type[Any]
+    pack: Callable[[Any], bytes]
+    unpack: Callable[[_Reader], Frame]
+
+
+CODECS = (
+    FrameCodec(FrameKind.HELLO, Hello, _pack_hello, _unpack_hello),
+    FrameCodec(
+        FrameKind.PEER_HEARTBEAT, PeerHeartbeat, _pack_peer_heartbeat, _unpack_peer_heartbeat
+    ),
+    FrameCodec(FrameKind.SHARD_STATUS, ShardStatus, _pack_shard_status, _unpack_shard_status),
+    FrameCodec(
+        FrameKind.TRANSFER_MACHINE,
+        TransferMachine,
+        _pack_transfer_machine,
+        _unpack_transfer_machine,
+    ),
+    FrameCodec(FrameKind.RECLAIM, Reclaim, _pack_reclaim, _unpack_reclaim),
+    FrameCodec(
+        FrameKind.FORWARDED_HEARTBEAT,
+        ForwardedHeartbeat,
+        _pack_forwarded_heartbeat,
+        _unpack_forwarded_heartbeat,
+    ),
+    FrameCodec(FrameKind.FORWARD_REPLY, ForwardReply, _pack_forward_reply, _unpack_forward_reply),
+    FrameCodec(FrameKind.TASK_COUNTS, TaskCounts, _pack_task_counts, _unpack_task_counts),
+    FrameCodec(
+        FrameKind.TRANSFER_SHARD, TransferShard, _pack_transfer_shard, _unpack_transfer_shard
+    ),
+    FrameCodec(FrameKind.REBALANCE, Rebalance, _pack_rebalance, _unpack_rebalance),
+    FrameCodec(
+        FrameKind.OWNERSHIP_CLAIMS,
+        OwnershipClaims,
+        _pack_ownership_claims,
+        _unpack_ownership_claims,
+    ),
+    FrameCodec(
+        FrameKind.PRIORITY_INHERITANCE,
+        PriorityInheritance,
+        _pack_priority_inheritance,
+        _unpack_priority_inheritance,
+    ),
+    FrameCodec(
+        FrameKind.FENCED_COMMAND, FencedCommand, _pack_fenced_command, _unpack_fenced_command
+    ),
+    FrameCodec(
+        FrameKind.RECLAIMS_IN_PROGRESS,
+        ReclaimsInProgress,
+        _pack_reclaims_in_progress,
+        _unpack_reclaims_in_progress,
+    ),
+    FrameCodec(
+        FrameKind.CANCELLED_JOBS, CancelledJobs, _pack_cancelled_jobs, _unpack_cancelled_jobs
+    ),
+    FrameCodec(
+        FrameKind.WATERMARK_ECHO, WatermarkEcho, _pack_watermark_echo, _unpack_watermark_echo
+    ),
+)
+CODEC_OF_MESSAGE: dict[type[Any], FrameCodec] = {codec.message: codec for codec in CODECS}
+CODEC_OF_KIND: dict[int, FrameCodec] = {codec.kind: codec for codec in CODECS}
+
+
+# -- frames --------------------------------------------------------------------------------------
+
+
+def pack(message: Frame) -> bytes:
+    """The frame of a message.
+
+    Raises:
+        UnknownMessageError: it is no message between controllers.
+        FrameTooLongError: its body would be longer than a frame's may be.
+    """
+    codec = CODEC_OF_MESSAGE.get(type(message))
+    if codec is None:
+        raise UnknownMessageError(message)
+    body = codec.pack(message)
+    if len(body) > MOST:
+        raise FrameTooLongError(len(body), MOST)
+    return HEAD.pack(MAGIC, VERSION, codec.kind, len(body)) + body
 
 
 def head(data: bytes) -> tuple[int, int]:
-    """Kind and length from a frame's head."""
+    """Kind, and length of the body in bytes, from a frame's header.
+
+    Raises:
+        FrameError: it is not a header of this version, or the body is too long.
+    """
     magic, version, kind, length = HEAD.unpack(data)
     if magic != MAGIC:
-        raise FrameError("not a frame of ours")
+        raise NotAFrameError(magic, MAGIC)
     if version != VERSION:
-        raise FrameError(f"version {version}, expected {VERSION}")
+        raise FrameVersionError(version, VERSION)
     if length > MOST:
-        raise FrameError("too long")
+        raise FrameTooLongError(length, MOST)
     return kind, length
 
 
 def unpack(kind: int, body: bytes) -> Frame:
+    """The message of a frame's body.
+
+    Raises:
+        FrameError: no message has that kind, or the body is malformed.
+    """
+    codec = CODEC_OF_KIND.get(kind)
+    if codec is None:
+        raise UnknownKindError(kind)
     reader = _Reader(body)
-    frame: Frame
-    if kind == FrameKind.HELLO:
-        frame = Hello(reader.text())
-    elif kind == FrameKind.BEAT:
-        frame = PeerHeartbeat(*reader.take(BEAT))
-    elif kind == FrameKind.PICTURE:
-        frame = _unpack_shard_status(reader)
-    elif kind == FrameKind.YIELD:
-        frame = TransferMachine(reader.text(), reader.text(), reader.text())
-    elif kind == FrameKind.RECALL:
-        frame = Reclaim(reader.text(), reader.text(), [reader.text() for _ in range(reader.many())])
-    elif kind == FrameKind.RELAY:
-        frame = ForwardedHeartbeat(reader.take(U32)[0], reader.blob())
-    elif kind == FrameKind.RELAYED:
-        frame = ForwardReply(reader.take(U32)[0], reader.take(U16)[0], reader.blob())
-    elif kind == FrameKind.COUNTS:
-        rows = [
-            (reader.text(), reader.take(U32)[0], reader.take(U32)[0]) for _ in range(reader.many())
-        ]
-        frame = TaskCounts(rows)
-    elif kind == FrameKind.GIVE:
-        frame = TransferShard(reader.text(), reader.text())
-    elif kind == FrameKind.OWED:
-        shard, to = reader.text(), reader.text()
-        number, spot = reader.take(OWED)
-        types = tuple(reader.text() for _ in range(reader.take(U16)[0]))
-        frame = Rebalance(shard, to, number, types, reader.text(), spot)
-    elif kind == FrameKind.CLAIMS:
-        frame = OwnershipClaims(
-            [(reader.text(), reader.take(U64)[0]) for _ in range(reader.many())]
-        )
-    elif kind == FrameKind.AHEAD:
-        shard = reader.text()
-        frame = PriorityInheritance(
-            shard, [(reader.text(), *reader.take(AHEAD)) for _ in range(reader.many())]
-        )
-    elif kind == FrameKind.LEAVING:
-        frame = ReclaimsInProgress(
-            reader.text(), [(reader.text(), reader.text()) for _ in range(reader.many())]
-        )
-    elif kind == FrameKind.CANCELLED:
-        frame = CancelledJobs(
-            [(reader.text(), reader.text(), *reader.take(CANCELLED)) for _ in range(reader.many())]
-        )
-    elif kind == FrameKind.VOUCH:
-        frame = WatermarkEcho(*reader.take(VOUCH))
-    elif kind == FrameKind.TERMED:
-        term, inner = reader.take(U64)[0], reader.raw(1)[0]
-        word = unpack(inner, reader.raw(len(body) - reader.at)) if inner in WORDS else None
-        if not isinstance(word, ShardCommand):
-            raise FrameError(f"kind {inner} under a term")
-        frame = FencedCommand(term, word)
-    else:
-        raise FrameError(f"kind {kind}")
+    message = codec.unpack(reader)
     reader.end()
-    return frame
+    return message
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -7,7 +7,7 @@
 
 from ashdock.front import Front
 from ashdock.net.http import Request
-from ashdock.wire import frames, messages
+from ashdock.wire import messages, peer_messages
 from tests.forms.adapter.bodies import orders_from
 from tests.forms.adapter.exchanges import Store, bounded
 from tests.forms.adapter.records import (
@@ -36,9 +36,9 @@
 
         owners = {"red": SimpleNamespace(report=report)}
 
-    async def relay(label: str, body: bytes) -> frames.ForwardReply | None:
+    async def relay(label: str, body: bytes) -> peer_messages.ForwardReply | None:
         answer = values.get("relayed")
-        return frames.ForwardReply(1, answer[0], to_bytes(answer[1])) if answer else None
+        return peer_messages.ForwardReply(1, answer[0], to_bytes(answer[1])) if answer else None
 
     admission = SimpleNamespace(
         memory=SimpleNamespace(jobs=10),
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -12,7 +12,7 @@
     ResourceRequest,
     ShardStatus,
 )
-from ashdock.wire import frames
+from ashdock.wire import frames, peer_messages
 from tests.forms.adapter.values import (
     Plain,
     attempt,
@@ -64,16 +64,16 @@
     return [BusyMachine(*row) for row in values]
 
 
-def word(values: list[Plain]) -> Any:
+def command(values: list[Plain]) -> Any:
     """What stands under a term: a kind and its fields."""
     return frame_from_values({"kind": values[0], "fields": values[1]})
 
 
 # Kind on the wire: the type, and each field in wire order with what restores it from values.
 FRAMES: dict[int, tuple[type[Any], tuple[tuple[str, Callable[[Any], Any]], ...]]] = {
-    1: (frames.Hello, (("label", same),)),
+    1: (peer_messages.Hello, (("label", same),)),
     2: (
-        frames.PeerHeartbeat,
+        peer_messages.PeerHeartbeat,
         (
             ("incarnation", same),
             ("state_age", same),
@@ -97,12 +97,12 @@
             ("busy", busy_machines),
         ),
     ),
-    4: (frames.TransferMachine, (("shard", same), ("machine", same), ("to", same))),
+    4: (peer_messages.TransferMachine, (("shard", same), ("machine", same), ("to", same))),
     5: (Reclaim, (("shard", same), ("to", same), ("machines", list))),
-    6: (frames.ForwardedHeartbeat, (("number", same), ("body", bytes.fromhex))),
-    7: (frames.ForwardReply, (("number", same), ("status", same), ("body", bytes.fromhex))),
-    8: (frames.TaskCounts, (("jobs", rows),)),
-    9: (frames.TransferShard, (("shard", same), ("to", same))),
+    6: (peer_messages.ForwardedHeartbeat, (("number", same), ("body", bytes.fromhex))),
+    7: (peer_messages.ForwardReply, (("number", same), ("status", same), ("body", bytes.fromhex))),
+    8: (peer_messages.TaskCounts, (("jobs", rows),)),
+    9: (peer_messages.TransferShard, (("shard", same), ("to", same))),
     10: (
         Rebalance,
         (
@@ -114,12 +114,12 @@
             ("zone", same),
         ),
     ),
-    11: (frames.OwnershipClaims, (("shards", rows),)),
-    12: (frames.PriorityInheritance, (("shard", same), ("jobs", rows))),
-    13: (frames.FencedCommand, (("term", same), ("word", word))),
-    14: (frames.ReclaimsInProgress, (("shard", same), ("machines", rows))),
-    15: (frames.CancelledJobs, (("jobs", rows),)),
-    16: (frames.WatermarkEcho, (("number", same), ("back", same))),
+    11: (peer_messages.OwnershipClaims, (("shards", rows),)),
+    12: (peer_messages.PriorityInheritance, (("shard", same), ("jobs", rows))),
+    13: (peer_messages.FencedCommand, (("term", same), ("command", command))),
+    14: (peer_messages.ReclaimsInProgress, (("shard", same), ("machines", rows))),
+    15: (peer_messages.CancelledJobs, (("jobs", rows),)),
+    16: (peer_messages.WatermarkEcho, (("number", same), ("back", same))),
 }
 FRAME_HEAD_BYTES = frames.HEAD.size
 FRAME_BODY_LIMIT = frames.MOST
@@ -189,7 +189,7 @@
 
 def write_large_frame(size: int) -> Plain:
     """The head of a relayed report of so many bytes, or the error."""
-    return frames.pack(frames.ForwardedHeartbeat(1, b"x" * size))[:FRAME_HEAD_BYTES].hex()
+    return frames.pack(peer_messages.ForwardedHeartbeat(1, b"x" * size))[:FRAME_HEAD_BYTES].hex()
 
 
 def write_no_frame(value: Plain) -> Plain:
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -21,7 +21,7 @@
     SettingsError,
 )
 from ashdock.wire import messages
-from ashdock.wire.frames import FrameError
+from ashdock.wire.frame_errors import FrameError
 
 Plain = Any  # JSON values: None, bool, int, float, str, list, dict with str keys
 
@@ -45,8 +45,9 @@
     """The neutral type of an error, its text, and what it tells besides. Others are raised again."""
     if isinstance(error, (IndexError, TypeError)):
         return {"type": type(error).__name__}  # their texts name functions of ours
-    if type(error) in ERRORS:
-        kind = ERRORS[type(error)]
+    named = FrameError if isinstance(error, FrameError) else type(error)
+    if named in ERRORS:
+        kind = ERRORS[named]
     elif isinstance(error, (msgspec.DecodeError, KeyError, ValueError)):
         kind = type(error).__name__  # of a library: it keeps its name
     else:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -17,7 +17,14 @@
 from ashdock.election.fencing import NotLeaderError, TermFence
 from ashdock.settings import SettingsError, load
 from ashdock.wire import frames
-from ashdock.wire.frames import FencedCommand, FrameError, FrameKind, TransferMachine, TransferShard
+from ashdock.wire.frame_errors import FrameError
+from ashdock.wire.frames import FrameKind
+from ashdock.wire.peer_messages import (
+    FencedCommand,
+    ReclaimsInProgress,
+    TransferMachine,
+    TransferShard,
+)
 from tests.seats import FENCES, Model, search, walks
 from tests.simtime import spawn
 from tests.test_whole import play
@@ -144,17 +151,20 @@
         assert length == len(packed) - frames.HEAD.size and frames.unpack(
             kind, packed[frames.HEAD.size :]
         ) == FencedCommand(1 << 40, word)
-    leaving = frames.ReclaimsInProgress("red", [("vm-1", "blue"), ("vm-2", "")])
-    assert frames.unpack(FrameKind.LEAVING, frames.pack(leaving)[frames.HEAD.size :]) == leaving
+    leaving = ReclaimsInProgress("red", [("vm-1", "blue"), ("vm-2", "")])
+    assert (
+        frames.unpack(FrameKind.RECLAIMS_IN_PROGRESS, frames.pack(leaving)[frames.HEAD.size :])
+        == leaving
+    )
     for inner in (
         b"",
         b"\x00",
-        bytes([FrameKind.TERMED]),
-        bytes([FrameKind.BEAT]) + bytes(60),
-        bytes([FrameKind.GIVE]) + b"\x00\x09",
+        bytes([FrameKind.FENCED_COMMAND]),
+        bytes([FrameKind.PEER_HEARTBEAT]) + bytes(60),
+        bytes([FrameKind.TRANSFER_SHARD]) + b"\x00\x09",
     ):
         with pytest.raises(FrameError):
-            frames.unpack(FrameKind.TERMED, frames.U64.pack(7) + inner)
+            frames.unpack(FrameKind.FENCED_COMMAND, frames.U64.pack(7) + inner)
     terms = TermFence()
     assert [terms.admit(term) for term in (5, 5, 4, 9, 5)] == [
         True,
@@ -428,9 +438,7 @@
         assert not shard.machines[name].usable
         # Whoever comes after the one that called it back counts it as on its way.
         other = next(c for c in service.controllers.values() if c is not owner)
-        other._on_frame(
-            owner.label, frames.ReclaimsInProgress("red", shard.status_reporter.leaving())
-        )
+        other._on_frame(owner.label, ReclaimsInProgress("red", shard.status_reporter.leaving()))
         leader = service.controllers[await leading(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
         leader.allocator.note_reclaims(other.leaving(), leader.context.now())
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -23,7 +23,8 @@
 from ashdock.net.http import Client
 from ashdock.settings import NextLimits, Operators, StateLimits
 from ashdock.wire import frames
-from ashdock.wire.frames import (
+from ashdock.wire.messages import encode
+from ashdock.wire.peer_messages import (
     Hello,
     OwnershipClaims,
     PeerHeartbeat,
@@ -31,7 +32,6 @@
     TransferMachine,
     TransferShard,
 )
-from ashdock.wire.messages import encode
 from tests import simtime, test_whole
 from tests.simtime import spawn
 from tests.test_core import G4, commit, queued, report, shard_with, spec
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,8 +13,8 @@
 from ashdock.crash_loop import CrashLoopDetector, StabilityState
 from ashdock.net.http import Client
 from ashdock.wire import frames
-from ashdock.wire.frames import Hello, OwnershipClaims, PeerHeartbeat
 from ashdock.wire.messages import Heartbeat, TaskReport
+from ashdock.wire.peer_messages import Hello, OwnershipClaims, PeerHeartbeat
 from tests import ends
 from tests.simtime import spawn
 from tests.test_whole import play
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -11,7 +11,7 @@
 
 from ashdock.net.http import Client
 from ashdock.wire import frames
-from ashdock.wire.frames import ForwardedHeartbeat
+from ashdock.wire.peer_messages import ForwardedHeartbeat
 from tests import simtime
 from tests.simtime import spawn
 from tests.whole import Service, job, shared
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args
 
 import pytest
 
@@ -20,11 +20,13 @@
 from ashdock.net.http import Answer, Client, Request, Server, plain_connections
 from ashdock.settings import SettingsError, load, load_operators
 from ashdock.wire import frames
-from ashdock.wire.frames import (
+from ashdock.wire.frame_errors import FrameError
+from ashdock.wire.messages import MalformedMessageError, decode_heartbeat, decode_submission, encode
+from ashdock.wire.peer_messages import (
     CancelledJobs,
     ForwardedHeartbeat,
     ForwardReply,
-    FrameError,
+    Frame,
     Hello,
     OwnershipClaims,
     PeerHeartbeat,
@@ -33,7 +35,6 @@
     TransferMachine,
     WatermarkEcho,
 )
-from ashdock.wire.messages import MalformedMessageError, decode_heartbeat, decode_submission, encode
 from tests import simtime
 from tests.whole import job
 
@@ -209,6 +210,12 @@
         frames.unpack(kind, body + b"\0")
 
 
+def test_every_kind_has_one_codec() -> None:
+    assert [codec.kind for codec in frames.CODECS] == list(frames.FrameKind)
+    assert len({codec.message for codec in frames.CODECS}) == len(frames.CODECS)
+    assert {codec.message for codec in frames.CODECS} == set(get_args(Frame))
+
+
 def test_frames_fuzzed() -> None:
     rng = random.Random(5)
     for _ in range(3000):
