--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -143,7 +143,9 @@
             while True:
                 # The others send beats all the time: silence means a dead or half-open link.
                 async with asyncio.timeout(self.beat_s * 20):
-                    kind, length = frames.head(await reader.readexactly(frames.HEAD.size))
+                    kind, length = frames.unpack_header(
+                        await reader.readexactly(frames.HEADER.size)
+                    )
                     frame = frames.unpack(kind, await reader.readexactly(length))
                 if isinstance(frame, Hello):
                     label = frame.label
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -53,8 +53,10 @@
 
 MAGIC = b"AD"
 VERSION = 3
-HEAD = struct.Struct("!2sBBI")  # magic, version, kind, length of the body
-MOST = 512 * 1024  # bytes of a body: bounds what a peer can make a controller hold in memory
+HEADER = struct.Struct("!2sBBI")  # magic, version, kind, length of the body
+MAX_BODY_BYTES = (
+    512 * 1024
+)  # bytes of a body: bounds what a peer can make a controller hold in memory
 
 U16 = struct.Struct("!H")
 U32 = struct.Struct("!I")
@@ -503,24 +505,24 @@
     if codec is None:
         raise UnknownMessageError(message)
     body = codec.pack(message)
-    if len(body) > MOST:
-        raise FrameTooLongError(len(body), MOST)
-    return HEAD.pack(MAGIC, VERSION, codec.kind, len(body)) + body
+    if len(body) > MAX_BODY_BYTES:
+        raise FrameTooLongError(len(body), MAX_BODY_BYTES)
+    return HEADER.pack(MAGIC, VERSION, codec.kind, len(body)) + body
 
 
-def head(data: bytes) -> tuple[int, int]:
+def unpack_header(data: bytes) -> tuple[int, int]:
     """Kind, and length of the body in bytes, from a frame's header.
 
     Raises:
         FrameError: it is not a header of this version, or the body is too long.
     """
-    magic, version, kind, length = HEAD.unpack(data)
+    magic, version, kind, length = HEADER.unpack(data)
     if magic != MAGIC:
         raise NotAFrameError(magic, MAGIC)
     if version != VERSION:
         raise FrameVersionError(version, VERSION)
-    if length > MOST:
-        raise FrameTooLongError(length, MOST)
+    if length > MAX_BODY_BYTES:
+        raise FrameTooLongError(length, MAX_BODY_BYTES)
     return kind, length
 
 
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -121,8 +121,8 @@
     15: (peer_messages.CancelledJobs, (("jobs", rows),)),
     16: (peer_messages.WatermarkEcho, (("number", same), ("back", same))),
 }
-FRAME_HEAD_BYTES = frames.HEAD.size
-FRAME_BODY_LIMIT = frames.MOST
+FRAME_HEAD_BYTES = frames.HEADER.size
+FRAME_BODY_LIMIT = frames.MAX_BODY_BYTES
 FRAME_KINDS = {int(kind) for kind in frames.FrameKind}
 
 
@@ -163,7 +163,7 @@
 def read_frame(data: str) -> Plain:
     """A whole frame, head and body, from hex; the length in the head against the body's."""
     raw = bytes.fromhex(data)
-    kind, length = frames.head(raw[:FRAME_HEAD_BYTES])
+    kind, length = frames.unpack_header(raw[:FRAME_HEAD_BYTES])
     body = raw[FRAME_HEAD_BYTES:]
     return {"length": length} | frame_to_values(frames.unpack(kind, body))
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -147,13 +147,13 @@
 def test_words_carry_their_term_and_lower_ones_are_refused() -> None:
     for word in (TransferMachine("red", "vm-1", "blue"), TransferShard("red", "n2")):
         packed = frames.pack(FencedCommand(1 << 40, word))
-        kind, length = frames.head(packed[: frames.HEAD.size])
-        assert length == len(packed) - frames.HEAD.size and frames.unpack(
-            kind, packed[frames.HEAD.size :]
+        kind, length = frames.unpack_header(packed[: frames.HEADER.size])
+        assert length == len(packed) - frames.HEADER.size and frames.unpack(
+            kind, packed[frames.HEADER.size :]
         ) == FencedCommand(1 << 40, word)
     leaving = ReclaimsInProgress("red", [("vm-1", "blue"), ("vm-2", "")])
     assert (
-        frames.unpack(FrameKind.RECLAIMS_IN_PROGRESS, frames.pack(leaving)[frames.HEAD.size :])
+        frames.unpack(FrameKind.RECLAIMS_IN_PROGRESS, frames.pack(leaving)[frames.HEADER.size :])
         == leaving
     )
     for inner in (
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -466,7 +466,7 @@
         await asyncio.sleep(2)
         assert all(other.remote_counts[owner.label][name] == (1, 2) for name, _, _ in many)
         assert not owner.mesh.send(
-            other.label, ForwardedHeartbeat(1, b"x" * frames.MOST)
+            other.label, ForwardedHeartbeat(1, b"x" * frames.MAX_BODY_BYTES)
         ) and owner.mesh.send(other.label, ForwardedHeartbeat(1, b"x"))
 
     play(monkeypatch, 16, day)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -200,8 +200,8 @@
 @pytest.mark.parametrize("frame", FRAMES, ids=lambda frame: type(frame).__name__)
 def test_frames_there_and_back(frame: Any) -> None:
     raw = frames.pack(frame)
-    kind, length = frames.head(raw[: frames.HEAD.size])
-    body = raw[frames.HEAD.size :]
+    kind, length = frames.unpack_header(raw[: frames.HEADER.size])
+    body = raw[frames.HEADER.size :]
     assert length == len(body) and frames.unpack(kind, body) == frame
     for cut in range(len(body)):
         with pytest.raises(FrameError):
@@ -223,19 +223,19 @@
         for _ in range(rng.randrange(1, 4)):
             raw[rng.randrange(len(raw))] = rng.randrange(256)
         try:
-            kind, _ = frames.head(bytes(raw[: frames.HEAD.size]))
-            frames.unpack(kind, bytes(raw[frames.HEAD.size :]))
+            kind, _ = frames.unpack_header(bytes(raw[: frames.HEADER.size]))
+            frames.unpack(kind, bytes(raw[frames.HEADER.size :]))
         except FrameError:
             pass
 
 
-HEADS = [(b"XX", 1, 1, 0), (b"AD", 1, 1, 0), (b"AD", 1, 1, frames.MOST + 1)]
+HEADS = [(b"XX", 1, 1, 0), (b"AD", 1, 1, 0), (b"AD", 1, 1, frames.MAX_BODY_BYTES + 1)]
 
 
 @pytest.mark.parametrize("head", HEADS)
 def test_heads_refused(head: Any) -> None:
     with pytest.raises(FrameError):
-        frames.head(frames.HEAD.pack(*head))
+        frames.unpack_header(frames.HEADER.pack(*head))
 
 
 def test_bodies_fuzzed() -> None:
