--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -16,7 +16,7 @@
 from ashdock.core.job import Job, JobPhase
 from ashdock.core.status_reporter import StatusReporter
 from ashdock.settings import Workers
-from ashdock.wire.messages import JobSpec, MachineType
+from ashdock.wire.messages import JobSpec, JobStatus, MachineType
 
 log = logging.getLogger("ashdock.shard")
 
@@ -53,7 +53,7 @@
         """Durably; so are all that need it."""
         job.waits = False
         self.graph.drop(job.id)
-        self.settled(job.id, "withdrawn", None, now)
+        self.settled(job.id, JobStatus.WITHDRAWN, None, now)
         self._carry()
 
     def _takes(self, spec: JobSpec) -> float:
@@ -71,14 +71,14 @@
             if job is None:
                 self.unread[need] = None
             elif job.phase is JobPhase.CANCELLED:
-                self.settled(need, "withdrawn", None, now)
+                self.settled(need, JobStatus.WITHDRAWN, None, now)
 
     def settled(self, need: str, status: str, at: float | None, now: float) -> None:
         """A job that ours may wait for is durably over: they may start, or never will."""
         self.unread.pop(need, None)
         if need not in self.graph.after:
             return
-        if status == "done":
+        if status == JobStatus.DONE:
             for job_id, since in self.graph.done(need, at):
                 job = self.shard.jobs[job_id]
                 job.released(since)
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -11,7 +11,15 @@
 from ashdock.core.task import Failure, Phase, Placement
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Workers
-from ashdock.wire.messages import ENDED, Heartbeat, TaskCommand, TaskReport, split_task
+from ashdock.wire.messages import (
+    Heartbeat,
+    JobKind,
+    TaskCause,
+    TaskCommand,
+    TaskReport,
+    TaskStatus,
+    split_task,
+)
 
 log = logging.getLogger("ashdock.shard")
 
@@ -118,7 +126,7 @@
                     if placement.phase is Phase.STOPPING or placement.seen:
                         self.shard.lost(placement, placement.why or "not on its machine", now)
                 continue
-            if found.status == ENDED:
+            if found.status == TaskStatus.ENDED:
                 ended.add(key)
                 self._ended(machine, placement, found, now)
             else:
@@ -126,16 +134,21 @@
                 if placement.running_at == now:
                     self._runs(placement, now)
                 spec = self.shard.jobs[placement.job].spec
-                if found.status == "pulling":
+                if found.status == TaskStatus.PULLING:
                     machine.lacks(spec.image)
                 else:
                     machine.uses(spec.image, spec.image_gb)
         orphaned_tasks: dict[tuple[str, int], int] = {}
         for key, item in held.items():
-            if item.status == ENDED:
+            if item.status == TaskStatus.ENDED:
                 ended.add(key)
                 job = self.shard.jobs.get(key[0])
-                if item.cause == "done" and job and job.active and 0 <= key[1] < job.spec.tasks:
+                if (
+                    item.cause == TaskCause.DONE
+                    and job
+                    and job.active
+                    and 0 <= key[1] < job.spec.tasks
+                ):
                     self._done_elsewhere(job, key[1], now)
             else:
                 orphaned_tasks[key[0], key[1]] = key[2]
@@ -174,33 +187,39 @@
         return placement.phase >= Phase.ORDERED
 
     def _done_elsewhere(self, job: Job, task: int, now: float) -> None:
-        if job.spec.kind == "service":
+        if job.spec.kind == JobKind.SERVICE:
             return
-        for other in range(job.spec.tasks) if job.spec.kind == "gang" else (task,):
+        for other in range(job.spec.tasks) if job.spec.kind == JobKind.GANG else (task,):
             placement = job.live.get(other)
-            if placement is not None and job.spec.kind != "gang":
+            if placement is not None and job.spec.kind != JobKind.GANG:
                 self.shard.stop(placement, "done already", 0.0, now)
                 continue
             self.shard.finish(job, other, now)
 
     def _ended(self, machine: Machine, placement: Placement, item: TaskReport, now: float) -> None:
         job = self.shard.jobs[placement.job]
-        cause = item.cause or "error"
-        if cause == "done" and job.spec.kind != "service" and job.active:
+        cause = item.cause or TaskCause.ERROR
+        if cause == TaskCause.DONE and job.spec.kind != JobKind.SERVICE and job.active:
             machine.failed.clear()
             machine.uses(job.spec.image, job.spec.image_gb)
             self.estimates.learn(job, placement, now)
-            tasks = range(job.spec.tasks) if job.spec.kind == "gang" else (placement.task,)
+            tasks = range(job.spec.tasks) if job.spec.kind == JobKind.GANG else (placement.task,)
             for task in tasks:
                 self.shard.finish(job, task, now)
             job.breaking = job.broke = None
-        elif cause in ("error", "no_such") and placement.phase is not Phase.STOPPING and job.active:
+        elif (
+            cause in (TaskCause.ERROR, TaskCause.NO_SUCH)
+            and placement.phase is not Phase.STOPPING
+            and job.active
+        ):
             self.shard.own_failure(machine, placement, cause, now)
         else:
-            if cause == "no_room":
+            if cause == TaskCause.NO_ROOM:
                 machine.no_room_until = now + self.shard.workers.report_s
-            if cause == "error":
+            if cause == TaskCause.ERROR:
                 job.broke = job.broke or (
-                    Failure(0, now, f"error on {machine.name}") if job.spec.kind == "gang" else None
+                    Failure(0, now, f"error on {machine.name}")
+                    if job.spec.kind == JobKind.GANG
+                    else None
                 )
             self.shard.lost(placement, cause, now)
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -11,7 +11,7 @@
 
 from ashdock.core.dependency_graph import NOTHING, Carried
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
-from ashdock.wire.messages import JobSpec
+from ashdock.wire.messages import JobKind, JobSpec, JobStatus, TaskStatus
 
 # The widest a task can be in a chunk: a placement and a failure with its reason, in bytes.
 TASK_BYTES = 112
@@ -232,7 +232,7 @@
         return out
 
     def attempt_for(self, task: int) -> int:
-        if self.spec.kind == "gang":
+        if self.spec.kind == JobKind.GANG:
             return max((chunk.attempts for chunk in self.chunks.values()), default=0) + 1
         return self.chunk_of(task).attempts + 1
 
@@ -271,7 +271,7 @@
 
     @property
     def running(self) -> int:
-        return sum(1 for placement in self.live.values() if placement.status == "running")
+        return sum(1 for placement in self.live.values() if placement.status == TaskStatus.RUNNING)
 
     # -- the state service's form ----------------------------------------------------------
 
@@ -407,9 +407,11 @@
 
     def record(self) -> dict[str, Any]:
         """`job/<id>`: all that is ever answered about the job, kept forever."""
-        status = "done" if self.phase in (JobPhase.OVER, JobPhase.FINAL) else "queued"
+        status = (
+            JobStatus.DONE if self.phase in (JobPhase.OVER, JobPhase.FINAL) else JobStatus.QUEUED
+        )
         if self.phase in (JobPhase.CANCELLED, JobPhase.ORPHANED):
-            status = "withdrawn"
+            status = JobStatus.WITHDRAWN
         return job_record(
             self.spec, self.submitted, status, self.reason, self.cancelled_at, self.ended_at
         )
@@ -418,7 +420,7 @@
 def job_record(
     spec: JobSpec,
     submitted: float,
-    status: str = "queued",
+    status: str = JobStatus.QUEUED,
     reason: str | None = None,
     cancelled_at: float | None = None,
     done_at: float | None = None,
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -7,7 +7,7 @@
 
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, capacity, fits, less
-from ashdock.wire.messages import JobSpec, MachineType
+from ashdock.wire.messages import JobKind, JobSpec, MachineType
 
 
 class Candidate(NamedTuple):
@@ -91,14 +91,14 @@
             picked, price = _fill(
                 [c for c in options if c.machine.zone == zone], used, request, zone_cap(spec)
             )
-            if not picked or (spec.kind == "gang" and len(picked) < request):
+            if not picked or (spec.kind == JobKind.GANG and len(picked) < request):
                 continue
             key = (-float(len(picked)), price)
             if best is None or key < best[0]:
                 best = key, picked
         return best[1] if best else []
     picked, _ = _fill(options, used, request, zone_cap(spec))
-    if spec.kind == "gang" and len(picked) < request:
+    if spec.kind == JobKind.GANG and len(picked) < request:
         return []
     return picked
 
--- a/ashdock/core/preemption_cost.py
+++ b/ashdock/core/preemption_cost.py
@@ -7,6 +7,7 @@
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine
 from ashdock.core.task import Placement
+from ashdock.wire.messages import JobKind
 
 
 def preemption_cost(jobs: Mapping[str, Job], placement: Placement, now: float) -> float:
@@ -17,7 +18,7 @@
     ran = now - placement.held_at
     lost = spec.save_s if spec.checkpoint_s > 0 else ran
     lost += max(0.0, 30.0 - ran)  # what is stopped this soon has not counted as started
-    return lost * (spec.gpus or spec.cpus) * (spec.tasks if spec.kind == "gang" else 1)
+    return lost * (spec.gpus or spec.cpus) * (spec.tasks if spec.kind == JobKind.GANG else 1)
 
 
 def machine_preemption_cost(jobs: Mapping[str, Job], machine: Machine, now: float) -> float:
--- a/ashdock/core/quota.py
+++ b/ashdock/core/quota.py
@@ -5,7 +5,7 @@
 import math
 
 from ashdock.settings import Team
-from ashdock.wire.messages import JobSpec
+from ashdock.wire.messages import JobKind, JobSpec
 
 
 class Usage:
@@ -42,7 +42,7 @@
 
 def can_ever(team: Team, spec: JobSpec) -> bool:
     """An array needs room for one task, a gang or a service for all of them."""
-    need = 1 if spec.kind == "array" else spec.tasks
+    need = 1 if spec.kind == JobKind.ARRAY else spec.tasks
     return within(team.cpus_max, team.gpus_max, team, spec) >= need
 
 
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -19,7 +19,7 @@
 from ashdock.core.task import Phase, Placement
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Shared, Team, Workers
-from ashdock.wire.messages import JobSpec, MachineType
+from ashdock.wire.messages import JobKind, JobSpec, MachineType
 
 log = logging.getLogger("ashdock.shard")
 
@@ -118,7 +118,7 @@
             and not job.waits
             and not job.breaking
             and job.id not in self.shard.orphaned_tasks
-            and (job.spec.kind != "gang" or job.ready == job.spec.tasks)
+            and (job.spec.kind != JobKind.GANG or job.ready == job.spec.tasks)
         ]
         out.sort(key=lambda job: self._rank(job, now, look))
         lifted = self.shard.classes.lifted(out, self._can_run(out), now)
@@ -173,7 +173,7 @@
         spec = job.spec
         if job.doubtful:
             return (-job.priority, 9.0, job.since)
-        if spec.kind == "array" and math.isinf(job.due):
+        if spec.kind == JobKind.ARRAY and math.isinf(job.due):
             return (
                 -job.priority,
                 *self.shard.policy.rank(job, self.estimates.run_s(spec), now),
@@ -181,7 +181,9 @@
             )
         if math.isinf(job.due):
             ahead = 0.0
-            if look is not None and look.holders(spec, spec.tasks if spec.kind == "gang" else 1):
+            if look is not None and look.holders(
+                spec, spec.tasks if spec.kind == JobKind.GANG else 1
+            ):
                 ahead = FETCHES_AHEAD * placing.image_s(
                     spec, next(iter(self.shard.catalog.values()))
                 )
@@ -242,7 +244,7 @@
             if job.doubtful:
                 continue  # tried where there is room: nothing is stopped, kept or rented for it alone
             zone = ""
-            if missing and job.spec.kind == "gang" and job.spec.tasks > 1:
+            if missing and job.spec.kind == JobKind.GANG and job.spec.tasks > 1:
                 zone, kept = self._keep_for_gang(job, look)
                 missing -= kept
             if now - job.preempted_at < self.shard.workers.lease_s / 2:
@@ -271,22 +273,22 @@
         """Place what fits; the number of tasks that want room and found none."""
         spec = job.spec
         permitted = min(self.shard.usage.room(spec), job.ready)
-        if job.doubtful and spec.kind != "gang":
+        if job.doubtful and spec.kind != JobKind.GANG:
             permitted = min(permitted, 1 - len(job.live))  # one task at a time tells as much as all
-        if (spec.kind == "gang" and permitted < spec.tasks) or permitted <= 0:
+        if (spec.kind == JobKind.GANG and permitted < spec.tasks) or permitted <= 0:
             return 0
         need = (spec.cpus, spec.gpus, spec.memory_gb)
         anywhere = (tuple(spec.machine_types or ()), spec.zone, spec.spot)
         together = (*anywhere, spec.one_zone, spec.spread)
         if look.infeasible.holds(anywhere, need, 1) or (
-            spec.kind == "gang" and look.infeasible.holds(together, need, spec.tasks)
+            spec.kind == JobKind.GANG and look.infeasible.holds(together, need, spec.tasks)
         ):
             return permitted
         options = placing.choices(job, look.roomy(spec, self.shard.reserved), now)
         picked = placing.select(job, options, permitted, self.shard.zone_of)
         if not options:
             look.infeasible.note(anywhere, need, 1)
-        elif not picked and spec.kind == "gang":
+        elif not picked and spec.kind == JobKind.GANG:
             look.infeasible.note(together, need, spec.tasks)
         if picked:
             tasks = job.ready_tasks(len(picked))
@@ -296,7 +298,7 @@
                     job,
                     task,
                     machine,
-                    attempt if spec.kind == "gang" else job.attempt_for(task),
+                    attempt if spec.kind == JobKind.GANG else job.attempt_for(task),
                     now,
                 )
             log.info(
--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -7,7 +7,7 @@
 
 from ashdock.core.job import Job
 from ashdock.settings import Shared, Team
-from ashdock.wire.messages import JobSpec, MachineType
+from ashdock.wire.messages import JobKind, JobSpec, MachineType
 
 SPREAD_BOOTS = 4  # an array of short tasks without a deadline is given room to be through in so many boots' time
 
@@ -24,7 +24,7 @@
             self.team.cpus > 0
             or self.team.gpus > 0
             or spec.deadline_s is not None
-            or spec.kind == "service"
+            or spec.kind == JobKind.SERVICE
         ):
             return True
         return any(o.job_class == spec.job_class for o in self.shared.objectives)
@@ -45,7 +45,7 @@
         """How many more tasks of it are worth room of their own. Room for each of thousands of short tasks is up only when
         the first of them have long made way: an array of 25,000 tasks of a few seconds each asked for 195 machines."""
         spec = job.spec
-        if spec.kind != "array" or not math.isinf(job.due):
+        if spec.kind != JobKind.ARRAY or not math.isinf(job.due):
             return job.ready
         each = run_s + 2 * self.shared.workers.report_s  # until the next one runs in its place
         return max(
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -30,13 +30,14 @@
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
 from ashdock.wire.messages import (
-    FORGET,
-    KILL,
-    RUN,
+    CommandVerb,
     Heartbeat,
+    JobKind,
     JobSpec,
+    JobStatus,
     MachineType,
     TaskCommand,
+    TaskStatus,
     split_task,
     task_name,
 )
@@ -154,11 +155,11 @@
         if not job.active:
             for placement in list(job.live.values()):
                 self.stop(placement, "cancelled", 0.0, now)
-        elif job.spec.kind == "gang" and job.done:
+        elif job.spec.kind == JobKind.GANG and job.done:
             # Gang tasks complete together, so one that is done proves them all.
             for task in range(job.spec.tasks):
                 self.finish(job, task, now)
-        elif job.spec.kind == "gang" and job.live:
+        elif job.spec.kind == JobKind.GANG and job.live:
             # Its chunks may have been written one after the other: some of them hold this attempt, some the one before.
             if (
                 len(job.live) < job.spec.tasks
@@ -188,7 +189,7 @@
         self.stale = True
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
-        if record["status"] == "withdrawn":
+        if record["status"] == JobStatus.WITHDRAWN:
             self.ending[spec.id] = job
             job.cancel(record.get("cancelled_at", record["at"]))
         elif spec.dependencies and not started:
@@ -252,7 +253,7 @@
         job = self.jobs[placement.job]
         self.drop(placement, now)
         job.release(placement.task)
-        if job.spec.kind == "gang":
+        if job.spec.kind == JobKind.GANG:
             self._gang_settled(job, now)
 
     def finish(self, job: Job, task: int, now: float) -> None:
@@ -279,7 +280,7 @@
             log.info(
                 "job %s task %d lost on %s: %s", job.id, placement.task, placement.machine, why
             )
-        if job.spec.kind == "gang" and job.active and not job.breaking:
+        if job.spec.kind == JobKind.GANG and job.active and not job.breaking:
             self._break(job, why, now)
         if job.live.get(placement.task) is placement:
             self._release(placement, now)
@@ -325,7 +326,7 @@
             )
             self.drain(machine, now)
         failure = Failure(0, now, reason)
-        if job.spec.kind == "gang":
+        if job.spec.kind == JobKind.GANG:
             job.broke = job.broke or failure
             if not job.breaking:
                 self._break(job, "a task failed", now)
@@ -349,7 +350,7 @@
         step = parking.after_failure(
             self.retry, job.fails.get(tasks[0]), failure.why, now, self.rng
         )
-        what = "the gang" if job.spec.kind == "gang" else f"task {tasks[0]}"
+        what = "the gang" if job.spec.kind == JobKind.GANG else f"task {tasks[0]}"
         if job.reason is None:
             # From the first failure on: who submitted it with a mistake is not to wait for the second.
             job.set_reason(f"{what} failed: {failure.why}; tried again")
@@ -385,18 +386,26 @@
             if placement.phase is Phase.STOPPING:
                 out.append(
                     TaskCommand(
-                        verb=KILL, task=name, attempt=placement.attempt, grace_s=placement.grace_s
+                        verb=CommandVerb.KILL,
+                        task=name,
+                        attempt=placement.attempt,
+                        grace_s=placement.grace_s,
                     )
                 )
             elif placement.phase is Phase.COMMITTED or (
                 placement.phase is Phase.ORDERED and not placement.seen
             ):
-                out.append(TaskCommand(verb=RUN, task=name, attempt=placement.attempt))
+                out.append(TaskCommand(verb=CommandVerb.RUN, task=name, attempt=placement.attempt))
                 if checkin:
                     placement.answered_with_start(checkin.incarnation, checkin.sequence)
         for (job_id, task), attempt in machine.orphaned_tasks.items():
             out.append(
-                TaskCommand(verb=KILL, task=task_name(job_id, task), attempt=attempt, grace_s=0.0)
+                TaskCommand(
+                    verb=CommandVerb.KILL,
+                    task=task_name(job_id, task),
+                    attempt=attempt,
+                    grace_s=0.0,
+                )
             )
         if checkin or machine.to is not None:
             for job_id, task, attempt in sorted(machine.ended):
@@ -404,7 +413,9 @@
                     job_id, task, attempt
                 ):
                     out.append(
-                        TaskCommand(verb=FORGET, task=task_name(job_id, task), attempt=attempt)
+                        TaskCommand(
+                            verb=CommandVerb.FORGET, task=task_name(job_id, task), attempt=attempt
+                        )
                     )
         return out[:ORDERS_AT_ONCE]
 
@@ -429,7 +440,7 @@
         token = self.token(machine)
         for order in out:
             placement = machine.live.get(split_task(order.task))
-            if order.verb == RUN and placement:
+            if order.verb == CommandVerb.RUN and placement:
                 placement.sent_directly(machine.incarnation)
                 machine.outstanding[(*placement.key, placement.attempt)] = token
         return out
@@ -453,7 +464,7 @@
 
     def direct_unanswered(self, machine: Machine, orders: list[TaskCommand]) -> None:
         """A start may still arrive, even minutes late: raise the token, so that it cannot."""
-        if any(order.verb == RUN for order in orders):
+        if any(order.verb == CommandVerb.RUN for order in orders):
             machine.bump = True
             self.note_machine(machine.name)
 
@@ -465,7 +476,7 @@
     def preempt(self, job: Job, tasks: list[int], why: str, now: float) -> None:
         """Stop work so that what it has can be saved; a gang as a whole and in time."""
         grace_s = self.grace_s(job.spec)
-        if job.spec.kind == "gang":
+        if job.spec.kind == JobKind.GANG:
             if not job.breaking:
                 self._break(job, why, now, grace_s)
             return
@@ -497,7 +508,7 @@
             # What cannot save in time had better go on: it may finish first.
             if (
                 job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice
-            ) or placement.status != "running":
+            ) or placement.status != TaskStatus.RUNNING:
                 self.preempt(job, [placement.task], "machine taken back", now)
 
     def cancel(self, job_id: str, at: float, revision: int, now: float) -> None:
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -22,6 +22,7 @@
 from ashdock.core.task import Phase, Placement
 from ashdock.core.write_limits import WriteLimits
 from ashdock.settings import Shared, Team
+from ashdock.wire.messages import JobKind, JobStatus
 
 log = logging.getLogger("ashdock.shard")
 
@@ -162,7 +163,7 @@
         spec = job.spec
         return (
             job.active
-            and spec.kind == "array"
+            and spec.kind == JobKind.ARRAY
             and math.isinf(job.due)
             and spec.tasks > self.shard.chunk_tasks
             and not guaranteed(self.shard.team, spec.cpus, spec.gpus)
@@ -181,7 +182,7 @@
         if job.settled:
             return self._write_outcome(job, txn)
         dirty = self._dirty(job, txn.ops)
-        if job.spec.kind == "gang" and dirty:
+        if job.spec.kind == JobKind.GANG and dirty:
             # A gang is placed whole or not at all, so its chunks go together. Where one transaction does not take them all
             # they go one after the other, and no start before the last; a takeover in between takes the attempt down.
             size = sum(len(value) + 120 for _, value in dirty)
@@ -191,7 +192,7 @@
                 return False
         for chunk, value in dirty:
             size = len(value) + 120
-            if (job.spec.kind != "gang" or self.shard.write_limits.agreed) and not txn.room(
+            if (job.spec.kind != JobKind.GANG or self.shard.write_limits.agreed) and not txn.room(
                 1, size
             ):
                 return False
@@ -236,7 +237,7 @@
             changed = (chunk for chunk in job.chunks.values() if chunk.gen > chunk.durable)
             dirty = [
                 (chunk, msgspec.json.encode(job.chunk_value(chunk.n)))
-                for chunk in (changed if job.spec.kind == "gang" else islice(changed, most))
+                for chunk in (changed if job.spec.kind == JobKind.GANG else islice(changed, most))
             ]
             largest = max((len(value) for _, value in dirty), default=0)
             if (
@@ -307,7 +308,7 @@
     def _chunk_durable(self, job: Job, chunk: Chunk, gen: int, revision: int) -> None:
         chunk.revision = revision
         chunk.durable = max(chunk.durable, gen)
-        together = job.spec.kind == "gang"
+        together = job.spec.kind == JobKind.GANG
         if together and any(other.placed > other.durable for other in job.chunks.values()):
             return  # no start of a gang before its last chunk is durable
         for placement in (job if together else chunk).live.values():
@@ -333,7 +334,7 @@
         self.shard.parks.drop(job.id)
         self.shard.jobs.pop(job.id, None)
         self.shard.dependency_tracker.settled(
-            job.id, "done" if done else "withdrawn", job.ended_at, self.shard.clock
+            job.id, JobStatus.DONE if done else JobStatus.WITHDRAWN, job.ended_at, self.shard.clock
         )
 
     def take_in_stored(self, path: str, value: Any, revision: int, now: float) -> None:
@@ -348,10 +349,10 @@
             job = shard.jobs.get(rest)
             if job is None or value is None:
                 return
-            if value["status"] == "withdrawn":
+            if value["status"] == JobStatus.WITHDRAWN:
                 shard.cancel(rest, value.get("cancelled_at", now), revision, now)
             job.revision = revision
-            if value["status"] == "done" and job.phase is JobPhase.OVER:
+            if value["status"] == JobStatus.DONE and job.phase is JobPhase.OVER:
                 self._outcome_durable(job, [])
         elif kind == "work":
             _, job_id, tail = rest.split("/", 2)
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -15,7 +15,7 @@
 from ashdock.core.shard_status import BusyMachine, Rebalance, Reclaim, ResourceRequest, ShardStatus
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Team, Workers
-from ashdock.wire.messages import JobSpec, MachineType
+from ashdock.wire.messages import JobKind, JobSpec, MachineType
 
 log = logging.getLogger("ashdock.shard")
 
@@ -62,11 +62,11 @@
 
     def came(self, job: Job, now: float) -> None:
         """A new job, and not one read at a takeover: what has come of late tells what is to be expected."""
-        if not job.waits and job.spec.kind != "service":
+        if not job.waits and job.spec.kind != JobKind.SERVICE:
             self.shard.classes.came(
                 job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
             )
-        if job.spec.deadline_s is None and job.spec.kind != "service" and not job.waits:
+        if job.spec.deadline_s is None and job.spec.kind != JobKind.SERVICE and not job.waits:
             per = max(
                 (
                     capacity(shape, job.spec.cpus, job.spec.gpus, job.spec.memory_gb)
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -5,6 +5,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from ashdock.wire.messages import TaskStatus
+
 
 class TaskState(IntEnum):
     """One byte a task, so that an array of 100,000 costs 100 kB."""
@@ -108,9 +110,9 @@
         self.incarnation = incarnation
         self.seen = True
         self.status = status
-        if status != "pulling" and self.held_at is None:
+        if status != TaskStatus.PULLING and self.held_at is None:
             self.held_at = now
-        if status == "running" and self.running_at is None:
+        if status == TaskStatus.RUNNING and self.running_at is None:
             self.running_at = now
         if self.phase is not Phase.STOPPING:
             self.phase = Phase.HELD
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -30,7 +30,7 @@
 from ashdock.settings import Shared, Workers
 from ashdock.status_reader import KnownJob, StatusReader, StatusReaderBusyError, known_job_of
 from ashdock.wire import messages
-from ashdock.wire.messages import JobSpec, MalformedMessageError
+from ashdock.wire.messages import JobKind, JobSpec, JobStatus, MalformedMessageError
 from ashdock.wire.peer_messages import ForwardReply
 
 log = logging.getLogger("ashdock.front")
@@ -255,7 +255,7 @@
             spec.priority,
         )
         context.jobs_seen(path, record, revision)
-        return Answer(201, messages.encode({"id": spec.id, "status": "queued"}))
+        return Answer(201, messages.encode({"id": spec.id, "status": JobStatus.QUEUED}))
 
     async def _needs_refused(self, spec: JobSpec) -> Answer | None:
         """Why a job cannot wait for what it names, if so. That a job exists may be remembered, that it does not may not."""
@@ -266,16 +266,18 @@
             if final is not None:
                 return None
             known = self.status_reader.known.get(need)
-            if known is None or known.kind == "service":  # one that is withdrawn may be named
+            if known is None or known.kind == JobKind.SERVICE:  # one that is withdrawn may be named
                 async with gate:
                     entry = await self._read(need) if need != spec.id else None
                 if entry is None:
                     return f"{need} was never accepted"
                 self.saw(need, entry.value, entry.revision)
-                if entry.value["status"] != "queued":
+                if entry.value["status"] != JobStatus.QUEUED:
                     return None
                 known = known_job_of(entry.value, entry.revision)
-            return f"{need} is a service and is never done" if known.kind == "service" else None
+            return (
+                f"{need} is a service and is never done" if known.kind == JobKind.SERVICE else None
+            )
 
         for reason in await asyncio.gather(*(why(need) for need in spec.dependencies or ())):
             if reason is not None:
@@ -297,7 +299,7 @@
         ]
         if not fits:
             return "a task fits no machine type that the job allows"
-        if spec.kind == "gang" and spec.one_zone and spec.spread and spec.tasks > 1:
+        if spec.kind == JobKind.GANG and spec.one_zone and spec.spread and spec.tasks > 1:
             return "all tasks must run at once, in one zone, and at most half of them in any zone"
         if not can_ever(team, spec):
             return f"the job needs more than the limit of team {spec.team!r}"
@@ -344,12 +346,12 @@
                 entry = await self._bounded(self._read(job_id))
                 if entry is None:
                     return error(404, "no such job")
-                if entry.value["status"] != "queued":
+                if entry.value["status"] != JobStatus.QUEUED:
                     self.saw(job_id, entry.value, entry.revision)
                     continue
                 record = {
                     **entry.value,
-                    "status": "withdrawn",
+                    "status": JobStatus.WITHDRAWN,
                     "cancelled_at": round(context.now(), 3),
                 }
                 record = fitting(record, context.write_limits.value_bytes)
@@ -411,7 +413,7 @@
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """A record of it came by."""
         self.status_reader.learn(job_id, value, revision)
-        if value["status"] in ("done", "withdrawn"):
+        if value["status"] in (JobStatus.DONE, JobStatus.WITHDRAWN):
             spec = value["spec"]
             team, tasks = (
                 (spec["team"], spec["tasks"]) if isinstance(spec, dict) else (spec.team, spec.tasks)
@@ -420,7 +422,7 @@
             self._over(
                 job_id, Final(value["status"], tasks, value.get("reason"), value.get("done_at"))
             )
-            if value["status"] == "withdrawn" and not told:
+            if value["status"] == JobStatus.WITHDRAWN and not told:
                 self.context.broadcast_cancellation(
                     job_id, team, revision, value.get("cancelled_at", self.context.now())
                 )
@@ -431,7 +433,7 @@
         if job_id in self.finals:
             return False
         self.status_reader.over(job_id)
-        self._over(job_id, Final("withdrawn", 0, None, None))
+        self._over(job_id, Final(JobStatus.WITHDRAWN, 0, None, None))
         self.context.broadcast_cancellation(job_id, team, revision, at)
         return True
 
@@ -445,7 +447,7 @@
 
     def is_withdrawn(self, job_id: str) -> bool:
         final = self.finals.get(job_id)
-        return final is not None and final.status == "withdrawn"
+        return final is not None and final.status == JobStatus.WITHDRAWN
 
     async def outcome(self, job_id: str) -> tuple[str, float | None] | None:
         """How a job ended and when, as far as that was noted; None if it has not."""
@@ -459,7 +461,11 @@
 
     def _final(self, job_id: str, final: Final) -> bytes:
         return messages.status_answer(
-            job_id, final.status, final.tasks if final.status == "done" else 0, 0, final.reason
+            job_id,
+            final.status,
+            final.tasks if final.status == JobStatus.DONE else 0,
+            0,
+            final.reason,
         )
 
     def _state(self, job_id: str, entry: Entry) -> bytes:
@@ -475,7 +481,7 @@
         done, running = self.context.counts(known.team, job_id)
         reason = known.reason or (self._waits(known.needs) if not done and not running else None)
         return messages.status_answer(
-            job_id, "running" if running else "queued", done, running, reason
+            job_id, JobStatus.RUNNING if running else JobStatus.QUEUED, done, running, reason
         )
 
     def _waits(self, needs: tuple[str, ...]) -> str | None:
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -15,6 +15,7 @@
 
 from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import CompareFailedError, Entry, StoreClient, StoreUnavailableError
+from ashdock.wire.messages import JobStatus
 
 CALLS_SHARE = 1 / 8  # of our requests to the state service that may go into comparing
 UNDER_WAY = 4  # comparisons, and reads of what differed, at a time
@@ -71,7 +72,7 @@
         known = self.known.get(job_id)
         if known is not None and known.revision >= revision:
             return
-        if value["status"] != "queued":
+        if value["status"] != JobStatus.QUEUED:
             self.known.pop(job_id, None)  # final answers are kept elsewhere
             return
         self.known[job_id] = known_job_of(value, revision)
--- a/ashdock/wire/messages.py
+++ b/ashdock/wire/messages.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from enum import IntEnum, StrEnum
 from typing import Annotated, Any, Literal
 
 import msgspec
@@ -16,13 +17,67 @@
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 JobId = Annotated[str, Meta(pattern=r"^req-[0-9A-Za-z_.-]{1,100}\Z")]
 
-KINDS = {"sweep": "array", "ensemble": "gang", "daemon": "service"}
-PRIORITIES = {"critical": 3, "high": 2, "standard": 1, "best_effort": 0}
+MAX_TASK_DIGITS = 6  # of a task's number within its job
 
-RUN, KILL, FORGET = "run", "kill", "forget"  # verbs of a task command
-ENDED = "ended"  # status of a task that has exited
 
-MAX_TASK_DIGITS = 6  # of a task's number within its job
+class JobKind(StrEnum):
+    """What a job's tasks are to one another; stored in `spec.kind`."""
+
+    ARRAY = "array"  # independent of one another
+    GANG = "gang"  # all run at the same time, or none
+    SERVICE = "service"  # runs until it is cancelled
+
+
+class JobPriority(IntEnum):
+    """The higher goes first; stored in `spec.priority`."""
+
+    BEST_EFFORT = 0
+    STANDARD = 1
+    HIGH = 2
+    CRITICAL = 3
+
+
+class JobStatus(StrEnum):
+    """A job's status as users are told it; all but `RUNNING` are stored in its record."""
+
+    QUEUED = "queued"
+    RUNNING = "running"
+    DONE = "done"
+    WITHDRAWN = "withdrawn"
+
+
+class TaskStatus(StrEnum):
+    """Where a task stands at its worker, as far as it makes a difference to us."""
+
+    PULLING = "pulling"  # its image is being fetched
+    RUNNING = "running"
+    ENDED = "ended"
+
+
+class TaskCause(StrEnum):
+    """Why a task ended, as far as it makes a difference to us."""
+
+    DONE = "done"
+    ERROR = "error"  # it failed of its own
+    NO_SUCH = "no_such"  # its image does not exist
+    NO_ROOM = "no_room"  # the machine is fuller than its shard's owner thinks
+
+
+class CommandVerb(StrEnum):
+    """What a worker is told to do with an attempt of a task."""
+
+    RUN = "run"
+    KILL = "kill"
+    FORGET = "forget"  # it has ended, and the worker need not report it any more
+
+
+KIND_OF_SHAPE = {"sweep": JobKind.ARRAY, "ensemble": JobKind.GANG, "daemon": JobKind.SERVICE}
+PRIORITY_OF_URGENCY = {
+    "critical": JobPriority.CRITICAL,
+    "high": JobPriority.HIGH,
+    "standard": JobPriority.STANDARD,
+    "best_effort": JobPriority.BEST_EFFORT,
+}
 
 
 class MalformedMessageError(Exception):
@@ -92,8 +147,8 @@
         id=submission.id,
         job_class=submission.job_class,
         team=submission.team,
-        kind=KINDS[submission.kind],
-        priority=PRIORITIES[submission.priority],
+        kind=KIND_OF_SHAPE[submission.kind],
+        priority=PRIORITY_OF_URGENCY[submission.priority],
         tasks=submission.tasks,
         cpus=submission.cpus,
         gpus=submission.gpus,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -30,7 +30,7 @@
 from ashdock.leader import gone_from, lag_of
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
 from ashdock.wire.messages import (
-    RUN,
+    CommandVerb,
     Heartbeat,
     JobSpec,
     MachineType,
@@ -765,7 +765,7 @@
     ]
     heir.load([("vm-0", record, 5)], work, [], 5.0)
     machine = heir.machines["vm-0"]
-    assert [order.verb for order in heir.direct(machine, 5.0)] == [RUN]
+    assert [order.verb for order in heir.direct(machine, 5.0)] == [CommandVerb.RUN]
     tasks: list[tuple[str, int, str, str | None]] = [("req-000001/0", 1, "running", None)]
     if late is not None:
         heir.reconciler.on_heartbeat(
@@ -777,7 +777,7 @@
     assert 0 in heir.jobs["req-000001"].live and not machine.orphaned_tasks
     # Under our token, and lacking it, a report is proof of what we have seen there; what we have not is started in that session.
     orders = heir.reconciler.on_heartbeat(report("vm-0", 41, [], warrant=50, tenure=2), 7.0, True)
-    assert (0 not in heir.jobs["req-000001"].live) or (orders and orders[0].verb == RUN)
+    assert (0 not in heir.jobs["req-000001"].live) or (orders and orders[0].verb == CommandVerb.RUN)
 
 
 def test_a_pass_over_a_full_part_does_not_look_at_every_machine_for_every_job(
