--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -102,7 +102,7 @@
         machine.outstanding.clear()  # they name the old session
         for placement in list(machine.live.values()):
             if (
-                placement.taken_over
+                placement.from_earlier_owner
                 or placement.incarnation is None
                 or placement.key not in machine.live
             ):
@@ -130,7 +130,7 @@
                 ended.add(key)
                 self._ended(machine, placement, found, now)
             else:
-                placement.held(found.status, report.incarnation, now)
+                placement.reported(found.status, report.incarnation, now)
                 if placement.running_at == now:
                     self._runs(placement, now)
                 spec = self.shard.jobs[placement.job].spec
@@ -180,11 +180,11 @@
     def _absent(self, placement: Placement, report: Heartbeat) -> bool:
         """Whether a report under our token that lacks the task proves that it is not, and will not be, there."""
         if (
-            placement.ordered is not None
-            and (report.incarnation, report.sequence) <= placement.ordered
+            placement.start_answered is not None
+            and (report.incarnation, report.sequence) <= placement.start_answered
         ):
             return False
-        return placement.phase >= Phase.ORDERED
+        return placement.phase >= Phase.START_SENT
 
     def _done_elsewhere(self, job: Job, task: int, now: float) -> None:
         if job.spec.kind == JobKind.SERVICE:
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -402,7 +402,7 @@
         for task, machine, attempt in value.get("p", []):
             if not taken[task]:
                 out.append(self.place(task, machine, attempt, now))
-                out[-1].inherited()
+                out[-1].read_back()
         return out
 
     def record(self) -> dict[str, Any]:
--- a/ashdock/core/preemption_cost.py
+++ b/ashdock/core/preemption_cost.py
@@ -13,9 +13,9 @@
 def preemption_cost(jobs: Mapping[str, Job], placement: Placement, now: float) -> float:
     """Work lost by stopping it, in GPU-seconds (or CPU-seconds where it uses no GPU)."""
     spec = jobs[placement.job].spec
-    if placement.held_at is None:
+    if placement.image_ready_at is None:
         return 0.0
-    ran = now - placement.held_at
+    ran = now - placement.image_ready_at
     lost = spec.save_s if spec.checkpoint_s > 0 else ran
     lost += max(0.0, 30.0 - ran)  # what is stopped this soon has not counted as started
     return lost * (spec.gpus or spec.cpus) * (spec.tasks if spec.kind == JobKind.GANG else 1)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -270,7 +270,7 @@
         if placement.never_sent:
             self._release(placement, now)
             return
-        placement.stop(why, grace_s, now)
+        placement.stop(why, grace_s)
         self.urgent[placement.machine] = None
 
     def lost(self, placement: Placement, why: str, now: float) -> None:
@@ -393,7 +393,7 @@
                     )
                 )
             elif placement.phase is Phase.COMMITTED or (
-                placement.phase is Phase.ORDERED and not placement.seen
+                placement.phase is Phase.START_SENT and not placement.seen
             ):
                 out.append(TaskCommand(verb=CommandVerb.RUN, task=name, attempt=placement.attempt))
                 if checkin:
@@ -501,9 +501,9 @@
         machine.reclaim_at = now + notice
         machine.leave("recalled")
         for placement in list(machine.live.values()):
-            if machine.live.get(placement.key) is not placement or placement.recalled:
+            if machine.live.get(placement.key) is not placement or placement.reclaim_handled:
                 continue
-            placement.recalled = True
+            placement.reclaim_handled = True
             job = self.jobs[placement.job]
             # What cannot save in time had better go on: it may finish first.
             if (
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -1,4 +1,4 @@
-"""A task's states and one placement of it on a machine, each change of state a function of its own."""
+"""The states of a task, and its placement on a machine; each change of state is a method of its own."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TaskState(IntEnum):
-    """One byte a task, so that an array of 100,000 costs 100 kB."""
+    """Where a task stands. Kept in one byte a task: an array of 100,000 tasks takes 100 kB."""
 
     READY = 0
     LIVE = 1  # has a placement that counts
@@ -18,41 +18,76 @@
 
 
 class Phase(IntEnum):
-    """Where a placement stands. It counts towards every bound until `shard` drops it on proof of its stop."""
+    """Where a placement stands.
+
+    In every phase it counts towards quotas and the machine's capacity, until the shard drops it on proof
+    that the task does not run.
+    """
 
     INTENDED = 0  # in memory only: nothing may be sent
-    COMMITTED = 1  # durable: a start may be sent
-    ORDERED = 2  # a start was, or may have been, sent
-    HELD = 3  # its worker reported it
-    STOPPING = 4  # to be stopped, and not yet confirmed
+    COMMITTED = 1  # durable: a run command may be sent
+    START_SENT = 2  # a run command was, or may have been, sent
+    REPORTED = 3  # its worker reported it
+    STOPPING = 4  # to be stopped; not confirmed yet
 
 
 class Failure(NamedTuple):
-    """A task's own failures in the running episode."""
+    """A task's own failures in its retry episode.
+
+    Attributes:
+        times: Number of failures.
+        first: Time of day of the first, in seconds.
+        why: Reason of the last.
+        past: 1 once the episode is beyond its bounds, else 0.
+    """
 
     times: int
     first: float
     why: str
-    past: int = 0  # 1 once the episode's bounds are behind it
+    past: int = 0
 
 
 class Placement:
+    """One attempt of a task on one machine, with what is known of it.
+
+    Attributes:
+        job: The job's id.
+        task: The task's number within its job.
+        attempt: Number of the attempt.
+        machine: The machine's name.
+        gen: Generation of the task's chunk that has to be durable before a run command is sent.
+        placed_at: Time at which it was placed, in seconds.
+        phase: Where it stands.
+        start_answered: Incarnation and sequence of the heartbeat whose answer carried the run command.
+        seen: Whether its worker has reported it.
+        from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may have
+            sent its run command in an incarnation that this owner does not know of.
+        incarnation: The worker's incarnation in which this owner last commanded or saw it.
+        status: Status in the last heartbeat; "" before the first.
+        image_ready_at: Time of the first heartbeat that showed its image fetched.
+        running_at: Time of the first heartbeat that showed it running.
+        grace_s: How long it may save when it is stopped, in seconds.
+        why: Why it is being stopped.
+        reclaim_handled: Whether it was already decided what becomes of it on a spot instance that the
+            cloud takes back.
+    """
+
     __slots__ = (
         "attempt",
+        "from_earlier_owner",
         "gen",
         "grace_s",
-        "held_at",
+        "image_ready_at",
         "incarnation",
         "job",
         "machine",
-        "ordered",
         "phase",
         "placed_at",
-        "recalled",
+        "reclaim_handled",
         "running_at",
         "seen",
+        "start_answered",
         "status",
-        "taken_over",
         "task",
         "why",
     )
@@ -60,66 +95,69 @@
     def __init__(
         self, job: str, task: int, attempt: int, machine: str, gen: int, now: float
     ) -> None:
+        """A new placement, which is not durable yet."""
         self.job = job
         self.task = task
         self.attempt = attempt
         self.machine = machine
-        self.gen = gen  # the chunk must be durable up to here before a start is sent
+        self.gen = gen
         self.placed_at = now
         self.phase = Phase.INTENDED
-        self.ordered: tuple[int, int] | None = (
-            None  # tenure and tally of the report whose answer carried the start
-        )
+        self.start_answered: tuple[int, int] | None = None
         self.seen = False
-        self.taken_over = False  # an earlier owner placed it, and may have ordered its start in a session that we do not know of
-        self.incarnation: int | None = (
-            None  # the worker's session in which we last ordered or saw it
-        )
+        self.from_earlier_owner = False
+        self.incarnation: int | None = None
         self.status = ""
-        self.held_at: float | None = None  # image held since
+        self.image_ready_at: float | None = None
         self.running_at: float | None = None
         self.grace_s = 0.0
         self.why = ""
-        self.recalled = False
+        self.reclaim_handled = False
 
     @property
     def key(self) -> tuple[str, int]:
+        """Job and number of the task."""
         return self.job, self.task
 
     def committed(self) -> None:
+        """It is durable."""
         if self.phase is Phase.INTENDED:
             self.phase = Phase.COMMITTED
 
-    def inherited(self) -> None:
-        """Read from the state service: an earlier owner may have sent its start."""
-        self.phase = Phase.ORDERED
-        self.taken_over = True
+    def read_back(self) -> None:
+        """It was read from the store: an earlier owner may have sent its run command."""
+        self.phase = Phase.START_SENT
+        self.from_earlier_owner = True
 
     def answered_with_start(self, incarnation: int, sequence: int) -> None:
+        """The answer to that heartbeat carries its run command."""
         if self.phase is Phase.COMMITTED:
-            self.phase = Phase.ORDERED
-        self.ordered = (incarnation, sequence)
+            self.phase = Phase.START_SENT
+        self.start_answered = (incarnation, sequence)
         self.incarnation = incarnation
 
     def sent_directly(self, incarnation: int) -> None:
+        """Its run command goes straight to that incarnation of its worker."""
         self.incarnation = incarnation
         if self.phase is Phase.COMMITTED:
-            self.phase = Phase.ORDERED
+            self.phase = Phase.START_SENT
 
-    def held(self, status: str, incarnation: int, now: float) -> None:
+    def reported(self, status: str, incarnation: int, now: float) -> None:
+        """A heartbeat of that incarnation has it."""
         self.incarnation = incarnation
         self.seen = True
         self.status = status
-        if status != TaskStatus.PULLING and self.held_at is None:
-            self.held_at = now
+        if status != TaskStatus.PULLING and self.image_ready_at is None:
+            self.image_ready_at = now
         if status == TaskStatus.RUNNING and self.running_at is None:
             self.running_at = now
         if self.phase is not Phase.STOPPING:
-            self.phase = Phase.HELD
+            self.phase = Phase.REPORTED
 
-    def stop(self, why: str, grace_s: float, now: float) -> None:
+    def stop(self, why: str, grace_s: float) -> None:
+        """It is to be stopped; a second call can only shorten the grace."""
         if self.phase is Phase.STOPPING:
-            if grace_s < self.grace_s:  # a second, harder word ends a save
+            if grace_s < self.grace_s:
                 self.grace_s = grace_s
             return
         self.phase = Phase.STOPPING
@@ -128,16 +166,16 @@
 
     @property
     def never_sent(self) -> bool:
-        """Only this process could have sent the start, and it has not."""
+        """Only this process could have sent the run command, and it has not."""
         return self.phase <= Phase.COMMITTED
 
 
 def ranges_of(numbers: list[int]) -> list[list[int]]:
-    """Ascending numbers as inclusive ranges."""
-    out: list[list[int]] = []
+    """Ascending numbers as ascending ranges, each of its first and its last number."""
+    ranges: list[list[int]] = []
     for number in numbers:
-        if out and out[-1][1] == number - 1:
-            out[-1][1] = number
+        if ranges and ranges[-1][1] == number - 1:
+            ranges[-1][1] = number
         else:
-            out.append([number, number])
-    return out
+            ranges.append([number, number])
+    return ranges
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -114,7 +114,7 @@
     assert (
         len(placed) == size
         and again.chunk_value(1) == value
-        and all(p.phase is Phase.ORDERED for p in placed)
+        and all(p.phase is Phase.START_SENT for p in placed)
     )
 
 
