--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -1,11 +1,13 @@
-"""Parks: tasks whose own failures made them wait, kept durably with their retry time and carried count.
+"""Parks: tasks that wait for a retry time after failures of their own, kept durably with their failure count.
 
-The delays and bounds are the source document's (2 s, doubled, 60 s at most; 15 minutes or 30 parks).
+The delays and bounds are those of the paper that the retries follow (2 s, doubled, at most 60 s; 15 minutes or
+30 parks); `Retry` has them as settings.
 """
 
 from __future__ import annotations
 
 import random
+from enum import StrEnum
 from typing import Any, NamedTuple
 
 import msgspec
@@ -13,10 +15,23 @@
 from ashdock.core.task import Failure
 from ashdock.settings import Retry
 
-WHY_BYTES = 24
+WHY_BYTES = 24  # of a failure's reason: bounds the size of the stored rows
+MAX_DOUBLINGS = 64  # far beyond any cap on the delay; a larger exponent could overflow
+EMPTY_VALUE_BYTES = 2  # the brackets around the rows of a value
+SEPARATOR_BYTES = 1  # the comma after a row
 
 
 class Park(NamedTuple):
+    """A range of tasks that wait for the same retry time.
+
+    Attributes:
+        job: The job's id.
+        low: The first task.
+        high: The last task.
+        at: The retry time: time of day, in seconds.
+        failure: Their failures so far.
+    """
+
     job: str
     low: int
     high: int
@@ -24,114 +39,149 @@
     failure: Failure
 
 
-class Next(NamedTuple):
-    """What follows a task's own failure."""
+class RetryStep(StrEnum):
+    """How a task is retried."""
+
+    IN_PLACE = "in_place"  # at once
+    PARK = "park"  # after a delay
+    PAST = "past"  # the episode is beyond its bounds: after the longest delay, again and again
+
+
+class RetryDecision(NamedTuple):
+    """What follows a task's own failure.
+
+    Attributes:
+        step: How it is retried.
+        delay: Seconds until it is; 0 if in place.
+        failure: Its failures, this one included.
+    """
 
-    step: str  # "in_place", "park" or "past"
+    step: RetryStep
     delay: float
     failure: Failure
 
 
 def after_failure(
     retry: Retry, before: Failure | None, why: str, now: float, rng: random.Random
-) -> Next:
-    """The episode's next step. Only the job's own failures come here: capacity,
-    preemption, lost machines, a full machine and missing mates spend neither count nor clock."""
-    count, first, _, past = before or Failure(0, now, "")
-    failure = Failure(count + 1, first, why[:WHY_BYTES], past)
-    parks = count  # this would be the so-manyeth park: the first failure is retried in place
-    delay = min(retry.cap_s, retry.first_delay_s * retry.factor ** min(max(parks - 1, 0), 64))
-    # Tasks that fail together would wake together and meet at the same free room and images.
+) -> RetryDecision:
+    """Decide the next step of a task's retry episode.
+
+    Only the task's own failures come here. What it is not to blame for (no capacity, preemption, a lost or
+    full machine, other tasks of its gang) spends neither the count nor the time of the episode.
+
+    Args:
+        retry: The bounds.
+        before: The failures before this one, if any.
+        why: Reason of this one.
+        now: Time of day, in seconds.
+        rng: Spreads the delays: tasks that fail together would otherwise wake together, and compete for the
+            same free capacity and images.
+    """
+    parks, first, _, past = before or Failure(0, now, "")  # the first failure is retried in place
+    failure = Failure(parks + 1, first, why[:WHY_BYTES], past)
+    doublings = min(max(parks - 1, 0), MAX_DOUBLINGS)
+    delay = min(retry.cap_s, retry.first_delay_s * retry.factor**doublings)
     delay *= 1 + rng.random() / 2
     if past:
-        return Next("past", retry.cap_s * (1 + rng.random()), failure)
+        return RetryDecision(RetryStep.PAST, retry.cap_s * (1 + rng.random()), failure)
     if now - first >= retry.horizon_s or parks > retry.most_parks:
-        return Next("in_place", 0.0, failure._replace(past=1))
+        return RetryDecision(RetryStep.IN_PLACE, 0.0, failure._replace(past=1))
     if parks == 0 and retry.first_delay_s < retry.park_at_once_s:
-        return Next("in_place", 0.0, failure)
-    return Next("park", delay, failure)
+        return RetryDecision(RetryStep.IN_PLACE, 0.0, failure)
+    return RetryDecision(RetryStep.PARK, delay, failure)
 
 
 class Parks:
-    """One shard's parks, and the values that keep them: `park/<team>/<n>`."""
+    """The parks of one shard, and the values of the store that keep them: `park/<team>/<n>`.
+
+    Attributes:
+        team: The shard's team.
+        value_bytes: The largest value that the store takes, in bytes.
+        items: The parks.
+        revisions: Of each value as last written or read; 0: there is none.
+        written: Each value as last written or read, encoded.
+        dirty: Whether a value may differ from what is written.
+    """
 
     def __init__(self, team: str, value_bytes: int) -> None:
+        """No parks yet."""
         self.team = team
         self.value_bytes = value_bytes
         self.items: list[Park] = []
-        self.revisions: list[int] = []  # of the values as last written or read; 0: there is none
+        self.revisions: list[int] = []
         self.written: list[bytes] = []
         self.dirty = False
 
     def path(self, n: int) -> str:
+        """The key of a value."""
         return f"park/{self.team}/{n}"
 
     def add(self, job: str, tasks: list[list[int]], at: float, failure: Failure) -> None:
+        """Park ranges of a job's tasks until `at`; a range that continues the last park extends it."""
         for low, high in tasks:
             last = self.items[-1] if self.items else None
-            if (
-                last
-                and last.job == job
-                and last.high == low - 1
-                and (last.at, last.failure) == (at, failure)
-            ):
+            if last and (last.job, last.high, last.at, last.failure) == (job, low - 1, at, failure):
                 self.items[-1] = last._replace(high=high)
             else:
                 self.items.append(Park(job, low, high, at, failure))
         self.dirty = True
 
     def due(self, now: float) -> list[Park]:
-        out = [park for park in self.items if park.at <= now]
-        if out:
+        """Remove and return the parks whose retry time has come."""
+        due = [park for park in self.items if park.at <= now]
+        if due:
             self.items = [park for park in self.items if park.at > now]
             self.dirty = True
-        return out
+        return due
 
     def fit(self, value_bytes: int) -> None:
-        """The state service takes smaller values from here on: what is written now spills over more of them."""
+        """From now on the store takes values of at most so many bytes."""
         if value_bytes != self.value_bytes:
             self.value_bytes = value_bytes
             self.dirty = True
 
     def drop(self, job: str) -> None:
+        """Remove the parks of a job."""
         kept = [park for park in self.items if park.job != job]
         self.dirty = self.dirty or len(kept) != len(self.items)
         self.items = kept
 
     def values(self) -> list[list[Any]]:
-        """The ranges, spilled over as many values as they need."""
-        out: list[list[Any]] = [[]]
-        size = 2
+        """The parks as rows, in as many values as they need, by retry time."""
+        values: list[list[Any]] = [[]]
+        size = EMPTY_VALUE_BYTES
         for park in sorted(self.items, key=lambda item: (item.at, item.job, item.low)):
             row = [park.job, park.low, park.high, round(park.at, 3), *park.failure]
-            length = len(msgspec.json.encode(row)) + 1
-            if size + length > self.value_bytes and out[-1]:
-                out.append([])
-                size = 2
-            out[-1].append(row)
+            length = len(msgspec.json.encode(row)) + SEPARATOR_BYTES
+            if size + length > self.value_bytes and values[-1]:
+                values.append([])
+                size = EMPTY_VALUE_BYTES
+            values[-1].append(row)
             size += length
-        return out
+        return values
 
     def writes(self) -> list[tuple[int, list[Any] | None]]:
-        """The values that differ from what is written; None deletes. Where they come to be more, the last go first: should
-        they not fit into one transaction, what has moved on stands twice for a moment, and not nowhere."""
+        """The values that differ from what is written, with their numbers; None: to be deleted.
+
+        Where they become more, the last comes first: if they don't fit into one transaction, a park that
+        moves to a later value is stored twice for a moment, rather than not at all.
+        """
         values = self.values() if self.items else []
-        out: list[tuple[int, list[Any] | None]] = []
-        most = max(len(values), len(self.revisions))
-        for n in (
-            reversed(range(most))
-            if len(values) > sum(revision > 0 for revision in self.revisions)
-            else range(most)
-        ):
+        count = max(len(values), len(self.revisions))
+        existing = sum(revision > 0 for revision in self.revisions)
+        numbers = reversed(range(count)) if len(values) > existing else range(count)
+        writes: list[tuple[int, list[Any] | None]] = []
+        for n in numbers:
             revision = self.revisions[n] if n < len(self.revisions) else 0
             if n >= len(values):
                 if revision:
-                    out.append((n, None))
+                    writes.append((n, None))
             elif revision == 0 or self.written[n] != msgspec.json.encode(values[n]):
-                out.append((n, values[n]))
-        return out
+                writes.append((n, values[n]))
+        return writes
 
     def wrote(self, n: int, value: list[Any] | None, revision: int) -> None:
+        """A value is durable under that revision; None: it was deleted."""
         while len(self.revisions) <= n:
             self.revisions.append(0)
             self.written.append(b"")
@@ -139,11 +189,15 @@
         self.written[n] = b"" if value is None else msgspec.json.encode(value)
 
     def load(self, n: int, value: list[Any], revision: int) -> list[Park]:
+        """Take in a value that was read from the store; returns the parks that were not known yet.
+
+        A park may be in two values, if an earlier owner was moving it from one to the other.
+        """
         self.wrote(n, value, revision)
-        out = [
+        known = set(self.items)
+        loaded = [
             Park(job, low, high, at, Failure(*failure)) for job, low, high, at, *failure in value
         ]
-        known = set(self.items)
-        out = [park for park in out if park not in known]  # a value was being spilled over
-        self.items += out
-        return out
+        new = [park for park in loaded if park not in known]
+        self.items += new
+        return new
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -354,7 +354,7 @@
         if job.reason is None:
             # From the first failure on: who submitted it with a mistake is not to wait for the second.
             job.set_reason(f"{what} failed: {failure.why}; tried again")
-        if step.step == "in_place":
+        if step.step == parking.RetryStep.IN_PLACE:
             for task in tasks:
                 job.set_failure(task, step.failure)
             return
@@ -362,7 +362,7 @@
         for task in tasks:
             job.park(task, step.failure)
         self.parks.add(job.id, ranges_of(tasks), at, step.failure)
-        if step.step == "past":
+        if step.step == parking.RetryStep.PAST:
             job.set_reason(
                 f"{what} failed {step.failure.times} times, last: {failure.why}; still tried now and then"
             )
