--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -1,4 +1,4 @@
-"""A machine as its shard's owner knows it."""
+"""A machine as its shard's owner knows it: its phase, its free capacity and what runs on it."""
 
 from __future__ import annotations
 
@@ -11,34 +11,84 @@
 from ashdock.core.task import Placement
 from ashdock.wire.messages import MachineType
 
+IMAGES_STORED = 12  # of a machine's record: what its next owner is told of the cache, kept small
+BOOT_PATIENCE = (
+    1.6  # times the usual boot time: work does not wait for a machine that is later than that
+)
+ROUNDING = 1e-6  # what sums of floats may be off by
+UNBOUNDED = 1 << 30  # how often a need of nothing fits
+
 
 class MachinePhase(Enum):
-    EXPECTED = "expected"  # rented, has not reported to us
+    """Where a machine stands with its shard's owner."""
+
+    EXPECTED = "expected"  # scaled out; no heartbeat has reached this owner
     UP = "up"
     LEAVING = "leaving"  # no new tasks: reclaimed, suspect, or wanted elsewhere
     DECOMMISSIONED = "doomed"  # durably given up: the leader releases it
 
 
 class Machine:
+    """A machine that is assigned to this owner's shard. Times are in seconds.
+
+    Attributes:
+        name: Its name.
+        type: Label of its machine type.
+        zone: Its zone.
+        spot: Whether it is a spot instance.
+        address: Its agent's address; "" if not known yet.
+        rented_at: When it was scaled out, or found.
+        dated: Whether `rented_at` is when it was scaled out.
+        revision: Revision of its record.
+        shape: Its machine type.
+        phase: Where it stands.
+        why: Why it is leaving or decommissioned.
+        decommission_generation: 1 until the decommission is durable, else 0.
+        live: The placements that count here.
+        version: Rises with every change of `live`.
+        cpus: Free cores.
+        gpus: Free accelerators.
+        memory: Free memory, in GB.
+        since: When this owner learnt of it.
+        last_at: Time of its last heartbeat.
+        incarnation: Its agent's incarnation.
+        sequence: Sequence of its last heartbeat.
+        fencing_token: The token that its agent last reported.
+        idle_since: Since when nothing is placed here.
+        images: Size in GB of what its image cache holds, as far as is known, the last used last.
+        ended: Attempts that were reported as ended and are not forgotten yet.
+        orphaned_tasks: Tasks that run here without a placement, with their attempt.
+        reported: Number of tasks in the last heartbeat.
+        reclaim_at: When the cloud takes the spot instance back.
+        no_room_until: Until when nothing is placed here, because it had less room than expected.
+        failed: Jobs with the time when they last failed here.
+        sending: Whether direct commands are on their way.
+        outstanding: Run commands that were sent directly and not answered, with the fencing token. They may
+            arrive minutes late, and are harmless only once the worker has a higher token or is of another
+            incarnation.
+        bump: Whether its fencing token has to rise, because a direct run command was not answered.
+        inherited: Whether it was up for the owner before, and no heartbeat has reached this one.
+        to: The shard that gets it once it is empty; "" leaves it unassigned.
+    """
+
     def __init__(
         self, name: str, value: dict[str, Any], revision: int, shape: MachineType, now: float
     ) -> None:
+        """Take it from its record, read at that revision."""
         self.name = name
         self.type = value["t"]
         self.zone = value["z"]
         self.spot = bool(value["s"])
         self.address: str = value.get("a", "")
         self.rented_at: float = value.get("at", now)
-        self.dated = bool(
-            value.get("r")
-        )  # whether that is when it was rented, and not when it was found
+        self.dated = bool(value.get("r"))
         self.revision = revision
         self.shape = shape
         self.phase = MachinePhase.DECOMMISSIONED if value.get("x") else MachinePhase.EXPECTED
         self.why = value.get("x", "")
         self.decommission_generation = 0
         self.live: dict[tuple[str, int], Placement] = {}
-        self.version = 0  # of what is placed here
+        self.version = 0
         self.cpus = shape.cpus
         self.gpus = shape.gpus
         self.memory = shape.memory_gb
@@ -48,33 +98,28 @@
         self.sequence = 0
         self.fencing_token = 0
         self.idle_since: float | None = now
-        self.images: dict[
-            str, float
-        ] = {}  # what its cache holds, as far as we can tell, the last used last: size
+        self.images: dict[str, float] = {}
         for image, size in reversed(images_of(value)):
             self.images[image] = size
-        self.ended: set[tuple[str, int, int]] = set()  # reported as ended and not yet forgotten
-        self.orphaned_tasks: dict[
-            tuple[str, int], int
-        ] = {}  # running here without a placement: attempt
-        self.reported = 0  # tasks in the last report
+        self.ended: set[tuple[str, int, int]] = set()
+        self.orphaned_tasks: dict[tuple[str, int], int] = {}
+        self.reported = 0
         self.reclaim_at: float | None = None
         self.no_room_until = 0.0
-        self.failed: dict[str, float] = {}  # job: when it last failed here
-        self.sending = False  # a direct order is on its way
-        # Starts sent directly and not answered may still arrive, even minutes late. They are harmless
-        # only once the worker's token is above the one noted here, or its session is over.
+        self.failed: dict[str, float] = {}
+        self.sending = False
         self.outstanding: dict[tuple[str, int, int], int] = {}
-        self.bump = False  # its token must rise: a direct start was not answered
+        self.bump = False
         if value.get("n") and value.get("a") and self.phase is MachinePhase.EXPECTED:
-            # Lent to us while up. If that is no longer so, its silence shows it.
+            # It was up when it was assigned. If it is not any more, its silence shows it.
             self.phase = MachinePhase.UP
             self.incarnation = value["n"]
             self.last_at = now
-        self.inherited = False  # it was up for the owner before, and has not reported to us
-        self.to: str | None = None  # asked to go to this shard ("" the pool) once empty
+        self.inherited = False
+        self.to: str | None = None
 
     def value(self, shard: str) -> dict[str, Any]:
+        """Its record, assigned to `shard`."""
         value: dict[str, Any] = {
             "t": self.type,
             "z": self.zone,
@@ -85,10 +130,11 @@
         value["at"] = round(self.rented_at, 3)
         if self.dated:
             value["r"] = 1
-        # The next part's owner is told which images it need not wait for.
-        value["i"] = [[image, self.images[image]] for image in list(reversed(self.images))[:12]]
+        images = list(reversed(self.images))[:IMAGES_STORED]
+        value["i"] = [[image, self.images[image]] for image in images]
         if self.incarnation:
-            value["n"] = self.incarnation  # and can give orders before the worker has found it
+            # With it the next owner can command the worker before its first heartbeat.
+            value["n"] = self.incarnation
         if self.phase is MachinePhase.DECOMMISSIONED:
             value["x"] = self.why
         return value
@@ -96,23 +142,29 @@
     # -- changes of state --------------------------------------------------------------------
 
     def came_up(self, address: str) -> None:
+        """A heartbeat came, from an agent at that address."""
         self.address = address
         if self.phase is MachinePhase.EXPECTED:
             self.phase = MachinePhase.UP
 
     def leave(self, why: str) -> None:
+        """It takes no new tasks from here on."""
         if self.phase in (MachinePhase.UP, MachinePhase.EXPECTED):
             self.phase = MachinePhase.LEAVING
             self.why = why
 
     def decommission(self, why: str) -> None:
+        """It is to be given up; durable with the next write of its record."""
         if self.phase is not MachinePhase.DECOMMISSIONED:
             self.phase = MachinePhase.DECOMMISSIONED
             self.why = why
 
     def uses(self, image: str, size: float) -> None:
-        """A task here holds it. The least recently used are taken to be gone once the cache is full: believing that
-        all ever seen were still there, gangs were sent to machines that had to fetch after all."""
+        """A task here has its image, of that size in GB.
+
+        The least recently used images are taken to be gone once the cache is full: otherwise gangs would be
+        placed on machines that have to fetch the image after all.
+        """
         known = self.images.pop(image, None)
         self.images[image] = size
         if known is None:
@@ -123,12 +175,13 @@
                 over -= self.images.pop(other)
 
     def lacks(self, image: str) -> None:
-        """It is being fetched."""
+        """The image is being fetched, so it was not there."""
         self.images.pop(image, None)
 
     # -- room --------------------------------------------------------------------------------
 
     def take(self, placement: Placement, cpus: float, gpus: float, memory: float) -> None:
+        """Place a task that needs so much."""
         self.live[placement.key] = placement
         self.version += 1
         self.cpus -= cpus
@@ -139,6 +192,7 @@
     def give_back(
         self, placement: Placement, cpus: float, gpus: float, memory: float, now: float
     ) -> None:
+        """Remove a placement, and free what it took."""
         if self.live.pop(placement.key, None) is not None:
             self.version += 1
             self.cpus += cpus
@@ -148,31 +202,32 @@
             self.idle_since = now
 
     def fits(self, cpus: float, gpus: float, memory: float) -> int:
-        """How many such tasks the free room takes."""
+        """How many such tasks the free capacity takes."""
         return fits((self.cpus, self.gpus, self.memory), (cpus, gpus, memory))
 
     @property
     def usable(self) -> bool:
+        """Whether tasks may be placed here."""
         return self.phase is MachinePhase.UP and self.reclaim_at is None
 
     def coming(self, now: float) -> bool:
-        """Whether work may wait for it to boot. One that is late beyond the usual is not waited for."""
-        return (
-            self.phase is MachinePhase.EXPECTED
-            and now - max(self.rented_at, self.since - self.shape.boot_s) < 1.6 * self.shape.boot_s
-        )
+        """Whether work may wait for it to boot; not if it is far later than usual."""
+        boot_s = self.shape.boot_s
+        started_at = max(self.rented_at, self.since - boot_s)
+        return self.phase is MachinePhase.EXPECTED and now - started_at < BOOT_PATIENCE * boot_s
 
     @property
     def empty(self) -> bool:
-        """Nothing counts here, and nothing is left that its owner would still have to settle."""
+        """No placement counts here, and no report of a task is left to be settled."""
         return not self.live and not self.orphaned_tasks and not self.ended and self.reported == 0
 
     def silent_for(self, now: float) -> float:
+        """Seconds since its last heartbeat, or since this owner learnt of it."""
         return now - (self.last_at if self.last_at is not None else self.since)
 
 
 def trimmed(value: dict[str, Any], most: int) -> dict[str, Any]:
-    """A machine's record with no more images than let it fit, the last used first."""
+    """A machine's record, without the least recently used images that would make it longer than `most` bytes."""
     images = list(value.get("i", ()))
     while images and len(msgspec.json.encode({**value, "i": images})) > most:
         images.pop()
@@ -180,30 +235,30 @@
 
 
 def images_of(value: dict[str, Any]) -> list[tuple[str, float]]:
-    """From a machine's record, the last used first; versions before wrote only the names."""
+    """Images and their sizes in GB from a machine's record, the last used first; 0 where an earlier version wrote only the names."""
     return [
         (item, 0.0) if isinstance(item, str) else (item[0], item[1]) for item in value.get("i", ())
     ]
 
 
 def fits(free: Sequence[float], need: Sequence[float]) -> int:
-    """How many times a need (of CPUs, GPUs and memory) goes into what is free."""
-    most = 1 << 30
-    for wanted, there in ((need[0], free[0]), (need[1], free[1]), (need[2], free[2])):
+    """How many times a need goes into what is free; both are CPUs, GPUs and memory."""
+    count = UNBOUNDED
+    for wanted, available in ((need[0], free[0]), (need[1], free[1]), (need[2], free[2])):
         if wanted > 0:
-            times = int((there + 1e-6) / wanted)
+            times = int((available + ROUNDING) / wanted)
             if times <= 0:
                 return 0
-            if times < most:
-                most = times
-    return most
+            if times < count:
+                count = times
+    return count
 
 
 def less(free: Sequence[float], need: Sequence[float], times: int) -> list[float]:
-    """What is left of it after so many."""
+    """What is left of the free CPUs, GPUs and memory after so many times the need."""
     return [free[0] - need[0] * times, free[1] - need[1] * times, free[2] - need[2] * times]
 
 
 def capacity(shape: MachineType, cpus: float, gpus: float, memory: float) -> int:
-    """How many such tasks a whole empty machine takes."""
+    """How many such tasks an empty machine of that type takes."""
     return fits((shape.cpus, shape.gpus, shape.memory_gb), (cpus, gpus, memory))
