--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -16,7 +16,7 @@
 from ashdock.cluster_version import ClusterVersion
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
-from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.shard_status import Rebalance, Reclaim, ShardStatus
 from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
@@ -42,7 +42,8 @@
 from ashdock.settings import Settings, Team, address
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from ashdock.timelines import StartupTimeline
-from ashdock.wire.frames import (
+from ashdock.wire.messages import MachineType
+from ashdock.wire.peer_messages import (
     CancelledJobs,
     FencedCommand,
     ForwardedHeartbeat,
@@ -58,7 +59,6 @@
     TransferShard,
     WatermarkEcho,
 )
-from ashdock.wire.messages import MachineType
 
 log = logging.getLogger("ashdock.controller")
 
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -12,7 +12,7 @@
 
 from ashdock.net.http import Answer
 from ashdock.net.mesh import Mesh
-from ashdock.wire.frames import ForwardedHeartbeat, ForwardReply
+from ashdock.wire.peer_messages import ForwardedHeartbeat, ForwardReply
 
 MAX_BACKGROUND_TASKS = 500  # of this controller; beyond that forwarded heartbeats are dropped
 REPLY_TIMEOUT_S = 2.0  # half of what a worker waits for its answer
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -16,7 +16,7 @@
     ScaleIn,
     ScaleOut,
 )
-from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.shard_status import Rebalance, Reclaim, ShardStatus
 from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.fencing import NotLeaderError
@@ -32,8 +32,8 @@
 from ashdock.net.store_errors import CompareFailedError, StoreUnavailableError
 from ashdock.net.watch_cache import WatchCache
 from ashdock.settings import Operators, Shared, Workers
-from ashdock.wire.frames import ShardCommand, TransferMachine, TransferShard
 from ashdock.wire.messages import Heartbeat, MachineType
+from ashdock.wire.peer_messages import ShardCommand, TransferMachine, TransferShard
 
 log = logging.getLogger("ashdock.leader")
 
--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -10,7 +10,8 @@
 
 from ashdock.fairness.load_shedder import HeartbeatLag
 from ashdock.wire import frames
-from ashdock.wire.frames import Frame, FrameError, Hello, PeerHeartbeat
+from ashdock.wire.frame_errors import FrameError
+from ashdock.wire.peer_messages import Frame, Hello, PeerHeartbeat
 
 log = logging.getLogger("ashdock.mesh")
 
@@ -217,7 +218,9 @@
         try:
             while True:
                 async with asyncio.timeout(self.heartbeat_interval_s * MAX_SILENCE):
-                    kind, length = frames.head(await reader.readexactly(frames.HEAD.size))
+                    kind, length = frames.unpack_header(
+                        await reader.readexactly(frames.HEADER.size)
+                    )
                     frame = frames.unpack(kind, await reader.readexactly(length))
                 if isinstance(frame, Hello):
                     label = frame.label
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -146,7 +146,9 @@
         self.store = cast(Any, FakeStore())
         self.cache = cast(
             Any,
-            SimpleNamespace(entries=self.store.entries, apply_own_write=lambda path, value, revision: None),
+            SimpleNamespace(
+                entries=self.store.entries, apply_own_write=lambda path, value, revision: None
+            ),
         )
         self.cloud = cast(Any, FakeCloud())
         self.time = 1000.0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,12 +5,12 @@
 import asyncio
 import random
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args
 
 import pytest
 
 from ashdock import cli
-from ashdock.core.status_reporter import (
+from ashdock.core.shard_status import (
     BusyMachine,
     Rebalance,
     Reclaim,
@@ -20,11 +20,13 @@
 from ashdock.net.http import Answer, Client, Request, Server, plain_connections
 from ashdock.settings import SettingsError, load, load_operators
 from ashdock.wire import frames
-from ashdock.wire.frames import (
+from ashdock.wire.frame_errors import FrameError
+from ashdock.wire.messages import MalformedMessageError, decode_heartbeat, decode_submission, encode
+from ashdock.wire.peer_messages import (
     CancelledJobs,
     ForwardedHeartbeat,
     ForwardReply,
-    FrameError,
+    Frame,
     Hello,
     OwnershipClaims,
     PeerHeartbeat,
@@ -33,7 +35,6 @@
     TransferMachine,
     WatermarkEcho,
 )
-from ashdock.wire.messages import MalformedMessageError, decode_heartbeat, decode_submission, encode
 from tests import simtime
 from tests.whole import job
 
@@ -199,8 +200,8 @@
 @pytest.mark.parametrize("frame", FRAMES, ids=lambda frame: type(frame).__name__)
 def test_frames_there_and_back(frame: Any) -> None:
     raw = frames.pack(frame)
-    kind, length = frames.head(raw[: frames.HEAD.size])
-    body = raw[frames.HEAD.size :]
+    kind, length = frames.unpack_header(raw[: frames.HEADER.size])
+    body = raw[frames.HEADER.size :]
     assert length == len(body) and frames.unpack(kind, body) == frame
     for cut in range(len(body)):
         with pytest.raises(FrameError):
@@ -209,6 +210,12 @@
         frames.unpack(kind, body + b"\0")
 
 
+def test_every_kind_has_one_codec() -> None:
+    assert [codec.kind for codec in frames.CODECS] == list(frames.FrameKind)
+    assert len({codec.message for codec in frames.CODECS}) == len(frames.CODECS)
+    assert {codec.message for codec in frames.CODECS} == set(get_args(Frame))
+
+
 def test_frames_fuzzed() -> None:
     rng = random.Random(5)
     for _ in range(3000):
@@ -216,19 +223,19 @@
         for _ in range(rng.randrange(1, 4)):
             raw[rng.randrange(len(raw))] = rng.randrange(256)
         try:
-            kind, _ = frames.head(bytes(raw[: frames.HEAD.size]))
-            frames.unpack(kind, bytes(raw[frames.HEAD.size :]))
+            kind, _ = frames.unpack_header(bytes(raw[: frames.HEADER.size]))
+            frames.unpack(kind, bytes(raw[frames.HEADER.size :]))
         except FrameError:
             pass
 
 
-HEADS = [(b"XX", 1, 1, 0), (b"AD", 1, 1, 0), (b"AD", 1, 1, frames.MOST + 1)]
+HEADS = [(b"XX", 1, 1, 0), (b"AD", 1, 1, 0), (b"AD", 1, 1, frames.MAX_BODY_BYTES + 1)]
 
 
 @pytest.mark.parametrize("head", HEADS)
 def test_heads_refused(head: Any) -> None:
     with pytest.raises(FrameError):
-        frames.head(frames.HEAD.pack(*head))
+        frames.unpack_header(frames.HEADER.pack(*head))
 
 
 def test_bodies_fuzzed() -> None:
