--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -6,13 +6,13 @@
 import logging
 import random
 import time
-from collections import Counter
 from typing import Any
 
 from ashdock.admission.control import Admission
 from ashdock.admission.shares import Use
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
+from ashdock.cluster_state import ClusterState
 from ashdock.cluster_version import ClusterVersion
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
@@ -36,7 +36,6 @@
     LeaseLostError,
     StoreClient,
     StoreUnavailableError,
-    WatchCache,
 )
 from ashdock.net.worker import WorkerClient
 from ashdock.settings import Settings, Team, address
@@ -106,17 +105,16 @@
             on_link=lambda label: self.cancellations.watermark.linked(label),
         )
         self.cancellations: CancellationBroadcaster = CancellationBroadcaster(self)
-        self.machines = WatchCache(self.store, "machine/")
-        self.shards = WatchCache(self.store, "part/")
-        self.members = WatchCache(self.store, "member/")
-        self.leaders = WatchCache(self.store, "leader")
-        # Asked anew often enough that at the beginning of an outage we know how jobs stood a moment before.
-        self.jobs = WatchCache(
-            self.store,
-            "job/",
-            keep=False,
-            hold_ms=int(1000 * (self.workers.cancel_s - self.workers.lease_s) / 8),
-        )
+        self.cluster = ClusterState(self.store, self.workers, self.shared.teams)
+        self.machines = self.cluster.machines
+        self.shards = self.cluster.shards
+        self.members = self.cluster.members
+        self.leaders = self.cluster.leaders
+        self.jobs = self.cluster.jobs
+        self.owner_label = self.cluster.owner_label
+        self.leader_label = self.cluster.leader_label
+        self.token_of = self.cluster.token_of
+        self.load = self.cluster.load
         self.heartbeat_lag = HeartbeatLag(self.mesh.beat_s)
         self.load_shedder = LoadShedder(self.mesh.beat_s, 2 * self.workers.lease_s)
         self.catalog: dict[str, MachineType] = {}
@@ -173,14 +171,6 @@
     def names_successor(self) -> bool:
         return self.cluster_version.fences_commands
 
-    def load(self) -> dict[str, int]:
-        """How many machines the shards of each controller hold."""
-        held = Counter(entry.value["p"] for entry in self.machines.entries.values())
-        out: Counter[str] = Counter()
-        for team in self.shared.teams:
-            out[self.owner_label(team.name) or ""] += held[team.name] + 1
-        return out
-
     def heard_worker(self) -> None:
         self.last_report = time.monotonic()
 
@@ -229,10 +219,7 @@
             self._pace,
             self._run_election,
         ]
-        tasks = [
-            asyncio.create_task(replica.run())
-            for replica in (self.machines, self.shards, self.members, self.leaders, self.jobs)
-        ]
+        tasks = [asyncio.create_task(cache.run()) for cache in self.cluster.caches]
         tasks += [asyncio.create_task(self._forever(loop)) for loop in loops]
         try:
             await asyncio.gather(*tasks)
@@ -378,10 +365,6 @@
             for shard in self._active_shards():
                 self._send_shard_status(shard)
 
-    def leader_label(self) -> str | None:
-        entry = self.leaders.entries.get("leader")
-        return entry.value["label"] if entry else None
-
     # -- ownership ---------------------------------------------------------------------------------------------------
 
     def others_may_return(self) -> bool:
@@ -395,16 +378,6 @@
             if owner.phase is OwnershipPhase.ACTIVE and owner.shard
         ]
 
-    def owner_label(self, team: str) -> str | None:
-        entry = self.shards.entries.get(f"part/{team}")
-        return entry.value["owner"] if entry else None
-
-    def token_of(self, machine: str) -> int:
-        """The token under which its owner acts, as far as the records have come through to us."""
-        entry = self.machines.entries.get(f"machine/{machine}")
-        shard = self.shards.entries.get(f"part/{entry.value['p']}") if entry else None
-        return max(entry.revision, shard.revision) if entry and shard else 1 << 64
-
     async def _ownership(self) -> float:
         # The jobs too: a shard read before their watch has begun would miss what is accepted in between.
         replicas = (self.shards, self.members, self.machines, self.jobs)
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -203,6 +203,7 @@
     ("front.py", "submissions and questions"),
     ("membership.py", "membership"),
     ("cluster_version.py", "membership"),
+    ("cluster_state.py", "membership"),
     ("timelines.py", "membership"),
     ("controller.py", "membership"),
     ("concurrency.py", "leader's choices"),
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ashdock.controller import Controller
+from ashdock.cluster_state import ClusterState
 from ashdock.core.job import Job, fitting, job_record, spec_of_record
 from ashdock.core.machine import Machine, MachinePhase, images_of, trimmed
 from ashdock.core.park import Park, Parks
@@ -316,9 +316,9 @@
 def read_part_owner(body: Plain) -> Plain:
     """`part/<team>`: the label of the controller that owns it."""
     entry = Entry("part/red", msgspec.json.decode(to_bytes(body)), REVISION)
-    controller: Any = Controller.__new__(Controller)
-    controller.shards = SimpleNamespace(entries={entry.path: entry})
-    return controller.owner_label("red")
+    cluster: Any = ClusterState.__new__(ClusterState)
+    cluster.shards = SimpleNamespace(entries={entry.path: entry})
+    return cluster.owner_label("red")
 
 
 LEADERSHIP = {KeyHolder.NOBODY: "free", KeyHolder.US: "ours", KeyHolder.ANOTHER: "another's"}
@@ -329,9 +329,9 @@
     election = Election("machines", "leader", values["label"], 5)
     value = msgspec.json.decode(to_bytes(values["value"]))
     entries = {} if value is None else {"leader": Entry("leader", value, REVISION)}
-    controller: Any = Controller.__new__(Controller)
-    controller.leaders = SimpleNamespace(entries=entries)
-    return [LEADERSHIP[election.stands(value)], controller.leader_label()]
+    cluster: Any = ClusterState.__new__(ClusterState)
+    cluster.leaders = SimpleNamespace(entries=entries)
+    return [LEADERSHIP[election.stands(value)], cluster.leader_label()]
 
 
 def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
