--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -14,6 +14,7 @@
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.cluster_state import ClusterState
 from ashdock.cluster_version import ClusterVersion
+from ashdock.connectivity import Connectivity, Readiness
 from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
 from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
@@ -140,9 +141,21 @@
         self.remote_counts: dict[str, dict[str, tuple[int, int]]] = {}
         self.heartbeat_forwarder = HeartbeatForwarder(self)
         self.inheritance_sent: set[str] = set()  # parts whose jobs need others', as last told
-        self.last_report = self.started = time.monotonic()
-        self.startup_timeline = StartupTimeline(self.started)
+        self.connectivity = Connectivity(
+            self.store, self.mesh, ttl_s=self.ttl_s, heartbeat_s=self.workers.report_s
+        )
+        self.state_fresh = self.connectivity.state_fresh
+        self.cut_off = self.connectivity.cut_off
+        self.heard_worker = self.connectivity.worker_heard
+        self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
+        self.readiness = Readiness(
+            self.connectivity,
+            may_serve=self.membership.may_serve,
+            catalog=self.catalog,
+            shards_known=self.shards.ready,
+        )
+        self.ready = self.readiness.ready
         self.orphan_leases = OrphanLeaseRenewer(
             self.workers,
             self.jobs,
@@ -171,9 +184,6 @@
     def names_successor(self) -> bool:
         return self.cluster_version.fences_commands
 
-    def heard_worker(self) -> None:
-        self.last_report = time.monotonic()
-
     @property
     def jobs_known(self) -> Front:
         return self.front
@@ -269,9 +279,6 @@
 
     # -- how well we are connected ---------------------------------------------------------------------------
 
-    def state_fresh(self) -> bool:
-        return self.store.bad_since is None and self.store.silent_for < self.ttl_s
-
     def may_renew(self, read_at: float) -> bool:
         """Whether running work of a shard that was read at `read_at` may be kept alive: what could have been cancelled without our
         knowledge will be gone in time all the same."""
@@ -283,40 +290,6 @@
         now = time.monotonic()
         return now - self.cancellations.watermark.known_until(self.jobs.known_at, now)
 
-    def alone_without_state(self) -> bool:
-        """Others are served, or may be: users had better ask them. Where nobody is heard either we are most likely cut off; one that went on
-        taking users then answered none of their questions for as long as that lasted, and their connections stayed."""
-        silent = self.store.silent_for
-        if silent < self.ttl_s / 2:
-            return False
-        beats = [
-            peer.beat
-            for peer in self.mesh.peers.values()
-            if peer.beat is not None and peer.heard_within(self.ttl_s)
-        ]
-        if not beats:
-            return bool(self.mesh.peers) and silent > self.ttl_s
-        return any(beat.state_age < self.ttl_s / 2 for beat in beats)
-
-    def cut_off(self) -> bool:
-        """Only the state service is left to us: no other controller is heard, and no worker. Others had better own our shards."""
-        quiet = max(2 * self.workers.report_s, self.ttl_s)
-        if not self.mesh.peers or any(
-            peer.heard_within(quiet) for peer in self.mesh.peers.values()
-        ):
-            return False
-        return time.monotonic() - max(self.last_report, self.started) > quiet
-
-    def ready(self) -> bool:
-        # One that keeps ending is ready while it lives: without it too few were, and users found none (edge: 0.92 -> 0.84 in time).
-        connected = self.may_serve() or not self.cut_off()
-        return (
-            bool(self.catalog)
-            and self.shards.ready.is_set()
-            and connected
-            and not self.alone_without_state()
-        )
-
     # -- membership and leadership -----------------------------------------------------------------------------
 
     @property
@@ -367,9 +340,6 @@
 
     # -- ownership ---------------------------------------------------------------------------------------------------
 
-    def others_may_return(self) -> bool:
-        return time.monotonic() - self.started < self.ttl_s / 2
-
     def _active_shards(self) -> list[Shard]:
         """The shards owned here that have been read."""
         return [
@@ -402,7 +372,7 @@
         heirs: dict[str, str] = {}
         # Where all have ended together, the first one back used to take every shard a moment before their owners were
         # back: just started, we leave those of others a little time.
-        if self.others_may_return():
+        if self.connectivity.recently_started():
             orphans = [
                 team for team in orphans if self.owner_label(team.name) in (None, self.label)
             ]
@@ -483,7 +453,7 @@
         beat = PeerHeartbeat(
             self.incarnation,
             self.store.silent_for,
-            now - self.last_report,
+            now - self.connectivity.last_heartbeat,
             self.ready(),
             self.leader is not None,
             *self.store.demand,
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -204,6 +204,7 @@
     ("membership.py", "membership"),
     ("cluster_version.py", "membership"),
     ("cluster_state.py", "membership"),
+    ("connectivity.py", "membership"),
     ("timelines.py", "membership"),
     ("controller.py", "membership"),
     ("concurrency.py", "leader's choices"),
