--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -15,7 +15,6 @@
 from ashdock.cluster_state import ClusterState
 from ashdock.cluster_version import ClusterVersion
 from ashdock.connectivity import Connectivity, Readiness
-from ashdock.core.job import spec_of_record
 from ashdock.core.shard import Shard
 from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
 from ashdock.core.write_limits import WriteLimits
@@ -39,8 +38,10 @@
     StoreUnavailableError,
 )
 from ashdock.net.worker import WorkerClient
-from ashdock.settings import Settings, Team, address
-from ashdock.shard_owner import OwnershipPhase, ShardOwner
+from ashdock.settings import Settings, address
+from ashdock.shard_owner import ShardOwner
+from ashdock.shard_owners import ShardOwners
+from ashdock.shard_ownership import ShardOwnership
 from ashdock.timelines import StartupTimeline
 from ashdock.wire.frames import (
     CancelledJobs,
@@ -163,6 +164,28 @@
             self.cancellations.watermark,
         )
         self.front: Front = Front(self)
+        self.shard_owners = ShardOwners(
+            label=self.label,
+            table=self.owners,
+            create=lambda team, revision: ShardOwner(self, team, revision),
+            shards=self.shards,
+            job_memory=self.front,
+            now=self.now,
+        )
+        self.owned_shard_count = self.shard_owners.count
+        self.let_go = self.shard_owners.let_go
+        self.jobs_seen = self.shard_owners.job_changed
+        self.cancelled = self.shard_owners.job_cancelled
+        self.settled = self.shard_owners.job_settled
+        self.shard_ownership = ShardOwnership(
+            tick_s=self.tick_s,
+            cluster=self.cluster,
+            owners=self.shard_owners,
+            membership=self.membership,
+            connectivity=self.connectivity,
+            startup_timeline=self.startup_timeline,
+            prepared=lambda: bool(self.catalog) and self.cluster_version.looked,
+        )
         admission = self.admission
         self.server = Server(
             self.front.handle,
@@ -191,13 +214,6 @@
     def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None:
         self.cancellations.tell(job_id, team, revision, at)
 
-    def owned_shard_count(self) -> int:
-        return len(self.owners)
-
-    def let_go(self, owner: ShardOwner) -> None:
-        if self.owners.get(owner.team.name) is owner:
-            del self.owners[owner.team.name]
-
     def metrics(self) -> Answer:
         from ashdock.net import (
             metrics,
@@ -211,9 +227,9 @@
     # -- life --------------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        self.machines.on_change(self._machine_changed)
-        self.jobs.on_change(self.jobs_seen)
-        self.jobs.on_gap = self._missed_jobs
+        self.machines.on_change(self.shard_owners.machine_changed)
+        self.jobs.on_change(self.shard_owners.job_changed)
+        self.jobs.on_gap = self.shard_owners.job_changes_missed
         self.leaders.on_change(self._leader_key_changed)
         await self.server.start(*address(self.settings.bind, "bind"))
         await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
@@ -222,7 +238,7 @@
         )
         loops = [
             self.membership.keep,
-            self._ownership,
+            self.shard_ownership.run_once,
             self._gossip,
             self.machine_type_catalog.learn,
             self.cluster_version.look,
@@ -335,114 +351,9 @@
         if value is not None and path == "leader":
             self.terms.saw(revision)
             # It chooses nothing before it has heard of every shard, and would hear with our next beat.
-            for shard in self._active_shards():
+            for shard in self.shard_owners.active_shards():
                 self._send_shard_status(shard)
 
-    # -- ownership ---------------------------------------------------------------------------------------------------
-
-    def _active_shards(self) -> list[Shard]:
-        """The shards owned here that have been read."""
-        return [
-            owner.shard
-            for owner in self.owners.values()
-            if owner.phase is OwnershipPhase.ACTIVE and owner.shard
-        ]
-
-    async def _ownership(self) -> float:
-        # The jobs too: a shard read before their watch has begun would miss what is accepted in between.
-        replicas = (self.shards, self.members, self.machines, self.jobs)
-        if not (
-            self.catalog
-            and self.cluster_version.looked
-            and all(replica.ready.is_set() for replica in replicas)
-        ):
-            return self.tick_s / 4
-        if self.hold is None or time.monotonic() > self.membership.until:
-            return self.tick_s
-        self.startup_timeline.learnt(time.monotonic())
-        alive = {*self.fit_members(), *([self.label] if self.may_serve() else [])} or {self.label}
-        load = dict.fromkeys(sorted(alive), 0)
-        orphans: list[Team] = []
-        for team in self.shared.teams:
-            owner = self.owner_label(team.name)
-            if owner in load:
-                load[owner] += 1
-            else:
-                orphans.append(team)
-        heirs: dict[str, str] = {}
-        # Where all have ended together, the first one back used to take every shard a moment before their owners were
-        # back: just started, we leave those of others a little time.
-        if self.connectivity.recently_started():
-            orphans = [
-                team for team in orphans if self.owner_label(team.name) in (None, self.label)
-            ]
-        for team in orphans:
-            heir = min(load, key=lambda label: (load[label], label))
-            load[heir] += 1
-            heirs[team.name] = heir
-        for team in self.shared.teams:
-            entry = self.shards.entries.get(f"part/{team.name}")
-            ours = self.owners.get(team.name)
-            if ours is not None:
-                claim = ours.shard.revision if ours.shard else 0
-                if claim and entry and entry.revision > claim:
-                    ours.lost(f"claimed by {entry.value['owner']}")
-                continue
-            # A shard that names us is ours from before a restart: taken back at once.
-            if (entry and entry.value["owner"] == self.label and self.may_serve()) or heirs.get(
-                team.name
-            ) == self.label:
-                if self.state_fresh():
-                    self.owners[team.name] = ShardOwner(self, team, entry.revision if entry else 0)
-        return self.tick_s
-
-    def _machine_changed(self, path: str, value: Any, revision: int) -> None:
-        name = path.split("/", 1)[1]
-        for owner in list(self.owners.values()):
-            if value is None:
-                owner.note(lambda shard: shard.machine_gone(name, self.now()))
-            elif value["p"] == owner.team.name:
-                owner.note(lambda shard: shard.add_machine(name, value, revision, self.now()))
-
-    def _missed_jobs(self) -> None:
-        """Jobs may have been accepted that we were not told of: our shards are claimed and read again."""
-        for owner in list(self.owners.values()):
-            owner.lost("changes to jobs were missed")
-
-    def jobs_seen(self, path: str, value: Any, revision: int) -> None:
-        """`job/<id>` changed: new, withdrawn, done, or with a reason."""
-        if value is None:
-            return
-        job_id = path.split("/", 1)[1]
-        self.front.saw(job_id, value, revision)
-        team = spec_of_record(value).team
-        owner = self.owners.get(team)
-        status = value["status"]
-        if status == "withdrawn":
-            self.cancelled(job_id, team, revision, value.get("cancelled_at", self.now()))
-        elif owner is not None and status == "queued":
-            owner.note(lambda shard: self._job_news(shard, job_id, value, revision))
-        if status != "queued":
-            self.settled(job_id, status, value.get("done_at"))
-
-    def cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
-        owner = self.owners.get(team)
-        if owner is not None:
-            owner.note(lambda shard: shard.cancel(job_id, at, revision, self.now()))
-
-    def settled(self, job_id: str, status: str, done_at: float | None) -> None:
-        for owner in list(self.owners.values()):
-            if owner.waits_for(job_id):
-                owner.note(
-                    lambda shard: shard.dependency_tracker.settled(
-                        job_id, status, done_at, self.now()
-                    )
-                )
-
-    def _job_news(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
-        if job_id not in shard.jobs and not self.front.is_final(job_id):
-            shard.status_reporter.came(shard.add_job(value, revision), self.now())
-
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
     async def _gossip(self) -> float:
@@ -462,7 +373,7 @@
         self.cancellations.vouch(now)
         self.send_claims()
         counts: list[tuple[str, int, int]] = []
-        for shard in self._active_shards():
+        for shard in self.shard_owners.active_shards():
             counts += shard.status_reporter.counts()
             self._send_shard_status(shard)
         self._send_inherited_priorities()
@@ -508,38 +419,21 @@
         """What our shards' jobs make of other shards' jobs that they need: said anew with each beat, as long as there is any."""
         if not self.cluster_version.supports_dependencies:
             return
-        for shard in self._active_shards():
+        for shard in self.shard_owners.active_shards():
             rows = shard.dependency_tracker.graph.abroad(shard.jobs)
             if rows or shard.name in self.inheritance_sent:
                 ahead = PriorityInheritance(shard.name, rows[:COUNTS_AT_ONCE])
                 self.mesh.broadcast(ahead)
-                self._inherit_priorities(ahead)
+                self.shard_owners.inherit_priorities(ahead)
             (self.inheritance_sent.add if rows else self.inheritance_sent.discard)(shard.name)
 
-    def _inherit_priorities(self, ahead: PriorityInheritance) -> None:
-        for team, owner in self.owners.items():
-            if team != ahead.shard:
-                owner.note(lambda shard: shard.dependency_tracker.hear(*ahead))
-
     def send_claims(self) -> None:
         # Once they are read: told at the claim, one that the state service refuses let go of its workers, the reading met an outage, and
         # nobody could answer them (109 tasks on a day of refusals and outages). Until then it can write nothing any more.
-        claims = [(shard.name, shard.revision) for shard in self._active_shards()]
+        claims = [(shard.name, shard.revision) for shard in self.shard_owners.active_shards()]
         if claims:
             self.mesh.broadcast(OwnershipClaims(claims))
 
-    def _claims_received(self, label: str, claims: OwnershipClaims) -> None:
-        """A claim that the state service did not tell us of. One controller that it refused alone went on answering
-        the workers of a shard that had gone to another; that one heard none of them and gave up their machines."""
-        for team, revision in claims.shards:
-            path = f"part/{team}"
-            known = self.shards.entries.get(path)
-            if known is None or known.revision < revision:
-                self.shards.wrote(path, {"owner": label}, revision)
-            ours = self.owners.get(team)
-            if ours is not None and ours.shard and ours.shard.revision < revision:
-                ours.lost(f"claimed by {label}, as the mesh tells")
-
     def _share(self) -> None:
         """Divide what the state service takes among those that live, by what each asks."""
         others: list[Demand | None] = []
@@ -574,7 +468,7 @@
             if now - at < self.mesh.beat_s * 2
             for row in frame.machines
         ]
-        for shard in self._active_shards():
+        for shard in self.shard_owners.active_shards():
             out += shard.status_reporter.leaving()
         return out
 
@@ -585,7 +479,7 @@
             for team, (at, shard_status) in self.remote_statuses.items()
             if now - at < self.ttl_s
         }
-        for shard in self._active_shards():
+        for shard in self.shard_owners.active_shards():
             out[shard.name] = shard.status_reporter.shard_status(self.now())
         return out
 
@@ -641,9 +535,9 @@
                 if not self.cluster_version.fences_commands:
                     self._for_shard(frame)
             case OwnershipClaims():
-                self._claims_received(label, frame)
+                self.shard_owners.claims_received(label, frame)
             case PriorityInheritance():
-                self._inherit_priorities(frame)
+                self.shard_owners.inherit_priorities(frame)
             case TaskCounts(jobs):
                 known = self.remote_counts.setdefault(label, {})
                 if len(known) > 20 * COUNTS_AT_ONCE:
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -5,9 +5,9 @@
 from types import SimpleNamespace
 from typing import Any
 
-from ashdock.controller import Controller
 from ashdock.core.job import JobPhase
 from ashdock.core.shard import Shard
+from ashdock.shard_owners import ShardOwners
 from tests.forms.adapter.records import MACHINE_PHASES, NOW, make_part
 from tests.forms.adapter.values import Plain, plain
 
@@ -63,15 +63,15 @@
     """Changes brought by the watch: what the shard then holds, and what is passed on."""
     shard = loaded_part(values["store"])
     told: list[Plain] = []
-    controller: Any = Controller.__new__(Controller)
     owner = SimpleNamespace(team=SimpleNamespace(name="red"), note=lambda change: change(shard))
-    controller.owners = {"red": owner}
-    controller.front = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
-    controller.now = lambda: NOW
-    controller.cancelled = lambda *words: told.append(["cancelled", *plain(words)])
-    controller.settled = lambda *words: told.append(["settled", *plain(words)])
+    owners: Any = ShardOwners.__new__(ShardOwners)
+    owners.table = {"red": owner}
+    owners.job_memory = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
+    owners.now = lambda: NOW
+    owners.job_cancelled = lambda *words: told.append(["cancelled", *plain(words)])
+    owners.job_settled = lambda *words: told.append(["settled", *plain(words)])
     for path, value, revision in values["changes"]:
-        hear = controller._machine_changed if path.startswith("machine/") else controller.jobs_seen
+        hear = owners.machine_changed if path.startswith("machine/") else owners.job_changed
         hear(path, value, revision)
     return {"part": part_to_values(shard), "told": told}
 
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -79,7 +79,7 @@
         while owner is None or owner.phase is not phase:
             await asyncio.sleep(0.01)
             owner = controller.owners.get("red")
-        controller._missed_jobs()
+        controller.shard_owners.job_changes_missed()
         await asyncio.sleep(1.5)
         assert owner.phase is OwnershipPhase.LOST and owner.task.done()
         assert not await service.until_final(["req-000001"], 60)
