--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -21,10 +21,10 @@
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.election.fencing import TermFence
-from ashdock.fairness.load_shedder import HeartbeatLag, LoadShedder, PeerLoad
 from ashdock.front import Front, refused, use_of
 from ashdock.heartbeat_forwarder import HeartbeatForwarder
 from ashdock.leader import Leader
+from ashdock.load_handover import LoadHandover
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudClient, CloudError
@@ -39,6 +39,7 @@
 )
 from ashdock.net.worker import WorkerClient
 from ashdock.settings import Settings, address
+from ashdock.shard_commands import ShardCommands
 from ashdock.shard_owner import ShardOwner
 from ashdock.shard_owners import ShardOwners
 from ashdock.shard_ownership import ShardOwnership
@@ -53,7 +54,6 @@
     PeerHeartbeat,
     PriorityInheritance,
     ReclaimsInProgress,
-    ShardCommand,
     TaskCounts,
     TransferMachine,
     TransferShard,
@@ -117,8 +117,6 @@
         self.leader_label = self.cluster.leader_label
         self.token_of = self.cluster.token_of
         self.load = self.cluster.load
-        self.heartbeat_lag = HeartbeatLag(self.mesh.beat_s)
-        self.load_shedder = LoadShedder(self.mesh.beat_s, 2 * self.workers.lease_s)
         self.catalog: dict[str, MachineType] = {}
         self.machine_type_catalog = MachineTypeCatalog(self)
         self.owners: dict[str, ShardOwner] = {}
@@ -186,6 +184,24 @@
             startup_timeline=self.startup_timeline,
             prepared=lambda: bool(self.catalog) and self.cluster_version.looked,
         )
+        self.shard_commands = ShardCommands(
+            owners=self.shard_owners,
+            cluster=self.cluster,
+            cluster_version=self.cluster_version,
+            mesh=self.mesh,
+            terms=self.terms,
+            now=self.now,
+        )
+        self.to_owner = self.shard_commands.send
+        self.load_handover = LoadHandover(
+            mesh=self.mesh,
+            cluster=self.cluster,
+            membership=self.membership,
+            commands=self.shard_commands,
+            leads=lambda: self.leader is not None,
+            ttl_s=self.ttl_s,
+            patience_s=2 * self.workers.lease_s,
+        )
         admission = self.admission
         self.server = Server(
             self.front.handle,
@@ -358,8 +374,7 @@
 
     async def _gossip(self) -> float:
         now = time.monotonic()
-        self.heartbeat_lag.beat(now)
-        self._hand_on(now)
+        self.load_handover.on_beat(now)
         self._share()
         beat = PeerHeartbeat(
             self.incarnation,
@@ -383,38 +398,6 @@
         self.worker_client.sweep()
         return self.mesh.beat_s
 
-    def _hand_on(self, now: float) -> None:
-        """Short of the processor for long, with another controller that is not: a shard goes there, as if the leader wished it."""
-        ours = {
-            team: len(owner.shard.machines) + len(owner.shard.jobs)
-            for team, owner in self.owners.items()
-            if owner.shard
-        }
-        fit = set(self.fit_members())
-        others = {
-            label: PeerLoad(
-                peer.heartbeat_lag.gap_s,
-                sum(entry.value["owner"] == label for entry in self.shards.entries.values()),
-                peer.beat.leader,
-            )
-            for label, peer in self.mesh.peers.items()
-            if label in fit
-            and peer.beat is not None
-            and peer.beat.ready
-            and peer.heard_within(self.ttl_s)
-        }
-        given = self.load_shedder.hand_on(
-            self.heartbeat_lag.gap_s, ours, self.leader is not None, others, now
-        )
-        if given is not None:
-            team, label = given
-            log.info(
-                "part %s is handed on to controller %s: this one is short of its processor",
-                team,
-                label,
-            )
-            self._for_shard(TransferShard(team, label))
-
     def _send_inherited_priorities(self) -> None:
         """What our shards' jobs make of other shards' jobs that they need: said anew with each beat, as long as there is any."""
         if not self.cluster_version.supports_dependencies:
@@ -483,57 +466,16 @@
             out[shard.name] = shard.status_reporter.shard_status(self.now())
         return out
 
-    def to_owner(self, team: str, word: ShardCommand, term: int) -> None:
-        """What the holder of the machines' duty asks, under its term."""
-        label = self.owner_label(team)
-        if team in self.owners:
-            self._command_received(term, word)
-        elif label:
-            self.mesh.send(
-                label, FencedCommand(term, word) if self.cluster_version.fences_commands else word
-            )
-
-    def _command_received(self, term: int, word: ShardCommand) -> None:
-        """Refused if a later holder is known: a loan that one decided before it stood still reached the owner after its successor's."""
-        if self.terms.admit(term):
-            self._for_shard(word)
-        else:
-            log.info(
-                "a %s of term %d is refused: term %d is known",
-                type(word).__name__,
-                term,
-                self.terms.highest,
-            )
-
-    def _for_shard(self, frame: ShardCommand) -> None:
-        owner = self.owners.get(frame.shard)
-        if owner is None:
-            return
-        if isinstance(frame, TransferMachine):
-            owner.note(
-                lambda shard: shard.status_reporter.transfer_machine(
-                    frame.machine, frame.to, self.now()
-                )
-            )
-        elif isinstance(frame, Rebalance):
-            owner.note(lambda shard: shard.status_reporter.rebalance(frame, self.now()))
-        elif isinstance(frame, TransferShard):
-            owner.give_to = frame.to
-            owner.wake.set()
-        else:
-            owner.note(lambda shard: shard.status_reporter.reclaim(frame, self.now()))
-
     def _on_frame(self, label: str, frame: Frame) -> None:
         match frame:
             case ShardStatus():
                 self.remote_statuses[frame.team] = (time.monotonic(), frame)
             case ReclaimsInProgress():
                 self.remote_reclaims[frame.shard] = (time.monotonic(), frame)
-            case FencedCommand(term, word):
-                self._command_received(term, word)
+            case FencedCommand():
+                self.shard_commands.fenced_received(label, frame)
             case TransferMachine() | Reclaim() | TransferShard() | Rebalance():
-                if not self.cluster_version.fences_commands:
-                    self._for_shard(frame)
+                self.shard_commands.unfenced_received(label, frame)
             case OwnershipClaims():
                 self.shard_owners.claims_received(label, frame)
             case PriorityInheritance():
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -200,6 +200,8 @@
     ("core/shard.py", "writing"),
     ("shard_owners.py", "membership"),
     ("shard_ownership.py", "membership"),
+    ("shard_commands.py", "membership"),
+    ("load_handover.py", "membership"),
     ("core/shard_claims.py", "membership"),
     ("shard_owner.py", "writing"),
     ("status_reader.py", "questions"),
