--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -15,13 +15,19 @@
 from ashdock.cluster_state import ClusterState
 from ashdock.cluster_version import ClusterVersion
 from ashdock.connectivity import Connectivity, Readiness
-from ashdock.core.shard import Shard
 from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
 from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.election.fencing import TermFence
 from ashdock.front import Front, refused, use_of
+from ashdock.gossip import (
+    JOBS_PER_FRAME,
+    Gossip,
+    HeartbeatSource,
+    OwnerGossip,
+    StoreLimitSharing,
+)
 from ashdock.heartbeat_forwarder import HeartbeatForwarder
 from ashdock.leader import Leader
 from ashdock.load_handover import LoadHandover
@@ -30,7 +36,6 @@
 from ashdock.net.cloud import CloudClient, CloudError
 from ashdock.net.http import Answer, Server
 from ashdock.net.mesh import Mesh
-from ashdock.net.rate_limiter import Demand
 from ashdock.net.store import (
     CompareFailedError,
     LeaseLostError,
@@ -51,7 +56,6 @@
     ForwardReply,
     Frame,
     OwnershipClaims,
-    PeerHeartbeat,
     PriorityInheritance,
     ReclaimsInProgress,
     TaskCounts,
@@ -63,8 +67,6 @@
 
 log = logging.getLogger("ashdock.controller")
 
-COUNTS_AT_ONCE = 2000  # jobs to a frame: far below its limit, whatever their names
-
 
 class Controller:
     def __init__(self, settings: Settings, rng: random.Random | None = None) -> None:
@@ -139,7 +141,6 @@
         self.remote_reclaims: dict[str, tuple[float, ReclaimsInProgress]] = {}
         self.remote_counts: dict[str, dict[str, tuple[int, int]]] = {}
         self.heartbeat_forwarder = HeartbeatForwarder(self)
-        self.inheritance_sent: set[str] = set()  # parts whose jobs need others', as last told
         self.connectivity = Connectivity(
             self.store, self.mesh, ttl_s=self.ttl_s, heartbeat_s=self.workers.report_s
         )
@@ -202,6 +203,32 @@
             ttl_s=self.ttl_s,
             patience_s=2 * self.workers.lease_s,
         )
+        self.owner_gossip = OwnerGossip(
+            owners=self.shard_owners,
+            mesh=self.mesh,
+            cluster=self.cluster,
+            cluster_version=self.cluster_version,
+            now=self.now,
+        )
+        self.send_claims = self.owner_gossip.send_claims
+        self.tell_leader = self.owner_gossip.send_status_if_urgent
+        self.gossip = Gossip(
+            mesh=self.mesh,
+            heartbeats=HeartbeatSource(
+                incarnation=self.incarnation,
+                store=self.store,
+                connectivity=self.connectivity,
+                readiness=self.readiness,
+                leads=lambda: self.leader is not None,
+            ),
+            store_limits=StoreLimitSharing(
+                store=self.store, mesh=self.mesh, cluster=self.cluster, ttl_s=self.ttl_s
+            ),
+            cancellations=self.cancellations,
+            owner_gossip=self.owner_gossip,
+            load_handover=self.load_handover,
+            worker_client=self.worker_client,
+        )
         admission = self.admission
         self.server = Server(
             self.front.handle,
@@ -255,7 +282,7 @@
         loops = [
             self.membership.keep,
             self.shard_ownership.run_once,
-            self._gossip,
+            self.gossip.beat,
             self.machine_type_catalog.learn,
             self.cluster_version.look,
             self._pace,
@@ -367,81 +394,10 @@
         if value is not None and path == "leader":
             self.terms.saw(revision)
             # It chooses nothing before it has heard of every shard, and would hear with our next beat.
-            for shard in self.shard_owners.active_shards():
-                self._send_shard_status(shard)
+            self.owner_gossip.send_statuses()
 
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
-    async def _gossip(self) -> float:
-        now = time.monotonic()
-        self.load_handover.on_beat(now)
-        self._share()
-        beat = PeerHeartbeat(
-            self.incarnation,
-            self.store.silent_for,
-            now - self.connectivity.last_heartbeat,
-            self.ready(),
-            self.leader is not None,
-            *self.store.demand,
-        )
-        self.mesh.broadcast(beat)
-        self.cancellations.vouch(now)
-        self.send_claims()
-        counts: list[tuple[str, int, int]] = []
-        for shard in self.shard_owners.active_shards():
-            counts += shard.status_reporter.counts()
-            self._send_shard_status(shard)
-        self._send_inherited_priorities()
-        # As many frames as they need; each other controller keeps what it was told of jobs that still count.
-        for at in range(0, len(counts), COUNTS_AT_ONCE):
-            self.mesh.broadcast(TaskCounts(counts[at : at + COUNTS_AT_ONCE]))
-        self.worker_client.sweep()
-        return self.mesh.beat_s
-
-    def _send_inherited_priorities(self) -> None:
-        """What our shards' jobs make of other shards' jobs that they need: said anew with each beat, as long as there is any."""
-        if not self.cluster_version.supports_dependencies:
-            return
-        for shard in self.shard_owners.active_shards():
-            rows = shard.dependency_tracker.graph.abroad(shard.jobs)
-            if rows or shard.name in self.inheritance_sent:
-                ahead = PriorityInheritance(shard.name, rows[:COUNTS_AT_ONCE])
-                self.mesh.broadcast(ahead)
-                self.shard_owners.inherit_priorities(ahead)
-            (self.inheritance_sent.add if rows else self.inheritance_sent.discard)(shard.name)
-
-    def send_claims(self) -> None:
-        # Once they are read: told at the claim, one that the state service refuses let go of its workers, the reading met an outage, and
-        # nobody could answer them (109 tasks on a day of refusals and outages). Until then it can write nothing any more.
-        claims = [(shard.name, shard.revision) for shard in self.shard_owners.active_shards()]
-        if claims:
-            self.mesh.broadcast(OwnershipClaims(claims))
-
-    def _share(self) -> None:
-        """Divide what the state service takes among those that live, by what each asks."""
-        others: list[Demand | None] = []
-        for peer in self.mesh.peers.values():
-            if peer.beat is not None and peer.heard_within(self.ttl_s):
-                others.append(Demand(peer.beat.requests, peer.beat.writes))
-            elif f"member/{peer.label}" in self.members.entries or not self.members.ready.is_set():
-                others.append(None)
-        self.store.share_with(others)
-
-    def tell_leader(self, shard: Shard) -> None:
-        """At once when a shard comes to lack something; what it no longer lacks can wait for the next beat."""
-        if shard.resource_requests and not shard.lacked_room_before:
-            self._send_shard_status(shard)
-        shard.lacked_room_before = bool(shard.resource_requests)
-
-    def _send_shard_status(self, shard: Shard) -> None:
-        leader = self.leader_label()
-        if not leader or leader == self.label:
-            return
-        self.mesh.send(leader, shard.status_reporter.shard_status(self.now()))
-        leaving = shard.status_reporter.leaving() if self.cluster_version.fences_commands else []
-        if leaving:
-            self.mesh.send(leader, ReclaimsInProgress(shard.name, leaving))
-
     def leaving(self) -> list[tuple[str, str]]:
         """What is being vacated in all parts, as far as we were told of late."""
         now = time.monotonic()
@@ -482,7 +438,7 @@
                 self.shard_owners.inherit_priorities(frame)
             case TaskCounts(jobs):
                 known = self.remote_counts.setdefault(label, {})
-                if len(known) > 20 * COUNTS_AT_ONCE:
+                if len(known) > 20 * JOBS_PER_FRAME:
                     known.clear()  # jobs long over: the next beat names all that are not
                 known.update((job, (done, running)) for job, done, running in jobs)
             case CancelledJobs():
