--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -6,7 +6,7 @@
 import logging
 import random
 import time
-from typing import Any
+from typing import Any, get_args
 
 from ashdock.admission.control import Admission
 from ashdock.admission.shares import Use
@@ -15,14 +15,14 @@
 from ashdock.cluster_state import ClusterState
 from ashdock.cluster_version import ClusterVersion
 from ashdock.connectivity import Connectivity, Readiness
-from ashdock.core.status_reporter import Rebalance, Reclaim, ShardStatus
+from ashdock.core.status_reporter import ShardStatus
 from ashdock.core.write_limits import WriteLimits
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.election.fencing import TermFence
+from ashdock.frame_dispatch import FrameDispatcher
 from ashdock.front import Front, refused, use_of
 from ashdock.gossip import (
-    JOBS_PER_FRAME,
     Gossip,
     HeartbeatSource,
     OwnerGossip,
@@ -43,6 +43,7 @@
     StoreUnavailableError,
 )
 from ashdock.net.worker import WorkerClient
+from ashdock.peer_reports import PeerReports
 from ashdock.settings import Settings, address
 from ashdock.shard_commands import ShardCommands
 from ashdock.shard_owner import ShardOwner
@@ -54,13 +55,11 @@
     FencedCommand,
     ForwardedHeartbeat,
     ForwardReply,
-    Frame,
     OwnershipClaims,
     PriorityInheritance,
     ReclaimsInProgress,
+    ShardCommand,
     TaskCounts,
-    TransferMachine,
-    TransferShard,
     WatermarkEcho,
 )
 from ashdock.wire.messages import MachineType
@@ -101,10 +100,11 @@
             self.workers.lease_s / 5, 10 * self.workers.report_s, places[Use.ORDERS]
         )
         peers = [(other.label, *address(other.endpoint, "others")) for other in settings.others]
+        self.frame_dispatcher = FrameDispatcher()
         self.mesh = Mesh(
             self.label,
             peers,
-            self._on_frame,
+            self.frame_dispatcher.dispatch,
             beat_s=self.ttl_s / 5,
             on_link=lambda label: self.cancellations.watermark.linked(label),
         )
@@ -137,9 +137,6 @@
         self.election_changed = (
             asyncio.Event()
         )  # something has changed that the seats may follow from
-        self.remote_statuses: dict[str, tuple[float, ShardStatus]] = {}
-        self.remote_reclaims: dict[str, tuple[float, ReclaimsInProgress]] = {}
-        self.remote_counts: dict[str, dict[str, tuple[int, int]]] = {}
         self.heartbeat_forwarder = HeartbeatForwarder(self)
         self.connectivity = Connectivity(
             self.store, self.mesh, ttl_s=self.ttl_s, heartbeat_s=self.workers.report_s
@@ -229,6 +226,17 @@
             load_handover=self.load_handover,
             worker_client=self.worker_client,
         )
+        self.peer_reports = PeerReports(
+            owners=self.shard_owners,
+            cluster=self.cluster,
+            beat_s=self.mesh.beat_s,
+            ttl_s=self.ttl_s,
+            now=self.now,
+        )
+        self.shard_statuses = self.peer_reports.shard_statuses
+        self.leaving = self.peer_reports.leaving
+        self.counts = self.peer_reports.task_counts
+        self._register_frame_handlers()
         admission = self.admission
         self.server = Server(
             self.front.handle,
@@ -241,6 +249,23 @@
         )
         self.background: set[asyncio.Task[Any]] = set()
 
+    def _register_frame_handlers(self) -> None:
+        register = self.frame_dispatcher.register
+        register(ShardStatus, self.peer_reports.status_received)
+        register(ReclaimsInProgress, self.peer_reports.reclaims_received)
+        register(TaskCounts, self.peer_reports.counts_received)
+        register(FencedCommand, self.shard_commands.fenced_received)
+        for command in get_args(ShardCommand):
+            register(command, self.shard_commands.unfenced_received)
+        register(OwnershipClaims, self.shard_owners.claims_received)
+        register(
+            PriorityInheritance, lambda _label, frame: self.shard_owners.inherit_priorities(frame)
+        )
+        register(CancelledJobs, lambda _label, frame: self.cancellations.heard(frame))
+        register(WatermarkEcho, self.cancellations.echo_received)
+        register(ForwardedHeartbeat, self.heartbeat_forwarder.heard)
+        register(ForwardReply, lambda _label, frame: self.heartbeat_forwarder.answered(frame))
+
     # -- what the parts of a controller ask of one another ------------------------------------------------
 
     @property
@@ -398,67 +423,5 @@
 
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
-    def leaving(self) -> list[tuple[str, str]]:
-        """What is being vacated in all parts, as far as we were told of late."""
-        now = time.monotonic()
-        out = [
-            row
-            for at, frame in self.remote_reclaims.values()
-            if now - at < self.mesh.beat_s * 2
-            for row in frame.machines
-        ]
-        for shard in self.shard_owners.active_shards():
-            out += shard.status_reporter.leaving()
-        return out
-
-    def shard_statuses(self) -> dict[str, ShardStatus]:
-        now = time.monotonic()
-        out = {
-            team: shard_status
-            for team, (at, shard_status) in self.remote_statuses.items()
-            if now - at < self.ttl_s
-        }
-        for shard in self.shard_owners.active_shards():
-            out[shard.name] = shard.status_reporter.shard_status(self.now())
-        return out
-
-    def _on_frame(self, label: str, frame: Frame) -> None:
-        match frame:
-            case ShardStatus():
-                self.remote_statuses[frame.team] = (time.monotonic(), frame)
-            case ReclaimsInProgress():
-                self.remote_reclaims[frame.shard] = (time.monotonic(), frame)
-            case FencedCommand():
-                self.shard_commands.fenced_received(label, frame)
-            case TransferMachine() | Reclaim() | TransferShard() | Rebalance():
-                self.shard_commands.unfenced_received(label, frame)
-            case OwnershipClaims():
-                self.shard_owners.claims_received(label, frame)
-            case PriorityInheritance():
-                self.shard_owners.inherit_priorities(frame)
-            case TaskCounts(jobs):
-                known = self.remote_counts.setdefault(label, {})
-                if len(known) > 20 * JOBS_PER_FRAME:
-                    known.clear()  # jobs long over: the next beat names all that are not
-                known.update((job, (done, running)) for job, done, running in jobs)
-            case CancelledJobs():
-                self.cancellations.heard(frame)
-            case WatermarkEcho():
-                self.cancellations.echo_received(label, frame)
-            case ForwardedHeartbeat():
-                self.heartbeat_forwarder.heard(label, frame)
-            case ForwardReply():
-                self.heartbeat_forwarder.answered(frame)
-            case _:
-                pass
-
     async def relay(self, label: str, body: bytes) -> ForwardReply | None:
         return await self.heartbeat_forwarder.relay(label, body)
-
-    def counts(self, team: str, job: str) -> tuple[int, int]:
-        owner = self.owners.get(team)
-        if owner and owner.shard and job in owner.shard.jobs:
-            here = owner.shard.jobs[job]
-            return here.done, here.running
-        label = self.owner_label(team)
-        return self.remote_counts.get(label or "", {}).get(job, (0, 0))
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -444,8 +444,8 @@
     tables += [
         controller.front.redirected,
         controller.front.answered,
-        controller.remote_statuses,
-        controller.remote_counts,
+        controller.peer_reports.statuses,
+        controller.peer_reports.counts_by_peer,
     ]
     for owner in controller.owners.values():
         if owner.shard is not None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -419,16 +419,18 @@
         assert shard is not None
         name = next(name for name, machine in shard.machines.items() if machine.usable)
         term = owner.terms.highest
-        owner._on_frame("n9", FencedCommand(term - 1, Reclaim("red", "blue", [name])))
-        owner._on_frame(
+        owner.frame_dispatcher.dispatch(
+            "n9", FencedCommand(term - 1, Reclaim("red", "blue", [name]))
+        )
+        owner.frame_dispatcher.dispatch(
             "n9", Reclaim("red", "blue", [name])
         )  # without a term: of a process that has ended
         assert shard.machines[name].usable and owner.terms.refused == 1
-        owner._on_frame("n9", FencedCommand(term, Reclaim("red", "blue", [name])))
+        owner.frame_dispatcher.dispatch("n9", FencedCommand(term, Reclaim("red", "blue", [name])))
         assert not shard.machines[name].usable
         # Whoever comes after the one that called it back counts it as on its way.
         other = next(c for c in service.controllers.values() if c is not owner)
-        other._on_frame(
+        other.frame_dispatcher.dispatch(
             owner.label, frames.ReclaimsInProgress("red", shard.status_reporter.leaving())
         )
         leader = service.controllers[await leading(service)].leader
--- /dev/null
+++ b/tests/test_frame_dispatch.py
@@ -0,0 +1,106 @@
+"""Frames from peers: who takes which, and what is kept of them."""
+
+from __future__ import annotations
+
+import time
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from ashdock.core.status_reporter import ShardStatus
+from ashdock.frame_dispatch import FrameDispatcher
+from ashdock.peer_reports import MOST_JOBS, PeerReports
+from ashdock.wire.frames import (
+    CancelledJobs,
+    ForwardReply,
+    OwnershipClaims,
+    ReclaimsInProgress,
+    TaskCounts,
+)
+
+BEAT_S = 1.0
+TTL_S = 5.0
+
+
+def test_a_frame_goes_to_the_handler_of_its_type_alone() -> None:
+    dispatcher = FrameDispatcher()
+    taken: list[tuple[str, Any]] = []
+    dispatcher.register(OwnershipClaims, lambda label, frame: taken.append((label, frame)))
+    dispatcher.register(CancelledJobs, lambda label, frame: taken.append(("other", frame)))
+    claims = OwnershipClaims([("red", 7)])
+    dispatcher.dispatch("b", claims)
+    assert taken == [("b", claims)]
+
+
+def test_a_frame_without_a_handler_is_dropped() -> None:
+    dispatcher = FrameDispatcher()
+    dispatcher.register(OwnershipClaims, lambda label, frame: pytest.fail("taken"))
+    dispatcher.dispatch("b", ForwardReply(1, 200, b""))
+
+
+class Reports:
+    """Reports of peers, with a clock set by hand."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """Shards `red` of peer b, and `blue`, owned here, that has been read."""
+        self.clock = 100.0
+        monkeypatch.setattr(time, "monotonic", lambda: self.clock)
+        reporter = SimpleNamespace(
+            shard_status=lambda now: status("blue"), leaving=lambda: [("vm-9", "")]
+        )
+        blue = SimpleNamespace(
+            name="blue",
+            status_reporter=reporter,
+            jobs={"req-2": SimpleNamespace(done=3, running=4)},
+        )
+        owners: Any = SimpleNamespace(
+            table={"blue": SimpleNamespace(shard=blue)}, active_shards=lambda: [blue]
+        )
+        cluster: Any = SimpleNamespace(owner_label={"red": "b", "blue": "a"}.get)
+        self.reports = PeerReports(
+            owners=owners, cluster=cluster, beat_s=BEAT_S, ttl_s=TTL_S, now=lambda: 0.0
+        )
+
+
+def status(team: str) -> ShardStatus:
+    return ShardStatus(team, 1, [], [], [], 0, 0, 0)
+
+
+def test_statuses_of_peers_last_as_long_as_a_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    given = Reports(monkeypatch)
+    given.reports.status_received("b", status("red"))
+    given.clock += TTL_S - 0.1
+    assert given.reports.shard_statuses() == {"red": status("red"), "blue": status("blue")}
+    given.clock += 0.1
+    assert given.reports.shard_statuses() == {"blue": status("blue")}
+
+
+def test_reclaims_of_peers_last_two_beats(monkeypatch: pytest.MonkeyPatch) -> None:
+    given = Reports(monkeypatch)
+    given.reports.reclaims_received("b", ReclaimsInProgress("red", [("vm-1", "blue")]))
+    given.clock += 2 * BEAT_S - 0.1
+    assert given.reports.leaving() == [("vm-1", "blue"), ("vm-9", "")]
+    given.clock += 0.1
+    assert given.reports.leaving() == [("vm-9", "")]
+
+
+def test_counts_of_the_shard_here_or_of_the_owners_last_frame(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    reports = Reports(monkeypatch).reports
+    reports.counts_received("c", TaskCounts([("req-1", 8, 8)]))  # no longer the owner
+    assert reports.task_counts("red", "req-1") == (0, 0)
+    reports.counts_received("b", TaskCounts([("req-1", 1, 2)]))
+    reports.counts_received("b", TaskCounts([("req-3", 5, 6)]))
+    assert reports.task_counts("red", "req-1") == (1, 2)
+    assert reports.task_counts("red", "req-3") == (5, 6)
+    assert reports.task_counts("blue", "req-2") == (3, 4)
+    assert reports.task_counts("gray", "req-1") == (0, 0)
+
+
+def test_counts_of_jobs_long_over_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+    reports = Reports(monkeypatch).reports
+    reports.counts_received("b", TaskCounts([(f"req-{n}", 1, 0) for n in range(MOST_JOBS + 1)]))
+    reports.counts_received("b", TaskCounts([("new", 1, 2)]))
+    assert reports.counts_by_peer["b"] == {"new": (1, 2)}
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -464,7 +464,9 @@
         assert shard is not None
         monkeypatch.setattr(shard.status_reporter, "counts", lambda: many)
         await asyncio.sleep(2)
-        assert all(other.remote_counts[owner.label][name] == (1, 2) for name, _, _ in many)
+        assert all(
+            other.peer_reports.counts_by_peer[owner.label][name] == (1, 2) for name, _, _ in many
+        )
         assert not owner.mesh.send(
             other.label, ForwardedHeartbeat(1, b"x" * frames.MOST)
         ) and owner.mesh.send(other.label, ForwardedHeartbeat(1, b"x"))
