--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -6,10 +6,11 @@
 import logging
 import random
 import time
-from typing import Any, get_args
+from typing import get_args
 
 from ashdock.admission.control import Admission
 from ashdock.admission.shares import Use
+from ashdock.background_tasks import BackgroundTasks, TimerLateness, run_periodically
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.cluster_state import ClusterState
@@ -20,6 +21,7 @@
 from ashdock.election.election import Election
 from ashdock.election.elector import LeaderElector
 from ashdock.election.fencing import TermFence
+from ashdock.election_loop import ElectionLoop
 from ashdock.frame_dispatch import FrameDispatcher
 from ashdock.front import Front, refused, use_of
 from ashdock.gossip import (
@@ -33,15 +35,10 @@
 from ashdock.load_handover import LoadHandover
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
-from ashdock.net.cloud import CloudClient, CloudError
+from ashdock.net.cloud import CloudClient
 from ashdock.net.http import Answer, Server
 from ashdock.net.mesh import Mesh
-from ashdock.net.store import (
-    CompareFailedError,
-    LeaseLostError,
-    StoreClient,
-    StoreUnavailableError,
-)
+from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
 from ashdock.peer_reports import PeerReports
 from ashdock.settings import Settings, address
@@ -100,6 +97,10 @@
             self.workers.lease_s / 5, 10 * self.workers.report_s, places[Use.ORDERS]
         )
         peers = [(other.label, *address(other.endpoint, "others")) for other in settings.others]
+        self.background_tasks = BackgroundTasks()
+        self.background = self.background_tasks.tasks
+        self.spawn = self.background_tasks.spawn
+        self.timer_lateness = TimerLateness(self.admission, self.tick_s / 2)
         self.frame_dispatcher = FrameDispatcher()
         self.mesh = Mesh(
             self.label,
@@ -134,9 +135,6 @@
             2 * self.workers.lease_s,
         )
         self.terms = TermFence()
-        self.election_changed = (
-            asyncio.Event()
-        )  # something has changed that the seats may follow from
         self.heartbeat_forwarder = HeartbeatForwarder(self)
         self.connectivity = Connectivity(
             self.store, self.mesh, ttl_s=self.ttl_s, heartbeat_s=self.workers.report_s
@@ -226,6 +224,14 @@
             load_handover=self.load_handover,
             worker_client=self.worker_client,
         )
+        self.election_loop = ElectionLoop(
+            elector=self.elector,
+            membership=self.membership,
+            terms=self.terms,
+            period_s=self.ttl_s / 8,
+            may_lead=lambda: bool(self.catalog),
+            send_statuses=self.owner_gossip.send_statuses,
+        )
         self.peer_reports = PeerReports(
             owners=self.shard_owners,
             cluster=self.cluster,
@@ -247,7 +253,6 @@
             self._no_memory,
             admission.memory.buffer,
         )
-        self.background: set[asyncio.Task[Any]] = set()
 
     def _register_frame_handlers(self) -> None:
         register = self.frame_dispatcher.register
@@ -298,7 +303,7 @@
         self.machines.on_change(self.shard_owners.machine_changed)
         self.jobs.on_change(self.shard_owners.job_changed)
         self.jobs.on_gap = self.shard_owners.job_changes_missed
-        self.leaders.on_change(self._leader_key_changed)
+        self.leaders.on_change(self.election_loop.leader_key_changed)
         await self.server.start(*address(self.settings.bind, "bind"))
         await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
         log.info(
@@ -310,11 +315,11 @@
             self.gossip.beat,
             self.machine_type_catalog.learn,
             self.cluster_version.look,
-            self._pace,
-            self._run_election,
+            self.timer_lateness.run,
+            self.election_loop.run_once,
         ]
         tasks = [asyncio.create_task(cache.run()) for cache in self.cluster.caches]
-        tasks += [asyncio.create_task(self._forever(loop)) for loop in loops]
+        tasks += [asyncio.create_task(run_periodically(loop, self.tick_s)) for loop in loops]
         try:
             await asyncio.gather(*tasks)
         finally:
@@ -326,35 +331,6 @@
             await self.mesh.stop()
             await self.server.stop()
 
-    async def _forever(self, loop: Any) -> None:
-        while True:
-            try:
-                pause: float | None = await loop()
-                if pause is None:
-                    return
-                await asyncio.sleep(pause)
-            except (StoreUnavailableError, CloudError, CompareFailedError) as why:
-                log.debug("%s: %s", loop.__name__, why)
-                await asyncio.sleep(self.tick_s)
-            except Exception:
-                log.exception("%s", loop.__name__)
-                await asyncio.sleep(self.tick_s * 2)
-
-    def spawn(self, job: Any) -> None:
-        task = asyncio.create_task(job)
-        self.background.add(task)
-        task.add_done_callback(self.background.discard)
-
-    async def _pace(self) -> float | None:
-        """How late a timer fires is how far we are behind."""
-        due = time.monotonic()
-        while True:
-            due += self.tick_s / 2
-            await asyncio.sleep(max(due - time.monotonic(), 0.0))
-            now = time.monotonic()
-            self.admission.tick(now - due, now)
-            due = max(due, now)
-
     def _no_place(self) -> Answer:
         return refused(self.admission.no_place(time.monotonic()))
 
@@ -391,7 +367,7 @@
         return self.membership.may_serve()
 
     def renewed(self) -> None:
-        self.election_changed.set()
+        self.election_loop.wake()
 
     def doubted(self) -> None:
         self.elector.doubt()
@@ -399,28 +375,6 @@
     def membership_lost(self) -> None:
         self.elector.lose("our membership had ended")
 
-    async def _run_election(self) -> float:
-        """Look at them whenever something they rest on has changed, and now and then."""
-        try:
-            async with asyncio.timeout(self.ttl_s / 8):
-                await self.election_changed.wait()
-        except TimeoutError:
-            pass
-        self.election_changed.clear()
-        if self.catalog:
-            try:
-                await self.elector.tend()
-            except LeaseLostError:
-                self.membership.lost()
-        return 0.0
-
-    def _leader_key_changed(self, path: str, value: Any, revision: int) -> None:
-        self.election_changed.set()
-        if value is not None and path == "leader":
-            self.terms.saw(revision)
-            # It chooses nothing before it has heard of every shard, and would hear with our next beat.
-            self.owner_gossip.send_statuses()
-
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
     async def relay(self, label: str, body: bytes) -> ForwardReply | None:
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -201,6 +201,8 @@
     ("shard_ownership.py", "membership"),
     ("shard_commands.py", "membership"),
     ("load_handover.py", "membership"),
+    ("background_tasks.py", "membership"),
+    ("election_loop.py", "membership"),
     ("core/shard_claims.py", "membership"),
     ("shard_owner.py", "writing"),
     ("status_reader.py", "questions"),
