--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -1,4 +1,4 @@
-"""One controller: membership, the shards it owns, the leader's seat, and the doors to the outside."""
+"""The composition root of a controller: builds its components, wires them and runs them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 from ashdock.admission.shares import Use
 from ashdock.background_tasks import BackgroundTasks, TimerLateness, run_periodically
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
+from ashdock.cancellation.knowledge import CancellationKnowledge
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
+from ashdock.clock import SteadyWallClock
 from ashdock.cluster_state import ClusterState
 from ashdock.cluster_version import ClusterVersion
 from ashdock.connectivity import Connectivity, Readiness
@@ -64,8 +66,24 @@
 log = logging.getLogger("ashdock.controller")
 
 
+BEATS_PER_TTL = 5  # heartbeats to peers in the lifetime of the membership's store lease
+INCARNATION_BITS = 48
+
+
 class Controller:
+    """One controller, built from its settings.
+
+    Components ask their controller, as their `context`, for what their protocols list; those names are bound here to
+    the components that answer, so that no call lies between.
+    """
+
     def __init__(self, settings: Settings, rng: random.Random | None = None) -> None:
+        """Build and wire all components; nothing runs before `run`.
+
+        Args:
+            settings: of this controller.
+            rng: source of all random choices; its draws depend on the order in which components are built.
+        """
         self.settings = settings
         self.shared = settings.settings
         self.workers = self.shared.workers
@@ -73,43 +91,143 @@
         self.others = settings.others
         self.operators = settings.operators
         self.rng = rng or random.Random()
-        # One clock for all that is kept: the time of day at the start, carried on by the steady clock.
-        self.offset = time.time() - time.monotonic()
+        self.clock = SteadyWallClock()
+        self.now = self.clock.now
         self.ttl_s = max(self.workers.lease_s / 6, 1.0)
         self.tick_s = min(self.workers.report_s / 4, self.ttl_s / 8)
         self.gather_s = self.tick_s / 16
+        self.catalog: dict[str, MachineType] = {}
+        self.owners: dict[str, ShardOwner] = {}
+        self.intent_count = 0  # over all times this process has led, since names are never reused
+        self._build_clients()
+        self._build_mesh()
+        self._build_cluster_state()
+        self._build_election()
+        self._build_membership()
+        self._build_front()
+        self._build_shard_ownership()
+        self._build_gossip()
+        self._build_election_loop()
+        self._build_peer_reports()
+        self._register_frame_handlers()
+        self._build_server()
+
+    @property
+    def leader(self) -> Leader | None:
+        """What the leader does, while this controller leads."""
+        return self.elector.work
+
+    @property
+    def hold(self) -> int | None:
+        """The membership's store lease; None while there is none."""
+        return self.membership.hold
+
+    @property
+    def hold_began(self) -> float:
+        """When that store lease was last renewed, by the steady clock."""
+        return self.membership.began
+
+    def names_successor(self) -> bool:
+        """Whether all controllers understand a leader that names its successor."""
+        return self.cluster_version.fences_commands
+
+    def renewed(self) -> None:
+        """Let the election be looked at: the membership was renewed."""
+        self.election_loop.wake()
+
+    def membership_lost(self) -> None:
+        """Give up leadership, which rests on the membership's store lease."""
+        self.elector.lose("the membership was lost")
+
+    def metrics(self) -> Answer:
+        """The page of metrics."""
+        # Imported with the first request for it: it costs start-up time and memory.
+        from ashdock.net import metrics
+
+        return Answer(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
+
+    async def run(self) -> None:
+        """Serve until cancelled."""
+        self.machines.on_change(self.shard_owners.machine_changed)
+        self.jobs.on_change(self.shard_owners.job_changed)
+        self.jobs.on_gap = self.shard_owners.job_changes_missed
+        self.leaders.on_change(self.election_loop.leader_key_changed)
+        await self.server.start(*address(self.settings.bind, "bind"))
+        await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
+        log.info(
+            "controller listens: label=%s area=%s bind=%s",
+            self.label,
+            self.settings.area,
+            self.settings.bind,
+        )
+        steps = [
+            self.membership.keep,
+            self.shard_ownership.run_once,
+            self.gossip.beat,
+            self.machine_type_catalog.learn,
+            self.cluster_version.look,
+            self.timer_lateness.run,
+            self.election_loop.run_once,
+        ]
+        tasks = [asyncio.create_task(cache.run()) for cache in self.cluster.caches]
+        tasks += [asyncio.create_task(run_periodically(step, self.tick_s)) for step in steps]
+        try:
+            await asyncio.gather(*tasks)
+        finally:
+            for task in tasks:
+                task.cancel()
+            self.elector.lose("the controller stops")
+            for owner in list(self.owners.values()):
+                owner.task.cancel()
+            await self.mesh.stop()
+            await self.server.stop()
+
+    def _build_clients(self) -> None:
+        """Admission, and the clients of the store, the cloud and the workers."""
+        settings = self.settings
         self.write_limits = WriteLimits(self.shared.state)
         self.cluster_version = ClusterVersion(self)
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
-        places = self.admission.shares.certain
+        sockets = self.admission.shares.certain
         self.store = StoreClient(
             *address(settings.outside.state, "outside.state"),
             self.shared,
             self.write_limits,
-            places[Use.STATE],
+            sockets[Use.STATE],
             weights,
         )
         self.cloud = CloudClient(
-            *address(settings.outside.cloud, "outside.cloud"), self.shared, places[Use.CLOUD]
+            *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[Use.CLOUD]
         )
         self.worker_client = WorkerClient(
-            self.workers.lease_s / 5, 10 * self.workers.report_s, places[Use.ORDERS]
+            self.workers.lease_s / 5, 10 * self.workers.report_s, sockets[Use.ORDERS]
         )
-        peers = [(other.label, *address(other.endpoint, "others")) for other in settings.others]
         self.background_tasks = BackgroundTasks()
         self.background = self.background_tasks.tasks
         self.spawn = self.background_tasks.spawn
         self.timer_lateness = TimerLateness(self.admission, self.tick_s / 2)
+
+    def _build_mesh(self) -> None:
+        """The links to the peers, and the cancellations that are told over them."""
+        peers = [
+            (other.label, *address(other.endpoint, "others")) for other in self.settings.others
+        ]
         self.frame_dispatcher = FrameDispatcher()
         self.mesh = Mesh(
             self.label,
             peers,
             self.frame_dispatcher.dispatch,
-            beat_s=self.ttl_s / 5,
+            beat_s=self.ttl_s / BEATS_PER_TTL,
             on_link=lambda label: self.cancellations.watermark.linked(label),
         )
         self.cancellations: CancellationBroadcaster = CancellationBroadcaster(self)
+        self.broadcast_cancellation = self.cancellations.tell
+        self.heartbeat_forwarder = HeartbeatForwarder(self)
+        self.relay = self.heartbeat_forwarder.relay
+
+    def _build_cluster_state(self) -> None:
+        """What the store says of the cluster, and what is known by it."""
         self.cluster = ClusterState(self.store, self.workers, self.shared.teams)
         self.machines = self.cluster.machines
         self.shards = self.cluster.shards
@@ -120,22 +238,27 @@
         self.leader_label = self.cluster.leader_label
         self.token_of = self.cluster.token_of
         self.load = self.cluster.load
-        self.catalog: dict[str, MachineType] = {}
         self.machine_type_catalog = MachineTypeCatalog(self)
-        self.owners: dict[str, ShardOwner] = {}
-        self.intent_count = 0  # counted over all our reigns, since names are never reused
-        self.incarnation = self.rng.getrandbits(48)
-        election = Election("machines", "leader", self.label, self.incarnation)
+        self.cancellation_knowledge = CancellationKnowledge(self.cancellations.watermark, self.jobs)
+        self.may_renew = self.cancellation_knowledge.may_renew
+        self.cancellations_age = self.cancellation_knowledge.age_s
+
+    def _build_election(self) -> None:
+        """Leadership, and the fence against leaders that were replaced."""
+        self.incarnation = self.rng.getrandbits(INCARNATION_BITS)
         self.elector: LeaderElector[Leader] = LeaderElector(
             self,
-            election,
+            Election("machines", "leader", self.label, self.incarnation),
             self.leaders,
             lambda election: Leader(self, election),
-            settings.operators.duties.machines,
+            self.operators.duties.machines,
             2 * self.workers.lease_s,
         )
+        self.doubted = self.elector.doubt
         self.terms = TermFence()
-        self.heartbeat_forwarder = HeartbeatForwarder(self)
+
+    def _build_membership(self) -> None:
+        """Membership, and whether this controller is connected and ready."""
         self.connectivity = Connectivity(
             self.store, self.mesh, ttl_s=self.ttl_s, heartbeat_s=self.workers.report_s
         )
@@ -144,6 +267,8 @@
         self.heard_worker = self.connectivity.worker_heard
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
+        self.fit_members = self.membership.fit_members
+        self.may_serve = self.membership.may_serve
         self.readiness = Readiness(
             self.connectivity,
             may_serve=self.membership.may_serve,
@@ -151,6 +276,9 @@
             shards_known=self.shards.ready,
         )
         self.ready = self.readiness.ready
+
+    def _build_front(self) -> None:
+        """What answers users and workers."""
         self.orphan_leases = OrphanLeaseRenewer(
             self.workers,
             self.jobs,
@@ -158,6 +286,10 @@
             self.cancellations.watermark,
         )
         self.front: Front = Front(self)
+        self.jobs_known = self.front
+
+    def _build_shard_ownership(self) -> None:
+        """The shards owned here, what claims them, and what the leader and a short processor ask of them."""
         self.shard_owners = ShardOwners(
             label=self.label,
             table=self.owners,
@@ -198,6 +330,9 @@
             ttl_s=self.ttl_s,
             patience_s=2 * self.workers.lease_s,
         )
+
+    def _build_gossip(self) -> None:
+        """What is sent to the peers with each beat."""
         self.owner_gossip = OwnerGossip(
             owners=self.shard_owners,
             mesh=self.mesh,
@@ -224,6 +359,9 @@
             load_handover=self.load_handover,
             worker_client=self.worker_client,
         )
+
+    def _build_election_loop(self) -> None:
+        """What keeps leadership up to date."""
         self.election_loop = ElectionLoop(
             elector=self.elector,
             membership=self.membership,
@@ -232,6 +370,9 @@
             may_lead=lambda: bool(self.catalog),
             send_statuses=self.owner_gossip.send_statuses,
         )
+
+    def _build_peer_reports(self) -> None:
+        """What the peers have told of their shards and jobs."""
         self.peer_reports = PeerReports(
             owners=self.shard_owners,
             cluster=self.cluster,
@@ -242,19 +383,9 @@
         self.shard_statuses = self.peer_reports.shard_statuses
         self.leaving = self.peer_reports.leaving
         self.counts = self.peer_reports.task_counts
-        self._register_frame_handlers()
-        admission = self.admission
-        self.server = Server(
-            self.front.handle,
-            admission.connections,
-            use_of,
-            self._no_place,
-            admission,
-            self._no_memory,
-            admission.memory.buffer,
-        )
 
     def _register_frame_handlers(self) -> None:
+        """Which component takes which frames of peers."""
         register = self.frame_dispatcher.register
         register(ShardStatus, self.peer_reports.status_received)
         register(ReclaimsInProgress, self.peer_reports.reclaims_received)
@@ -271,111 +402,15 @@
         register(ForwardedHeartbeat, self.heartbeat_forwarder.heard)
         register(ForwardReply, lambda _label, frame: self.heartbeat_forwarder.answered(frame))
 
-    # -- what the parts of a controller ask of one another ------------------------------------------------
-
-    @property
-    def leader(self) -> Leader | None:
-        return self.elector.work
-
-    def names_successor(self) -> bool:
-        return self.cluster_version.fences_commands
-
-    @property
-    def jobs_known(self) -> Front:
-        return self.front
-
-    def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None:
-        self.cancellations.tell(job_id, team, revision, at)
-
-    def metrics(self) -> Answer:
-        from ashdock.net import (
-            metrics,
-        )  # with the first request for it: it costs start-up time and memory
-
-        return Answer(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
-
-    def now(self) -> float:
-        return time.monotonic() + self.offset
-
-    # -- life --------------------------------------------------------------------------------------------
-
-    async def run(self) -> None:
-        self.machines.on_change(self.shard_owners.machine_changed)
-        self.jobs.on_change(self.shard_owners.job_changed)
-        self.jobs.on_gap = self.shard_owners.job_changes_missed
-        self.leaders.on_change(self.election_loop.leader_key_changed)
-        await self.server.start(*address(self.settings.bind, "bind"))
-        await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
-        log.info(
-            "controller %s in %s listens on %s", self.label, self.settings.area, self.settings.bind
-        )
-        loops = [
-            self.membership.keep,
-            self.shard_ownership.run_once,
-            self.gossip.beat,
-            self.machine_type_catalog.learn,
-            self.cluster_version.look,
-            self.timer_lateness.run,
-            self.election_loop.run_once,
-        ]
-        tasks = [asyncio.create_task(cache.run()) for cache in self.cluster.caches]
-        tasks += [asyncio.create_task(run_periodically(loop, self.tick_s)) for loop in loops]
-        try:
-            await asyncio.gather(*tasks)
-        finally:
-            for task in tasks:
-                task.cancel()
-            self.elector.lose("it ends")
-            for owner in list(self.owners.values()):
-                owner.task.cancel()
-            await self.mesh.stop()
-            await self.server.stop()
-
-    def _no_place(self) -> Answer:
-        return refused(self.admission.no_place(time.monotonic()))
-
-    def _no_memory(self) -> Answer:
-        return refused(self.admission.no_memory(time.monotonic()))
-
-    # -- how well we are connected ---------------------------------------------------------------------------
-
-    def may_renew(self, read_at: float) -> bool:
-        """Whether running work of a shard that was read at `read_at` may be kept alive: what could have been cancelled without our
-        knowledge will be gone in time all the same."""
-        return self.cancellations.watermark.may_renew(
-            max(read_at, self.jobs.known_at), time.monotonic()
+    def _build_server(self) -> None:
+        """The HTTP server for users, workers and probes."""
+        admission = self.admission
+        self.server = Server(
+            self.front.handle,
+            admission.connections,
+            use_of,
+            lambda: refused(admission.no_place(time.monotonic())),
+            admission,
+            lambda: refused(admission.no_memory(time.monotonic())),
+            admission.memory.buffer,
         )
-
-    def cancellations_age(self) -> float:
-        now = time.monotonic()
-        return now - self.cancellations.watermark.known_until(self.jobs.known_at, now)
-
-    # -- membership and leadership -----------------------------------------------------------------------------
-
-    @property
-    def hold(self) -> int | None:
-        return self.membership.hold
-
-    @property
-    def hold_began(self) -> float:
-        return self.membership.began
-
-    def fit_members(self) -> list[str]:
-        return self.membership.fit_members()
-
-    def may_serve(self) -> bool:
-        return self.membership.may_serve()
-
-    def renewed(self) -> None:
-        self.election_loop.wake()
-
-    def doubted(self) -> None:
-        self.elector.doubt()
-
-    def membership_lost(self) -> None:
-        self.elector.lose("our membership had ended")
-
-    # -- the mesh ------------------------------------------------------------------------------------------------------------
-
-    async def relay(self, label: str, body: bytes) -> ForwardReply | None:
-        return await self.heartbeat_forwarder.relay(label, body)
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -203,6 +203,7 @@
     ("load_handover.py", "membership"),
     ("background_tasks.py", "membership"),
     ("election_loop.py", "membership"),
+    ("clock.py", "membership"),
     ("core/shard_claims.py", "membership"),
     ("shard_owner.py", "writing"),
     ("status_reader.py", "questions"),
