--- a/ashdock/cancellation/knowledge.py
+++ b/ashdock/cancellation/knowledge.py
@@ -3,15 +3,21 @@
 from __future__ import annotations
 
 import time
+from typing import Protocol
 
 from ashdock.cancellation.watermark import CancellationWatermark
-from ashdock.net.store import WatchCache
+
+
+class JobWatch(Protocol):
+    """The watch on the jobs' records."""
+
+    known_at: float  # all changes up to then have come in, by the steady clock
 
 
 class CancellationKnowledge:
     """Joins what the store's watch has brought with what the peers have told."""
 
-    def __init__(self, watermark: CancellationWatermark, jobs: WatchCache) -> None:
+    def __init__(self, watermark: CancellationWatermark, jobs: JobWatch) -> None:
         """`watermark`: what the peers have told of; `jobs`: the watch on the jobs' records."""
         self.watermark = watermark
         self.jobs = jobs
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -117,6 +117,10 @@
         """What the leader does, while this controller leads."""
         return self.elector.work
 
+    def leads(self) -> bool:
+        """Whether this controller leads."""
+        return self.leader is not None
+
     @property
     def hold(self) -> int | None:
         """The membership's store lease; None while there is none."""
@@ -326,7 +330,7 @@
             cluster=self.cluster,
             membership=self.membership,
             commands=self.shard_commands,
-            leads=lambda: self.leader is not None,
+            leads=self.leads,
             ttl_s=self.ttl_s,
             patience_s=2 * self.workers.lease_s,
         )
@@ -349,7 +353,7 @@
                 store=self.store,
                 connectivity=self.connectivity,
                 readiness=self.readiness,
-                leads=lambda: self.leader is not None,
+                leads=self.leads,
             ),
             store_limits=StoreLimitSharing(
                 store=self.store, mesh=self.mesh, cluster=self.cluster, ttl_s=self.ttl_s
