--- a/ashdock/connectivity.py
+++ b/ashdock/connectivity.py
@@ -39,7 +39,7 @@
         # By the steady clock.
         self.last_heartbeat = self.started = time.monotonic()
 
-    def worker_heard(self) -> None:
+    def heartbeat_received(self) -> None:
         """Note that a worker's heartbeat has come in."""
         self.last_heartbeat = time.monotonic()
 
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -66,7 +66,17 @@
 log = logging.getLogger("ashdock.controller")
 
 
+MIN_TTL_S = 1.0  # of the membership's store lease
+TTLS_PER_AGENT_LEASE = 6  # a controller that is gone is replaced well before its agents stop
 BEATS_PER_TTL = 5  # heartbeats to peers in the lifetime of the membership's store lease
+ELECTION_LOOKS_PER_TTL = 8
+TICKS_PER_TTL = 8  # at least: a tick is the pause between two looks at what is due
+TICKS_PER_HEARTBEAT = 4  # at least, in the period of the workers' heartbeats
+TIMERS_PER_TICK = 2  # that measure lateness
+GATHERINGS_PER_TICK = 16  # how briefly a shard owner waits for more changes to write together
+COMMANDS_PER_AGENT_LEASE = 5  # timeouts of a command to a worker
+IDLE_HEARTBEATS = 10  # periods after which an unused connection to a worker is closed
+PATIENCE_AGENT_LEASES = 2  # before leadership, or a shard for load, moves by choice
 INCARNATION_BITS = 48
 
 
@@ -93,9 +103,9 @@
         self.rng = rng or random.Random()
         self.clock = SteadyWallClock()
         self.now = self.clock.now
-        self.ttl_s = max(self.workers.lease_s / 6, 1.0)
-        self.tick_s = min(self.workers.report_s / 4, self.ttl_s / 8)
-        self.gather_s = self.tick_s / 16
+        self.ttl_s = max(self.workers.lease_s / TTLS_PER_AGENT_LEASE, MIN_TTL_S)
+        self.tick_s = min(self.workers.report_s / TICKS_PER_HEARTBEAT, self.ttl_s / TICKS_PER_TTL)
+        self.gather_s = self.tick_s / GATHERINGS_PER_TICK
         self.catalog: dict[str, MachineType] = {}
         self.owners: dict[str, ShardOwner] = {}
         self.intent_count = 0  # over all times this process has led, since names are never reused
@@ -205,12 +215,14 @@
             *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[Use.CLOUD]
         )
         self.worker_client = WorkerClient(
-            self.workers.lease_s / 5, 10 * self.workers.report_s, sockets[Use.ORDERS]
+            self.workers.lease_s / COMMANDS_PER_AGENT_LEASE,
+            IDLE_HEARTBEATS * self.workers.report_s,
+            sockets[Use.ORDERS],
         )
         self.background_tasks = BackgroundTasks()
         self.background = self.background_tasks.tasks
         self.spawn = self.background_tasks.spawn
-        self.timer_lateness = TimerLateness(self.admission, self.tick_s / 2)
+        self.timer_lateness = TimerLateness(self.admission, self.tick_s / TIMERS_PER_TICK)
 
     def _build_mesh(self) -> None:
         """The links to the peers, and the cancellations that are told over them."""
@@ -256,7 +268,7 @@
             self.leaders,
             lambda election: Leader(self, election),
             self.operators.duties.machines,
-            2 * self.workers.lease_s,
+            PATIENCE_AGENT_LEASES * self.workers.lease_s,
         )
         self.doubted = self.elector.doubt
         self.terms = TermFence()
@@ -268,7 +280,7 @@
         )
         self.state_fresh = self.connectivity.state_fresh
         self.cut_off = self.connectivity.cut_off
-        self.heard_worker = self.connectivity.worker_heard
+        self.heard_worker = self.connectivity.heartbeat_received
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
         self.fit_members = self.membership.fit_members
@@ -332,7 +344,7 @@
             commands=self.shard_commands,
             leads=self.leads,
             ttl_s=self.ttl_s,
-            patience_s=2 * self.workers.lease_s,
+            patience_s=PATIENCE_AGENT_LEASES * self.workers.lease_s,
         )
 
     def _build_gossip(self) -> None:
@@ -370,7 +382,7 @@
             elector=self.elector,
             membership=self.membership,
             terms=self.terms,
-            period_s=self.ttl_s / 8,
+            period_s=self.ttl_s / ELECTION_LOOKS_PER_TTL,
             may_lead=lambda: bool(self.catalog),
             send_statuses=self.owner_gossip.send_statuses,
         )
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -36,10 +36,10 @@
     return clock
 
 
-def peer(heard_ago: float | None, store_silent_s: float = 0.0) -> Any:
-    beat = None if heard_ago is None else SimpleNamespace(state_age=store_silent_s)
+def peer(beat_age_s: float | None, store_silent_s: float = 0.0) -> Any:
+    beat = None if beat_age_s is None else SimpleNamespace(state_age=store_silent_s)
     return SimpleNamespace(
-        beat=beat, heard_within=lambda seconds: heard_ago is not None and heard_ago < seconds
+        beat=beat, heard_within=lambda seconds: beat_age_s is not None and beat_age_s < seconds
     )
 
 
@@ -88,7 +88,7 @@
     assert silent.cut_off()
     assert not heard.cut_off()
     assert not single.cut_off()
-    silent.worker_heard()
+    silent.heartbeat_received()
     assert not silent.cut_off()
 
 
--- a/tests/test_frame_dispatch.py
+++ b/tests/test_frame_dispatch.py
@@ -25,17 +25,17 @@
 
 def test_a_frame_goes_to_the_handler_of_its_type_alone() -> None:
     dispatcher = FrameDispatcher()
-    taken: list[tuple[str, Any]] = []
-    dispatcher.register(OwnershipClaims, lambda label, frame: taken.append((label, frame)))
-    dispatcher.register(CancelledJobs, lambda label, frame: taken.append(("other", frame)))
+    received: list[tuple[str, Any]] = []
+    dispatcher.register(OwnershipClaims, lambda label, frame: received.append((label, frame)))
+    dispatcher.register(CancelledJobs, lambda label, frame: received.append(("other", frame)))
     claims = OwnershipClaims([("red", 7)])
     dispatcher.dispatch("b", claims)
-    assert taken == [("b", claims)]
+    assert received == [("b", claims)]
 
 
 def test_a_frame_without_a_handler_is_dropped() -> None:
     dispatcher = FrameDispatcher()
-    dispatcher.register(OwnershipClaims, lambda label, frame: pytest.fail("taken"))
+    dispatcher.register(OwnershipClaims, lambda label, frame: pytest.fail("received"))
     dispatcher.dispatch("b", ForwardReply(1, 200, b""))
 
 
