--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -168,7 +168,7 @@
 
     @property
     def leader(self) -> Leader | None:
-        return self.elector.work
+        return self.elector.leader_work
 
     def names_successor(self) -> bool:
         return self.cluster_version.fences_commands
@@ -239,7 +239,7 @@
         finally:
             for task in tasks:
                 task.cancel()
-            self.elector.lose("it ends")
+            self.elector.stop_leading("shutdown")
             for owner in list(self.owners.values()):
                 owner.task.cancel()
             await self.mesh.stop()
@@ -333,11 +333,11 @@
     # -- membership and leadership -----------------------------------------------------------------------------
 
     @property
-    def hold(self) -> int | None:
+    def store_lease(self) -> int | None:
         return self.membership.hold
 
     @property
-    def hold_began(self) -> float:
+    def lease_renewed_at(self) -> float:
         return self.membership.began
 
     def fit_members(self) -> list[str]:
@@ -350,10 +350,10 @@
         self.election_changed.set()
 
     def doubted(self) -> None:
-        self.elector.doubt()
+        self.elector.check_lease()
 
     def membership_lost(self) -> None:
-        self.elector.lose("our membership had ended")
+        self.elector.stop_leading("its membership ended")
 
     async def _run_election(self) -> float:
         """Look at them whenever something they rest on has changed, and now and then."""
@@ -365,7 +365,7 @@
         self.election_changed.clear()
         if self.catalog:
             try:
-                await self.elector.tend()
+                await self.elector.run_once()
             except LeaseLostError:
                 self.membership.lost()
         return 0.0
@@ -373,7 +373,7 @@
     def _leader_key_changed(self, path: str, value: Any, revision: int) -> None:
         self.election_changed.set()
         if value is not None and path == "leader":
-            self.terms.saw(revision)
+            self.terms.observe(revision)
             # It chooses nothing before it has heard of every shard, and would hear with our next beat.
             for shard in self._active_shards():
                 self._send_shard_status(shard)
@@ -414,7 +414,7 @@
             and all(replica.ready.is_set() for replica in replicas)
         ):
             return self.tick_s / 4
-        if self.hold is None or time.monotonic() > self.membership.until:
+        if self.store_lease is None or time.monotonic() > self.membership.until:
             return self.tick_s
         self.startup_timeline.learnt(time.monotonic())
         alive = {*self.fit_members(), *([self.label] if self.may_serve() else [])} or {self.label}
--- a/ashdock/election/__init__.py
+++ b/ashdock/election/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that only one controller may do: held under a lease, fenced against a holder that was replaced, handed over in order."""
+"""Leader election: acquired under a store lease, fenced against a replaced leader, transferred in order."""
--- a/ashdock/election/candidates.py
+++ b/ashdock/election/candidates.py
@@ -1,32 +1,46 @@
-"""Which controller a duty had better lie with. No input or output.
+"""Which controller should lead. No input or output.
 
-Rank decides nothing but when each tries: the seat is taken by a write under its revision, so there is never more than one holder.
+Rank decides only when each candidate tries: the key is written by compare-and-swap, so at most one becomes leader.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable, Mapping
 
+TRANSFER_LOAD_RATIO = 2  # how many times the load of its successor a leader has at least
+
 
 def rank_candidates(
     fit: Iterable[str], allowed: Collection[str], load: Mapping[str, int]
 ) -> list[str]:
-    """Who should take the seat, the best first: those that operators allow, then those with the least to do. Where none of the allowed
-    is fit all others may: a duty that nobody does costs more than one done in the wrong place."""
-    names = sorted(fit, key=lambda label: (load.get(label, 0), label))
-    return [label for label in names if not allowed or label in allowed] or names
+    """The controllers that may lead, the best first: allowed by operators, then least loaded.
+
+    Where none of the allowed ones is fit all others are ranked: no leader costs more than one in the wrong place.
+
+    Args:
+        fit: Labels of the controllers that may serve.
+        allowed: Labels that the operators' file allows to lead; empty: all.
+        load: Machines assigned to each controller's shards, by label.
+    """
+    labels = sorted(fit, key=lambda label: (load.get(label, 0), label))
+    return [label for label in labels if not allowed or label in allowed] or labels
 
 
 def better_candidate(
-    label: str, fit: Collection[str], allowed: Collection[str], load: Mapping[str, int]
+    leader: str, fit: Collection[str], allowed: Collection[str], load: Mapping[str, int]
 ) -> str | None:
-    """Whom the holder had better hand its seat to, if to anybody: out of a place that operators do not allow; or from the one with the
-    most to do to one that has no more than half of that. Less is not worth a change of hands."""
-    names = rank_candidates(fit, allowed, load)
-    if not names or names[0] == label:
+    """Whom `leader` should transfer leadership to, or `None` if it should keep it.
+
+    It transfers if operators do not allow it to lead, or if it has the highest load and the best candidate at most
+    half of that. A smaller difference is not worth a change of leader. Arguments are those of `rank_candidates`.
+    """
+    ranked = rank_candidates(fit, allowed, load)
+    if not ranked or ranked[0] == leader:
+        return None
+    best = ranked[0]
+    if leader not in ranked:
+        return best
+    leader_load = load.get(leader, 0)
+    if leader_load < max(load.get(label, 0) for label in ranked):
         return None
-    if label not in names:
-        return names[0]
-    most = max(load.get(name, 0) for name in names)
-    ours = load.get(label, 0)
-    return names[0] if ours == most and 2 * load.get(names[0], 0) <= ours else None
+    return best if TRANSFER_LOAD_RATIO * load.get(best, 0) <= leader_load else None
--- a/ashdock/election/election.py
+++ b/ashdock/election/election.py
@@ -1,129 +1,212 @@
-"""The seat of a duty as one controller sees it: an explicit state machine, without input or output; times are passed in.
+"""Leadership as one controller sees it: an explicit state machine without input or output; times are passed in.
 
-A seat is a key of the state service on its holder's lease. The revision of the write that took it is the *term*: a number that only rises and
-that no two holders share, whatever process they are. Everything that follows from the term is in `docs/duties.md`.
+Leadership is a key of the store on the store lease of the controller that leads. The revision of the write that
+acquired it is the *term*: it only rises, and no two processes ever share one. What follows from the term is in
+`docs/leader-election.md`.
 """
 
 from __future__ import annotations
 
 import math
-from enum import Enum
+from collections.abc import Mapping
+from enum import Enum, auto
 from typing import Any
 
-DRIFT = 1e-3  # a steady clock is off by 0.05%, ours one way and the service's the other
+CLOCK_DRIFT_SHARE = 1e-3  # 0.05% for our steady clock and as much for the store's
 
 
 class ElectionState(Enum):
-    FOLLOWER = "open"  # not ours
-    CANDIDATE = "taking"  # our claim is being written
-    RECONCILING = "settling"  # ours: what earlier terms left under way is being taken in
+    """Where this controller stands. The values are labels of the metric `ashdock_duty_state`."""
+
+    FOLLOWER = "open"
+    """Another controller leads, or none."""
+
+    CANDIDATE = "taking"
+    """The write that acquires leadership is under way."""
+
+    RECONCILING = "settling"
+    """Elected; what earlier terms began is being read, and nothing new is begun."""
+
     LEADER = "holding"
-    SUSPENDED = "doubtful"  # our lease may have ended: nothing is done until it has been renewed
-    TRANSFERRING = (
-        "handing"  # nothing new is begun; once what is under way is over the next one is named
-    )
+    """Elected, with nothing that restrains it."""
+
+    SUSPENDED = "doubtful"
+    """Elected, but the store lease may have expired: nothing is done until it has been renewed."""
+
+    TRANSFERRING = "handing"
+    """Elected; nothing new is begun, and the successor is named once what is under way is over."""
+
+
+class ElectionEvent(Enum):
+    """What moves the state machine from one state to another."""
+
+    CAMPAIGN_BEGAN = auto()
+    CAMPAIGN_FAILED = auto()
+    ACQUIRED = auto()
+    RECONCILED = auto()
+    LEASE_EXPIRED = auto()
+    LEASE_RENEWED = auto()  # before the term was reconciled
+    LEASE_RENEWED_RECONCILED = auto()
+    TRANSFER_BEGAN = auto()
+    TRANSFER_CANCELLED = auto()
+    LOST = auto()
+
+
+# An event that a state does not list changes nothing in it.
+TRANSITIONS: Mapping[ElectionState, Mapping[ElectionEvent, ElectionState]] = {
+    ElectionState.FOLLOWER: {
+        ElectionEvent.CAMPAIGN_BEGAN: ElectionState.CANDIDATE,
+        ElectionEvent.ACQUIRED: ElectionState.RECONCILING,
+    },
+    ElectionState.CANDIDATE: {
+        ElectionEvent.CAMPAIGN_FAILED: ElectionState.FOLLOWER,
+        ElectionEvent.ACQUIRED: ElectionState.RECONCILING,
+    },
+    ElectionState.RECONCILING: {
+        ElectionEvent.RECONCILED: ElectionState.LEADER,
+        ElectionEvent.LEASE_EXPIRED: ElectionState.SUSPENDED,
+        ElectionEvent.LOST: ElectionState.FOLLOWER,
+    },
+    ElectionState.LEADER: {
+        ElectionEvent.TRANSFER_BEGAN: ElectionState.TRANSFERRING,
+        ElectionEvent.LEASE_EXPIRED: ElectionState.SUSPENDED,
+        ElectionEvent.LOST: ElectionState.FOLLOWER,
+    },
+    ElectionState.SUSPENDED: {
+        ElectionEvent.LEASE_RENEWED: ElectionState.RECONCILING,
+        ElectionEvent.LEASE_RENEWED_RECONCILED: ElectionState.LEADER,
+        ElectionEvent.LOST: ElectionState.FOLLOWER,
+    },
+    ElectionState.TRANSFERRING: {
+        ElectionEvent.TRANSFER_CANCELLED: ElectionState.LEADER,
+        ElectionEvent.LEASE_EXPIRED: ElectionState.SUSPENDED,
+        ElectionEvent.LOST: ElectionState.FOLLOWER,
+    },
+}
 
 
 class KeyHolder(Enum):
-    """What the seat's key says."""
+    """Whom the leadership key names."""
 
-    NOBODY = "free"
-    US = "for us"  # names us: it was handed to us, the process before this one took it, or this one on a lease that is over
-    ANOTHER = "others"
+    NOBODY = auto()
+    """The key does not exist."""
+
+    THIS_CONTROLLER = auto()
+    """Leadership was transferred to it, or the key is of its previous process or of an expired lease."""
+
+    ANOTHER_CONTROLLER = auto()
 
 
 class Election:
+    """The state machine of one controller's leadership."""
+
     def __init__(self, duty: str, path: str, label: str, incarnation: int) -> None:
-        """`incarnation`: of this process, for whoever reads the key."""
+        """Start as a follower.
+
+        Args:
+            duty: Name of the leadership in metrics.
+            path: Key of the store that names the leader.
+            label: Label of this controller.
+            incarnation: Random number of this process, written to the key for whoever reads it.
+        """
         self.duty = duty
         self.path = path
         self.label = label
         self.incarnation = incarnation
-        self.phase = ElectionState.FOLLOWER
+        self.state = ElectionState.FOLLOWER
         self.term = 0
-        self.until = -math.inf  # by our own steady clock; the lease ends no sooner
-        self.settled_term = 0
-        self.taken_at = 0.0
+        self.lease_valid_until = -math.inf  # steady clock, s; the store ends the lease no sooner
+        self.reconciled_term = 0
+        self.acquired_at = 0.0  # steady clock, s
 
     # -- what may be done -----------------------------------------------------------------------------------
 
     @property
-    def held(self) -> bool:
-        return self.phase not in (ElectionState.FOLLOWER, ElectionState.CANDIDATE)
+    def is_elected(self) -> bool:
+        """Whether leadership was acquired and is not known to be lost; it may be suspended."""
+        return self.state not in (ElectionState.FOLLOWER, ElectionState.CANDIDATE)
+
+    def may_act(self, now: float, term: int, duration_s: float = 0.0) -> bool:
+        """Whether an effect of `term` that takes `duration_s` may begin.
 
-    def may(self, now: float, term: int, takes_s: float = 0.0) -> bool:
-        """Whether an effect of that term that takes so long may begin. Asked again after each await: whoever stood still meanwhile, or
-        was starved of its processor, finds its lease over by its own clock."""
+        To be asked again after each await: a process that was paused or starved of its processor meanwhile finds
+        its lease expired by its own clock.
+        """
         return (
             self.term == term
-            and self.held
-            and self.phase is not ElectionState.SUSPENDED
-            and now + takes_s < self.until
+            and self.is_elected
+            and self.state is not ElectionState.SUSPENDED
+            and now + duration_s < self.lease_valid_until
         )
 
-    def may_choose(self, now: float, term: int) -> bool:
-        """Whether something new may be begun: not before what earlier terms began is known, nor once the seat is being handed on."""
-        return self.phase is ElectionState.LEADER and self.may(now, term)
+    def may_decide(self, now: float, term: int) -> bool:
+        """Whether something new may be begun: only between reconciliation and transfer."""
+        return self.state is ElectionState.LEADER and self.may_act(now, term)
 
-    def stands(self, value: dict[str, Any] | None) -> KeyHolder:
+    def key_holder(self, value: Mapping[str, Any] | None) -> KeyHolder:
+        """Whom the value of the leadership key names; `None`: the key does not exist."""
         if value is None:
             return KeyHolder.NOBODY
-        return KeyHolder.US if value.get("label") == self.label else KeyHolder.ANOTHER
+        if value.get("label") == self.label:
+            return KeyHolder.THIS_CONTROLLER
+        return KeyHolder.ANOTHER_CONTROLLER
 
-    # -- changes of state -------------------------------------------------------------------------------------
+    # -- transitions ------------------------------------------------------------------------------------------
 
-    def taking(self) -> None:
-        if self.phase is ElectionState.FOLLOWER:
-            self.phase = ElectionState.CANDIDATE
+    def begin_campaign(self) -> None:
+        """The write that acquires leadership is about to be sent."""
+        self._apply(ElectionEvent.CAMPAIGN_BEGAN)
 
-    def refused(self) -> None:
-        """Somebody was quicker, or it is not known what came of it: if it was written, the key will say so."""
-        if self.phase is ElectionState.CANDIDATE:
-            self.phase = ElectionState.FOLLOWER
+    def fail_campaign(self) -> None:
+        """Another controller was quicker, or the outcome is unknown: if it was written, the key will say so."""
+        self._apply(ElectionEvent.CAMPAIGN_FAILED)
 
-    def taken(self, term: int, lease_began: float, lease_s: float, now: float) -> None:
-        if self.phase in (ElectionState.FOLLOWER, ElectionState.CANDIDATE):
-            self.phase = ElectionState.RECONCILING
+    def acquire(self, term: int, lease_began: float, lease_s: float, now: float) -> None:
+        """The key was written at revision `term`, on a lease last renewed by a request sent at `lease_began`."""
+        if self._apply(ElectionEvent.ACQUIRED):
             self.term = term
-            self.taken_at = now
-            self.renewed(lease_began, lease_s, now)
+            self.acquired_at = now
+            self.renew(lease_began, lease_s, now)
 
-    def settled(self, term: int) -> None:
-        """What earlier terms left is known and counted."""
+    def complete_reconciliation(self, term: int) -> None:
+        """What terms before `term` left under way is known and counted."""
         if self.term == term:
-            self.settled_term = term
-            if self.phase is ElectionState.RECONCILING:
-                self.phase = ElectionState.LEADER
-
-    def renewed(self, lease_began: float, lease_s: float, now: float) -> None:
-        """Our lease has been renewed by a request that we sent at `lease_began`."""
-        self.until = max(self.until, lease_began + lease_s * (1 - DRIFT))
-        if self.phase is ElectionState.SUSPENDED and now < self.until:
-            self.phase = (
-                ElectionState.LEADER
-                if self.settled_term == self.term
-                else ElectionState.RECONCILING
-            )
-
-    def look(self, now: float) -> None:
-        if (
-            self.phase
-            in (ElectionState.RECONCILING, ElectionState.LEADER, ElectionState.TRANSFERRING)
-            and now >= self.until
-        ):
-            self.phase = ElectionState.SUSPENDED
-
-    def handing(self) -> None:
-        if self.phase is ElectionState.LEADER:
-            self.phase = ElectionState.TRANSFERRING
-
-    def kept(self) -> None:
-        """It was to be handed on, and is not."""
-        if self.phase is ElectionState.TRANSFERRING:
-            self.phase = ElectionState.LEADER
-
-    def lost(self, now: float) -> None:
-        """Taken by another, handed on, or its lease is over."""
-        if self.held:
-            self.phase = ElectionState.FOLLOWER
-            self.until = -math.inf
+            self.reconciled_term = term
+            self._apply(ElectionEvent.RECONCILED)
+
+    def renew(self, lease_began: float, lease_s: float, now: float) -> None:
+        """The store lease was renewed by a request sent at `lease_began`."""
+        drifted_lease_s = lease_s * (1 - CLOCK_DRIFT_SHARE)
+        self.lease_valid_until = max(self.lease_valid_until, lease_began + drifted_lease_s)
+        if now >= self.lease_valid_until:
+            return
+        if self.reconciled_term == self.term:
+            self._apply(ElectionEvent.LEASE_RENEWED_RECONCILED)
+        else:
+            self._apply(ElectionEvent.LEASE_RENEWED)
+
+    def check_expiry(self, now: float) -> None:
+        """Suspend leadership if the store lease may have expired by `now`."""
+        if now >= self.lease_valid_until:
+            self._apply(ElectionEvent.LEASE_EXPIRED)
+
+    def begin_transfer(self) -> None:
+        """Leadership is to go to a better candidate: nothing new is begun."""
+        self._apply(ElectionEvent.TRANSFER_BEGAN)
+
+    def cancel_transfer(self) -> None:
+        """Leadership was to be transferred, and is kept."""
+        self._apply(ElectionEvent.TRANSFER_CANCELLED)
+
+    def lose(self) -> None:
+        """Leadership was acquired by another controller, transferred or released, or its lease expired."""
+        if self._apply(ElectionEvent.LOST):
+            self.lease_valid_until = -math.inf
+
+    def _apply(self, event: ElectionEvent) -> bool:
+        """Follow the table; whether the state lists the event."""
+        following = TRANSITIONS[self.state].get(event)
+        if following is None:
+            return False
+        self.state = following
+        return True
--- a/ashdock/election/elector.py
+++ b/ashdock/election/elector.py
@@ -1,4 +1,7 @@
-"""Looks after the seat of one duty: takes it, keeps it, hands it on, and lets its work go when it is lost."""
+"""Acquires, renews, transfers and releases leadership; starts the leader's work and stops it when leadership is lost.
+
+The model is the leader election of Kubernetes' client-go: one loop calls `run_once`, and a callback starts the work.
+"""
 
 from __future__ import annotations
 
@@ -19,241 +22,307 @@
     WatchCache,
 )
 
-log = logging.getLogger("ashdock.duties")
+log = logging.getLogger("ashdock.election")
 
-BOUNDS = 16  # of histograms, from a sixty-fourth of a lease
+HISTOGRAM_BUCKETS = 16
+HISTOGRAM_STEPS_PER_LEASE = 64  # the first bucket ends after a sixty-fourth of a store lease
+CAMPAIGN_STEPS_PER_LEASE = 8  # each candidate tries an eighth of a store lease after the one before
 
 
-class Work(Protocol):
-    """What is done while the seat is held."""
+class LeaderWork(Protocol):
+    """What runs while this controller leads."""
 
     @property
     def under_way(self) -> bool:
-        """Whether something is that the next holder would have to find out about."""
+        """Whether an effect is under way that the next leader would have to find out about."""
         ...
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Stop at once: leadership is lost."""
+        ...
 
 
-Held = TypeVar("Held", bound=Work)
+LeaderWorkT = TypeVar("LeaderWorkT", bound=LeaderWork)
 
 
 class ElectorContext(Protocol):
-    """What of its controller a holder uses, and no more."""
+    """The elector's dependencies on its controller."""
 
     label: str
-    ttl_s: float
+    ttl_s: float  # of the store lease
     store: StoreClient
 
     @property
-    def hold(self) -> int | None: ...
+    def store_lease(self) -> int | None:
+        """Id of the membership's store lease; `None`: there is none."""
+        ...
 
     @property
-    def hold_began(self) -> float: ...
+    def lease_renewed_at(self) -> float:
+        """When the last successful renewal was sent, by the steady clock."""
+        ...
 
-    def may_serve(self) -> bool: ...
+    def may_serve(self) -> bool:
+        """Whether this controller may lead and own shards."""
+        ...
 
-    def fit_members(self) -> list[str]: ...
+    def fit_members(self) -> list[str]:
+        """Labels of the controllers that may."""
+        ...
+
+    def load(self) -> Mapping[str, int]:
+        """Machines of each controller's shards, by label."""
+        ...
 
-    def load(self) -> Mapping[str, int]: ...
+    def names_successor(self) -> bool:
+        """Whether all controllers understand a key that names a successor."""
+        ...
 
-    def names_successor(self) -> bool: ...
 
+class LeaderElector(Generic[LeaderWorkT]):
+    """Runs one controller's side of the election."""
 
-class LeaderElector(Generic[Held]):
     def __init__(
         self,
         context: ElectorContext,
         election: Election,
-        replica: WatchCache,
-        begin: Callable[[Election], Held],
+        key_cache: WatchCache,
+        on_started_leading: Callable[[Election], LeaderWorkT],
         allowed: Collection[str],
-        settle_s: float,
+        transfer_interval_s: float,
     ) -> None:
-        """`settle_s`: a seat is handed on for the sake of load at most once in that time, and given up trying after that."""
+        """Prepare to take part; nothing is done before `run_once`.
+
+        Args:
+            context: The controller.
+            election: Its state machine.
+            key_cache: Watch cache that holds the leadership key.
+            on_started_leading: Starts the leader's work.
+            allowed: Labels that the operators' file allows to lead; empty: all.
+            transfer_interval_s: Leadership is transferred for the sake of load at most once in that time, and an
+                attempt is given up after it.
+        """
         self.context = context
         self.election = election
-        self.replica = replica
-        self.begin = begin
+        self.key_cache = key_cache
+        self.on_started_leading = on_started_leading
         self.allowed = allowed
-        self.settle_s = settle_s
-        self.work: Held | None = None
-        self.free_since: float | None = None
-        self.named_at: float | None = None  # the next one is named and has not taken it
-        self.handing_since = 0.0
-        self.held_s = DurationHistogram(context.ttl_s / 64, BOUNDS)
-        self.gap_s = DurationHistogram(context.ttl_s / 64, BOUNDS)
+        self.transfer_interval_s = transfer_interval_s
+        self.leader_work: LeaderWorkT | None = None
+        self.vacant_since: float | None = None
+        self.successor_named_at: float | None = None  # and it has not acquired leadership yet
+        self.transfer_began_at = 0.0
+        first_bound_s = context.ttl_s / HISTOGRAM_STEPS_PER_LEASE
+        self.leading_durations = DurationHistogram(first_bound_s, HISTOGRAM_BUCKETS)
+        self.vacancy_durations = DurationHistogram(first_bound_s, HISTOGRAM_BUCKETS)
 
     @property
     def entry(self) -> Entry | None:
-        return self.replica.entries.get(self.election.path)
+        """The leadership key as last seen; `None`: it does not exist."""
+        return self.key_cache.entries.get(self.election.path)
 
-    async def tend(self) -> None:
-        """Look at the key, our lease and the others, and do what follows. Raises HoldLost, Unavailable."""
-        if not self.replica.ready.is_set():
+    async def run_once(self) -> None:
+        """Look at the key, the store lease and the other controllers, and do what follows from them.
+
+        Raises:
+            LeaseLostError: The store lease has expired.
+            StoreUnavailableError: The store did not answer.
+        """
+        if not self.key_cache.ready.is_set():
             return
-        self._look()
-        if self.context.hold is None:
+        self._observe()
+        if self.context.store_lease is None:
             return
-        if self.election.held:
-            await self._keep()
+        if self.election.is_elected:
+            await self._keep_or_transfer()
         else:
-            await self._reclaim()
-            await self._try()
+            await self._release_unclaimed_transfer()
+            await self._campaign()
 
-    def _look(self) -> None:
+    def _observe(self) -> None:
+        """Bring the state machine up to date with the key and the store lease."""
         now = time.monotonic()
         election, entry = self.election, self.entry
         if entry is not None:
-            self.free_since = None
-        elif self.free_since is None:
-            self.free_since = now
-        if self.context.hold is not None:
-            election.renewed(self.context.hold_began, self.context.ttl_s, now)
-        if election.held and (entry is None or entry.revision > election.term):
-            self.lose(
-                "its lease is over" if entry is None else f"{entry.value.get('label')} has it"
-            )
-        election.look(now)
-
-    def doubt(self) -> None:
-        """Time has gone by without a renewal."""
-        self.election.look(time.monotonic())
-
-    def lose(self, why: str) -> None:
-        if self.work is not None:
-            self.work.stop()
-            self.work = None
-        if self.election.held:
+            self.vacant_since = None
+        elif self.vacant_since is None:
+            self.vacant_since = now
+        if self.context.store_lease is not None:
+            election.renew(self.context.lease_renewed_at, self.context.ttl_s, now)
+        if election.is_elected and entry is None:
+            self.stop_leading("its store lease expired")
+        elif election.is_elected and entry is not None and entry.revision > election.term:
+            self.stop_leading(f"{entry.value.get('label')} holds the key")
+        election.check_expiry(now)
+
+    def check_lease(self) -> None:
+        """Suspend leadership if the store lease has not been renewed in time."""
+        self.election.check_expiry(time.monotonic())
+
+    def stop_leading(self, reason: str) -> None:
+        """Stop the leader's work and become a follower."""
+        if self.leader_work is not None:
+            self.leader_work.stop()
+            self.leader_work = None
+        if self.election.is_elected:
             now = time.monotonic()
-            log.info("this controller no longer leads: %s", why)
-            self.held_s.add(now - self.election.taken_at)
-            self.election.lost(now)
+            log.info("stopped leading: term=%d reason=%s", self.election.term, reason)
+            self.leading_durations.add(now - self.election.acquired_at)
+            self.election.lose()
 
-    # -- taking it -----------------------------------------------------------------------------------------------
+    # -- acquire -------------------------------------------------------------------------------------------------
 
-    async def _try(self) -> None:
-        context, election, entry = self.context, self.election, self.entry
-        stands = election.stands(entry.value if entry else None)
-        if stands is KeyHolder.ANOTHER:
+    async def _campaign(self) -> None:
+        """Try to acquire leadership if the key allows it and it is this controller's turn."""
+        entry = self.entry
+        holder = self.election.key_holder(entry.value if entry else None)
+        if holder is KeyHolder.ANOTHER_CONTROLLER:
             return
-        if not context.may_serve():
+        if not self.context.may_serve():
             if entry is not None:
-                await self._drop(
-                    entry.revision
-                )  # for others, and they need not wait for the lease of our last life
+                # The others need not wait until the lease of our previous process expires.
+                await self._release(entry.revision)
             return
-        if stands is KeyHolder.NOBODY and not self._turn():
+        if holder is KeyHolder.NOBODY and not self._may_campaign():
             return
-        await self._take(entry)
+        await self._acquire(entry)
+
+    def _may_campaign(self) -> bool:
+        """Whether the key has been vacant for long enough: worse candidates wait longer, so that not all write at once."""
+        context = self.context
+        ranked = rank_candidates(context.fit_members(), self.allowed, context.load())
+        rank = ranked.index(context.label) if context.label in ranked else len(ranked)
+        vacant_s = time.monotonic() - (self.vacant_since or 0.0)
+        return vacant_s >= rank * context.ttl_s / CAMPAIGN_STEPS_PER_LEASE
 
-    def _turn(self) -> bool:
-        """Each tries a little later than the one it suits better, so that not all write at once."""
-        names = rank_candidates(self.context.fit_members(), self.allowed, self.context.load())
-        place = names.index(self.context.label) if self.context.label in names else len(names)
-        free_s = time.monotonic() - (self.free_since or 0.0)
-        return free_s >= place * self.context.ttl_s / 8
+    async def _acquire(self, entry: Entry | None) -> None:
+        """Write the key at the revision found.
 
-    async def _take(self, entry: Entry | None) -> None:
+        A key that names this very process is written like any other: it may be of a lease that has expired, of which
+        the watch has not told yet, or of a write of ours that was applied after its request had timed out.
+
+        Raises:
+            LeaseLostError: The store lease has expired.
+            StoreUnavailableError: The store did not answer; whether the key was written is unknown.
+        """
         context, election = self.context, self.election
-        hold = context.hold
-        # A key that names this very process is taken by a write like any other: it may be that of a lease that is over, of which the watch
-        # has not told yet, or a write of ours that was applied after we had given up on it.
-        why = (
-            "nobody did"
-            if entry is None
-            else f"handed on by {entry.value['by']}"
-            if entry.value.get("by")
-            else "it was ours before"
-        )
-        gap_since = self.free_since if entry is None else None
+        store_lease = context.store_lease
+        reason = _acquisition_reason(entry)
+        vacant_since = self.vacant_since if entry is None else None
         value = {"label": election.label, "incarnation": election.incarnation}
-        election.taking()
+        election.begin_campaign()
         try:
             term = await context.store.txn(
-                {election.path: entry.revision if entry else 0}, {election.path: value}, hold=hold
+                {election.path: entry.revision if entry else 0},
+                {election.path: value},
+                hold=store_lease,
             )
         except CompareFailedError:
-            election.refused()
+            election.fail_campaign()
             return
         except (LeaseLostError, StoreUnavailableError):
-            election.refused()
+            election.fail_campaign()
             raise
-        self.replica.wrote(election.path, value, term)
-        if context.hold != hold:  # our membership ended meanwhile, and the key with it
-            election.refused()
+        self.key_cache.wrote(election.path, value, term)
+        if context.store_lease != store_lease:
+            election.fail_campaign()  # the membership ended meanwhile, and the key with it
             return
-        if gap_since is not None:
-            self.gap_s.add(time.monotonic() - gap_since)
-        election.taken(term, context.hold_began, context.ttl_s, time.monotonic())
-        self.named_at = None
-        log.info("this controller leads, stamp %d: %s", term, why)
-        self.work = self.begin(election)
-
-    # -- handing it on --------------------------------------------------------------------------------------------
-
-    async def _keep(self) -> None:
-        context, election = self.context, self.election
-        now = time.monotonic()
-        if election.phase is ElectionState.SUSPENDED:
+        if vacant_since is not None:
+            self.vacancy_durations.add(time.monotonic() - vacant_since)
+        election.acquire(term, context.lease_renewed_at, context.ttl_s, time.monotonic())
+        self.successor_named_at = None
+        log.info("started leading: term=%d reason=%s", term, reason)
+        self.leader_work = self.on_started_leading(election)
+
+    # -- keep, transfer, release ---------------------------------------------------------------------------------
+
+    async def _keep_or_transfer(self) -> None:
+        """Transfer leadership if this controller may not serve any more, or if another is a better leader."""
+        if self.election.state is ElectionState.SUSPENDED:
             return
-        if not context.may_serve():
-            await self._hand(self._next())
+        if not self.context.may_serve():
+            await self._transfer(self._successor())
             return
-        if (
-            election.phase is ElectionState.LEADER
-            and now - election.taken_at > self.settle_s
-            and context.names_successor()
-            and self._next() is not None
-        ):
-            self.handing_since = now
-            election.handing()
-        if election.phase is ElectionState.TRANSFERRING:
-            to = self._next()
-            if to is None or now - self.handing_since > self.settle_s:
-                election.kept()
-            elif self.work is None or not self.work.under_way:
-                await self._hand(to)
-
-    def _next(self) -> str | None:
+        now = time.monotonic()
+        if self._should_transfer(now):
+            self.transfer_began_at = now
+            self.election.begin_transfer()
+        if self.election.state is not ElectionState.TRANSFERRING:
+            return
+        successor = self._successor()
+        if successor is None or now - self.transfer_began_at > self.transfer_interval_s:
+            self.election.cancel_transfer()
+        elif self.leader_work is None or not self.leader_work.under_way:
+            await self._transfer(successor)
+
+    def _should_transfer(self, now: float) -> bool:
+        """Whether a transfer for the sake of load or of the operators' file is due."""
+        return (
+            self.election.state is ElectionState.LEADER
+            and now - self.election.acquired_at > self.transfer_interval_s
+            and self.context.names_successor()
+            and self._successor() is not None
+        )
+
+    def _successor(self) -> str | None:
+        """The controller that should lead in place of this one, if any."""
         context = self.context
         others = [label for label in context.fit_members() if label != context.label]
         if not context.may_serve():
             return next(iter(rank_candidates(others, self.allowed, context.load())), None)
         return better_candidate(context.label, context.fit_members(), self.allowed, context.load())
 
-    async def _hand(self, to: str | None) -> None:
-        """Name the next one, which takes the seat on seeing it. The key stays on our own lease until then: should the one named not come,
-        it ends with that lease, or is dropped before."""
+    async def _transfer(self, successor: str | None) -> None:
+        """Name the successor in the key, which acquires leadership on seeing it; without one, release the key.
+
+        The key stays on our store lease until then: should the successor not come, the key goes with that lease, or is
+        deleted before.
+        """
         election = self.election
-        if to is None or not self.context.names_successor():
-            await self._drop(election.term)
+        if successor is None or not self.context.names_successor():
+            await self._release(election.term)
             return
-        value: dict[str, Any] = {"label": to, "incarnation": 0, "by": election.label}
+        value: dict[str, Any] = {"label": successor, "incarnation": 0, "by": election.label}
         try:
             revision = await self.context.store.txn(
-                {election.path: election.term}, {election.path: value}, hold=self.context.hold
+                {election.path: election.term},
+                {election.path: value},
+                hold=self.context.store_lease,
             )
         except CompareFailedError:
-            return  # the watch will tell who has it
-        self.lose(f"handed on to {to}")
-        self.named_at = time.monotonic()
-        self.replica.wrote(election.path, value, revision)
+            return  # the watch will tell who leads
+        self.stop_leading(f"transferred to {successor}")
+        self.successor_named_at = time.monotonic()
+        self.key_cache.wrote(election.path, value, revision)
 
-    async def _drop(self, revision: int) -> None:
+    async def _release(self, revision: int) -> None:
+        """Delete the key if it is still at `revision`, so that any candidate may acquire it."""
         path = self.election.path
         try:
-            gone = await self.context.store.txn({path: revision}, {path: None})
+            deleted_at = await self.context.store.txn({path: revision}, {path: None})
         except CompareFailedError:
             return
-        self.lose("given up")
-        self.replica.wrote(path, None, gone)
+        self.stop_leading("released")
+        self.key_cache.wrote(path, None, deleted_at)
 
-    async def _reclaim(self) -> None:
-        """The one we named has not come: free the seat for all."""
+    async def _release_unclaimed_transfer(self) -> None:
+        """Release the key if the successor that this controller named has not acquired it within a store lease."""
         entry = self.entry
-        if self.named_at is None or entry is None or entry.value.get("by") != self.election.label:
-            self.named_at = None
-        elif time.monotonic() - self.named_at > self.context.ttl_s:
-            self.named_at = None
-            await self._drop(entry.revision)
+        if (
+            self.successor_named_at is None
+            or entry is None
+            or entry.value.get("by") != self.election.label
+        ):
+            self.successor_named_at = None
+        elif time.monotonic() - self.successor_named_at > self.context.ttl_s:
+            self.successor_named_at = None
+            await self._release(entry.revision)
+
+
+def _acquisition_reason(entry: Entry | None) -> str:
+    """Why the key with this entry may be acquired, for the log."""
+    if entry is None:
+        return "the key was vacant"
+    if entry.value.get("by"):
+        return f"transferred by {entry.value['by']}"
+    return "the key named this controller"
--- a/ashdock/election/fencing.py
+++ b/ashdock/election/fencing.py
@@ -1,23 +1,26 @@
-"""What keeps a holder that was replaced from doing harm, where the state service's conditions cannot."""
+"""Fencing of what a replaced leader still sends, where the store's compare-and-swap can't refuse it."""
 
 from __future__ import annotations
 
 
 class NotLeaderError(Exception):
-    """The duty is not ours at this moment: what was about to be done is not done."""
+    """This controller may not act as leader at this moment: what was about to be done is not done."""
 
 
 class TermFence:
-    """The highest term that we know of, from the seat's key or from a word that was given under it. Words of lower ones are refused."""
+    """The highest term known here, from the leadership key or a fenced command; lower ones are refused."""
 
     def __init__(self) -> None:
+        """Start without a known term."""
         self.highest = 0
-        self.refused = 0  # words, since the start
+        self.refused = 0  # commands, since the start of the process
 
-    def saw(self, term: int) -> None:
+    def observe(self, term: int) -> None:
+        """The leadership key was seen at revision `term`."""
         self.highest = max(self.highest, term)
 
     def admit(self, term: int) -> bool:
+        """Whether a command of `term` may be followed; one of a lower term than the highest is counted as refused."""
         if term < self.highest:
             self.refused += 1
             return False
--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -137,7 +137,7 @@
     # -- what of it is ours to do -------------------------------------------------------------------------
 
     def _may(self) -> bool:
-        return self.election.may(time.monotonic(), self.revision)
+        return self.election.may_act(time.monotonic(), self.revision)
 
     def _guard_call(self) -> None:
         """Before each call to the cloud, which knows no fence: one who stood still for a minute carried on in the middle of it."""
@@ -222,10 +222,10 @@
         now = context.now()
         if not context.state_fresh() or not context.machines.ready.is_set():
             return context.tick_s
-        if not self.election.may_choose(time.monotonic(), self.revision):
+        if not self.election.may_decide(time.monotonic(), self.revision):
             return context.tick_s / 4
         shard_statuses: dict[str, ShardStatus] = context.shard_statuses()
-        if time.monotonic() - self.election.taken_at < context.workers.lease_s:
+        if time.monotonic() - self.election.acquired_at < context.workers.lease_s:
             self.allocator.note_reclaims(context.leaving(), now)
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
         decisions = self.allocator.decide(self._machine_views(), shard_statuses, now)
@@ -524,7 +524,7 @@
         known = {name: rent for name, rent in rents.items() if rent.type in self.context.catalog}
         self.allocator.scale_outs += known.values()
         self.open_intents.update(rents)
-        self.election.settled(self.revision)
+        self.election.complete_reconciliation(self.revision)
         for name, (value, revision) in left.items():
             self._spawn(self._carry_out(name, value, revision, known.get(name)))
         return 2 * self.context.workers.lease_s
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -46,8 +46,8 @@
 
 class Duty(Protocol):
     election: Election
-    held_s: DurationHistogram
-    gap_s: DurationHistogram
+    leading_durations: DurationHistogram
+    vacancy_durations: DurationHistogram
 
 
 class Seen(Protocol):
@@ -156,7 +156,7 @@
             "1 for the state in which this controller is",
             labels=["duty", "state"],
         )
-        state.add_metric([elector.election.duty, elector.election.phase.value], 1.0)
+        state.add_metric([elector.election.duty, elector.election.state.value], 1.0)
         term = GaugeMetricFamily("ashdock_duty_term", "the highest that is known", labels=["duty"])
         term.add_metric([elector.election.duty], float(terms.highest))
         refused = CounterMetricFamily(
@@ -168,13 +168,21 @@
             "how long this controller held it, each time",
             labels=["duty"],
         )
-        held.add_metric([elector.election.duty], elector.held_s.rows(), elector.held_s.sum_s)
+        held.add_metric(
+            [elector.election.duty],
+            elector.leading_durations.rows(),
+            elector.leading_durations.sum_s,
+        )
         gap = HistogramMetricFamily(
             "ashdock_duty_gap_seconds",
             "how long nobody held it before this controller did",
             labels=["duty"],
         )
-        gap.add_metric([elector.election.duty], elector.gap_s.rows(), elector.gap_s.sum_s)
+        gap.add_metric(
+            [elector.election.duty],
+            elector.vacancy_durations.rows(),
+            elector.vacancy_durations.sum_s,
+        )
         yield from (state, term, refused, held, gap)
 
     def _fairness(self) -> Iterable[Metric]:
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -321,7 +321,11 @@
     return controller.owner_label("red")
 
 
-LEADERSHIP = {KeyHolder.NOBODY: "free", KeyHolder.US: "ours", KeyHolder.ANOTHER: "another's"}
+LEADERSHIP = {
+    KeyHolder.NOBODY: "free",
+    KeyHolder.THIS_CONTROLLER: "ours",
+    KeyHolder.ANOTHER_CONTROLLER: "another's",
+}
 
 
 def read_seat(values: Plain) -> Plain:
@@ -331,7 +335,7 @@
     entries = {} if value is None else {"leader": Entry("leader", value, REVISION)}
     controller: Any = Controller.__new__(Controller)
     controller.leaders = SimpleNamespace(entries=entries)
-    return [LEADERSHIP[election.stands(value)], controller.leader_label()]
+    return [LEADERSHIP[election.key_holder(value)], controller.leader_label()]
 
 
 def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -71,7 +71,7 @@
         )
         leader.revision, leader.intents_before = 41, 0
         leader.election = SimpleNamespace(
-            path="leader", may=lambda now, term: True, settled=lambda term: None
+            path="leader", may_act=lambda now, term: True, complete_reconciliation=lambda term: None
         )
         leader.allocator = SimpleNamespace(scale_outs=[], settle_s=1.0)
         leader.interrupted, leader.finished_intents, leader.released, leader.unrecorded_reports = (
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -59,8 +59,8 @@
         "workers": shared.workers,
         "write_limits": client.write_limits,
         "store": client,
-        "hold": 9,
-        "hold_began": 0.0,
+        "store_lease": 9,
+        "lease_renewed_at": 0.0,
         "others": [Other("n2", "10.0.0.2:8081"), Other("n3", "10.0.0.3:8081")],
         "now": lambda: NOW,
         "cut_off": lambda: False,
@@ -101,20 +101,27 @@
 async def write_leadership(store: Store, values: Plain) -> None:
     """Take the leader's key, name the next leader, and drop it."""
     election = Election("machines", "leader", "n1", 5)
-    holder: Any = LeaderElector.__new__(LeaderElector)
-    holder.context, holder.election, holder.replica = context(store), election, replica([])
-    holder.begin, holder.work, holder.free_since, holder.named_at = (
+    elector: Any = LeaderElector.__new__(LeaderElector)
+    elector.context, elector.election, elector.key_cache = context(store), election, replica([])
+    (
+        elector.on_started_leading,
+        elector.leader_work,
+        elector.vacant_since,
+        elector.successor_named_at,
+    ) = (
         (lambda election: None),
         None,
         None,
         None,
     )
-    holder.held_s = holder.gap_s = SimpleNamespace(add=lambda seconds: None)
+    elector.leading_durations = elector.vacancy_durations = SimpleNamespace(
+        add=lambda seconds: None
+    )
     held = entries_by_path(values["held"]).get("leader")
-    await holder._take(held)
+    await elector._acquire(held)
     store.entries["leader"] = (None, 100)
-    await holder._hand("n2")
-    await holder._drop(100)
+    await elector._transfer("n2")
+    await elector._release(100)
 
 
 async def write_upgrade(store: Store, values: Plain) -> None:
@@ -142,7 +149,7 @@
 
     leader: Any = Leader.__new__(Leader)
     leader.context, leader.revision, leader.open_intents = context(store, intent_count=0), 41, set()
-    leader.election = SimpleNamespace(path="leader", may=lambda now, term: True)
+    leader.election = SimpleNamespace(path="leader", may_act=lambda now, term: True)
     leader._carry_out = carry_out
     teams = tuple((team, number) for team, number in values["teams"])
     await leader._scale_out(ScaleOut(teams, values["type"], values["zone"], values["spot"]))
--- a/tests/seats.py
+++ b/tests/seats.py
@@ -70,10 +70,10 @@
         process = state.processes[n]
         if election is not None:
             process = process._replace(
-                phase=election.phase,
+                phase=election.state,
                 term=election.term,
-                until=max(election.until, 0.0),
-                settled=election.settled_term,
+                until=max(election.lease_valid_until, 0.0),
+                settled=election.reconciled_term,
             )
         process = process._replace(**more)
         return state._replace(processes=(*state.processes[:n], process, *state.processes[n + 1 :]))
@@ -82,7 +82,7 @@
     def _seat(state: State, n: int) -> Election:
         process = state.processes[n]
         election = Election("machines", "leader", str(n), process.incarnation)
-        election.phase, election.term, election.until, election.settled_term = (
+        election.state, election.term, election.lease_valid_until, election.reconciled_term = (
             process.phase,
             process.term,
             process.until,
@@ -119,10 +119,10 @@
             yield f"{n} joins", self._put(state, n, lease=LEASE, believes=True), ""
             return
         if process.lease:
-            election.renewed(0, LEASE, 0)
+            election.renew(0, LEASE, 0)
             yield f"{n} renews", self._put(state, n, election, lease=LEASE), ""
         else:
-            election.lost(0)
+            election.lose()
             yield (
                 f"{n} hears that its lease is over",
                 self._put(state, n, election, believes=False),
@@ -130,8 +130,8 @@
             )
         election = self._seat(state, n)
         if process.seen != state.key:
-            if election.held and (state.key is None or state.key[2] > election.term):
-                election.lost(0)
+            if election.is_elected and (state.key is None or state.key[2] > election.term):
+                election.lose()
             yield f"{n} sees the key", self._put(state, n, election, seen=state.key), ""
         if state.crashes < self.crashes:
             orphaned = state._replace(on=-1, orphan=process.lease) if state.on == n else state
@@ -144,34 +144,34 @@
 
     def _duty(self, state: State, n: int, process: Process) -> Iterator[tuple[str, State, str]]:
         election = self._seat(state, n)
-        stands = election.stands(
+        stands = election.key_holder(
             None
             if process.seen is None
             else {"label": str(process.seen[0]), "incarnation": process.seen[1]}
         )
         if (
-            election.phase is ElectionState.FOLLOWER
-            and stands in (KeyHolder.NOBODY, KeyHolder.US)
+            election.state is ElectionState.FOLLOWER
+            and stands in (KeyHolder.NOBODY, KeyHolder.THIS_CONTROLLER)
             and process.lease
             and state.last < self.takes
         ):
             revision = process.seen[2] if process.seen else 0
             if self.without == "stamp" or revision == (state.key[2] if state.key else 0):
                 key = (n, process.incarnation, state.last + 1)
-                election.taken(key[2], process.lease - LEASE, LEASE, 0)
+                election.acquire(key[2], process.lease - LEASE, LEASE, 0)
                 yield (
                     f"{n} takes it",
                     self._put(state._replace(key=key, on=n, last=key[2]), n, election, seen=key),
                     "",
                 )
             return
-        if not election.held:
+        if not election.is_elected:
             return
         if self.without == "lease":
-            election.until = 99.0
-        election.look(0)
+            election.lease_valid_until = 99.0
+        election.check_expiry(0)
         ours = state.key == (n, process.incarnation, process.term)
-        if election.may(0, process.term):
+        if election.may_act(0, process.term):
             yield (
                 f"{n} calls the cloud",
                 state,
@@ -179,11 +179,11 @@
                 if ours
                 else f"{n} called the cloud in term {process.term}, and the key says {state.key}",
             )
-        chooses = election.may_choose(0, process.term) or (
-            election.may(0, process.term)
+        chooses = election.may_decide(0, process.term) or (
+            election.may_act(0, process.term)
             and (
                 self.without == "settling"
-                or (self.without == "handing" and election.phase is ElectionState.TRANSFERRING)
+                or (self.without == "handing" and election.state is ElectionState.TRANSFERRING)
             )
         )
         effect = Effect(self.kind, process.term)
@@ -200,20 +200,20 @@
                 state._replace(late=tuple(sorted((*state.late, effect)))),
                 told,
             )
-        if election.phase is ElectionState.RECONCILING and election.may(0, election.term):
-            election.settled(election.term)
+        if election.state is ElectionState.RECONCILING and election.may_act(0, election.term):
+            election.complete_reconciliation(election.term)
             yield f"{n} has settled", self._put(state, n, election), ""
-        elif election.phase is ElectionState.LEADER and election.may(0, election.term):
-            election.handing()
+        elif election.state is ElectionState.LEADER and election.may_act(0, election.term):
+            election.begin_transfer()
             yield f"{n} is about to hand on", self._put(state, n, election), ""
         elif (
-            election.phase is ElectionState.TRANSFERRING
+            election.state is ElectionState.TRANSFERRING
             and ours
             and state.last < self.takes
-            and election.may(0, election.term)
+            and election.may_act(0, election.term)
         ):
             key = ((n + 1) % self.controllers, 0, state.last + 1)
-            election.lost(0)
+            election.lose()
             yield (
                 f"{n} names the next",
                 self._put(state._replace(key=key, last=key[2]), n, election, seen=key),
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -43,49 +43,74 @@
 COURSES: list[
     tuple[list[tuple[Any, ...]], ElectionState, bool, bool]
 ] = [  # -> phase, may it act, may it choose, at 10
-    ([("taking",), ("refused",)], ElectionState.FOLLOWER, False, False),
-    ([("taking",), ("taken", 7, 9.0, 3.0, 9.1)], ElectionState.RECONCILING, True, False),
-    ([("taken", 7, 9.0, 3.0, 9.1), ("settled", 7)], ElectionState.LEADER, True, True),
-    ([("taken", 7, 9.0, 3.0, 9.1), ("settled", 6)], ElectionState.RECONCILING, True, False),
+    ([("begin_campaign",), ("fail_campaign",)], ElectionState.FOLLOWER, False, False),
+    ([("begin_campaign",), ("acquire", 7, 9.0, 3.0, 9.1)], ElectionState.RECONCILING, True, False),
     (
-        [("taken", 7, 6.9, 3.0, 7.0), ("settled", 7), ("look", 10.0)],
+        [("acquire", 7, 9.0, 3.0, 9.1), ("complete_reconciliation", 7)],
+        ElectionState.LEADER,
+        True,
+        True,
+    ),
+    (
+        [("acquire", 7, 9.0, 3.0, 9.1), ("complete_reconciliation", 6)],
+        ElectionState.RECONCILING,
+        True,
+        False,
+    ),
+    (
+        [("acquire", 7, 6.9, 3.0, 7.0), ("complete_reconciliation", 7), ("check_expiry", 10.0)],
         ElectionState.SUSPENDED,
         False,
         False,
     ),
     (
-        [("taken", 7, 6.9, 3.0, 7.0), ("settled", 7), ("look", 10.0), ("renewed", 9.9, 3.0, 10.0)],
+        [
+            ("acquire", 7, 6.9, 3.0, 7.0),
+            ("complete_reconciliation", 7),
+            ("check_expiry", 10.0),
+            ("renew", 9.9, 3.0, 10.0),
+        ],
         ElectionState.LEADER,
         True,
         True,
     ),
     (
-        [("taken", 7, 6.9, 3.0, 7.0), ("look", 10.0), ("renewed", 9.9, 3.0, 10.0)],
+        [("acquire", 7, 6.9, 3.0, 7.0), ("check_expiry", 10.0), ("renew", 9.9, 3.0, 10.0)],
         ElectionState.RECONCILING,
         True,
         False,
     ),
     (
-        [("taken", 7, 9.0, 3.0, 9.1), ("settled", 7), ("handing",)],
+        [("acquire", 7, 9.0, 3.0, 9.1), ("complete_reconciliation", 7), ("begin_transfer",)],
         ElectionState.TRANSFERRING,
         True,
         False,
     ),
     (
-        [("taken", 7, 9.0, 3.0, 9.1), ("settled", 7), ("handing",), ("kept",)],
+        [
+            ("acquire", 7, 9.0, 3.0, 9.1),
+            ("complete_reconciliation", 7),
+            ("begin_transfer",),
+            ("cancel_transfer",),
+        ],
         ElectionState.LEADER,
         True,
         True,
     ),
     (
-        [("taken", 7, 9.0, 3.0, 9.1), ("handing",)],
+        [("acquire", 7, 9.0, 3.0, 9.1), ("begin_transfer",)],
         ElectionState.RECONCILING,
         True,
         False,
     ),  # not before it is settled
-    ([("taken", 7, 9.0, 3.0, 9.1), ("lost", 9.5)], ElectionState.FOLLOWER, False, False),
+    ([("acquire", 7, 9.0, 3.0, 9.1), ("lose",)], ElectionState.FOLLOWER, False, False),
     (
-        [("taken", 6, 8.0, 3.0, 8.1), ("lost", 9.5), ("taken", 9, 9.5, 3.0, 9.6), ("settled", 9)],
+        [
+            ("acquire", 6, 8.0, 3.0, 8.1),
+            ("lose",),
+            ("acquire", 9, 9.5, 3.0, 9.6),
+            ("complete_reconciliation", 9),
+        ],
         ElectionState.LEADER,
         False,
         False,
@@ -101,18 +126,21 @@
     for what, *words in course:
         getattr(election, what)(*words)
     assert (
-        election.phase is phase
-        and election.may(10.0, 7) is may
-        and election.may_choose(10.0, 7) is chooses
+        election.state is phase
+        and election.may_act(10.0, 7) is may
+        and election.may_decide(10.0, 7) is chooses
     )
-    assert not election.may(10.0, 7, takes_s=5.0)
+    assert not election.may_act(10.0, 7, duration_s=5.0)
     keys = [
         (None, KeyHolder.NOBODY),
-        ({"label": "n2"}, KeyHolder.ANOTHER),
-        ({"label": "n1", "incarnation": 5}, KeyHolder.US),
+        ({"label": "n2"}, KeyHolder.ANOTHER_CONTROLLER),
+        ({"label": "n1", "incarnation": 5}, KeyHolder.THIS_CONTROLLER),
     ]
-    for value, stands in [*keys, ({"label": "n1", "incarnation": 0, "by": "n2"}, KeyHolder.US)]:
-        assert election.stands(value) is stands
+    for value, stands in [
+        *keys,
+        ({"label": "n1", "incarnation": 0, "by": "n2"}, KeyHolder.THIS_CONTROLLER),
+    ]:
+        assert election.key_holder(value) is stands
 
 
 @pytest.mark.parametrize(
@@ -196,7 +224,7 @@
         for n, controller in service.controllers.items():
             if (
                 controller.leader is not None
-                and controller.elector.election.phase is ElectionState.LEADER
+                and controller.elector.election.state is ElectionState.LEADER
             ):
                 return n
         await asyncio.sleep(0.02)
@@ -271,7 +299,7 @@
         assert leader is not None
         before, calls = election.term, len(service.world.charters)
         # As if all of it had slept: its clock has gone on, and nothing of it has run since.
-        election.until = time.monotonic() - asleep_s
+        election.lease_valid_until = time.monotonic() - asleep_s
         with pytest.raises(NotLeaderError):
             await controller.cloud.rent("late", "g4", "a", False, 1, leader._guard_call)
         with pytest.raises(NotLeaderError):
@@ -344,7 +372,7 @@
         controller = service.controllers[holder]
         gone = (holder + 1) % 3
         service.crash(gone, 60.0)
-        await controller.elector._hand(f"n{gone}")
+        await controller.elector._transfer(f"n{gone}")
         assert controller.leader is None
         began = service.now()
         await leading(service)
