--- a/tests/test_duties.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""The duty that only one controller may do: its seat as a model, and with machines, controllers and requests that fail or come late."""
+"""Leader election: as a model, and in a cluster where machines, controllers and requests fail or come late."""
 
 from __future__ import annotations
 
@@ -18,31 +18,32 @@
 from ashdock.settings import SettingsError, load
 from ashdock.wire import frames
 from ashdock.wire.frames import FencedCommand, FrameError, FrameKind, TransferMachine, TransferShard
-from tests.seats import FENCES, Model, search, walks
+from tests.election_model import FENCES, Model, random_walks, search
 from tests.simtime import spawn
 from tests.test_whole import play
 from tests.test_wire import GOOD
 from tests.whole import Service, job
 
-# -- the seat, alone ---------------------------------------------------------------------------------------
+# -- the election, alone ---------------------------------------------------------------------------------------
 
 
-def test_no_order_of_events_gives_a_seat_two_holders() -> None:
+def test_no_order_of_events_gives_two_leaders() -> None:
     """Two controllers, their leases and late effects, exhaustively; three, too many for that, on seeded walks."""
-    assert search(Model(2, 2, 1, "write"))[1] == ""
-    assert search(Model(2, 2, 0, "word"))[1] == ""
-    for kind in ("write", "word"):
-        assert walks(Model(3, 5, 2, kind), 150, 80, seed=1) == ""
+    assert search(Model(2, 2, 1, "write")).violation == ""
+    assert search(Model(2, 2, 0, "command")).violation == ""
+    for kind in ("write", "command"):
+        assert random_walks(Model(3, 5, 2, kind), 150, 80, seed=1) == ""
 
 
 @pytest.mark.parametrize("fence", FENCES)
-def test_the_model_finds_each_fence_that_is_taken_away(fence: str) -> None:
-    assert search(Model(2, 2, 0, "word" if fence == "words" else "write", without=fence))[1] != ""
+def test_the_model_finds_each_fence_that_is_left_out(fence: str) -> None:
+    kind = "command" if fence == "command_term" else "write"
+    assert search(Model(2, 2, 0, kind, without=fence)).violation != ""
 
 
-COURSES: list[
+EVENT_SEQUENCES: list[
     tuple[list[tuple[Any, ...]], ElectionState, bool, bool]
-] = [  # -> phase, may it act, may it choose, at 10
+] = [  # -> state, may act, may decide, at time 10
     ([("begin_campaign",), ("fail_campaign",)], ElectionState.FOLLOWER, False, False),
     ([("begin_campaign",), ("acquire", 7, 9.0, 3.0, 9.1)], ElectionState.RECONCILING, True, False),
     (
@@ -102,7 +103,7 @@
         ElectionState.RECONCILING,
         True,
         False,
-    ),  # not before it is settled
+    ),  # not before it has reconciled
     ([("acquire", 7, 9.0, 3.0, 9.1), ("lose",)], ElectionState.FOLLOWER, False, False),
     (
         [
@@ -118,33 +119,33 @@
 ]
 
 
-@pytest.mark.parametrize(("course", "phase", "may", "chooses"), COURSES)
-def test_a_seat(
-    course: list[tuple[Any, ...]], phase: ElectionState, may: bool, chooses: bool
+@pytest.mark.parametrize(("events", "state", "may_act", "may_decide"), EVENT_SEQUENCES)
+def test_the_state_machine(
+    events: list[tuple[Any, ...]], state: ElectionState, may_act: bool, may_decide: bool
 ) -> None:
     election = Election("machines", "leader", "n1", 5)
-    for what, *words in course:
-        getattr(election, what)(*words)
+    for method, *arguments in events:
+        getattr(election, method)(*arguments)
     assert (
-        election.state is phase
-        and election.may_act(10.0, 7) is may
-        and election.may_decide(10.0, 7) is chooses
+        election.state is state
+        and election.may_act(10.0, 7) is may_act
+        and election.may_decide(10.0, 7) is may_decide
     )
     assert not election.may_act(10.0, 7, duration_s=5.0)
-    keys = [
+    values = [
         (None, KeyHolder.NOBODY),
         ({"label": "n2"}, KeyHolder.ANOTHER_CONTROLLER),
         ({"label": "n1", "incarnation": 5}, KeyHolder.THIS_CONTROLLER),
     ]
-    for value, stands in [
-        *keys,
+    for value, holder in [
+        *values,
         ({"label": "n1", "incarnation": 0, "by": "n2"}, KeyHolder.THIS_CONTROLLER),
     ]:
-        assert election.key_holder(value) is stands
+        assert election.key_holder(value) is holder
 
 
 @pytest.mark.parametrize(
-    ("fit", "allowed", "load", "rank", "next_"),
+    ("fit", "allowed", "load", "ranked", "better"),
     [
         (["a", "b", "c"], [], {"a": 9, "b": 4}, ["c", "b", "a"], "c"),
         (["a", "b"], [], {"a": 9, "b": 5}, ["b", "a"], None),
@@ -153,27 +154,33 @@
         (["a", "b", "c"], ["b"], {"b": 50}, ["b"], "b"),
         (["a"], [], {"a": 9}, ["a"], None),
         ([], [], {}, [], None),
-        (["a", "b", "c"], [], {"a": 4, "b": 9}, ["c", "a", "b"], None),  # not ours to even out
+        (
+            ["a", "b", "c"],
+            [],
+            {"a": 4, "b": 9},
+            ["c", "a", "b"],
+            None,
+        ),  # only the most loaded one transfers
     ],
 )
-def test_who_had_better_have_it(
-    fit: list[str], allowed: list[str], load: dict[str, int], rank: list[str], next_: str | None
+def test_who_should_lead(
+    fit: list[str], allowed: list[str], load: dict[str, int], ranked: list[str], better: str | None
 ) -> None:
     assert (
-        rank_candidates(fit, allowed, load) == rank
-        and better_candidate("a", fit, allowed, load) == next_
+        rank_candidates(fit, allowed, load) == ranked
+        and better_candidate("a", fit, allowed, load) == better
     )
 
 
-def test_words_carry_their_term_and_lower_ones_are_refused() -> None:
-    for word in (TransferMachine("red", "vm-1", "blue"), TransferShard("red", "n2")):
-        packed = frames.pack(FencedCommand(1 << 40, word))
+def test_commands_carry_their_term_and_lower_ones_are_refused() -> None:
+    for command in (TransferMachine("red", "vm-1", "blue"), TransferShard("red", "n2")):
+        packed = frames.pack(FencedCommand(1 << 40, command))
         kind, length = frames.head(packed[: frames.HEAD.size])
         assert length == len(packed) - frames.HEAD.size and frames.unpack(
             kind, packed[frames.HEAD.size :]
-        ) == FencedCommand(1 << 40, word)
-    leaving = frames.ReclaimsInProgress("red", [("vm-1", "blue"), ("vm-2", "")])
-    assert frames.unpack(FrameKind.LEAVING, frames.pack(leaving)[frames.HEAD.size :]) == leaving
+        ) == FencedCommand(1 << 40, command)
+    reclaims = frames.ReclaimsInProgress("red", [("vm-1", "blue"), ("vm-2", "")])
+    assert frames.unpack(FrameKind.LEAVING, frames.pack(reclaims)[frames.HEAD.size :]) == reclaims
     for inner in (
         b"",
         b"\x00",
@@ -183,18 +190,18 @@
     ):
         with pytest.raises(FrameError):
             frames.unpack(FrameKind.TERMED, frames.U64.pack(7) + inner)
-    terms = TermFence()
-    assert [terms.admit(term) for term in (5, 5, 4, 9, 5)] == [
+    fence = TermFence()
+    assert [fence.admit(term) for term in (5, 5, 4, 9, 5)] == [
         True,
         True,
         False,
         True,
         False,
-    ] and terms.refused == 2
+    ] and fence.refused == 2
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('duties {\n machines = ["n0", "n1"]\n}\n', ""),
         ('duties {\n machines = ["n7"]\n}\n', "duties.machines.*'n7'"),
@@ -202,24 +209,25 @@
         ("duties {\n renting = 1\n}\n", "unknown field `renting`"),
     ],
 )
-def test_who_may_hold_it_is_read_or_refused(text: str, said: str, tmp_path: Path) -> None:
+def test_who_may_lead_is_read_or_refused(text: str, message: str, tmp_path: Path) -> None:
     (tmp_path / "s.toml").write_text(GOOD)
     (tmp_path / "o.hcl").write_text(text)
-    if not said:
+    if not message:
         assert load(str(tmp_path / "s.toml"), tmp_path / "o.hcl").operators.duties.machines == [
             "n0",
             "n1",
         ]
         return
-    with pytest.raises(SettingsError, match=said) as why:
+    with pytest.raises(SettingsError, match=message) as error:
         load(str(tmp_path / "s.toml"), tmp_path / "o.hcl")
-    assert "o.hcl" in str(why.value)
+    assert "o.hcl" in str(error.value)
 
 
-# -- with controllers and machines --------------------------------------------------------------------------
+# -- in a cluster --------------------------------------------------------------------------
 
 
-async def leading(service: Service) -> int:
+async def wait_for_leader(service: Service) -> int:
+    """The number of the controller that leads, once it has reconciled."""
     while service.now() < 300:
         for n, controller in service.controllers.items():
             if (
@@ -228,19 +236,19 @@
             ):
                 return n
         await asyncio.sleep(0.02)
-    raise AssertionError("nobody leads")
+    pytest.fail("nobody leads")
 
 
-RUNS = [
+JOBS = [
     job(1, shares=8, expect_s=20.0),
     job(2, owner="blue", shape="ensemble", shares=2, accelerators=4.0, expect_s=15.0),
     job(3, shares=8),
 ]
 
 
-async def all_over(service: Service, within_s: float = 150.0) -> None:
-    """The jobs are done, no machine is left that nobody wants, and nothing in the store that belongs to nobody."""
-    assert await service.until_final([run["id"] for run in RUNS], within_s) == []
+async def wait_until_all_is_clean(service: Service, within_s: float = 150.0) -> None:
+    """The jobs are done, no machine is left that nobody needs, and nothing in the store without an owner."""
+    assert await service.until_final([submission["id"] for submission in JOBS], within_s) == []
     until = service.now() + within_s
     while service.world.workers and service.now() < until:
         await asyncio.sleep(1.0)
@@ -253,63 +261,64 @@
 
 
 @pytest.mark.parametrize(
-    "step", ["charter/", "delete charter/", "machine/", "delete machine/", "leader"]
+    "key", ["charter/", "delete charter/", "machine/", "delete machine/", "leader"]
 )
 @pytest.mark.parametrize(("nth", "back_s"), [(1, 0.05), (2, 0.3), (1, 4.0)])
-def test_the_holder_ends_at_each_step(
-    step: str, nth: int, back_s: float, monkeypatch: pytest.MonkeyPatch
+def test_the_leader_crashes_at_each_write(
+    key: str, nth: int, back_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As the nth such write of its own is applied, its answer unsent: what it had begun is carried out once, by whoever comes next."""
+    """At its nth such write, applied and not answered: what it had begun is carried out once, by the next leader."""
 
     async def day(service: Service) -> None:
-        seen = [0]
+        matching_writes = 0
 
         def hook(writes: list[dict[str, Any]]) -> None:
-            machine_type_catalog = [
+            nonlocal matching_writes
+            keys = [
                 ("" if "set" in write else "delete ") + (write.get("set") or write["delete"])
                 for write in writes
             ]
-            holder = next((n for n, c in service.controllers.items() if c.leader is not None), None)
-            if holder is not None and any(kind.startswith(step) for kind in machine_type_catalog):
-                seen[0] += 1
-                if seen[0] == nth:
-                    service.crash(holder, back_s)
+            leader = next((n for n, c in service.controllers.items() if c.leader is not None), None)
+            if leader is not None and any(written.startswith(key) for written in keys):
+                matching_writes += 1
+                if matching_writes == nth:
+                    service.crash(leader, back_s)
 
         service.state.hook = hook
-        for run in RUNS:
-            await service.submit(dict(run))
-        await all_over(service)
+        for submission in JOBS:
+            await service.submit(dict(submission))
+        await wait_until_all_is_clean(service)
         assert sum(len(names) for names in service.world.charters.values()) <= 8
 
     play(monkeypatch, 61, day, machines=2, capacity=8)
 
 
-@pytest.mark.parametrize("asleep_s", [1.0, 10.0, 60.0])
-def test_a_holder_that_stood_still_does_nothing_more_of_its_term(
-    asleep_s: float, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("paused_s", [1.0, 10.0, 60.0])
+def test_a_leader_that_was_paused_does_nothing_more_of_its_term(
+    paused_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It wakes with its old memory, in the middle of a call to the cloud, and finds its lease over by its own clock."""
 
     async def day(service: Service) -> None:
-        await service.submit(dict(RUNS[0]))
+        await service.submit(dict(JOBS[0]))
         await asyncio.sleep(4)
-        first = await leading(service)
+        first = await wait_for_leader(service)
         controller = service.controllers[first]
         leader, election = controller.leader, controller.elector.election
         assert leader is not None
         before, calls = election.term, len(service.world.charters)
-        # As if all of it had slept: its clock has gone on, and nothing of it has run since.
-        election.lease_valid_until = time.monotonic() - asleep_s
+        # As if the whole process had been paused: its clock has gone on, and nothing of it has run since.
+        election.lease_valid_until = time.monotonic() - paused_s
         with pytest.raises(NotLeaderError):
             await controller.cloud.rent("late", "g4", "a", False, 1, leader._guard_call)
         with pytest.raises(NotLeaderError):
             leader._guard_call()
-        leader._spawn(leader._scale_out(rent := ScaleOut((("red", 1),), "g4", "a", False)))
-        leader.allocator.scale_outs.append(rent)
+        leader._spawn(leader._scale_out(scale_out := ScaleOut((("red", 1),), "g4", "a", False)))
+        leader.allocator.scale_outs.append(scale_out)
         await asyncio.sleep(0.01)
-        assert len(service.world.charters) == calls and rent not in leader.allocator.scale_outs
-        # Renewed in time, it goes on in its term; replaced, what it still writes fails by the condition.
-        assert await leading(service) == first and election.term == before
+        assert len(service.world.charters) == calls and scale_out not in leader.allocator.scale_outs
+        # Renewed in time, it goes on in its term; replaced, what it still writes fails by its condition on the key.
+        assert await wait_for_leader(service) == first and election.term == before
         service.state.keys["leader"] = (
             {"label": "n9", "incarnation": 1},
             service.state.ledger + 1,
@@ -330,31 +339,31 @@
     play(monkeypatch, 62, day)
 
 
-def test_it_goes_to_the_one_with_least_to_do_and_back_out_of_a_place_it_may_not_be_in(
+def test_leadership_goes_to_the_least_loaded_controller_and_leaves_one_that_operators_do_not_allow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=16, expect_s=70.0))
         await service.submit(job(2, owner="blue", shares=8, expect_s=70.0))
-        taken: list[tuple[float, str]] = []
-        service.state.hook = lambda writes: taken.extend(
+        key_writes: list[tuple[float, str]] = []
+        service.state.hook = lambda writes: key_writes.extend(
             (service.now(), w["value"]["label"]) for w in writes if w.get("set") == "leader"
         )
         await asyncio.sleep(20)
-        holder = await leading(service)
-        assert not service.controllers[holder].owners, (
-            "two parts, three controllers: the third leads"
+        leader = await wait_for_leader(service)
+        assert not service.controllers[leader].owners, (
+            "two shards, three controllers: the third leads"
         )
         for controller in service.controllers.values():
-            controller.elector.allowed = [f"n{(holder + 1) % 3}"]
+            controller.elector.allowed = [f"n{(leader + 1) % 3}"]
         await asyncio.sleep(14)
-        assert await leading(service) == (holder + 1) % 3
-        named = [i for i in range(1, len(taken)) if taken[i][1] == taken[i - 1][1]]
+        assert await wait_for_leader(service) == (leader + 1) % 3
+        named = [i for i in range(1, len(key_writes)) if key_writes[i][1] == key_writes[i - 1][1]]
         assert named and all(
-            taken[i][0] - taken[i - 1][0] < 0.25 for i in named
-        )  # named, and there at once
+            key_writes[i][0] - key_writes[i - 1][0] < 0.25 for i in named
+        )  # named, and elected at once
         assert await service.until_final(["req-000001", "req-000002"], 120) == []
-        page = service.controllers[(holder + 1) % 3].metrics().body.decode()
+        page = service.controllers[(leader + 1) % 3].metrics().body.decode()
         assert (
             'ashdock_duty_state{duty="machines",state="holding"} 1.0' in page
             and "ashdock_duty_gap_seconds_bucket" in page
@@ -363,80 +372,82 @@
     play(monkeypatch, 63, day)
 
 
-def test_one_that_was_named_and_does_not_come_holds_nothing_up(
+def test_a_successor_that_does_not_come_delays_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=4))
-        holder = await leading(service)
-        controller = service.controllers[holder]
-        gone = (holder + 1) % 3
-        service.crash(gone, 60.0)
-        await controller.elector._transfer(f"n{gone}")
+        leader = await wait_for_leader(service)
+        controller = service.controllers[leader]
+        crashed = (leader + 1) % 3
+        service.crash(crashed, 60.0)
+        await controller.elector._transfer(f"n{crashed}")
         assert controller.leader is None
         began = service.now()
-        await leading(service)
-        assert service.now() - began < 3.0  # a member's lease, and a look at it
+        await wait_for_leader(service)
+        assert service.now() - began < 3.0  # a store lease, and a round of the election
         assert await service.until_final(["req-000001"], 60) == []
 
     play(monkeypatch, 64, day)
 
 
-def test_three_in_a_row_end_and_what_earlier_terms_asked_for_is_counted_before_anything_is_chosen(
+def test_three_leaders_crash_in_a_row_and_each_reconciles_intents_of_earlier_terms_before_it_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(service: Service) -> None:
-        await leading(service)
+        await wait_for_leader(service)
         service.world.down = True
-        for run in RUNS:
-            await service.submit(dict(run))
+        for submission in JOBS:
+            await service.submit(dict(submission))
         for _ in range(3):
             await asyncio.sleep(4)
-            service.crash(await leading(service), 0.3)
-        intent_count = [path for path in service.state.keys if path.startswith("charter/")]
-        assert intent_count
+            service.crash(await wait_for_leader(service), 0.3)
+        intents = [path for path in service.state.keys if path.startswith("charter/")]
+        assert intents
         service.world.down = False
-        await all_over(service)
-        # Each asked for once more under its own name, and nothing beside it that they already bring.
+        await wait_until_all_is_clean(service)
+        # Each is repeated under its own name, and nothing is scaled out beside what they bring.
         assert sum(len(names) for names in service.world.charters.values()) <= 8
 
     play(monkeypatch, 65, day, machines=1, capacity=9)
 
 
-def test_a_deletion_that_comes_late_hits_nothing_that_is_in_use(
+def test_a_release_that_arrives_late_hits_nothing_that_is_in_use(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Every machine that a release names is given up durably before, and never taken back: held back for ten seconds and delivered while the
-    next holder is at work, it finds machines that nobody else may have."""
+    """Every machine that a release names is decommissioned durably before, and that is never undone.
+
+    Delayed by ten seconds and delivered while the next leader works, it finds machines that nobody else may have.
+    """
 
     async def day(service: Service) -> None:
-        late: list[list[str]] = []
+        delayed: list[list[str]] = []
         handle = service.world.handle
 
-        async def held(request: Any) -> Any:
-            if request.target == "/hosts/release" and len(late) < 2:
-                late.append(request.body)
-                spawn(service.net, "10.2.0.2", _then(10.0, handle, request))
-                service.crash(await leading(service), 0.3)
+        async def delay_releases(request: Any) -> Any:
+            if request.target == "/hosts/release" and len(delayed) < 2:
+                delayed.append(request.body)
+                spawn(service.net, "10.2.0.2", _call_later(10.0, handle, request))
+                service.crash(await wait_for_leader(service), 0.3)
                 await asyncio.sleep(60)
             return await handle(request)
 
-        service.world.handle = held  # type: ignore[method-assign]
-        service.world.server.handler = held
-        for run in RUNS:
-            await service.submit(dict(run))
-        await all_over(service)
-        assert late
+        service.world.handle = delay_releases  # type: ignore[method-assign]
+        service.world.server.handler = delay_releases
+        for submission in JOBS:
+            await service.submit(dict(submission))
+        await wait_until_all_is_clean(service)
+        assert delayed
 
     play(monkeypatch, 66, day, machines=4, capacity=8)
 
 
-async def _then(seconds: float, act: Any, *words: Any) -> None:
+async def _call_later(seconds: float, function: Any, *arguments: Any) -> None:
     await asyncio.sleep(seconds)
-    await act(*words)
+    await function(*arguments)
 
 
-def test_a_loan_of_a_holder_that_was_replaced_is_refused_by_the_owner(
+def test_a_command_of_a_replaced_leader_is_refused_by_the_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def day(service: Service) -> None:
@@ -450,16 +461,16 @@
         owner._on_frame("n9", FencedCommand(term - 1, Reclaim("red", "blue", [name])))
         owner._on_frame(
             "n9", Reclaim("red", "blue", [name])
-        )  # without a term: of a process that has ended
+        )  # without a term: of a process of an earlier version that has ended
         assert shard.machines[name].usable and owner.terms.refused == 1
         owner._on_frame("n9", FencedCommand(term, Reclaim("red", "blue", [name])))
         assert not shard.machines[name].usable
-        # Whoever comes after the one that called it back counts it as on its way.
+        # The next leader counts the machine that this one reclaimed as on its way.
         other = next(c for c in service.controllers.values() if c is not owner)
         other._on_frame(
             owner.label, frames.ReclaimsInProgress("red", shard.status_reporter.leaving())
         )
-        leader = service.controllers[await leading(service)].leader
+        leader = service.controllers[await wait_for_leader(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
         leader.allocator.note_reclaims(other.leaving(), leader.context.now())
         assert leader.allocator.reclaiming[name][0] == "blue"
@@ -468,10 +479,10 @@
     play(monkeypatch, 67, day)
 
 
-def test_what_all_know_is_agreed_on_though_one_is_of_the_version_between(
+def test_the_cluster_version_waits_for_a_controller_of_the_version_between(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Words go out under a term only once all know them: one that does not closes the link on such a frame."""
+    """Commands carry a term only once all controllers understand it: an older one closes the link on such a frame."""
 
     async def day(service: Service) -> None:
         service.net.kill("10.0.0.2")
