--- a/ashdock/leader.py
+++ b/ashdock/leader.py
@@ -94,7 +94,7 @@
 
 class Leader:
     """The machines' duty, for one term. Its writes name the seat's key, its words and charters hold the term, and its calls to the cloud
-    rest on what is durable and on names never used twice (docs/duties.md)."""
+    rest on what is durable and on names never used twice (docs/leader-election.md)."""
 
     def __init__(self, context: LeaderContext, election: Election) -> None:
         self.context = context
