--- a/ashdock/cancellation/__init__.py
+++ b/ashdock/cancellation/__init__.py
@@ -1,1 +1,1 @@
-"""Up to when a controller knows every cancellation that a user was told of, and what it may keep alive by that."""
+"""Up to when a controller knows every cancellation confirmed to a user, and what it may keep alive by that."""
--- a/ashdock/cancellation/orphan_leases.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -1,13 +1,15 @@
-"""Keeping the leases of workers whose owner is gone while the state service does not answer.
-
-A controller that ends in an outage is back at once, but cannot claim its shards until the outage is over, and nobody else can:
-with all workers of its shards asking in vain, their leases ran out one after the other. One that was there before the outage may
-answer them instead: with the token that the worker has, which takes nothing from anybody, and without an order. It starts
-nothing, stops nothing and proves nothing. What it must not do is keep alive what its user was told is cancelled:
-
-- it knows each withdrawal that was recorded up to `known_at`, and renews nothing of a job that it knows to be withdrawn;
-- one recorded later is told later, so what it renews before `known_at + cancel_s - lease_s` is gone in time;
-- one recorded before it watched (`whole_since`) is older than `cancel_s`, or it renews nothing at all.
+"""Renews the leases of agents whose shard's owner is gone while the store does not answer.
+
+A controller that crashes in an outage of the store is back at once, but can't claim its shards until the outage is over,
+and nobody else can: the agents of its shards would get no answer, and their leases would expire one after the other. A
+controller that was there before the outage may answer them instead: with the fencing token that the agent has, which
+takes nothing from any owner, and without commands. It starts nothing, stops nothing and proves nothing. What it must not
+do is keep alive what a user was told is cancelled:
+
+- It knows each cancellation that was recorded up to `known_at`, and renews nothing of a job that it knows to be cancelled.
+- A cancellation recorded later is confirmed later. Renewed before `known_at` + `cancel_s` - `lease_s`, its tasks are gone
+  in time.
+- One recorded before the watch began (`whole_since`) is older than `cancel_s`, or nothing is renewed at all.
 """
 
 from __future__ import annotations
@@ -20,33 +22,36 @@
 from ashdock.wire.messages import Heartbeat, split_task
 
 
-class Watched(Protocol):
-    """What is known of the jobs' records."""
+class JobsWatch(Protocol):
+    """The watch of the jobs' records. Times are of the steady clock, in seconds."""
 
-    whole_since: float
-    known_at: float
+    whole_since: float  # since when it has no gap
+    known_at: float  # up to when it has told of all changes
 
 
 class OrphanLeaseRenewer:
-    """Times are of the steady clock, in seconds."""
+    """Decides whose lease may be renewed. Times are of the steady clock, in seconds."""
 
     def __init__(
         self,
         workers: Workers,
-        jobs: Watched,
-        withdrawn: Callable[[str], bool],
+        jobs: JobsWatch,
+        is_cancelled: Callable[[str], bool],
         watermark: CancellationWatermark,
     ) -> None:
+        """`is_cancelled`: whether the job of an id is known to be."""
         self.workers = workers
         self.jobs = jobs
-        self.withdrawn = withdrawn
+        self.is_cancelled = is_cancelled
         self.watermark = watermark
 
-    def may_renew(self, report: Heartbeat, now: float) -> bool:
-        """Whether a worker's lease may be kept by us, who do not own it."""
-        # By the state service's word alone: what others vouch for says nothing of a start that the owner which is gone had sent.
-        if now - self.jobs.whole_since < self.workers.cancel_s or not self.watermark.within(
-            self.jobs.known_at, now
-        ):
+    def may_renew(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Whether this controller, which does not own the agent's shard, may renew the agent's lease.
+
+        Only what the store has told counts: the peers' echoes say nothing of a start that the owner which is gone had sent.
+        """
+        if now - self.jobs.whole_since < self.workers.cancel_s:
+            return False
+        if not self.watermark.is_recent(self.jobs.known_at, now):
             return False
-        return not any(self.withdrawn(split_task(item.task)[0]) for item in report.tasks)
+        return not any(self.is_cancelled(split_task(task.task)[0]) for task in heartbeat.tasks)
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -103,9 +103,11 @@
             peers,
             self._on_frame,
             beat_s=self.ttl_s / 5,
-            on_link=lambda label: self.cancellations.watermark.linked(label),
+            on_link=lambda label: self.cancellations.watermark.link_established(label),
+        )
+        self.cancellations: CancellationBroadcaster = CancellationBroadcaster(
+            self.workers, self.mesh, self.cluster_version, self.rng, self
         )
-        self.cancellations: CancellationBroadcaster = CancellationBroadcaster(self)
         self.machines = WatchCache(self.store, "machine/")
         self.shards = WatchCache(self.store, "part/")
         self.members = WatchCache(self.store, "member/")
@@ -189,7 +191,7 @@
         return self.front
 
     def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None:
-        self.cancellations.tell(job_id, team, revision, at)
+        self.cancellations.broadcast(job_id, team, revision, at)
 
     def owned_shard_count(self) -> int:
         return len(self.owners)
@@ -516,7 +518,7 @@
             *self.store.demand,
         )
         self.mesh.broadcast(beat)
-        self.cancellations.vouch(now)
+        self.cancellations.send_echoes(now)
         self.send_claims()
         counts: list[tuple[str, int, int]] = []
         for shard in self._active_shards():
@@ -707,9 +709,9 @@
                     known.clear()  # jobs long over: the next beat names all that are not
                 known.update((job, (done, running)) for job, done, running in jobs)
             case CancelledJobs():
-                self.cancellations.heard(frame)
+                self.cancellations.on_cancellations(frame)
             case WatermarkEcho():
-                self.cancellations.echo_received(label, frame)
+                self.cancellations.on_echo(label, frame)
             case ForwardedHeartbeat():
                 self.heartbeat_forwarder.heard(label, frame)
             case ForwardReply():
--- a/tests/test_refused.py
+++ b/tests/test_refused.py
@@ -82,11 +82,11 @@
         key=lambda row: row[0],
     ):
         if one is None:
-            numbers.setdefault(at, watermark.ask(at))
+            numbers.setdefault(at, watermark.next_number(at))
         elif one.asked is None:
-            watermark.linked(one.label)
+            watermark.link_established(one.label)
         else:
-            watermark.answered(one.label, numbers[one.asked], at)
+            watermark.echo_received(one.label, numbers[one.asked], at)
     assert watermark.known_until(base, 51.0) == known
     bound = BOUND_S - 0.002 * CANCEL_S
     assert watermark.may_renew(base, known + bound - 0.001) and not watermark.may_renew(
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize("number", [0, 1, (1 << 40) + 9, 1 << 63])
 def test_a_number_that_was_not_asked_lifts_nothing(number: int) -> None:
     watermark = CancellationWatermark(shared().workers, PEERS, 1 << 40)
-    watermark.ask(10.0)
+    watermark.next_number(10.0)
     for label in (*PEERS, "n9"):
-        watermark.answered(label, number, 11.0)
-        watermark.answered(label, number, 40.0)
+        watermark.echo_received(label, number, 11.0)
+        watermark.echo_received(label, number, 40.0)
     assert watermark.known_until(10.0, 41.0) == 10.0
     assert (
         CancellationWatermark(shared().workers, (), 0).known_until(10.0, 41.0) == 41.0
@@ -110,8 +110,8 @@
 def test_old_numbers_are_forgotten() -> None:
     watermark = CancellationWatermark(shared().workers, PEERS, 0)
     for second in range(1000):
-        watermark.ask(float(second))
-    assert len(watermark.asked) <= CANCEL_S + 2
+        watermark.next_number(float(second))
+    assert len(watermark.sent_at) <= CANCEL_S + 2
 
 
 # -- the day, with whole controllers ---------------------------------------------------------------------------
@@ -301,7 +301,7 @@
         await asyncio.sleep(0.05)
         assert heard.front.is_withdrawn("req-000001")  # the third tells it on
         await asyncio.sleep(3)
-        until = link.carried(known)
+        until = link.known_until(known)
         if lost == "nothing":
             assert (
                 len(link.intervals) == intervals
