--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -269,7 +269,7 @@
 ) -> None:
     """At its nth such write, applied and not answered: what it had begun is carried out once, by the next leader."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         matching_writes = 0
 
         def hook(writes: list[dict[str, Any]]) -> None:
@@ -290,7 +290,7 @@
         await wait_until_all_is_clean(service)
         assert sum(len(names) for names in service.world.charters.values()) <= 8
 
-    play(monkeypatch, 61, day, machines=2, capacity=8)
+    play(monkeypatch, 61, scenario, machines=2, capacity=8)
 
 
 @pytest.mark.parametrize("paused_s", [1.0, 10.0, 60.0])
@@ -299,7 +299,7 @@
 ) -> None:
     """It wakes with its old memory, in the middle of a call to the cloud, and finds its lease over by its own clock."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(dict(JOBS[0]))
         await asyncio.sleep(4)
         first = await wait_for_leader(service)
@@ -336,13 +336,13 @@
         service.state.changes.append({"delete": "leader", "stamp": service.state.ledger})
         await service.until_final(["req-000001"], 90)
 
-    play(monkeypatch, 62, day)
+    play(monkeypatch, 62, scenario)
 
 
 def test_leadership_goes_to_the_least_loaded_controller_and_leaves_one_that_operators_do_not_allow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=16, expect_s=70.0))
         await service.submit(job(2, owner="blue", shares=8, expect_s=70.0))
         key_writes: list[tuple[float, str]] = []
@@ -369,13 +369,13 @@
             and "ashdock_duty_gap_seconds_bucket" in page
         )
 
-    play(monkeypatch, 63, day)
+    play(monkeypatch, 63, scenario)
 
 
 def test_a_successor_that_does_not_come_delays_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=4))
         leader = await wait_for_leader(service)
         controller = service.controllers[leader]
@@ -388,13 +388,13 @@
         assert service.now() - began < 3.0  # a store lease, and a round of the election
         assert await service.until_final(["req-000001"], 60) == []
 
-    play(monkeypatch, 64, day)
+    play(monkeypatch, 64, scenario)
 
 
 def test_three_leaders_crash_in_a_row_and_each_reconciles_intents_of_earlier_terms_before_it_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await wait_for_leader(service)
         service.world.down = True
         for submission in JOBS:
@@ -409,7 +409,7 @@
         # Each is repeated under its own name, and nothing is scaled out beside what they bring.
         assert sum(len(names) for names in service.world.charters.values()) <= 8
 
-    play(monkeypatch, 65, day, machines=1, capacity=9)
+    play(monkeypatch, 65, scenario, machines=1, capacity=9)
 
 
 def test_a_release_that_arrives_late_hits_nothing_that_is_in_use(
@@ -420,7 +420,7 @@
     Delayed by ten seconds and delivered while the next leader works, it finds machines that nobody else may have.
     """
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         delayed: list[list[str]] = []
         handle = service.world.handle
 
@@ -439,7 +439,7 @@
         await wait_until_all_is_clean(service)
         assert delayed
 
-    play(monkeypatch, 66, day, machines=4, capacity=8)
+    play(monkeypatch, 66, scenario, machines=4, capacity=8)
 
 
 async def _call_later(seconds: float, function: Any, *arguments: Any) -> None:
@@ -450,7 +450,7 @@
 def test_a_command_of_a_replaced_leader_is_refused_by_the_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=8, expect_s=30.0))
         await asyncio.sleep(8)
         owner = next(c for c in service.controllers.values() if "red" in c.owners)
@@ -476,7 +476,7 @@
         assert leader.allocator.reclaiming[name][0] == "blue"
         assert await service.until_final(["req-000001"], 120) == []
 
-    play(monkeypatch, 67, day)
+    play(monkeypatch, 67, scenario)
 
 
 def test_the_cluster_version_waits_for_a_controller_of_the_version_between(
@@ -484,7 +484,7 @@
 ) -> None:
     """Commands carry a term only once all controllers understand it: an older one closes the link on such a frame."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         service.net.kill("10.0.0.2")
         service.controllers.pop(2)
         service.state.ledger += 1
@@ -505,4 +505,4 @@
         )
         assert await service.until_final(["req-000001"], 60) == []
 
-    play(monkeypatch, 68, day)
+    play(monkeypatch, 68, scenario)
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -328,7 +328,7 @@
 ) -> None:
     """Sent in full, or the link's end shows that something is missing: the next link extends nothing from before."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         owner = await running(service, 1)
         await asyncio.sleep(8)
         receiver, sender = service.controllers[owner], service.controllers[(owner + 1) % 3]
@@ -367,13 +367,13 @@
             > service.now() - 2
         )
 
-    play(monkeypatch, 62, day)
+    play(monkeypatch, 62, scenario)
 
 
 def test_beside_an_earlier_version_nothing_is_sent_and_the_bound_holds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         owner = await running(service, 1)
         await asyncio.sleep(CANCEL_S)
         service.state.refusing = {f"10.0.0.{owner}"}
@@ -391,7 +391,7 @@
         await asyncio.sleep(LEASE_S)
 
     monkeypatch.setattr("ashdock.cluster_version.CURRENT_FORMS", 3)
-    play(monkeypatch, 63, day)
+    play(monkeypatch, 63, scenario)
 
 
 # -- a start that is delayed for longer than its job may run -----------------------------------------------------------
@@ -403,7 +403,7 @@
 ) -> None:
     """It is on its way, its job is cancelled, and in the outage that follows the fencing token that would refuse it can't be raised."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         n = await running(service, 1)
         await asyncio.sleep(CANCEL_S)
         service.world.held_orders = (1.0, delay_s, delay_s)
@@ -423,7 +423,7 @@
         assert await service.withdraw("req-000002") == "withdrawn"
         await asyncio.sleep(LEASE_S)
 
-    play(monkeypatch, 64, day)
+    play(monkeypatch, 64, scenario)
 
 
 # -- cut off from the store and the peers, not from its users ----------------------------------------------------
@@ -444,7 +444,7 @@
 ) -> None:
     """Were it ready, it would keep its users' connections, and answer none of their questions while it is cut off."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         n = await running(service, 1)
         others = [f"10.0.0.{k}" for k in range(3) if k != n]
         service.net.cut(
@@ -458,7 +458,7 @@
         await asyncio.sleep(4)
         assert all(controller.ready() for controller in service.controllers.values())
 
-    play(monkeypatch, 65, day)
+    play(monkeypatch, 65, scenario)
 
 
 def test_a_failover_that_meets_an_outage_leaves_the_workers_with_the_earlier_owner(
@@ -466,7 +466,7 @@
 ) -> None:
     """The owner is refused for longer than its membership lasts; another claims the shard, and can't read it any more."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         n = await running(service, 1)
         await asyncio.sleep(CANCEL_S)
         before = incarnations(service)
@@ -491,4 +491,4 @@
             worker.tenure for worker in service.world.workers.values()
         } == {1}
 
-    play(monkeypatch, 66, day)
+    play(monkeypatch, 66, scenario)
