--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -125,19 +125,19 @@
     @property
     def leader(self) -> Leader | None:
         """What the leader does, while this controller leads."""
-        return self.elector.work
+        return self.elector.leader_work
 
     def leads(self) -> bool:
         """Whether this controller leads."""
         return self.leader is not None
 
     @property
-    def hold(self) -> int | None:
+    def store_lease(self) -> int | None:
         """The membership's store lease; None while there is none."""
         return self.membership.store_lease
 
     @property
-    def hold_began(self) -> float:
+    def lease_renewed_at(self) -> float:
         """When that store lease was last renewed, by the steady clock."""
         return self.membership.lease_renewed_at
 
@@ -151,7 +151,7 @@
 
     def membership_lost(self) -> None:
         """Give up leadership, which rests on the membership's store lease."""
-        self.elector.lose("the membership was lost")
+        self.elector.stop_leading("the membership was lost")
 
     def metrics(self) -> Answer:
         """The page of metrics."""
@@ -190,7 +190,7 @@
         finally:
             for task in tasks:
                 task.cancel()
-            self.elector.lose("the controller stops")
+            self.elector.stop_leading("the controller stops")
             for owner in list(self.owners.values()):
                 owner.task.cancel()
             await self.mesh.stop()
@@ -236,10 +236,12 @@
             peers,
             self.frame_dispatcher.dispatch,
             heartbeat_interval_s=self.ttl_s / BEATS_PER_TTL,
-            on_link=lambda label: self.cancellations.watermark.linked(label),
+            on_link=lambda label: self.cancellations.watermark.link_established(label),
         )
-        self.cancellations: CancellationBroadcaster = CancellationBroadcaster(self)
-        self.broadcast_cancellation = self.cancellations.tell
+        self.cancellations: CancellationBroadcaster = CancellationBroadcaster(
+            self.workers, self.mesh, self.cluster_version, self.rng, self
+        )
+        self.broadcast_cancellation = self.cancellations.broadcast
         self.heartbeat_forwarder = HeartbeatForwarder(self)
         self.relay = self.heartbeat_forwarder.forward
 
@@ -271,7 +273,7 @@
             self.operators.duties.machines,
             PATIENCE_AGENT_LEASES * self.workers.lease_s,
         )
-        self.doubted = self.elector.doubt
+        self.doubted = self.elector.check_lease
         self.terms = TermFence()
 
     def _build_membership(self) -> None:
@@ -414,8 +416,8 @@
         register(
             PriorityInheritance, lambda _label, frame: self.shard_owners.inherit_priorities(frame)
         )
-        register(CancelledJobs, lambda _label, frame: self.cancellations.heard(frame))
-        register(WatermarkEcho, self.cancellations.echo_received)
+        register(CancelledJobs, lambda _label, frame: self.cancellations.on_cancellations(frame))
+        register(WatermarkEcho, self.cancellations.on_echo)
         register(ForwardedHeartbeat, self.heartbeat_forwarder.request_received)
         register(ForwardReply, lambda _label, frame: self.heartbeat_forwarder.reply_received(frame))
 
--- a/ashdock/election_loop.py
+++ b/ashdock/election_loop.py
@@ -57,7 +57,7 @@
         self.changed.clear()
         if self.may_lead():
             try:
-                await self.elector.tend()
+                await self.elector.run_once()
             except LeaseLostError:
                 self.membership.lease_lost()
         return 0.0
@@ -66,6 +66,6 @@
         """Take in a change of the key `leader`; `value` is None if it was deleted."""
         self.wake()
         if value is not None and path == LEADER_KEY:
-            self.terms.saw(revision)
+            self.terms.observe(revision)
             # The leader chooses nothing before it has heard of every shard, and the next beat would be later.
             self.send_statuses()
--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -197,7 +197,7 @@
         self.load_handover.on_beat(now)
         self.store_limits.divide()
         self.mesh.broadcast(self.heartbeats.heartbeat(now))
-        self.cancellations.vouch(now)
+        self.cancellations.send_echoes(now)
         self.owner_gossip.send_claims()
         self.owner_gossip.send_statuses_and_counts()
         self.worker_client.close_idle()
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -85,7 +85,7 @@
     """One term of leadership over the machines.
 
     Its writes have the leader's key in their condition, its commands and intents hold the term, and its calls to the cloud
-    rest on what is durable and on names that are never used twice (docs/duties.md).
+    rest on what is durable and on names that are never used twice (docs/leader-election.md).
     """
 
     def __init__(self, context: LeaderContext, election: Election) -> None:
--- a/ashdock/leader/leadership.py
+++ b/ashdock/leader/leadership.py
@@ -32,19 +32,19 @@
 
     def may_act(self) -> bool:
         """Whether an effect of this term may begin now."""
-        return self.election.may(time.monotonic(), self.term)
+        return self.election.may_act(time.monotonic(), self.term)
 
     def may_decide(self) -> bool:
         """Whether something new may be begun, which takes more than finishing what is under way."""
-        return self.election.may_choose(time.monotonic(), self.term)
+        return self.election.may_decide(time.monotonic(), self.term)
 
     def term_age_s(self) -> float:
         """Seconds since the leadership was taken."""
-        return time.monotonic() - self.election.taken_at
+        return time.monotonic() - self.election.acquired_at
 
     def reconciled(self) -> None:
         """What earlier terms left unfinished is known: new decisions may be made."""
-        self.election.settled(self.term)
+        self.election.complete_reconciliation(self.term)
 
     def check(self) -> None:
         """Raise unless an effect of this term may begin now.
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -322,7 +322,11 @@
     return cluster.owner_label("red")
 
 
-LEADERSHIP = {KeyHolder.NOBODY: "free", KeyHolder.US: "ours", KeyHolder.ANOTHER: "another's"}
+LEADERSHIP = {
+    KeyHolder.NOBODY: "free",
+    KeyHolder.THIS_CONTROLLER: "ours",
+    KeyHolder.ANOTHER_CONTROLLER: "another's",
+}
 
 
 def read_seat(values: Plain) -> Plain:
@@ -332,7 +336,7 @@
     entries = {} if value is None else {"leader": Entry("leader", value, REVISION)}
     cluster: Any = ClusterState.__new__(ClusterState)
     cluster.leaders = SimpleNamespace(entries=entries)
-    return [LEADERSHIP[election.stands(value)], cluster.leader_label()]
+    return [LEADERSHIP[election.key_holder(value)], cluster.leader_label()]
 
 
 def entries_by_path(values: list[Plain]) -> dict[str, Entry]:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -168,13 +168,13 @@
         mesh=noted("broadcast"),
         heartbeats=noted("heartbeat"),
         store_limits=noted("divide"),
-        cancellations=noted("vouch"),
+        cancellations=noted("send_echoes"),
         owner_gossip=noted("send_claims", "send_statuses_and_counts"),
         load_handover=noted("on_beat"),
         worker_client=noted("close_idle"),
     )
     assert asyncio.run(gossip.beat()) == 0.25
-    expected = ["on_beat", "divide", "heartbeat", "broadcast", "vouch"]
+    expected = ["on_beat", "divide", "heartbeat", "broadcast", "send_echoes"]
     assert order == [*expected, "send_claims", "send_statuses_and_counts", "close_idle"]
 
 
@@ -209,7 +209,7 @@
 
 def test_a_command_of_an_earlier_term_is_refused() -> None:
     made, owner = commands(SentFrames())
-    made.terms.saw(6)
+    made.terms.observe(6)
     made.fenced_received("b", FencedCommand(5, TransferShard("red", "c")))
     assert owner.give_to is None and made.terms.refused == 1
     made.fenced_received("b", FencedCommand(6, TransferShard("red", "c")))
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -155,8 +155,8 @@
         self.fresh = True
         self.scaling_out = False
         self.election = Election("machines", "leader", "n1", 1)
-        self.election.term, self.election.until = TERM, math.inf
-        self.election.phase = ElectionState.LEADER
+        self.election.term, self.election.lease_valid_until = TERM, math.inf
+        self.election.state = ElectionState.LEADER
         self.leadership = Leadership(self.election, TERM)
         self.write_limits = cast(Any, SimpleNamespace(ops=4, value_bytes=10_000))
         self.records = MachineRecords(self.store, self.cache, self.leadership, self.write_limits)
@@ -273,9 +273,9 @@
     pieces.leadership.check()
     assert pieces.leadership.may_act() and pieces.leadership.may_decide()
     assert not Leadership(pieces.election, TERM - 1).may_act()
-    pieces.election.phase = ElectionState.TRANSFERRING
+    pieces.election.state = ElectionState.TRANSFERRING
     assert pieces.leadership.may_act() and not pieces.leadership.may_decide()
-    pieces.election.until = -math.inf
+    pieces.election.lease_valid_until = -math.inf
     with pytest.raises(NotLeaderError):
         pieces.leadership.check()
 
@@ -398,7 +398,7 @@
     elif why == "replaced":
         pieces.replaced()
     else:
-        pieces.election.until = -math.inf
+        pieces.election.lease_valid_until = -math.inf
     asyncio.run(provisioner.scale_out(SCALE_OUT))
     assert not pieces.cloud.rented and pieces.allocator.results == [False]
     assert not provisioner.under_way and not pieces.store.transactions
@@ -409,14 +409,14 @@
 
     class Suspended(FakeCloud):
         async def rent(self, name: str, *request: Any) -> list[str]:
-            pieces.election.until = -math.inf
+            pieces.election.lease_valid_until = -math.inf
             return await super().rent(name, *request)
 
     provisioner.cloud = Suspended()  # type: ignore[assignment]
     with pytest.raises(NotLeaderError):
         asyncio.run(provisioner.scale_out(SCALE_OUT))
     assert pieces.allocator.results == [False] and not provisioner.under_way
-    pieces.election.until = math.inf
+    pieces.election.lease_valid_until = math.inf
     provisioner.cloud, pieces.cloud.answers = pieces.cloud, [["vm-1", "vm-2"]]
     asyncio.run(provisioner.resume_intents())
     assert pieces.allocator.scale_outs == [SCALE_OUT] and provisioner.scaling_out
@@ -436,7 +436,7 @@
     resumed = {f"n1.{TERM}.7", f"n1.{TERM - 1}.9", "n2.30.9", "n2.30.10"}
     assert provisioner.open_intents == resumed, "the eighth of this term is this leader's own"
     assert pieces.allocator.scale_outs == [SCALE_OUT] * 3
-    assert pieces.election.settled_term == TERM and len(pieces.spawned) == 4
+    assert pieces.election.reconciled_term == TERM and len(pieces.spawned) == 4
     asyncio.run(provisioner.resume_intents())
     assert len(pieces.spawned) == 4, "what is under way is not begun again"
     for job in pieces.spawned:
@@ -568,7 +568,7 @@
 
 
 def test_no_list_is_asked_for_once_the_lease_is_over(pieces: Pieces) -> None:
-    pieces.election.until = -math.inf
+    pieces.election.lease_valid_until = -math.inf
     with pytest.raises(NotLeaderError):
         asyncio.run(pieces.inventory().reconcile())
 
