--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -443,7 +443,7 @@
             if ours is not None:
                 claim = ours.shard.revision if ours.shard else 0
                 if claim and entry and entry.revision > claim:
-                    ours.lost(f"claimed by {entry.value['owner']}")
+                    ours.release(f"claimed by {entry.value['owner']}")
                 continue
             # A shard that names us is ours from before a restart: taken back at once.
             if (entry and entry.value["owner"] == self.label and self.may_serve()) or heirs.get(
@@ -457,14 +457,14 @@
         name = path.split("/", 1)[1]
         for owner in list(self.owners.values()):
             if value is None:
-                owner.note(lambda shard: shard.machine_gone(name, self.now()))
+                owner.apply(lambda shard: shard.machine_gone(name, self.now()))
             elif value["p"] == owner.team.name:
-                owner.note(lambda shard: shard.add_machine(name, value, revision, self.now()))
+                owner.apply(lambda shard: shard.add_machine(name, value, revision, self.now()))
 
     def _missed_jobs(self) -> None:
         """Jobs may have been accepted that we were not told of: our shards are claimed and read again."""
         for owner in list(self.owners.values()):
-            owner.lost("changes to jobs were missed")
+            owner.release("changes to jobs were missed")
 
     def jobs_seen(self, path: str, value: Any, revision: int) -> None:
         """`job/<id>` changed: new, withdrawn, done, or with a reason."""
@@ -478,19 +478,19 @@
         if status == "withdrawn":
             self.cancelled(job_id, team, revision, value.get("cancelled_at", self.now()))
         elif owner is not None and status == "queued":
-            owner.note(lambda shard: self._job_news(shard, job_id, value, revision))
+            owner.apply(lambda shard: self._job_news(shard, job_id, value, revision))
         if status != "queued":
             self.settled(job_id, status, value.get("done_at"))
 
     def cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
         owner = self.owners.get(team)
         if owner is not None:
-            owner.note(lambda shard: shard.cancel(job_id, at, revision, self.now()))
+            owner.apply(lambda shard: shard.cancel(job_id, at, revision, self.now()))
 
     def settled(self, job_id: str, status: str, done_at: float | None) -> None:
         for owner in list(self.owners.values()):
             if owner.waits_for(job_id):
-                owner.note(
+                owner.apply(
                     lambda shard: shard.dependency_tracker.settled(
                         job_id, status, done_at, self.now()
                     )
@@ -576,7 +576,7 @@
     def _inherit_priorities(self, ahead: PriorityInheritance) -> None:
         for team, owner in self.owners.items():
             if team != ahead.shard:
-                owner.note(lambda shard: shard.dependency_tracker.hear(*ahead))
+                owner.apply(lambda shard: shard.dependency_tracker.hear(*ahead))
 
     def send_claims(self) -> None:
         # Once they are read: told at the claim, one that the state service refuses let go of its workers, the reading met an outage, and
@@ -595,7 +595,7 @@
                 self.shards.wrote(path, {"owner": label}, revision)
             ours = self.owners.get(team)
             if ours is not None and ours.shard and ours.shard.revision < revision:
-                ours.lost(f"claimed by {label}, as the mesh tells")
+                ours.release(f"claimed by {label}, as the mesh tells")
 
     def _share(self) -> None:
         """Divide what the state service takes among those that live, by what each asks."""
@@ -673,18 +673,18 @@
         if owner is None:
             return
         if isinstance(frame, TransferMachine):
-            owner.note(
+            owner.apply(
                 lambda shard: shard.status_reporter.transfer_machine(
                     frame.machine, frame.to, self.now()
                 )
             )
         elif isinstance(frame, Rebalance):
-            owner.note(lambda shard: shard.status_reporter.rebalance(frame, self.now()))
+            owner.apply(lambda shard: shard.status_reporter.rebalance(frame, self.now()))
         elif isinstance(frame, TransferShard):
-            owner.give_to = frame.to
+            owner.transfer_to = frame.to
             owner.wake.set()
         else:
-            owner.note(lambda shard: shard.status_reporter.reclaim(frame, self.now()))
+            owner.apply(lambda shard: shard.status_reporter.reclaim(frame, self.now()))
 
     def _on_frame(self, label: str, frame: Frame) -> None:
         match frame:
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -70,7 +70,9 @@
 class Answering(Protocol):
     """Whoever owns a shard here."""
 
-    async def report(self, report: messages.Heartbeat) -> messages.HeartbeatResponse | None: ...
+    async def on_heartbeat(
+        self, heartbeat: messages.Heartbeat
+    ) -> messages.HeartbeatResponse | None: ...
 
 
 class Adopting(Protocol):
@@ -517,7 +519,7 @@
         team = entry.value["p"]
         owner = context.owners.get(team)
         if owner is not None:
-            orders = await owner.report(report)
+            orders = await owner.on_heartbeat(report)
             if orders is not None:
                 self.redirected.pop(report.machine, None)
                 if len(self.answered) > 5000:
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -1,4 +1,4 @@
-"""Owning a shard: claim it, rebuild it, run it, and let go when the claim is lost."""
+"""Owns one shard: claims it, reads it back, runs it, and gives it up when the claim is lost or transferred."""
 
 from __future__ import annotations
 
@@ -12,25 +12,31 @@
 from typing import Any, Protocol
 
 from ashdock.admission.processor import pass_share, pause_s
+from ashdock.command_sender import CommandSender
 from ashdock.concurrency import StaleContextError, ensure_current
-from ashdock.core.machine import Machine
 from ashdock.core.shard import Shard
+from ashdock.core.shard_writer import Transaction
 from ashdock.core.write_limits import WriteLimits
-from ashdock.net.http import NoAnswer
 from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import CompareFailedError, StoreClient, StoreUnavailableError, WatchCache
 from ashdock.net.worker import WorkerClient
 from ashdock.settings import Operators, Shared, Team, Workers
 from ashdock.timelines import FailoverTimeline
-from ashdock.wire.messages import Heartbeat, HeartbeatResponse, MachineType, TaskCommand
+from ashdock.wire.messages import Heartbeat, HeartbeatResponse, MachineType
 
 log = logging.getLogger("ashdock.shard_owner")
 
-SAID = (200, 400, 409)  # by a worker that has dealt with orders, or refused them
-READS_AT_ONCE = 8  # of jobs that ours wait for, after a takeover
+DEPENDENCY_READS_AT_ONCE = 8  # reads of the store under way for the outcomes of dependencies
+TRANSACTIONS_PER_ITERATION = 16  # so that changes from outside are looked at in between
+# A scheduling cycle that was put off is looked at again this many times as often as one is due.
+DEFERRED_CYCLE_CHECKS = 16
+
+ShardChange = Callable[[Shard], None]
 
 
 class OwnershipPhase(Enum):
+    """How far the ownership of a shard has come."""
+
     CLAIMING = "claiming"
     LOADING = "loading"
     ACTIVE = "active"
@@ -40,13 +46,21 @@
 class JobsKnown(Protocol):
     """What this controller remembers of jobs, whoever owns them."""
 
-    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None: ...
+    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+        """Remember a job's record of the given revision."""
+        ...
 
-    async def outcome(self, job_id: str) -> tuple[str, float | None] | None: ...
+    async def outcome(self, job_id: str) -> tuple[str, float | None] | None:
+        """The status and time of the end of a job; None while it has none.
+
+        Raises:
+            StoreUnavailableError: it has to be read, and the store does not answer.
+        """
+        ...
 
 
 class ShardOwnerContext(Protocol):
-    """What of its controller the owner of a shard uses, and no more."""
+    """What the owner of a shard needs of its controller."""
 
     label: str
     shared: Shared
@@ -63,29 +77,58 @@
     worker_client: WorkerClient
 
     @property
-    def jobs_known(self) -> JobsKnown: ...
+    def jobs_known(self) -> JobsKnown:
+        """The controller's memory of jobs."""
+        ...
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """The time of day in seconds, as all that is stored counts it."""
+        ...
 
-    def may_renew(self, read_at: float) -> bool: ...
+    def may_renew(self, read_at: float) -> bool:
+        """Whether agent leases may be renewed for a shard that was read at `read_at`, by the monotonic clock."""
+        ...
 
-    def state_fresh(self) -> bool: ...
+    def state_fresh(self) -> bool:
+        """Whether the store has answered lately."""
+        ...
 
-    def fit_members(self) -> list[str]: ...
+    def fit_members(self) -> list[str]:
+        """The labels of the controllers that may own shards."""
+        ...
 
-    def owned_shard_count(self) -> int: ...
+    def owned_shard_count(self) -> int:
+        """How many shards this controller owns."""
+        ...
 
-    def let_go(self, owner: ShardOwner) -> None: ...
+    def let_go(self, owner: ShardOwner) -> None:
+        """Forget an owner that has given up its shard."""
+        ...
 
-    def jobs_seen(self, path: str, value: Any, revision: int) -> None: ...
+    def jobs_seen(self, path: str, value: Any, revision: int) -> None:
+        """Take in a job's record as if the watch had brought it."""
+        ...
 
-    def send_claims(self) -> None: ...
+    def send_claims(self) -> None:
+        """Tell the other controllers which shards are owned here."""
+        ...
 
-    def tell_leader(self, shard: Shard) -> None: ...
+    def tell_leader(self, shard: Shard) -> None:
+        """Send the leader the shard's status, if it has changed in what cannot wait."""
+        ...
 
 
 class ShardOwner:
+    """The one controller's actor for a shard, from the claim on. A task of its own runs from construction to the end."""
+
     def __init__(self, context: ShardOwnerContext, team: Team, revision: int) -> None:
+        """Start to claim.
+
+        Args:
+            context: the controller.
+            team: the team that the shard belongs to.
+            revision: of the shard's key as found; the claim replaces that revision only. 0: there is no key.
+        """
         self.context = context
         self.team = team
         self.claimed_from = revision
@@ -93,28 +136,28 @@
         self.shard: Shard | None = None
         self.wake = asyncio.Event()
         self.ready = asyncio.Event()
-        self.give_to: str | None = None  # the leader wants another controller to have the shard
-        self.read_at = (
-            -math.inf
-        )  # by the steady clock: each cancellation confirmed until then was read with the shard
-        self.renews = True  # as the log has told
-        self.early: list[
-            Callable[[Shard], None]
-        ] = []  # changes seen while the shard was being read
-        self.sends: set[asyncio.Task[None]] = set()
-        self.reading: asyncio.Task[None] | None = None  # how the jobs stand that ours wait for
-        self.passed_at = -1e9  # when the last scheduling pass began
-        self.turned_at = -1e9  # when the turn under way began
-        self.pass_after = 0.0  # a pass that took long is not followed by another at once
+        self.transfer_to: str | None = None  # the controller that the leader wants to own the shard
+        # By the monotonic clock: each cancellation that was confirmed until then was read with the shard.
+        self.read_at = -math.inf
+        self.renewing = True  # whether agent leases are renewed, as last logged
+        self.buffered_changes: list[ShardChange] = []  # seen while the shard was being read
+        self.command_sender = CommandSender(context, self._is_active, self.wake)
+        self.dependency_reader: asyncio.Task[None] | None = None
+        self.last_cycle_at = -math.inf  # when the last scheduling cycle began
+        self.iteration_began_at = -math.inf
+        self.next_cycle_at = 0.0  # a cycle that took long is not followed by another at once
         self.failover_timeline = FailoverTimeline(team.name, context.now())
         self.task = asyncio.create_task(self._run())
 
-    # -- changes of state ------------------------------------------------------------------------
+    # -- phases --------------------------------------------------------------------------------
+
+    def _is_active(self) -> bool:
+        return self.phase is OwnershipPhase.ACTIVE
 
-    def _claimed(self, revision: int) -> None:
+    def _begin_loading(self, revision: int) -> Shard:
         self.phase = OwnershipPhase.LOADING
         self.failover_timeline.claimed(self.context.now())
-        self.shard = Shard(
+        shard = self.shard = Shard(
             self.team,
             revision,
             self.context.shared,
@@ -123,44 +166,45 @@
             random.Random(self.context.rng.random()),
             self.context.write_limits,
         )
+        return shard
 
-    def _loaded(self) -> None:
+    def _activate(self, shard: Shard) -> None:
         self.phase = OwnershipPhase.ACTIVE
-        assert self.shard
-        self.failover_timeline.read(self.shard.taken, self.context.now())
-        for change in self.early:
-            change(self.shard)
-        self.early.clear()
+        self.failover_timeline.read(shard.taken, self.context.now())
+        for change in self.buffered_changes:
+            change(shard)
+        self.buffered_changes.clear()
         self.ready.set()
         log.info(
-            "part %s is ours with token %d: %d jobs, %d machines, %d parks",
+            "shard claimed and read back: shard=%s token=%d jobs=%d machines=%d parks=%d",
             self.team.name,
-            self.shard.revision,
-            len(self.shard.jobs),
-            len(self.shard.machines),
-            len(self.shard.parks.items),
+            shard.revision,
+            len(shard.jobs),
+            len(shard.machines),
+            len(shard.parks.items),
         )
 
-    def lost(self, why: str) -> None:
+    def release(self, reason: str) -> None:
+        """Stop acting for the shard; the claim is lost, transferred, or of no more use. Once only."""
         if self.phase is OwnershipPhase.LOST:
             return
-        log.info("part %s is no longer ours: %s", self.team.name, why)
+        log.info("shard no longer owned: shard=%s reason=%s", self.team.name, reason)
         self.phase = OwnershipPhase.LOST
         self.context.let_go(self)
         self.wake.set()
 
-    # -- what others tell us -----------------------------------------------------------------------
+    # -- input from outside --------------------------------------------------------------------
 
-    def note(self, change: Callable[[Shard], None]) -> None:
-        """A change to take in, now or as soon as the shard is read."""
+    def apply(self, change: ShardChange) -> None:
+        """Apply a change to the shard, now or as soon as it has been read."""
         if self.phase is OwnershipPhase.ACTIVE and self.shard:
             change(self.shard)
             self.wake.set()
         elif self.phase is not OwnershipPhase.LOST:
-            self.early.append(change)
+            self.buffered_changes.append(change)
 
     def waits_for(self, job_id: str) -> bool:
-        """Whether the outcome of a job is of any use here. While the shard is being read that is not known."""
+        """Whether a job here may depend on the given one; yes as long as the shard has not been read."""
         return (
             self.shard is None
             or self.phase is not OwnershipPhase.ACTIVE
@@ -168,17 +212,20 @@
         )
 
     def _may_renew(self) -> bool:
-        may = self.context.may_renew(self.read_at)
-        if may is not self.renews:
-            self.renews = may
-            log.info(
-                "part %s: workers are %s",
-                self.team.name,
-                "renewed again" if may else "not renewed: cancellations may be unknown here",
-            )
-        return may
+        may_renew = self.context.may_renew(self.read_at)
+        if may_renew is not self.renewing:
+            self.renewing = may_renew
+            if may_renew:
+                log.info("agent leases renewed again: shard=%s", self.team.name)
+            else:
+                log.info(
+                    "agent leases not renewed, cancellations may be unknown: shard=%s",
+                    self.team.name,
+                )
+        return may_renew
 
-    async def report(self, report: Heartbeat) -> HeartbeatResponse | None:
+    async def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
+        """Take a worker's heartbeat in. None: it may not be answered from here, or not yet."""
         if self.phase is not OwnershipPhase.ACTIVE:
             try:
                 async with asyncio.timeout(self.context.workers.report_s / 2):
@@ -188,128 +235,155 @@
         shard = self.shard
         if self.phase is not OwnershipPhase.ACTIVE or shard is None or not self._may_renew():
             return None
-        orders = shard.reconciler.on_heartbeat(report, self.context.now(), checkin=True)
-        if orders is None:
+        commands = shard.reconciler.on_heartbeat(heartbeat, self.context.now(), checkin=True)
+        if commands is None:
             return None
         self.failover_timeline.heard(self.context.now())
+        # Most heartbeats say nothing new, and call for no iteration.
         if shard.stale or shard.writer.touched or shard.writer.changing or shard.urgent:
-            self.wake.set()  # most reports say nothing new, and call for no turn
-        return HeartbeatResponse(shard.token(shard.machines[report.machine]), orders)
+            self.wake.set()
+        return HeartbeatResponse(shard.token(shard.machines[heartbeat.machine]), commands)
 
-    # -- the loop ------------------------------------------------------------------------------------
+    # -- the task ------------------------------------------------------------------------------
 
     async def _run(self) -> None:
         try:
-            await self._claim()
+            shard = await self._claim()
             while self.phase is OwnershipPhase.ACTIVE:
                 self.wake.clear()
-                await self._turn()
-                try:
-                    async with asyncio.timeout(self._pause()):
-                        await self.wake.wait()
-                        # Things come in bunches: what arrives together is decided and written together.
-                        await asyncio.sleep(self.context.gather_s)
-                except TimeoutError:
-                    pass
-        except CompareFailedError as why:
-            self.lost(f"claimed by another ({why})")
-        except StoreUnavailableError as why:
-            self.lost(f"the state service: {why}")
-        except StaleContextError as why:
-            log.debug("part %s: %s", self.team.name, why)
-        except Exception:
-            log.exception("part %s", self.team.name)
-            self.lost("an error of ours")
-
-    async def _claim(self) -> None:
+                await self._run_iteration(shard)
+                await self._wait_for_changes(shard)
+        except CompareFailedError as error:
+            self.release(f"claimed by another ({error})")
+        except StoreUnavailableError as error:
+            self.release(f"the store: {error}")
+        except StaleContextError as error:
+            log.debug("shard owner ends: shard=%s reason=%s", self.team.name, error)
+        except (
+            Exception
+        ):  # the top of a task: whatever it is, another controller must be able to claim
+            log.exception("shard owner failed: shard=%s", self.team.name)
+            self.release("an error of ours")
+
+    async def _wait_for_changes(self, shard: Shard) -> None:
+        try:
+            async with asyncio.timeout(self._idle_s(shard)):
+                await self.wake.wait()
+                # Changes come in bursts: what arrives together is decided and written together.
+                await asyncio.sleep(self.context.gather_s)
+        except TimeoutError:
+            pass
+
+    def _idle_s(self, shard: Shard) -> float:
+        """How long to wait for changes before the next iteration; less if a scheduling cycle was put off."""
+        tick_s = self.context.tick_s
+        if not shard.stale:
+            return tick_s
+        return min(
+            tick_s, max(self.next_cycle_at - self.context.now(), tick_s / DEFERRED_CYCLE_CHECKS)
+        )
+
+    # -- claiming and reading back -------------------------------------------------------------
+
+    async def _claim(self) -> Shard:
+        """Claim the shard and read it back.
+
+        Raises:
+            CompareFailedError: another controller has claimed it first.
+            StoreUnavailableError: the store does not answer.
+            StaleContextError: it was given up meanwhile.
+        """
         name = self.team.name
         path = f"part/{name}"
-        store = self.context.store
         value = {"owner": self.context.label}
-        revision = await store.txn({path: self.claimed_from}, {path: value})
+        revision = await self.context.store.txn({path: self.claimed_from}, {path: value})
         self.context.shards.wrote(path, value, revision)
         ensure_current(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
-        self._claimed(revision)
-        shard = self.shard
-        assert shard
+        shard = self._begin_loading(revision)
         self.read_at = time.monotonic()
-        # Read after the claim: no earlier owner can write from here on, so this is all there is.
-        (machines, seen), (work, _), (parks, _) = await asyncio.gather(
+        await self._load(shard)
+        self._activate(shard)
+        self.context.send_claims()
+        return shard
+
+    async def _load(self, shard: Shard) -> None:
+        """Read all of the shard; after the claim no earlier owner can write to it any more."""
+        store, name = self.context.store, self.team.name
+        (machines, watermark), (work, _), (parks, _) = await asyncio.gather(
             store.under("machine/"), store.under(f"work/{name}/"), store.under(f"park/{name}/")
         )
-        # Another may have claimed it meanwhile: one that let go here used to come back to life as nobody's owner.
+        # Another may have claimed it meanwhile: an owner that was given up must not become active again.
         ensure_current(self.phase is OwnershipPhase.LOADING, "given up while it was being read")
-        mine = [
+        assigned = [
             (entry.path.split("/", 1)[1], entry.value, entry.revision)
             for entry in machines
             if entry.value["p"] == name
         ]
-        shard.load(mine, list(work), list(parks), self.context.now())
+        shard.load(assigned, list(work), list(parks), self.context.now())
         for job in shard.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
                 self.context.jobs_known.saw(job.id, job.record(), job.revision)
-        shard.seen = max(shard.seen, seen)
-        self._loaded()
-        self.context.send_claims()
+        shard.seen = max(shard.seen, watermark)
 
-    async def _turn(self) -> None:
-        shard = self.shard
-        assert shard
-        if self.give_to is not None:
-            await self._give(shard, self.give_to)
+    # -- one iteration -------------------------------------------------------------------------
+
+    async def _run_iteration(self, shard: Shard) -> None:
+        """Periodic work, a scheduling cycle if one is due, then the writes and commands that come of it."""
+        if self.transfer_to is not None:
+            await self._transfer(shard, self.transfer_to)
             return
-        now = self.turned_at = self.context.now()
+        now = self.iteration_began_at = self.context.now()
         shard.tick(now)
-        if shard.dependency_tracker.unread and (self.reading is None or self.reading.done()):
-            self.reading = asyncio.create_task(self._read_needs(shard))
+        if shard.dependency_tracker.unread and (
+            self.dependency_reader is None or self.dependency_reader.done()
+        ):
+            self.dependency_reader = asyncio.create_task(self._read_dependencies(shard))
         if not self.context.state_fresh():
             shard.resource_requests = []
-        elif self._pass_due(shard, now):
-            self.passed_at = now
-            shard.scheduler.schedule(now)
-            self.failover_timeline.passed(shard.placed > 0, self.context.now())
-            # No more than its share of the processor goes into passes, however large the shard.
-            ended = self.context.now()
-            self.pass_after = ended + pause_s(
-                ended - now, pass_share(self.context.owned_shard_count())
-            )
+        elif self._cycle_due(shard, now):
+            self._run_scheduling_cycle(shard, now)
         self.context.tell_leader(shard)
-        await self._commit(shard)
+        await self._write_changes(shard)
         self._send_urgent(shard)
 
-    def _pass_due(self, shard: Shard, now: float) -> bool:
-        return now >= self.pass_after and (
-            shard.stale or now - self.passed_at > self.context.tick_s
+    def _run_scheduling_cycle(self, shard: Shard, now: float) -> None:
+        self.last_cycle_at = now
+        shard.scheduler.schedule(now)
+        self.failover_timeline.passed(shard.placed > 0, self.context.now())
+        # Cycles get no more than their share of the processor, however large the shard.
+        ended_at = self.context.now()
+        self.next_cycle_at = ended_at + pause_s(
+            ended_at - now, pass_share(self.context.owned_shard_count())
+        )
+
+    def _cycle_due(self, shard: Shard, now: float) -> bool:
+        return now >= self.next_cycle_at and (
+            shard.stale or now - self.last_cycle_at > self.context.tick_s
         )
 
-    async def _read_needs(self, shard: Shard) -> None:
-        """The watch brings every outcome from here on; what was over before has to be looked up. Its word goes for good,
-        whatever the watch brings meanwhile."""
+    async def _read_dependencies(self, shard: Shard) -> None:
+        """Look up the outcomes of dependencies that may have ended before the watch began.
+
+        An outcome is final, so what is read here holds whatever the watch brings meanwhile. What is left when the store
+        does not answer is read after a later iteration.
+        """
         jobs = self.context.jobs_known
         unread = shard.dependency_tracker.unread
         while unread and self.phase is OwnershipPhase.ACTIVE:
-            needs = list(unread)[:READS_AT_ONCE]
+            job_ids = list(unread)[:DEPENDENCY_READS_AT_ONCE]
             try:
-                outcomes = await asyncio.gather(*map(jobs.outcome, needs))
+                outcomes = await asyncio.gather(*map(jobs.outcome, job_ids))
             except StoreUnavailableError:
-                return  # asked again with the next turn
-            for need, outcome in zip(needs, outcomes, strict=True):
-                unread.pop(need, None)
+                return
+            for job_id, outcome in zip(job_ids, outcomes, strict=True):
+                unread.pop(job_id, None)
                 if outcome is not None:
-                    shard.dependency_tracker.settled(need, *outcome, self.context.now())
+                    shard.dependency_tracker.settled(job_id, *outcome, self.context.now())
                     self.wake.set()
 
-    def _pause(self) -> float:
-        """Until the next turn, if nothing wakes us: sooner where a pass had to be put off."""
-        shard = self.shard
-        tick_s = self.context.tick_s
-        if shard and shard.stale:
-            return min(tick_s, max(self.pass_after - self.context.now(), tick_s / 16))
-        return tick_s
-
-    async def _give(self, shard: Shard, to: str) -> None:
+    async def _transfer(self, shard: Shard, to: str) -> None:
         """Name the next owner in the shard's key, between two of our own transactions. It claims on seeing that."""
-        self.give_to = None
+        self.transfer_to = None
         if to not in self.context.fit_members() or any(
             machine.sending for machine in shard.machines.values()
         ):
@@ -319,116 +393,104 @@
         try:
             revision = await self.context.store.txn({path: shard.revision}, {path: value})
         except StoreUnavailableError:
-            # It may yet be applied. Until we know, the fence tells: our next write fails if it was.
+            # It may still be applied. If it was, the condition on the claim fails our next write.
             return
         self.context.shards.wrote(path, value, revision)
-        self.lost(f"given to {to}")
+        self.release(f"given to {to}")
+
+    # -- writing -------------------------------------------------------------------------------
 
-    async def _commit(self, shard: Shard) -> None:
-        store = self.context.store
-        for _ in range(16):
-            txn = shard.writer.next_transaction(store.writes.short, store.writes.per_s)
-            if txn is None or self.phase is not OwnershipPhase.ACTIVE:
+    async def _write_changes(self, shard: Shard) -> None:
+        """Write what is not durable yet, as long as no scheduling cycle is kept waiting by it.
+
+        A transaction that was not answered is built again in the next iteration; the revisions show then whether it was
+        applied.
+        """
+        writes = self.context.store.writes
+        for _ in range(TRANSACTIONS_PER_ITERATION):
+            transaction = shard.writer.next_transaction(writes.short, writes.per_s)
+            if transaction is None or self.phase is not OwnershipPhase.ACTIVE:
                 return
             try:
-                revision = await store.txn(
-                    txn.when,
-                    txn.writes,
-                    priority=RequestPriority.NORMAL if txn.urgent else RequestPriority.BACKGROUND,
+                revision = await self.context.store.txn(
+                    transaction.when,
+                    transaction.writes,
+                    priority=RequestPriority.NORMAL
+                    if transaction.urgent
+                    else RequestPriority.BACKGROUND,
                     team=shard.name,
                 )
-            except CompareFailedError as why:
-                if not await self._reread(shard, why.failed):
+            except CompareFailedError as error:
+                if not await self._resolve_conflict(shard, error.failed):
                     return
                 continue
             except StoreUnavailableError:
-                return  # tried again at the next turn; whether it was applied shows then by the revisions
-            for callback in txn.on_commit:
-                callback(revision)
-            self._publish(txn.writes, revision)
-            if shard.placed:
-                self.failover_timeline.durable(self.context.now())
-            # Starts go out between transactions, not after the last of them.
-            self._send_urgent(shard)
-            # Nor is what could start meanwhile, or is late, to wait for the last: where the state service takes few changes a
-            # second, sixteen transactions took nine seconds, and no pass was made (cvbc rollout: 5 s a step of a pipeline).
-            now = self.context.now()
-            if now - self.turned_at > self.context.workers.report_s / 4 and self._pass_due(
-                shard, now
-            ):
                 return
+            self._on_commit(shard, transaction, revision)
+            if self._cycle_waits_for_writes(shard):
+                return
+
+    def _on_commit(self, shard: Shard, transaction: Transaction, revision: int) -> None:
+        for callback in transaction.on_commit:
+            callback(revision)
+        self._update_caches(transaction.writes, revision)
+        if shard.placed:
+            self.failover_timeline.durable(self.context.now())
+        # Run commands go out between transactions, not after the last of them.
+        self._send_urgent(shard)
 
-    def _publish(self, writes: dict[str, Any], revision: int) -> None:
+    def _cycle_waits_for_writes(self, shard: Shard) -> bool:
+        """Whether a scheduling cycle is due while the writes of this iteration take long.
+
+        Where the store takes few changes a second, sixteen transactions took nine seconds without a cycle in between.
+        """
+        now = self.context.now()
+        return (
+            now - self.iteration_began_at > self.context.workers.report_s / 4
+            and self._cycle_due(shard, now)
+        )
+
+    def _update_caches(self, writes: dict[str, Any], revision: int) -> None:
         for path, value in writes.items():
             if path.startswith("machine/"):
                 self.context.machines.wrote(path, value, revision)
             elif path.startswith("job/"):
                 self.context.jobs_seen(path, value, revision)
 
-    async def _reread(self, shard: Shard, failed: list[str]) -> bool:
-        fence = f"part/{shard.name}"
-        for path in failed or [fence]:
+    async def _resolve_conflict(self, shard: Shard, failed: list[str]) -> bool:
+        """Read the keys whose condition failed and take their values in.
+
+        Args:
+            shard: the shard.
+            failed: their paths; empty if the store did not say which.
+
+        Returns:
+            Whether the shard is still ours.
+        """
+        claim_path = f"part/{shard.name}"
+        for path in failed or [claim_path]:
             entry = await self.context.store.get(path)
             ensure_current(
                 self.phase is OwnershipPhase.ACTIVE, "given up while it was being written"
             )
             revision = entry.revision if entry else 0
-            if path == fence:
+            if path == claim_path:
                 if revision != shard.revision:
-                    self.lost("claimed by another")
+                    self.release("claimed by another")
                     return False
                 continue
-            log.info("part %s: %s had changed; taken in", shard.name, path)
+            log.info(
+                "stored value changed by another writer, taken in: shard=%s key=%s",
+                shard.name,
+                path,
+            )
             shard.writer.take_in_stored(
                 path, entry.value if entry else None, revision, self.context.now()
             )
         return True
 
-    # -- orders sent directly --------------------------------------------------------------------------
-
     def _send_urgent(self, shard: Shard) -> None:
-        urgent, shard.urgent = shard.urgent, {}
-        if self.phase is not OwnershipPhase.ACTIVE or not self._may_renew():
-            return
-        for name in urgent:
-            machine = shard.machines.get(name)
-            if machine is None:
-                continue
-            if machine.sending:
-                shard.urgent[name] = None
-                continue
-            orders = shard.direct(machine, self.context.now())
-            if orders:
-                machine.sending = True
-                task = asyncio.create_task(self._send(shard, machine, orders, shard.token(machine)))
-                self.sends.add(task)
-                task.add_done_callback(self.sends.discard)
-
-    async def _send(
-        self, shard: Shard, machine: Machine, orders: list[TaskCommand], token: int
-    ) -> None:
-        # Under the token that the starts are noted with. It may rise before this runs; sent under the higher one, a start that
-        # arrives late would be taken though it counted as harmless.
-        try:
-            status, report = await self.context.worker_client.orders(
-                machine.address, token, machine.incarnation, orders
-            )
-            # Anything else was not said by the worker, which may still carry them out.
-            (shard.direct_answered if status in SAID else shard.direct_unanswered)(machine, orders)
-            if (
-                report is not None
-                and report.machine == machine.name
-                and self.phase is OwnershipPhase.ACTIVE
-            ):
-                shard.reconciler.on_heartbeat(report, self.context.now(), checkin=False)
-            if status != 200:
-                log.debug("machine %s did not take orders: %d", machine.name, status)
-        except NoAnswer as why:
-            if why.sent:
-                shard.direct_unanswered(machine, orders)
-            else:
-                shard.direct_answered(machine, orders)
-            log.debug("machine %s did not answer: %s", machine.name, why)
-        finally:
-            machine.sending = False
-            self.wake.set()
+        """Send the commands that are not to wait for the next heartbeat."""
+        machine_names, shard.urgent = shard.urgent, {}
+        if self.phase is OwnershipPhase.ACTIVE and self._may_renew():
+            self.command_sender.send(shard, machine_names)
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -199,6 +199,7 @@
     ("core/park.py", "writing"),
     ("core/shard.py", "writing"),
     ("shard_owner.py", "writing"),
+    ("command_sender.py", "writing"),
     ("status_reader.py", "questions"),
     ("front.py", "submissions and questions"),
     ("membership.py", "membership"),
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -34,7 +34,7 @@
         async def report(found: messages.Heartbeat) -> messages.HeartbeatResponse:
             return orders
 
-        owners = {"red": SimpleNamespace(report=report)}
+        owners = {"red": SimpleNamespace(on_heartbeat=report)}
 
     async def relay(label: str, body: bytes) -> frames.ForwardReply | None:
         answer = values.get("relayed")
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -64,7 +64,7 @@
     shard = loaded_part(values["store"])
     told: list[Plain] = []
     controller: Any = Controller.__new__(Controller)
-    owner = SimpleNamespace(team=SimpleNamespace(name="red"), note=lambda change: change(shard))
+    owner = SimpleNamespace(team=SimpleNamespace(name="red"), apply=lambda change: change(shard))
     controller.owners = {"red": owner}
     controller.front = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
     controller.now = lambda: NOW
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -38,7 +38,7 @@
         owner: Any = ShardOwner.__new__(ShardOwner)
         owner.context, owner.team, owner.phase = home, Team("red"), OwnershipPhase.CLAIMING
         owner.claimed_from = next(revision for path, _, revision in entries if path == "part/red")
-        owner.early, owner.failover_timeline = [], FailoverTimeline("red", NOW)
+        owner.buffered_changes, owner.failover_timeline = [], FailoverTimeline("red", NOW)
         owner.ready = SimpleNamespace(set=lambda: None)
         await owner._claim()
         parks = [plain(park) for park in owner.shard.parks.items]
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -95,7 +95,7 @@
         if type(error).__name__ != "StaleContextError":
             raise
     store.entries["part/red"] = (None, REVISION)
-    await owner._give(make_part(), "n2")
+    await owner._transfer(make_part(), "n2")
 
 
 async def write_leadership(store: Store, values: Plain) -> None:
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -189,7 +189,7 @@
             entry = service.state.keys.get(f"part/{team}")
             owner = service.controllers.get(int(entry[0]["owner"][1:])) if entry else None
             if owner is not None and team in owner.owners:
-                owner.owners[team].give_to = f"n{rng.randrange(3)}"
+                owner.owners[team].transfer_to = f"n{rng.randrange(3)}"
                 owner.owners[team].wake.set()
         await asyncio.sleep(rng.uniform(0.2, 0.9))
 
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -74,7 +74,7 @@
         service.state.slow = 0.2
         n = next(n for n, c in service.controllers.items() if "red" in c.owners)
         controller = service.controllers[n]
-        controller.owners["red"].lost("for this test")
+        controller.owners["red"].release("for this test")
         owner = None
         while owner is None or owner.phase is not phase:
             await asyncio.sleep(0.01)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -308,7 +308,7 @@
             calls.append(spawn(service.net, "users", cancel(0.0)))
             await asyncio.sleep(0.06)
         owner = service.controllers[old].owners["red"]
-        owner.give_to = f"n{new}"
+        owner.transfer_to = f"n{new}"
         owner.wake.set()
         while "claimed" not in seen:
             await asyncio.sleep(0.05)
