--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -22,7 +22,7 @@
 from ashdock.core.quota import Usage
 from ashdock.core.scheduler import Scheduler
 from ashdock.core.scheduling_policy import SchedulingPolicy
-from ashdock.core.shard_writer import ShardWriter
+from ashdock.core.shard_writer import ShardWriter, StoredKey
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
 from ashdock.core.write_limits import WriteLimits
@@ -128,8 +128,9 @@
             for placement in job.load_chunks(chunks.pop(job_id, []), now):
                 self._count(job, placement, now)
         for job_id, rest in chunks.items():
-            self.writer.leftover += [
-                (f"work/{self.name}/{job_id}/{tail}", revision) for tail, _, revision in rest
+            self.writer.obsolete_keys += [
+                StoredKey(f"work/{self.name}/{job_id}/{tail}", revision)
+                for tail, _, revision in rest
             ]
         for path, value, revision in parks:
             for park in self.parks.load(int(path.rsplit("/", 1)[1]), value, revision):
@@ -183,7 +184,7 @@
             else self.chunk_tasks
         )
         job = Job(spec, record["at"], revision, width, self.chunk_tasks)
-        job.listener = self.writer.touched
+        job.listener = self.writer.changed_jobs
         self.stale = True
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
@@ -235,7 +236,7 @@
 
     def note_machine(self, name: str) -> None:
         """Its record may have to be written."""
-        self.writer.changing[name] = None
+        self.writer.changed_machines[name] = None
 
     def token(self, machine: Machine) -> int:
         return max(self.revision, machine.revision)
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -1,7 +1,7 @@
-"""What of a shard is not durable yet, and the transactions that make it so.
+"""What of a shard is not durable yet, and the transactions that make it so (a write-ahead log in the store).
 
-Every transaction carries the shard's fence and the written keys' own revisions. What comes of it is noted only once it has been
-answered; one that was not answered shows by the revisions.
+Every transaction has the revision of the shard's claim and of each key that it writes in its condition. Its effects are applied
+in memory by callbacks once it has been answered; whether one that was not answered was applied shows by the revisions.
 """
 
 from __future__ import annotations
@@ -9,8 +9,9 @@
 import logging
 import math
 from collections.abc import Callable
+from functools import partial
 from itertools import islice
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 import msgspec
 
@@ -25,32 +26,65 @@
 
 log = logging.getLogger("ashdock.shard")
 
-MACHINES = 3  # one of so many changes in a transaction is for machines that come and go, where there are any
+MACHINE_SHARE = 3  # one of so many writes is kept for machines that come and go, if there are any
+DEFERRED_SHARE = (
+    4  # where the store is short, one of so many writes beside urgent ones may be for what can wait
+)
+MIN_OPS = 4  # writes in a transaction, however few the store takes a second
 
+# Sizes in bytes. A transaction is a request body, and the store refuses those of 64 KiB.
+MAX_TRANSACTION_BYTES = 60 * 1024
+ENVELOPE_BYTES = 200  # of a transaction, without its writes
+KEY_BYTES = 100  # a path with its condition, hence a deletion
+CHUNK_ENVELOPE_BYTES = 120  # what a chunk's path and two conditions add to its value
+MACHINE_BYTES = 300  # a machine's record, path and condition
 
-class Transaction:
-    """A transaction being put together, and what to note once it is durable."""
+OPS_BESIDE_CHUNKS = 4  # an outcome's writes of the job, with room to spare
+OPS_OF_JOB_RECORD = 2  # `job/<id>` and the copy beside its chunks
+
+
+class StoredKey(NamedTuple):
+    """A key as last known to be stored."""
+
+    path: str
+    revision: int
 
-    def __init__(self, ops: int) -> None:
+
+class Transaction:
+    """A compare-and-swap that is being built, with callbacks for when it is durable.
+
+    Attributes:
+        when: the condition: path to revision.
+        writes: path to value; None deletes.
+        on_commit: called in order with the revision that the transaction was applied at.
+        max_ops: how many writes it may have.
+        bytes: about how large it is.
+        urgent: whether a start or an outcome waits for it.
+    """
+
+    def __init__(self, max_ops: int) -> None:
+        """Begin an empty one."""
         self.when: dict[str, int] = {}
-        self.writes: dict[str, Any] = {}  # None deletes
+        self.writes: dict[str, Any] = {}
         self.on_commit: list[Callable[[int], None]] = []
-        self.ops = ops
-        self.bytes = 200
-        self.urgent = False  # whether anything in it cannot wait until there is more than enough of our share left
+        self.max_ops = max_ops
+        self.bytes = ENVELOPE_BYTES
+        self.urgent = False
 
     def room(self, ops: int, size: int) -> bool:
+        """Whether so many writes of so many bytes in all still fit. The first always do, or they would never be written."""
         return not self.writes or (
-            len(self.writes) + ops <= self.ops and self.bytes + size <= 60 * 1024
+            len(self.writes) + ops <= self.max_ops and self.bytes + size <= MAX_TRANSACTION_BYTES
         )
 
     def put(self, path: str, value: Any, revision: int) -> None:
+        """Write a value (None: delete the key) if the key still has the given revision. The caller counts `bytes`."""
         self.when[path] = revision
         self.writes[path] = value
 
 
 class WrittenShard(Protocol):
-    """What of a shard is written, and the changes that follow once it is durable, or where somebody else has written."""
+    """What the writer needs of a shard: the state that is written, and the changes that follow from a commit or conflict."""
 
     name: str
     team: Team
@@ -65,100 +99,140 @@
     dependency_tracker: DependencyTracker
     urgent: dict[str, None]
 
-    def token(self, machine: Machine) -> int: ...
+    def token(self, machine: Machine) -> int:
+        """The fencing token for commands to the machine."""
+        ...
 
-    def drop(self, placement: Placement, now: float) -> None: ...
+    def drop(self, placement: Placement, now: float) -> None:
+        """Stop counting a placement that is proved gone."""
+        ...
 
-    def cancel(self, job_id: str, at: float, revision: int, now: float) -> None: ...
+    def cancel(self, job_id: str, at: float, revision: int, now: float) -> None:
+        """Take in a cancellation that was confirmed at `at`."""
+        ...
 
-    def machine_gone(self, name: str, now: float) -> None: ...
+    def machine_gone(self, name: str, now: float) -> None:
+        """Take in that a machine's record is deleted."""
+        ...
 
-    def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None: ...
+    def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
+        """Take in a machine's record."""
+        ...
 
 
 class ShardWriter:
+    """Tracks what has changed since it was last written, and builds transactions of it.
+
+    Attributes:
+        changed_jobs: jobs with something to write, so that a transaction need not look at all of them.
+        changed_machines: machines whose record may have to be written.
+        obsolete_keys: chunks of ended jobs, still to be deleted.
+    """
+
     def __init__(self, shard: WrittenShard) -> None:
+        """Begin with nothing to write."""
         self.shard = shard
-        self.touched: dict[
-            str, Job
-        ] = {}  # jobs with something to write: a transaction must not look at all of them
-        self.changing: dict[str, None] = {}  # machines whose record may have to be written
-        self.leftover: list[tuple[str, int]] = []  # work of ended jobs, still to be deleted
+        self.changed_jobs: dict[str, Job] = {}
+        self.changed_machines: dict[str, None] = {}
+        self.obsolete_keys: list[StoredKey] = []
+
+    # -- building a transaction ------------------------------------------------------------------
 
     def next_transaction(
-        self, short: bool = False, a_second: float = math.inf
+        self, short: bool = False, writes_per_s: float = math.inf
     ) -> Transaction | None:
-        """The changes not yet durable, as many as one transaction takes: first what starts and outcomes wait for. `short`: the
-        state service takes hardly as many changes as there are. `a_second`: how many of them it takes of this controller."""
+        """Build a transaction of what is not durable yet, beginning with what starts and outcomes wait for.
+
+        Args:
+            short: whether the store takes hardly as many writes as there are.
+            writes_per_s: how many it takes of this controller.
+
+        Returns:
+            The transaction; None if there is nothing to write.
+        """
         shard = self.shard
-        # No more at a time than our share of a second: what comes after must not wait longer than that. As it is now, and not an equal
-        # one: of a controller with half as much, one transaction took two seconds' worth, and users who came then were sent away.
-        txn = Transaction(
-            max(
-                4,
-                min(
-                    shard.write_limits.ops,
-                    int(min(shard.write_limits.write_rps / shard.shared.size, a_second)),
-                ),
-            )
-        )
+        max_ops = self._max_ops(writes_per_s)
+        transaction = Transaction(max_ops)
         shard.parks.fit(shard.write_limits.value_bytes)
-        whole = txn.ops
-        if self.changing:
-            # A hot team's own starts filled each transaction, and the machines that it was to pass on stood empty, thirty at a time: none ran
-            # anything for anybody.
-            txn.ops -= max(1, min(whole // MACHINES, len(self.changing)))
-        later: list[Job] = []
-        for job in list(self.touched.values()):
-            if job.id not in shard.jobs or not self._has_unwritten(job):
-                del self.touched[job.id]
+        if self.changed_machines:
+            # Without this, the starts of a team with many jobs filled each transaction, and the machines that it was to
+            # pass on stood empty, thirty at a time.
+            transaction.max_ops -= max(1, min(max_ops // MACHINE_SHARE, len(self.changed_machines)))
+        deferred = self._add_urgent_jobs(transaction)
+        self._add_parks(transaction)
+        transaction.max_ops = max_ops
+        self._add_machines(transaction)
+        if transaction.urgent and short:
+            # What can wait is better written once than each time that something else has to be.
+            transaction.max_ops = min(max_ops, len(transaction.writes) + max_ops // DEFERRED_SHARE)
+        self._add_deferred_jobs(transaction, deferred)
+        self._add_deletions(transaction)
+        if not transaction.writes:
+            return None
+        transaction.when[f"part/{shard.name}"] = shard.revision
+        return transaction
+
+    def _max_ops(self, writes_per_s: float) -> int:
+        """No more writes than this controller may make in a second: what comes after must not wait for longer.
+
+        That is its share as it is now, not an equal one: of a controller with half as much, one transaction took two
+        seconds' worth, and submissions were refused meanwhile.
+        """
+        limits = self.shard.write_limits
+        equal_share = limits.write_rps / self.shard.shared.size
+        return max(MIN_OPS, min(limits.ops, int(min(equal_share, writes_per_s))))
+
+    def _add_urgent_jobs(self, transaction: Transaction) -> list[Job]:
+        """Add the jobs that a start or an outcome waits for; those that can wait are returned."""
+        deferred: list[Job] = []
+        for job in list(self.changed_jobs.values()):
+            if job.id not in self.shard.jobs or not self._has_unwritten(job):
+                del self.changed_jobs[job.id]
             elif job.pressing and not self._is_bulk(job):
-                txn.urgent = True
-                if not self._write_job(job, txn):
+                transaction.urgent = True
+                if not self._write_job(job, transaction):
                     break
             else:
-                later.append(job)
-        for n, value in shard.parks.writes() if shard.parks.dirty else ():
-            size = shard.write_limits.value_bytes
-            if txn.room(1, size):
-                revision = shard.parks.revisions[n] if n < len(shard.parks.revisions) else 0
-                txn.put(shard.parks.path(n), value, revision)
-                txn.bytes += size
-                txn.on_commit.append(
-                    lambda revision, n=n, value=value: self._parks_written(n, value, revision)  # type: ignore[misc]
-                )
-        txn.ops = whole
-        for name in list(self.changing):
-            machine = shard.machines.get(name)
+                deferred.append(job)
+        return deferred
+
+    def _add_parks(self, transaction: Transaction) -> None:
+        parks, size = self.shard.parks, self.shard.write_limits.value_bytes
+        if not parks.dirty:
+            return
+        for n, value in parks.writes():
+            if transaction.room(1, size):
+                revision = parks.revisions[n] if n < len(parks.revisions) else 0
+                transaction.put(parks.path(n), value, revision)
+                transaction.bytes += size
+                transaction.on_commit.append(partial(self._parks_durable, n, value))
+
+    def _add_machines(self, transaction: Transaction) -> None:
+        for name in list(self.changed_machines):
+            machine = self.shard.machines.get(name)
             if machine is None or (
                 machine.to is None and not machine.bump and not machine.decommission_generation
             ):
-                del self.changing[name]
+                del self.changed_machines[name]
                 continue
-            txn.urgent = True
-            self._write_machine(machine, txn)
+            transaction.urgent = True
+            self._write_machine(machine, transaction)
             if machine.to is not None and machine.ended and not machine.live:
-                shard.urgent[machine.name] = None  # the sooner it forgets, the sooner it can go
-        if txn.urgent and short:
-            # What can wait is better written once than each time that something else has to be.
-            txn.ops = min(txn.ops, len(txn.writes) + txn.ops // 4)
-        for job in later:
-            if not self._write_job(job, txn):
-                break
-        while self.leftover and txn.room(1, 100):
-            path, revision = self.leftover.pop()
-            txn.put(path, None, revision)
-        if not txn.writes:
-            return None
-        txn.when[f"part/{shard.name}"] = shard.revision
-        return txn
+                # The sooner its worker forgets what has ended, the sooner it can go.
+                self.shard.urgent[machine.name] = None
 
-    def _parks_written(self, n: int, value: list[Any] | None, revision: int) -> None:
-        self.shard.parks.wrote(n, value, revision)
-        self.shard.parks.dirty = bool(self.shard.parks.writes())
+    def _add_deferred_jobs(self, transaction: Transaction, deferred: list[Job]) -> None:
+        for job in deferred:
+            if not self._write_job(job, transaction):
+                return
+
+    def _add_deletions(self, transaction: Transaction) -> None:
+        while self.obsolete_keys and transaction.room(1, KEY_BYTES):
+            path, revision = self.obsolete_keys.pop()
+            transaction.put(path, None, revision)
 
     def _is_bulk(self, job: Job) -> bool:
-        """An array of short tasks beyond any guarantee, still under way: others' writes go before its many."""
+        """Whether it is a large array beyond any guarantee and without a deadline: other jobs are written before it."""
         spec = job.spec
         return (
             job.active
@@ -176,141 +250,170 @@
             chunk.gen > chunk.durable for chunk in job.chunks.values()
         )
 
-    def _write_job(self, job: Job, txn: Transaction) -> bool:
-        """Whether it found room in the transaction."""
+    def _write_job(self, job: Job, transaction: Transaction) -> bool:
+        """Add what of a job is not durable. Returns whether all of it found room."""
         if job.settled:
-            return self._write_outcome(job, txn)
-        dirty = self._dirty(job, txn.ops)
-        if job.spec.kind == "gang" and dirty:
+            return self._write_outcome(job, transaction)
+        if not self._write_chunks(job, transaction):
+            return False
+        if job.wider and not self._delete_replaced_chunks(job, transaction):
+            return False
+        if job.reason_gen > job.reason_durable and job.active:
+            return self._write_reason(job, transaction)
+        return True
+
+    def _write_chunks(self, job: Job, transaction: Transaction) -> bool:
+        changed = self._changed_chunks(job, transaction.max_ops)
+        agreed = self.shard.write_limits.agreed
+        is_gang = job.spec.kind == "gang"
+        if is_gang and changed:
             # A gang is placed whole or not at all, so its chunks go together. Where one transaction does not take them all
-            # they go one after the other, and no start before the last; a takeover in between takes the attempt down.
-            size = sum(len(value) + 120 for _, value in dirty)
-            if (len(dirty) <= txn.ops or not self.shard.write_limits.agreed) and not txn.room(
-                len(dirty), size
+            # they go one after the other, and no start before the last; a failover in between stops the attempt.
+            size = sum(len(value) + CHUNK_ENVELOPE_BYTES for _, value in changed)
+            if (len(changed) <= transaction.max_ops or not agreed) and not transaction.room(
+                len(changed), size
             ):
                 return False
-        for chunk, value in dirty:
-            size = len(value) + 120
-            if (job.spec.kind != "gang" or self.shard.write_limits.agreed) and not txn.room(
-                1, size
-            ):
+        for chunk, value in changed:
+            size = len(value) + CHUNK_ENVELOPE_BYTES
+            if (not is_gang or agreed) and not transaction.room(1, size):
                 return False
-            txn.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
-            txn.when[job.job_path] = job.revision
-            txn.bytes += size
-            txn.on_commit.append(
-                lambda revision, c=chunk, gen=chunk.gen: self._chunk_durable(job, c, gen, revision)  # type: ignore[misc]
-            )
+            transaction.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
+            transaction.when[job.job_path] = job.revision
+            transaction.bytes += size
+            transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.gen))
+        return True
+
+    def _delete_replaced_chunks(self, job: Job, transaction: Transaction) -> bool:
+        """Delete each chunk whose tasks narrower ones hold that are durable, or become so with this transaction."""
         for tail, wide in list(job.wider.items()):
-            # What narrower chunks have taken over. All of them are durable, or become so with this.
-            if all(
-                chunk.gen <= chunk.durable or job.path(chunk.n) in txn.writes
+            if not all(
+                chunk.gen <= chunk.durable or job.path(chunk.n) in transaction.writes
                 for chunk in job.pieces(wide.low, wide.high)
             ):
-                if not txn.room(1, 100):
-                    return False
-                txn.put(job.work_path(tail), None, wide.revision)
-                txn.bytes += 100
-                txn.on_commit.append(lambda revision, tail=tail: job.chunk_wrote(tail, 0))  # type: ignore[misc]
-        if job.reason_gen > job.reason_durable and job.active:
-            record = job.record()
-            size = 2 * len(msgspec.json.encode(record))
-            if size > 2 * self.shard.write_limits.value_bytes:
-                job.reason_durable = (
-                    job.reason_gen
-                )  # too large as it was submitted: told by its owner's log alone
-                return True
-            if not txn.room(2, size):
+                continue
+            if not transaction.room(1, KEY_BYTES):
                 return False
-            txn.put(job.job_path, record, job.revision)
-            txn.put(job.head_path, record, job.revision)
-            txn.bytes += size
-            txn.on_commit.append(
-                lambda revision, gen=job.reason_gen: self._reason_durable(job, gen, revision)  # type: ignore[misc]
-            )
+            transaction.put(job.work_path(tail), None, wide.revision)
+            transaction.bytes += KEY_BYTES
+            transaction.on_commit.append(partial(self._replaced_chunk_deleted, job, tail))
         return True
 
-    def _dirty(self, job: Job, most: int) -> list[tuple[Chunk, bytes]]:
-        """Chunks to be written, narrowed until each fits a value: a gang's all, of an array's no more than one transaction takes."""
+    def _write_reason(self, job: Job, transaction: Transaction) -> bool:
+        record = job.record()
+        size = OPS_OF_JOB_RECORD * len(msgspec.json.encode(record))
+        if size > OPS_OF_JOB_RECORD * self.shard.write_limits.value_bytes:
+            # The submission alone fills a value: its reason stays in its owner's log.
+            job.reason_durable = job.reason_gen
+            return True
+        if not transaction.room(OPS_OF_JOB_RECORD, size):
+            return False
+        transaction.put(job.job_path, record, job.revision)
+        transaction.put(job.head_path, record, job.revision)
+        transaction.bytes += size
+        transaction.on_commit.append(partial(self._reason_durable, job, job.reason_gen))
+        return True
+
+    def _changed_chunks(self, job: Job, max_chunks: int) -> list[tuple[Chunk, bytes]]:
+        """The chunks to be written, encoded, and narrowed until each fits a value.
+
+        Of a gang that is all of them, of an array at most `max_chunks`.
+        """
         while True:
             changed = (chunk for chunk in job.chunks.values() if chunk.gen > chunk.durable)
-            dirty = [
+            encoded = [
                 (chunk, msgspec.json.encode(job.chunk_value(chunk.n)))
-                for chunk in (changed if job.spec.kind == "gang" else islice(changed, most))
+                for chunk in (changed if job.spec.kind == "gang" else islice(changed, max_chunks))
             ]
-            largest = max((len(value) for _, value in dirty), default=0)
+            largest = max((len(value) for _, value in encoded), default=0)
             if (
                 largest <= self.shard.write_limits.value_bytes
                 or job.chunk_tasks == 1
                 or not self.shard.write_limits.agreed
             ):
-                return dirty
-            job.narrow(
-                max(
-                    1,
-                    min(
-                        job.chunk_tasks * self.shard.write_limits.value_bytes // largest,
-                        job.chunk_tasks * 3 // 4,
-                    ),
-                )
-            )
+                return encoded
+            # In proportion to its excess, and by a quarter at least, so that this ends soon.
+            fitting_tasks = job.chunk_tasks * self.shard.write_limits.value_bytes // largest
+            job.narrow(max(1, min(fitting_tasks, job.chunk_tasks * 3 // 4)))
             log.info(
-                "job %s: a chunk of %d bytes is too large; from here on %d tasks to a chunk",
+                "chunk too large, narrowed: job=%s bytes=%d chunk_tasks=%d",
                 job.id,
                 largest,
                 job.chunk_tasks,
             )
 
-    def _write_outcome(self, job: Job, txn: Transaction) -> bool:
-        chunks = [
-            (job.path(chunk.n), chunk.revision) for chunk in job.chunks.values() if chunk.revision
+    def _write_outcome(self, job: Job, transaction: Transaction) -> bool:
+        """Write how a job ended and delete its chunks; those that one transaction does not take are deleted later."""
+        stored = [
+            StoredKey(job.path(chunk.n), chunk.revision)
+            for chunk in job.chunks.values()
+            if chunk.revision
+        ]
+        stored += [
+            StoredKey(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()
         ]
-        chunks += [(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()]
-        together, later = chunks[: txn.ops - 4], chunks[txn.ops - 4 :]
+        most = transaction.max_ops - OPS_BESIDE_CHUNKS
+        together, later = stored[:most], stored[most:]
         record = fitting(job.record(), self.shard.write_limits.value_bytes)
-        size = 100 * (len(together) + 2) + len(msgspec.json.encode(record))
-        if not txn.room(len(together) + 2, size):
+        ops = len(together) + OPS_OF_JOB_RECORD
+        size = KEY_BYTES * ops + len(msgspec.json.encode(record))
+        if not transaction.room(ops, size):
             return False
         if job.phase is not JobPhase.CANCELLED:
-            txn.put(job.job_path, record, job.revision)
-        txn.put(job.head_path, None, job.revision)
+            transaction.put(job.job_path, record, job.revision)
+        transaction.put(job.head_path, None, job.revision)
         for path, revision in together:
-            txn.put(path, None, revision)
-        txn.bytes += size
-        txn.on_commit.append(lambda revision: self._outcome_durable(job, later))
+            transaction.put(path, None, revision)
+        transaction.bytes += size
+        transaction.on_commit.append(partial(self._outcome_committed, job, later))
         return True
 
-    def _write_machine(self, machine: Machine, txn: Transaction) -> None:
+    def _write_machine(self, machine: Machine, transaction: Transaction) -> None:
+        """Write a machine's record if it passes to another team, needs a higher token, or is decommissioned."""
         moves = machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
-        bump = machine.bump and any(
+        raises_token = machine.bump and any(
             sent >= self.shard.token(machine) for sent in machine.outstanding.values()
         )
-        if not (moves or bump or machine.decommission_generation) or not txn.room(1, 300):
+        if not (moves or raises_token or machine.decommission_generation):
+            return
+        if not transaction.room(1, MACHINE_BYTES):
             return
-        to = machine.to if moves and machine.to is not None else self.shard.name
-        txn.put(
+        team = machine.to if moves and machine.to is not None else self.shard.name
+        transaction.put(
             f"machine/{machine.name}",
-            trimmed(machine.value(to), self.shard.write_limits.value_bytes),
+            trimmed(machine.value(team), self.shard.write_limits.value_bytes),
             machine.revision,
         )
-        txn.bytes += 300
-        txn.on_commit.append(lambda revision: self._machine_written(machine, to, revision))
+        transaction.bytes += MACHINE_BYTES
+        transaction.on_commit.append(partial(self._machine_durable, machine, team))
 
-    def _machine_written(self, machine: Machine, to: str, revision: int) -> None:
+    # -- once it is durable ------------------------------------------------------------------------
+
+    def _parks_durable(self, n: int, value: list[Any] | None, revision: int) -> None:
+        self.shard.parks.wrote(n, value, revision)
+        self.shard.parks.dirty = bool(self.shard.parks.writes())
+
+    def _machine_durable(self, machine: Machine, team: str, revision: int) -> None:
         machine.revision = revision
         machine.decommission_generation = 0
         machine.bump = False
-        if to != self.shard.name:
-            log.info("machine %s goes to %s", machine.name, to or "the pool")
+        if team != self.shard.name:
+            log.info(
+                "machine passed on: machine=%s from=%s to=%s",
+                machine.name,
+                self.shard.name,
+                team or "unassigned",
+            )
             self.shard.machines.pop(machine.name, None)
 
-    def _chunk_durable(self, job: Job, chunk: Chunk, gen: int, revision: int) -> None:
+    def _chunk_durable(self, job: Job, chunk: Chunk, generation: int, revision: int) -> None:
+        """Let the starts out that waited for the chunk; those of a gang only with its last chunk."""
         chunk.revision = revision
-        chunk.durable = max(chunk.durable, gen)
-        together = job.spec.kind == "gang"
-        if together and any(other.placed > other.durable for other in job.chunks.values()):
-            return  # no start of a gang before its last chunk is durable
-        for placement in (job if together else chunk).live.values():
+        chunk.durable = max(chunk.durable, generation)
+        is_gang = job.spec.kind == "gang"
+        if is_gang and any(other.placed > other.durable for other in job.chunks.values()):
+            return
+        for placement in (job if is_gang else chunk).live.values():
             if (
                 placement.phase is Phase.INTENDED
                 and placement.gen <= job.chunk_of(placement.task).durable
@@ -318,15 +421,29 @@
                 placement.committed()
                 self.shard.urgent[placement.machine] = None
 
-    def _reason_durable(self, job: Job, gen: int, revision: int) -> None:
-        job.reason_durable = gen
+    @staticmethod
+    def _replaced_chunk_deleted(job: Job, tail: str, _revision: int) -> None:
+        job.chunk_wrote(tail, 0)
+
+    @staticmethod
+    def _reason_durable(job: Job, generation: int, revision: int) -> None:
+        job.reason_durable = generation
         job.revision = revision
 
-    def _outcome_durable(self, job: Job, later: list[Any]) -> None:
-        self.leftover += later
+    def _outcome_committed(self, job: Job, later: list[StoredKey], _revision: int) -> None:
+        self._outcome_durable(job, later)
+
+    def _outcome_durable(self, job: Job, later: list[StoredKey]) -> None:
+        """Forget a job whose end is stored.
+
+        Args:
+            job: the job.
+            later: its chunks that are still to be deleted.
+        """
+        self.obsolete_keys += later
         done = job.phase is JobPhase.OVER
         if done:
-            log.info("job %s is done", job.id)
+            log.info("job done: job=%s", job.id)
         job.phase = JobPhase.FINAL
         for placement in list(job.live.values()):
             self.shard.drop(placement, placement.placed_at)
@@ -336,40 +453,59 @@
             job.id, "done" if done else "withdrawn", job.ended_at, self.shard.clock
         )
 
+    # -- conflicts ---------------------------------------------------------------------------------
+
     def take_in_stored(self, path: str, value: Any, revision: int, now: float) -> None:
-        """A condition of ours failed though the shard is still ours: take in what the key holds now.
+        """Take in what a key holds now, after the condition on it failed though the shard is still ours.
 
-        Only a transaction of our own that was applied late, a withdrawal, or the leader's deletion of a
+        Only a transaction of our own that was applied late, a cancellation, or the leader's deletion of a
         machine that is gone can have changed it.
+
+        Args:
+            path: the key.
+            value: what it holds; None if it is deleted.
+            revision: its revision, 0 if it is deleted.
+            now: the time.
         """
-        shard = self.shard
         kind, _, rest = path.partition("/")
         if kind == "job":
-            job = shard.jobs.get(rest)
-            if job is None or value is None:
-                return
-            if value["status"] == "withdrawn":
-                shard.cancel(rest, value.get("cancelled_at", now), revision, now)
-            job.revision = revision
-            if value["status"] == "done" and job.phase is JobPhase.OVER:
-                self._outcome_durable(job, [])
+            self._take_in_job(rest, value, revision, now)
         elif kind == "work":
             _, job_id, tail = rest.split("/", 2)
-            job = shard.jobs.get(job_id)
-            if job is None:
-                return
-            if tail != "job":
-                job.chunk_wrote(tail, revision)
-            elif value is None and job.phase is JobPhase.CANCELLED:
-                self._outcome_durable(job, [])
+            self._take_in_work(job_id, tail, value, revision)
         elif kind == "park":
-            n = int(rest.rsplit("/", 1)[1])
-            shard.parks.wrote(n, value, revision)
-            shard.parks.dirty = True
+            self.shard.parks.wrote(int(rest.rsplit("/", 1)[1]), value, revision)
+            self.shard.parks.dirty = True
         elif kind == "machine":
-            if value is None:
-                shard.machine_gone(rest, now)
-            elif value.get("p") != shard.name:
-                shard.machines.pop(rest, None)
-            else:
-                shard.add_machine(rest, value, revision, now)
+            self._take_in_machine(rest, value, revision, now)
+
+    def _take_in_job(
+        self, job_id: str, record: dict[str, Any] | None, revision: int, now: float
+    ) -> None:
+        job = self.shard.jobs.get(job_id)
+        if job is None or record is None:
+            return
+        if record["status"] == "withdrawn":
+            self.shard.cancel(job_id, record.get("cancelled_at", now), revision, now)
+        job.revision = revision
+        if record["status"] == "done" and job.phase is JobPhase.OVER:
+            self._outcome_durable(job, [])
+
+    def _take_in_work(self, job_id: str, tail: str, value: Any, revision: int) -> None:
+        job = self.shard.jobs.get(job_id)
+        if job is None:
+            return
+        if tail != "job":
+            job.chunk_wrote(tail, revision)
+        elif value is None and job.phase is JobPhase.CANCELLED:
+            self._outcome_durable(job, [])
+
+    def _take_in_machine(
+        self, name: str, record: dict[str, Any] | None, revision: int, now: float
+    ) -> None:
+        if record is None:
+            self.shard.machine_gone(name, now)
+        elif record.get("p") != self.shard.name:
+            self.shard.machines.pop(name, None)
+        else:
+            self.shard.add_machine(name, record, revision, now)
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -240,7 +240,12 @@
             return None
         self.failover_timeline.heard(self.context.now())
         # Most heartbeats say nothing new, and call for no iteration.
-        if shard.stale or shard.writer.touched or shard.writer.changing or shard.urgent:
+        if (
+            shard.stale
+            or shard.writer.changed_jobs
+            or shard.writer.changed_machines
+            or shard.urgent
+        ):
             self.wake.set()
         return HeartbeatResponse(shard.token(shard.machines[heartbeat.machine]), commands)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1098,7 +1098,7 @@
         shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
     shard.scheduler.schedule(1.0)
     writes = []
-    while (txn := shard.writer.next_transaction(a_second=9.0)) is not None:
+    while (txn := shard.writer.next_transaction(writes_per_s=9.0)) is not None:
         writes.append(txn.writes)
         for callback in txn.on_commit:
             callback(20 + len(writes))
