--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -22,7 +22,8 @@
 from ashdock.core.quota import Usage
 from ashdock.core.scheduler import Scheduler
 from ashdock.core.scheduling_policy import SchedulingPolicy
-from ashdock.core.shard_writer import ShardWriter, StoredKey
+from ashdock.core.shard_recovery import StoredEntry, rebuild
+from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
 from ashdock.core.write_limits import WriteLimits
@@ -100,77 +101,17 @@
         self.status_reporter = StatusReporter(self)
         self.scheduler = Scheduler(self, self.estimates, self.status_reporter)
 
-    # -- taking over --------------------------------------------------------------------------
+    # -- jobs and machines ----------------------------------------------------------------------
 
     def load(
         self,
-        machines: Iterable[tuple[str, Any, int]],
-        work: Iterable[tuple[str, Any, int]],
-        parks: Iterable[tuple[str, Any, int]],
+        machines: Iterable[StoredEntry],
+        work: Iterable[StoredEntry],
+        parks: Iterable[StoredEntry],
         now: float,
     ) -> None:
-        """Rebuild the picture from the state service, then re-arm the parks."""
-        self.clock = now
-        for name, value, revision in machines:
-            self.add_machine(name, value, revision, now)
-        chunks: dict[str, list[tuple[str, Any, int]]] = {}
-        heads: dict[str, tuple[Any, int]] = {}
-        for path, value, revision in work:
-            _, _, job_id, tail = path.split("/", 3)
-            if tail == "job":
-                heads[job_id] = (value, revision)
-            else:
-                chunks.setdefault(job_id, []).append((tail, value, revision))
-        for job_id, (value, revision) in heads.items():
-            job = self.add_job(value, revision, started=job_id in chunks)
-            if job_id in chunks:
-                job.started_at = now  # or so: an earlier owner saw it start
-            for placement in job.load_chunks(chunks.pop(job_id, []), now):
-                self._count(job, placement, now)
-        for job_id, rest in chunks.items():
-            self.writer.obsolete_keys += [
-                StoredKey(f"work/{self.name}/{job_id}/{tail}", revision)
-                for tail, _, revision in rest
-            ]
-        for path, value, revision in parks:
-            for park in self.parks.load(int(path.rsplit("/", 1)[1]), value, revision):
-                parked = self.jobs.get(park.job)
-                for task in range(park.low, park.high + 1):
-                    # The chunk has the last word: a task placed since is not parked.
-                    if parked and parked.states[task] == TaskState.READY:
-                        parked.park(task, park.failure)
-        for machine in self.machines.values():
-            machine.inherited = bool(machine.live) or machine.incarnation > 0
-        self.taken = sum(machine.inherited for machine in self.machines.values())
-        self.taken_at = now
-        for job in self.jobs.values():
-            for chunk in job.chunks.values():
-                if chunk.revision or not job.wider:  # what a wider one still holds is to be written
-                    chunk.durable = chunk.gen
-            self._after_load(job, now)
-        self.dependency_tracker.look(now)
-
-    def _after_load(self, job: Job, now: float) -> None:
-        if not job.active:
-            for placement in list(job.live.values()):
-                self.stop(placement, "cancelled", 0.0, now)
-        elif job.spec.kind == "gang" and job.done:
-            # Gang tasks complete together, so one that is done proves them all.
-            for task in range(job.spec.tasks):
-                self.finish(job, task, now)
-        elif job.spec.kind == "gang" and job.live:
-            # Its chunks may have been written one after the other: some of them hold this attempt, some the one before.
-            if (
-                len(job.live) < job.spec.tasks
-                or len({placement.attempt for placement in job.live.values()}) > 1
-            ):
-                self._break(job, "incomplete", now)
-        if job.complete and job.active:
-            self._over(job, now)
-        # Placements on machines that are no longer recorded: their machine is proved gone.
-        for placement in list(job.live.values()):
-            if placement.machine not in self.machines:
-                self.lost(placement, "machine gone", now)
+        """Fill the shard, just claimed, with what is stored of it: `shard_recovery.rebuild`."""
+        rebuild(self, machines, work, parks, now)
 
     def add_job(self, record: dict[str, Any], revision: int, started: bool = False) -> Job:
         """`started`: tasks of it have been placed before, so all that it needs is known to be done."""
@@ -196,7 +137,8 @@
         job.carried = self.dependency_tracker.graph.of(spec.id)
         return job
 
-    def _over(self, job: Job, now: float) -> None:
+    def complete(self, job: Job, now: float) -> None:
+        """Take in that all tasks of a job are done."""
         self.classes.done(job.id, now)
         job.over(now if self.write_limits.agreed else None)
 
@@ -217,7 +159,8 @@
 
     # -- accounting ---------------------------------------------------------------------------
 
-    def _count(self, job: Job, placement: Placement, now: float) -> None:
+    def count(self, job: Job, placement: Placement) -> None:
+        """Count a placement towards its team's usage and its machine's."""
         spec = job.spec
         self.usage.take(spec)
         machine = self.machines.get(placement.machine)
@@ -246,7 +189,7 @@
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
         placement = job.place(task, machine.name, attempt, now)
         self.placed += 1
-        self._count(job, placement, now)
+        self.count(job, placement)
 
     def _release(self, placement: Placement, now: float) -> None:
         job = self.jobs[placement.job]
@@ -263,7 +206,7 @@
             job.finish(task)
         job.changed()
         if job.complete and job.active:
-            self._over(job, now)
+            self.complete(job, now)
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
         if placement.never_sent:
@@ -280,12 +223,12 @@
                 "job %s task %d lost on %s: %s", job.id, placement.task, placement.machine, why
             )
         if job.spec.kind == "gang" and job.active and not job.breaking:
-            self._break(job, why, now)
+            self.break_gang(job, why, now)
         if job.live.get(placement.task) is placement:
             self._release(placement, now)
 
-    def _break(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
-        """Take a gang's attempt down as a whole."""
+    def break_gang(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
+        """Stop a gang's attempt as a whole."""
         job.breaking = why
         for placement in list(job.live.values()):
             if job.live.get(placement.task) is placement:
@@ -328,7 +271,7 @@
         if job.spec.kind == "gang":
             job.broke = job.broke or failure
             if not job.breaking:
-                self._break(job, "a task failed", now)
+                self.break_gang(job, "a task failed", now)
             if job.live.get(placement.task) is placement:
                 self._release(placement, now)
         else:
@@ -467,7 +410,7 @@
         grace_s = self.grace_s(job.spec)
         if job.spec.kind == "gang":
             if not job.breaking:
-                self._break(job, why, now, grace_s)
+                self.break_gang(job, why, now, grace_s)
             return
         for task in tasks:
             placement = job.live.get(task)
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -198,6 +198,7 @@
     ("core/task.py", "writing"),
     ("core/park.py", "writing"),
     ("core/shard.py", "writing"),
+    ("core/shard_recovery.py", "writing"),
     ("shard_owner.py", "writing"),
     ("command_sender.py", "writing"),
     ("status_reader.py", "questions"),
