--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -22,6 +22,7 @@
 from ashdock.core.quota import Usage
 from ashdock.core.scheduler import Scheduler
 from ashdock.core.scheduling_policy import SchedulingPolicy
+from ashdock.core.shard_maintenance import ShardMaintenance
 from ashdock.core.shard_recovery import StoredEntry, rebuild
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
@@ -86,17 +87,14 @@
         self.urgent: dict[str, None] = {}  # machines with orders worth sending at once
         self.writer = ShardWriter(self)
         self.ending: dict[str, Job] = {}  # cancelled jobs with tasks that may still be there
-        self.taken = 0  # machines that were up for the owner before
-        self.taken_at = -math.inf
+        self.inherited_machines = 0  # that were up for the owner before
+        self.recovered_at = -math.inf  # when it had been read back
         self.placed = 0  # tasks, since it is ours
-        self.unheard_s: float | None = (
-            None  # how long those that do not report are waited for, once that is known
-        )
         self.stale = True  # room or work has come up since the last pass
-        self.ticked = -math.inf
         self.clock = -math.inf  # when somebody last told us the time
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
+        self.maintenance = ShardMaintenance(self)
         self.reconciler = HeartbeatReconciler(self, self.estimates)
         self.status_reporter = StatusReporter(self)
         self.scheduler = Scheduler(self, self.estimates, self.status_reporter)
@@ -477,90 +475,14 @@
     # -- time -----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        self.clock = now
-        self.dependency_tracker.look(now)
-        for park in self.parks.due(now):
-            job = self.jobs.get(park.job)
-            if job:
-                self.stale = True
-                for task in range(park.low, park.high + 1):
-                    job.wake(task, park.failure)
-        if now - self.ticked < self.workers.report_s / 4:
-            return
-        self.ticked = now
-        silent = [
-            m
-            for m in self.machines.values()
-            if m.last_at is not None and m.silent_for(now) > self.silent_s
-        ]
-        up = sum(1 for m in self.machines.values() if m.last_at is not None)
-        # Where most fall silent at once, the fault may be on our side: the shard may yet move to a controller
-        # that hears them. But not for ever, or two dead machines of two would hold their tasks for good.
-        patience = self.silent_s if len(silent) * 2 <= up else 2 * self.silent_s
-        gap = 2 * self.workers.report_s
-        unheard = self._patience(now)
-        for machine in self.machines.values():
-            if machine.phase is MachinePhase.DECOMMISSIONED:
-                continue
-            if machine.inherited:
-                if now - machine.since > unheard:
-                    self._decommission(machine, "not heard since the part was taken over")
-            elif machine.phase is MachinePhase.EXPECTED:
-                # Some machines never come up, and are charged all the same. Counted from the rental: counted from
-                # when we came to know of it, each takeover kept such a machine for as long again.
-                if (
-                    now - machine.rented_at > 2.5 * machine.shape.boot_s
-                    and now - machine.since > self.silent_s
-                ):
-                    self._decommission(machine, "never came up")
-            elif (
-                machine.reclaim_at is not None
-                and now > machine.reclaim_at
-                and machine.silent_for(now) > gap
-            ):
-                self._decommission(machine, "taken back")
-            elif machine.why == "suspect" and not machine.live:
-                self._decommission(machine, "suspect")
-            elif machine.last_at is not None and machine.silent_for(now) > patience:
-                # Silence is no proof that its tasks stopped. Releasing it makes one.
-                self._decommission(machine, "silent")
-        for job in list(self.ending.values()):
-            if job.live:
-                self._end_cancelled(job, now)
-            elif job.id not in self.jobs:
-                del self.ending[job.id]
-
-    @property
-    def silent_s(self) -> float:
-        return 1.1 * self.workers.lease_s + self.workers.report_s
-
-    def _patience(self, now: float) -> float:
-        """How long to wait for the workers that a shard was taken over with. Where more than a quarter stay away, the owner
-        before may still answer them: cut off from the state service alone it does so for a while, does not know that it
-        was replaced, and holds them until then. Their machines used to be given up with all their work (inc-f1aa)."""
-        if self.unheard_s is None:
-            away = sum(machine.inherited for machine in self.machines.values())
-            if now - self.taken_at <= self.silent_s:
-                return self.silent_s
-            # Decided once: the others come back one by one, and the last must not be given up because the rest are there.
-            held = away * 4 > self.taken
-            self.unheard_s = self.silent_s + (
-                max(self.silent_s, self.workers.cancel_s - self.workers.lease_s) if held else 0.0
-            )
-        return self.unheard_s
-
-    def _end_cancelled(self, job: Job, now: float) -> None:
-        """Tasks of a cancelled job must be gone in time, even where nobody can reach their machine."""
-        limit = (job.cancelled_at or now) + self.workers.cancel_s / 2 - self.shared.skew_ms / 1000
-        for placement in job.live.values():
-            machine = self.machines.get(placement.machine)
-            if machine and now > limit:
-                self._decommission(machine, f"holds a task of cancelled job {job.id}")
+        """Do the periodic work that is due."""
+        self.maintenance.run(now)
 
-    def _decommission(self, machine: Machine, why: str) -> None:
+    def decommission(self, machine: Machine, why: str) -> None:
+        """Give a machine up durably, so that the leader releases it; the reason is stored."""
         if machine.phase is MachinePhase.DECOMMISSIONED:
             return
-        log.info("machine %s is given up: %s", machine.name, why)
+        log.info("machine decommissioned: machine=%s reason=%s", machine.name, why)
         machine.decommission(why)
         machine.decommission_generation = 1
         self.note_machine(machine.name)
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -49,8 +49,8 @@
     _load_parks(shard, parks)
     for machine in shard.machines.values():
         machine.inherited = bool(machine.live) or machine.incarnation > 0
-    shard.taken = sum(machine.inherited for machine in shard.machines.values())
-    shard.taken_at = now
+    shard.inherited_machines = sum(machine.inherited for machine in shard.machines.values())
+    shard.recovered_at = now
     for job in shard.jobs.values():
         for chunk in job.chunks.values():
             if chunk.revision or not job.wider:  # what a wider one still holds is to be written
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -170,7 +170,7 @@
 
     def _activate(self, shard: Shard) -> None:
         self.phase = OwnershipPhase.ACTIVE
-        self.failover_timeline.read(shard.taken, self.context.now())
+        self.failover_timeline.read(shard.inherited_machines, self.context.now())
         for change in self.buffered_changes:
             change(shard)
         self.buffered_changes.clear()
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -199,6 +199,7 @@
     ("core/park.py", "writing"),
     ("core/shard.py", "writing"),
     ("core/shard_recovery.py", "writing"),
+    ("core/shard_maintenance.py", "writing"),
     ("shard_owner.py", "writing"),
     ("command_sender.py", "writing"),
     ("status_reader.py", "questions"),
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -701,7 +701,7 @@
     assert heir.machines["vm-9"].coming(14.0) is True
     heir.tick(16.0)
     assert heir.machines["vm-9"].why == ""  # it may be up: silence since the takeover has to show
-    heir.tick(14.0 + heir.silent_s + 1)
+    heir.tick(14.0 + heir.maintenance.silent_s + 1)
     assert heir.machines["vm-9"].why == "never came up"
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1049,7 +1049,7 @@
         job.finish(task) if task < 399 else None
     assert len(job.chunks) > 20 and not job.pressing
     shard.add_machine("vm-1", {"t": "g4", "z": "a", "s": False, "p": "red"}, 5, 0.0)
-    shard._decommission(shard.machines["vm-1"], "silent")  # this cannot wait
+    shard.decommission(shard.machines["vm-1"], "silent")  # this cannot wait
     txn = shard.writer.next_transaction(short)
     assert txn is not None and txn.urgent and "machine/vm-1" in txn.writes
     assert 1 + most - 2 <= len(txn.writes) <= most
