--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -13,6 +13,7 @@
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.task import Failure, Phase, Placement
+from ashdock.core.task_failures import FailureHandler
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Workers
 from ashdock.wire.messages import ENDED, Heartbeat, TaskCommand, TaskReport, split_task
@@ -33,6 +34,7 @@
     orphaned_tasks: dict[str, set[str]]
     stale: bool
     classes: Classes
+    failures: FailureHandler
 
     def token(self, machine: Machine) -> int:
         """The fencing token for commands to the machine."""
@@ -46,10 +48,6 @@
         """Take in that a placement is proved gone, by no fault of its task."""
         ...
 
-    def own_failure(self, machine: Machine, placement: Placement, why: str, now: float) -> None:
-        """Take in that a task failed of its own."""
-        ...
-
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
         """Stop a placement, with so many seconds to save."""
         ...
@@ -290,7 +288,7 @@
             self._on_done(machine, job, placement, now)
             return
         if cause in ("error", "no_such") and placement.phase is not Phase.STOPPING and job.active:
-            self.shard.own_failure(machine, placement, cause, now)
+            self.shard.failures.on_failure(machine, placement, cause, now)
             return
         if cause == "no_room":
             machine.no_room_until = now + self.shard.workers.report_s
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -13,12 +13,12 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ashdock.core import park as parking
 from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.estimates import Estimates
 from ashdock.core.heartbeat_reconciler import HeartbeatReconciler
 from ashdock.core.job import Job, JobPhase, chunk_size, spec_of_record
 from ashdock.core.machine import Machine, MachinePhase
+from ashdock.core.park import Parks
 from ashdock.core.quota import Usage
 from ashdock.core.scheduler import Scheduler
 from ashdock.core.scheduling_policy import SchedulingPolicy
@@ -26,7 +26,8 @@
 from ashdock.core.shard_recovery import StoredEntry, rebuild
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
-from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
+from ashdock.core.task import Phase, Placement, TaskState
+from ashdock.core.task_failures import FailureHandler
 from ashdock.core.write_limits import WriteLimits
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
@@ -71,7 +72,7 @@
         self.usage = Usage(team)
         self.policy = SchedulingPolicy(team, shared, catalog)
         self.write_limits = write_limits or WriteLimits(shared.state)
-        self.parks = parking.Parks(team.name, self.write_limits.value_bytes)
+        self.parks = Parks(team.name, self.write_limits.value_bytes)
         self.chunk_tasks = chunk_size(
             shared.state.value_kb
         )  # as the versions before had it, whatever the limits come to be
@@ -94,6 +95,7 @@
         self.clock = -math.inf  # when somebody last told us the time
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
+        self.failures = FailureHandler(self)
         self.maintenance = ShardMaintenance(self)
         self.reconciler = HeartbeatReconciler(self, self.estimates)
         self.status_reporter = StatusReporter(self)
@@ -189,7 +191,8 @@
         self.placed += 1
         self.count(job, placement)
 
-    def _release(self, placement: Placement, now: float) -> None:
+    def release(self, placement: Placement, now: float) -> None:
+        """Take in that a placement is proved gone; its task is ready again."""
         job = self.jobs[placement.job]
         self.drop(placement, now)
         job.release(placement.task)
@@ -208,7 +211,7 @@
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
         if placement.never_sent:
-            self._release(placement, now)
+            self.release(placement, now)
             return
         placement.stop(why, grace_s, now)
         self.urgent[placement.machine] = None
@@ -223,7 +226,7 @@
         if job.spec.kind == "gang" and job.active and not job.breaking:
             self.break_gang(job, why, now)
         if job.live.get(placement.task) is placement:
-            self._release(placement, now)
+            self.release(placement, now)
 
     def break_gang(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
         """Stop a gang's attempt as a whole."""
@@ -240,81 +243,7 @@
         job.breaking = None
         failure, job.broke = job.broke, None
         if failure and job.active:
-            self._after_failure(job, list(range(job.spec.tasks)), failure, now)
-
-    def own_failure(self, machine: Machine, placement: Placement, why: str, now: float) -> None:
-        job = self.jobs[placement.job]
-        reason = f"{why} on {machine.name}"
-        log.info(
-            "job %s task %d try %d failed: %s", job.id, placement.task, placement.attempt, reason
-        )
-        job.avoid[machine.name] = now + self.retry.cap_s
-        # A job that fails on one machine after another, and nowhere ends well, says nothing about any of them. Arrays
-        # submitted with a mistake fail on dozens at once: two such jobs made sound machines suspect.
-        if job.done or len(job.avoid) == 1:
-            machine.failed[job.id] = now
-        else:
-            self._exonerate(job)
-        recent = [at for at in machine.failed.values() if now - at < self.retry.horizon_s / 3]
-        if len(recent) >= 2 and machine.phase is MachinePhase.UP and self._may_suspect():
-            machine.leave("suspect")
-            self.note_machine(machine.name)
-            log.info(
-                "machine %s is suspect: %d jobs failed there; draining it",
-                machine.name,
-                len(recent),
-            )
-            self.drain(machine, now)
-        failure = Failure(0, now, reason)
-        if job.spec.kind == "gang":
-            job.broke = job.broke or failure
-            if not job.breaking:
-                self.break_gang(job, "a task failed", now)
-            if job.live.get(placement.task) is placement:
-                self._release(placement, now)
-        else:
-            self._release(placement, now)
-            self._after_failure(job, [placement.task], failure, now)
-
-    def _exonerate(self, job: Job) -> None:
-        """The machines where it failed are not to blame for that."""
-        for name in job.avoid:
-            if name in self.machines:
-                self.machines[name].failed.pop(job.id, None)
-
-    def _may_suspect(self) -> bool:
-        suspects = sum(1 for machine in self.machines.values() if machine.why == "suspect")
-        return suspects * 4 <= len(self.machines)
-
-    def _after_failure(self, job: Job, tasks: list[int], failure: Failure, now: float) -> None:
-        step = parking.after_failure(
-            self.retry, job.fails.get(tasks[0]), failure.why, now, self.rng
-        )
-        what = "the gang" if job.spec.kind == "gang" else f"task {tasks[0]}"
-        if job.reason is None:
-            # From the first failure on: who submitted it with a mistake is not to wait for the second.
-            job.set_reason(f"{what} failed: {failure.why}; tried again")
-        if step.step == "in_place":
-            for task in tasks:
-                job.set_failure(task, step.failure)
-            return
-        at = now + step.delay
-        for task in tasks:
-            job.park(task, step.failure)
-        self.parks.add(job.id, ranges_of(tasks), at, step.failure)
-        if step.step == "past":
-            job.set_reason(
-                f"{what} failed {step.failure.times} times, last: {failure.why}; still tried now and then"
-            )
-            log.info("job %s gave up its bounded retries: %s", job.id, job.reason)
-        else:
-            log.info(
-                "job %s %s parked for %.1f s after %d failures",
-                job.id,
-                what,
-                step.delay,
-                step.failure.times,
-            )
+            self.failures.retry(job, list(range(job.spec.tasks)), failure, now)
 
     # -- orders ---------------------------------------------------------------------------------
 
@@ -452,9 +381,8 @@
         job.breaking = None
         self.dependency_tracker.cancelled(job, now)
         if not job.done:
-            self._exonerate(
-                job
-            )  # most that fail until they are cancelled were submitted with a mistake
+            # Most that fail until they are cancelled were submitted with a mistake.
+            self.failures.exonerate(job)
         self.ending[job_id] = job
         self.parks.drop(job_id)
         for placement in list(job.live.values()):
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -199,6 +199,7 @@
     ("core/park.py", "writing"),
     ("core/shard.py", "writing"),
     ("core/shard_recovery.py", "writing"),
+    ("core/task_failures.py", "writing"),
     ("core/shard_maintenance.py", "writing"),
     ("shard_owner.py", "writing"),
     ("command_sender.py", "writing"),
