--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -13,6 +13,7 @@
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.task import Failure, Phase, Placement
+from ashdock.core.task_commands import TaskCommands
 from ashdock.core.task_failures import FailureHandler
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Workers
@@ -34,6 +35,7 @@
     orphaned_tasks: dict[str, set[str]]
     stale: bool
     classes: Classes
+    commands: TaskCommands
     failures: FailureHandler
 
     def token(self, machine: Machine) -> int:
@@ -52,18 +54,10 @@
         """Stop a placement, with so many seconds to save."""
         ...
 
-    def lapses(self, machine: Machine, now: float) -> bool:
-        """Whether the worker's lease must not be renewed."""
-        ...
-
     def taken_back(self, machine: Machine, notice: float, now: float) -> None:
         """Take in that the cloud takes a spot instance back, in so many seconds."""
         ...
 
-    def orders(self, machine: Machine, now: float, checkin: Heartbeat | None) -> list[TaskCommand]:
-        """The commands for the machine; with a heartbeat, those of its answer."""
-        ...
-
 
 class HeartbeatReconciler:
     """Takes heartbeats in, for one shard."""
@@ -103,9 +97,9 @@
         if heartbeat.reclaim_in_s is not None:
             self.shard.taken_back(machine, heartbeat.reclaim_in_s, now)
         self._reconcile_tasks(machine, heartbeat, now, checkin and heartbeat.fencing_token >= token)
-        if checkin and self.shard.lapses(machine, now):
+        if checkin and self.shard.commands.lapses(machine, now):
             return None
-        return self.shard.orders(machine, now, heartbeat if checkin else None)
+        return self.shard.commands.orders(machine, heartbeat if checkin else None)
 
     def _update_machine(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         if machine.phase is MachinePhase.EXPECTED:
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -27,26 +27,15 @@
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import ResourceRequest, StatusReporter
 from ashdock.core.task import Phase, Placement, TaskState
+from ashdock.core.task_commands import TaskCommands
 from ashdock.core.task_failures import FailureHandler
 from ashdock.core.write_limits import WriteLimits
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
-from ashdock.wire.messages import (
-    FORGET,
-    KILL,
-    RUN,
-    Heartbeat,
-    JobSpec,
-    MachineType,
-    TaskCommand,
-    split_task,
-    task_name,
-)
+from ashdock.wire.messages import JobSpec, MachineType
 
 log = logging.getLogger("ashdock.shard")
 
-ORDERS_AT_ONCE = 200  # keeps an answer to a worker well under 64 KiB
-
 
 class Shard:
     def __init__(
@@ -95,6 +84,7 @@
         self.clock = -math.inf  # when somebody last told us the time
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
+        self.commands = TaskCommands(self)
         self.failures = FailureHandler(self)
         self.maintenance = ShardMaintenance(self)
         self.reconciler = HeartbeatReconciler(self, self.estimates)
@@ -245,88 +235,6 @@
         if failure and job.active:
             self.failures.retry(job, list(range(job.spec.tasks)), failure, now)
 
-    # -- orders ---------------------------------------------------------------------------------
-
-    def orders(self, machine: Machine, now: float, checkin: Heartbeat | None) -> list[TaskCommand]:
-        """What the machine is to do. With a check-in they go into its answer; without, they go directly."""
-        out: list[TaskCommand] = []
-        for placement in machine.live.values():
-            name = task_name(placement.job, placement.task)
-            if placement.phase is Phase.STOPPING:
-                out.append(
-                    TaskCommand(
-                        verb=KILL, task=name, attempt=placement.attempt, grace_s=placement.grace_s
-                    )
-                )
-            elif placement.phase is Phase.COMMITTED or (
-                placement.phase is Phase.ORDERED and not placement.seen
-            ):
-                out.append(TaskCommand(verb=RUN, task=name, attempt=placement.attempt))
-                if checkin:
-                    placement.answered_with_start(checkin.incarnation, checkin.sequence)
-        for (job_id, task), attempt in machine.orphaned_tasks.items():
-            out.append(
-                TaskCommand(verb=KILL, task=task_name(job_id, task), attempt=attempt, grace_s=0.0)
-            )
-        if checkin or machine.to is not None:
-            for job_id, task, attempt in sorted(machine.ended):
-                if (job_id, task, attempt) not in machine.outstanding and self._forgettable(
-                    job_id, task, attempt
-                ):
-                    out.append(
-                        TaskCommand(verb=FORGET, task=task_name(job_id, task), attempt=attempt)
-                    )
-        return out[:ORDERS_AT_ONCE]
-
-    def _forgettable(self, job_id: str, task: int, attempt: int) -> bool:
-        """Only once its outcome is durable; and never while a start of it may still arrive."""
-        job = self.jobs.get(job_id)
-        if job is None:
-            return True
-        if not 0 <= task < job.spec.tasks:
-            return True
-        live = job.live.get(task)
-        if live is not None and live.attempt == attempt:
-            return False
-        chunk = job.chunk_of(task)
-        return job.phase is not JobPhase.OVER and chunk.durable >= chunk.gen
-
-    def direct(self, machine: Machine, now: float) -> list[TaskCommand]:
-        """Orders worth a message of their own; marks their starts as outstanding until answered."""
-        if machine.sending or not machine.address or not machine.incarnation:
-            return []
-        out = self.orders(machine, now, None)
-        token = self.token(machine)
-        for order in out:
-            placement = machine.live.get(split_task(order.task))
-            if order.verb == RUN and placement:
-                placement.sent_directly(machine.incarnation)
-                machine.outstanding[(*placement.key, placement.attempt)] = token
-        return out
-
-    def direct_answered(self, machine: Machine, orders: list[TaskCommand]) -> None:
-        for order in orders:
-            machine.outstanding.pop((*split_task(order.task), order.attempt), None)
-
-    def lapses(self, machine: Machine, now: float) -> bool:
-        """Whether its worker's session has to end: a start that was not answered may still arrive, its job was cancelled, and the token
-        that would refuse it has not reached the worker. In an outage it cannot be raised, and a start held up for longer than
-        `cancel_s` was carried out. Not renewed, the session that it names is over in time."""
-        limit = now - (
-            self.workers.cancel_s - self.workers.lease_s - 2 * self.shared.skew_ms / 1000
-        )
-        for job_id, _, _ in machine.outstanding:
-            job = self.jobs.get(job_id)
-            if job is not None and job.cancelled_at is not None and job.cancelled_at < limit:
-                return True
-        return False
-
-    def direct_unanswered(self, machine: Machine, orders: list[TaskCommand]) -> None:
-        """A start may still arrive, even minutes late: raise the token, so that it cannot."""
-        if any(order.verb == RUN for order in orders):
-            machine.bump = True
-            self.note_machine(machine.name)
-
     # -- stopping -------------------------------------------------------------------------------
 
     def grace_s(self, spec: JobSpec) -> float:
--- /dev/null
+++ b/ashdock/core/task_commands.py
@@ -0,0 +1,134 @@
+"""The commands for a machine's worker: what to run, kill and forget, with answers to heartbeats or directly."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from ashdock.core.job import Job, JobPhase
+from ashdock.core.machine import Machine
+from ashdock.core.task import Phase
+from ashdock.settings import Shared, Workers
+from ashdock.wire.messages import (
+    FORGET,
+    KILL,
+    RUN,
+    Heartbeat,
+    TaskCommand,
+    split_task,
+    task_name,
+)
+
+MAX_COMMANDS = 200  # in one message, which keeps it well under 64 KiB
+
+
+class CommandedShard(Protocol):
+    """What the commands follow from."""
+
+    jobs: dict[str, Job]
+    shared: Shared
+    workers: Workers
+
+    def token(self, machine: Machine) -> int:
+        """The fencing token for commands to the machine."""
+        ...
+
+    def note_machine(self, name: str) -> None:
+        """Have a machine's record written, if need be."""
+        ...
+
+
+class TaskCommands:
+    """Chooses the commands for a shard's machines, and tracks the run commands that may still arrive."""
+
+    def __init__(self, shard: CommandedShard) -> None:
+        """Command for a shard."""
+        self.shard = shard
+
+    def orders(self, machine: Machine, heartbeat: Heartbeat | None) -> list[TaskCommand]:
+        """Choose what a machine is to do.
+
+        Args:
+            machine: the machine.
+            heartbeat: the one that the commands answer; None if they are sent directly.
+        """
+        commands: list[TaskCommand] = []
+        for placement in machine.live.values():
+            name = task_name(placement.job, placement.task)
+            if placement.phase is Phase.STOPPING:
+                commands.append(
+                    TaskCommand(
+                        verb=KILL, task=name, attempt=placement.attempt, grace_s=placement.grace_s
+                    )
+                )
+            elif placement.phase is Phase.COMMITTED or (
+                placement.phase is Phase.ORDERED and not placement.seen
+            ):
+                commands.append(TaskCommand(verb=RUN, task=name, attempt=placement.attempt))
+                if heartbeat:
+                    placement.answered_with_start(heartbeat.incarnation, heartbeat.sequence)
+        for (job_id, task), attempt in machine.orphaned_tasks.items():
+            commands.append(
+                TaskCommand(verb=KILL, task=task_name(job_id, task), attempt=attempt, grace_s=0.0)
+            )
+        if heartbeat or machine.to is not None:
+            for job_id, task, attempt in sorted(machine.ended):
+                if (job_id, task, attempt) not in machine.outstanding and self._forgettable(
+                    job_id, task, attempt
+                ):
+                    commands.append(
+                        TaskCommand(verb=FORGET, task=task_name(job_id, task), attempt=attempt)
+                    )
+        return commands[:MAX_COMMANDS]
+
+    def _forgettable(self, job_id: str, task: int, attempt: int) -> bool:
+        """Whether an ended attempt's outcome is durable, and no run command for it may still arrive."""
+        job = self.shard.jobs.get(job_id)
+        if job is None or not 0 <= task < job.spec.tasks:
+            return True
+        placement = job.live.get(task)
+        if placement is not None and placement.attempt == attempt:
+            return False
+        chunk = job.chunk_of(task)
+        return job.phase is not JobPhase.OVER and chunk.durable >= chunk.gen
+
+    def direct(self, machine: Machine) -> list[TaskCommand]:
+        """Choose what to send directly; its run commands are outstanding until answered."""
+        if machine.sending or not machine.address or not machine.incarnation:
+            return []
+        commands = self.orders(machine, None)
+        token = self.shard.token(machine)
+        for command in commands:
+            placement = machine.live.get(split_task(command.task))
+            if command.verb == RUN and placement:
+                placement.sent_directly(machine.incarnation)
+                machine.outstanding[(*placement.key, placement.attempt)] = token
+        return commands
+
+    @staticmethod
+    def direct_answered(machine: Machine, commands: list[TaskCommand]) -> None:
+        """Take in that direct commands cannot arrive any more."""
+        for command in commands:
+            machine.outstanding.pop((*split_task(command.task), command.attempt), None)
+
+    def direct_unanswered(self, machine: Machine, commands: list[TaskCommand]) -> None:
+        """Raise the token, since a run command may still arrive, even minutes late: it is refused then."""
+        if any(command.verb == RUN for command in commands):
+            machine.bump = True
+            self.shard.note_machine(machine.name)
+
+    def lapses(self, machine: Machine, now: float) -> bool:
+        """Whether the worker's lease must run out.
+
+        So it is if a run command that was not answered may still arrive, its job was cancelled, and the token that would
+        refuse it has not reached the worker; in an outage of the store it cannot be raised. Not renewed, the incarnation
+        that the command names is over within `cancel_s`.
+        """
+        workers = self.shard.workers
+        limit = now - (
+            workers.cancel_s - workers.lease_s - 2 * self.shard.shared.skew_ms / 1000
+        )  # twice: the worker's clock and ours
+        for job_id, _, _ in machine.outstanding:
+            job = self.shard.jobs.get(job_id)
+            if job is not None and job.cancelled_at is not None and job.cancelled_at < limit:
+                return True
+        return False
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -157,8 +157,8 @@
 
         monkeypatch.setattr(controller.worker_client, "orders", orders)
         noted = owner.shard.token(machine)
-        monkeypatch.setattr(owner.shard, "direct", lambda *_: [object()])
-        monkeypatch.setattr(owner.shard, "direct_answered", lambda *_: None)
+        monkeypatch.setattr(owner.shard.commands, "direct", lambda *_: [object()])
+        monkeypatch.setattr(owner.shard.commands, "direct_answered", lambda *_: None)
         owner.shard.urgent[machine.name] = None
         owner._send_urgent(owner.shard)
         machine.revision += 1000  # its record was written before the message had left
