--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -54,7 +54,7 @@
         """Stop a placement, with so many seconds to save."""
         ...
 
-    def taken_back(self, machine: Machine, notice: float, now: float) -> None:
+    def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
         """Take in that the cloud takes a spot instance back, in so many seconds."""
         ...
 
@@ -95,7 +95,7 @@
             return []
         self._update_machine(machine, heartbeat, now)
         if heartbeat.reclaim_in_s is not None:
-            self.shard.taken_back(machine, heartbeat.reclaim_in_s, now)
+            self.shard.on_spot_reclaim(machine, heartbeat.reclaim_in_s, now)
         self._reconcile_tasks(machine, heartbeat, now, checkin and heartbeat.fencing_token >= token)
         if checkin and self.shard.commands.lapses(machine, now):
             return None
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -43,8 +43,8 @@
     orphaned_tasks: dict[str, set[str]]
     resource_requests: list[ResourceRequest]
     reserved: set[str]
-    seen: int
-    looked: int
+    seen_revision: int
+    scheduled_revision: int
     stale: bool
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None: ...
@@ -230,7 +230,7 @@
     def schedule(self, now: float) -> None:
         """One pass: place what fits, keep and make room for what does not, and tell what is lacking."""
         self.shard.stale = False
-        self.shard.looked = self.shard.seen
+        self.shard.scheduled_revision = self.shard.seen_revision
         short: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
         if self.status_reporter.rebalances:
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -1,8 +1,8 @@
-"""A shard: one team, its jobs and parks, and the machines lent to it, in its one owner's memory.
+"""A shard: one team with its jobs, parks and assigned machines, in the memory of its one owner.
 
-No input or output happens here. Reports, wakes and changes seen elsewhere come in as calls; what is
-to be written comes out as transactions, and what is to be sent as orders. A start is let out only once
-its placement is durable, and a placement counts until its stop is proved.
+No input or output happens here. Heartbeats, wake-ups and changes seen elsewhere come in as calls; what is to be written comes out
+as transactions (`shard_writer.py`), what is to be sent as commands (`task_commands.py`). A start is let out only once its
+placement is durable, and a placement counts until its end is proved.
 """
 
 from __future__ import annotations
@@ -38,6 +38,24 @@
 
 
 class Shard:
+    """The state of a shard, and the changes that keep it consistent.
+
+    Attributes:
+        revision: of the claim; it is in the condition of every write.
+        chunk_tasks: tasks to a chunk as versions before had it, whatever the store's limits come to be.
+        orphaned_tasks: by job, the machines where it runs without a placement.
+        reserved: empty machines kept for a gang that lacks others.
+        seen_revision: the latest assignment of a machine that is taken in here.
+        scheduled_revision: what was seen when the last scheduling cycle began.
+        urgent: machines with commands that are not to wait for the next heartbeat.
+        ending: cancelled jobs with tasks that may still be there.
+        inherited_machines: how many were up for the owner before.
+        recovered_at: when the shard had been read back.
+        placed: how many tasks were placed since the claim.
+        stale: whether room or work has come up since the last scheduling cycle.
+        clock: the time as last passed in.
+    """
+
     def __init__(
         self,
         team: Team,
@@ -48,9 +66,20 @@
         rng: random.Random,
         write_limits: WriteLimits | None = None,
     ) -> None:
+        """Begin empty.
+
+        Args:
+            team: the team.
+            revision: of the claim.
+            shared: the deployment's settings.
+            operators: the operators' configuration.
+            catalog: the machine types by name.
+            rng: for the retries' jitter.
+            write_limits: what the store takes; by default the settings' limits.
+        """
         self.team = team
         self.name = team.name
-        self.revision = revision  # of our claim: the fence in every write
+        self.revision = revision
         self.shared = shared
         self.workers = shared.workers
         self.retry = operators.retry
@@ -62,26 +91,22 @@
         self.policy = SchedulingPolicy(team, shared, catalog)
         self.write_limits = write_limits or WriteLimits(shared.state)
         self.parks = Parks(team.name, self.write_limits.value_bytes)
-        self.chunk_tasks = chunk_size(
-            shared.state.value_kb
-        )  # as the versions before had it, whatever the limits come to be
+        self.chunk_tasks = chunk_size(shared.state.value_kb)
         self.dependency_tracker = DependencyTracker(self)
-        self.orphaned_tasks: dict[
-            str, set[str]
-        ] = {}  # job: machines where it runs without a placement
+        self.orphaned_tasks: dict[str, set[str]] = {}
         self.resource_requests: list[ResourceRequest] = []
         self.lacked_room_before = False
-        self.reserved: set[str] = set()  # empty machines kept for a gang that lacks others
-        self.seen = revision
-        self.looked = revision  # what was seen when the last pass began
-        self.urgent: dict[str, None] = {}  # machines with orders worth sending at once
+        self.reserved: set[str] = set()
+        self.seen_revision = revision
+        self.scheduled_revision = revision
+        self.urgent: dict[str, None] = {}
         self.writer = ShardWriter(self)
-        self.ending: dict[str, Job] = {}  # cancelled jobs with tasks that may still be there
-        self.inherited_machines = 0  # that were up for the owner before
-        self.recovered_at = -math.inf  # when it had been read back
-        self.placed = 0  # tasks, since it is ours
-        self.stale = True  # room or work has come up since the last pass
-        self.clock = -math.inf  # when somebody last told us the time
+        self.ending: dict[str, Job] = {}
+        self.inherited_machines = 0
+        self.recovered_at = -math.inf
+        self.placed = 0
+        self.stale = True
+        self.clock = -math.inf
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
         self.commands = TaskCommands(self)
@@ -104,7 +129,13 @@
         rebuild(self, machines, work, parks, now)
 
     def add_job(self, record: dict[str, Any], revision: int, started: bool = False) -> Job:
-        """`started`: tasks of it have been placed before, so all that it needs is known to be done."""
+        """Take in a job's record, unless the job is known already.
+
+        Args:
+            record: `job/<id>`.
+            revision: its revision.
+            started: whether tasks of it have been placed before, so that all its dependencies are known to be done.
+        """
         spec = spec_of_record(record)
         known = self.jobs.get(spec.id)
         if known:
@@ -133,8 +164,9 @@
         job.over(now if self.write_limits.agreed else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
+        """Take in the record of a machine that is assigned here; of a known one, what the leader may have changed."""
         shape = self.catalog.get(value["t"])
-        self.seen = max(self.seen, revision)
+        self.seen_revision = max(self.seen_revision, revision)
         known = self.machines.get(name)
         if known:
             if revision > known.revision:
@@ -143,7 +175,7 @@
                     known.decommission(value["x"])
             return
         if shape is None:
-            log.error("machine %s has a type the catalog lacks: %s", name, value["t"])
+            log.error("machine type not in the catalog: machine=%s type=%s", name, value["t"])
             return
         self.machines[name] = Machine(name, value, revision, shape, now)
 
@@ -158,7 +190,7 @@
             machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
 
     def drop(self, placement: Placement, now: float) -> None:
-        """Only on proof that the task is not, and will not be, on its machine."""
+        """Stop counting a placement; only on proof that its task is not, and will not be, on the machine."""
         self.stale = True
         job = self.jobs[placement.job]
         spec = job.spec
@@ -168,15 +200,17 @@
             machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
 
     def note_machine(self, name: str) -> None:
-        """Its record may have to be written."""
+        """Have a machine's record looked at by the next transaction, since it may have to be written."""
         self.writer.changed_machines[name] = None
 
     def token(self, machine: Machine) -> int:
+        """The fencing token for commands to the machine."""
         return max(self.revision, machine.revision)
 
     # -- changes of a task's state --------------------------------------------------------------
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
+        """Place a task; its start waits until the placement is durable."""
         placement = job.place(task, machine.name, attempt, now)
         self.placed += 1
         self.count(job, placement)
@@ -190,6 +224,7 @@
             self._gang_settled(job, now)
 
     def finish(self, job: Job, task: int, now: float) -> None:
+        """Take in that a task is done, whichever attempt of it was."""
         placement = job.unplace(task)
         if placement:
             self.drop(placement, now)
@@ -200,6 +235,7 @@
             self.complete(job, now)
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
+        """Stop a placement, with so many seconds to save; one whose start was never sent is released at once."""
         if placement.never_sent:
             self.release(placement, now)
             return
@@ -207,11 +243,15 @@
         self.urgent[placement.machine] = None
 
     def lost(self, placement: Placement, why: str, now: float) -> None:
-        """Its stop is confirmed though nobody asked for it; costs it neither count nor clock."""
+        """Take in that a placement is proved gone by no fault of its task; that does not count as a failure of its own."""
         job = self.jobs[placement.job]
         if placement.phase is not Phase.STOPPING:
             log.info(
-                "job %s task %d lost on %s: %s", job.id, placement.task, placement.machine, why
+                "task lost: job=%s task=%d machine=%s reason=%s",
+                job.id,
+                placement.task,
+                placement.machine,
+                why,
             )
         if job.spec.kind == "gang" and job.active and not job.breaking:
             self.break_gang(job, why, now)
@@ -227,7 +267,7 @@
         self._gang_settled(job, now)
 
     def _gang_settled(self, job: Job, now: float) -> None:
-        """All its tasks are confirmed gone: the gang waits, or is parked, as a whole."""
+        """Once all tasks of a gang's attempt are proved gone, have it wait or parked as a whole."""
         if job.live or not job.breaking:
             return
         job.breaking = None
@@ -238,10 +278,11 @@
     # -- stopping -------------------------------------------------------------------------------
 
     def grace_s(self, spec: JobSpec) -> float:
+        """How many seconds a stopped task of the job may save; a gang's tasks wait for one another."""
         return spec.save_s + self.workers.gang_peer_s if spec.checkpoint_s > 0 else 0.0
 
     def preempt(self, job: Job, tasks: list[int], why: str, now: float) -> None:
-        """Stop work so that what it has can be saved; a gang as a whole and in time."""
+        """Stop tasks with time to save; a gang as a whole."""
         grace_s = self.grace_s(job.spec)
         if job.spec.kind == "gang":
             if not job.breaking:
@@ -253,6 +294,7 @@
                 self.stop(placement, why, grace_s, now)
 
     def drain(self, machine: Machine, now: float) -> None:
+        """Evict all tasks of a machine gracefully."""
         for placement in list(machine.live.values()):
             if (
                 placement.phase is not Phase.STOPPING
@@ -262,27 +304,33 @@
                     self.jobs[placement.job], [placement.task], machine.why or "drained", now
                 )
 
-    def taken_back(self, machine: Machine, notice: float, now: float) -> None:
+    def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
+        """Take in that the cloud takes a spot instance back: evict what can save in time, or does not run yet."""
         if machine.reclaim_at is None:
-            log.info("machine %s is being taken back in %.1f s", machine.name, notice)
-        machine.reclaim_at = now + notice
+            log.info(
+                "spot instance taken back by the cloud: machine=%s in_s=%.1f",
+                machine.name,
+                notice_s,
+            )
+        machine.reclaim_at = now + notice_s
         machine.leave("recalled")
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement or placement.recalled:
                 continue
             placement.recalled = True
             job = self.jobs[placement.job]
-            # What cannot save in time had better go on: it may finish first.
+            # What cannot save in time goes on: it may finish first.
             if (
-                job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice
+                job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice_s
             ) or placement.status != "running":
                 self.preempt(job, [placement.task], "machine taken back", now)
 
     def cancel(self, job_id: str, at: float, revision: int, now: float) -> None:
+        """Take in a cancellation that was confirmed at `at`, and stop the tasks of its job."""
         job = self.jobs.get(job_id)
         if job is None or job.phase in (JobPhase.CANCELLED, JobPhase.FINAL):
             return
-        log.info("job %s is cancelled; %d tasks to stop", job_id, len(job.live))
+        log.info("job cancelled: job=%s tasks_to_stop=%d", job_id, len(job.live))
         job.cancel(at)
         self.classes.attainment.withdrawn(job_id)
         job.revision = max(job.revision, revision)
@@ -297,16 +345,23 @@
             self.stop(placement, "cancelled", 0.0, now)
 
     def machine_gone(self, name: str, now: float) -> None:
-        """Its key is deleted, which happens only on proof: released with 200, or listed as failed."""
+        """Take in that a machine's record is deleted.
+
+        That happens only on proof that it is gone: the cloud answered its release with 200, or listed it as failed.
+        """
         machine = self.machines.pop(name, None)
         if machine is None:
             return
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is placement:
                 self.lost(placement, "machine gone", now)
-        for where in self.orphaned_tasks.values():
-            where.discard(name)
-        self.orphaned_tasks = {job: where for job, where in self.orphaned_tasks.items() if where}
+        for machine_names in self.orphaned_tasks.values():
+            machine_names.discard(name)
+        self.orphaned_tasks = {
+            job_id: machine_names
+            for job_id, machine_names in self.orphaned_tasks.items()
+            if machine_names
+        }
 
     # -- time -----------------------------------------------------------------------------------
 
@@ -324,5 +379,6 @@
         self.note_machine(machine.name)
 
     def zone_of(self, machine: str) -> str:
+        """The zone of a machine; "?" if it is not known any more."""
         known = self.machines.get(machine)
         return known.zone if known else "?"
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -103,7 +103,7 @@
     usage: Usage
     resource_requests: list[ResourceRequest]
     reserved: set[str]
-    looked: int
+    scheduled_revision: int
     classes: Classes
 
     def drain(self, machine: Machine, now: float) -> None: ...
@@ -180,7 +180,7 @@
             and m.idle_since is not None
             and m.usable
             and m.name not in self.shard.reserved
-            and m.revision <= self.shard.looked
+            and m.revision <= self.shard.scheduled_revision
         ]
         kept = self._at_hand(empty, now)
         idle = [(m.name, now - (m.idle_since or now)) for m in empty if m.name not in kept]
@@ -196,7 +196,7 @@
         waiting = sum(job.ready for job in self.shard.jobs.values() if job.active and not job.waits)
         return ShardStatus(
             self.shard.name,
-            self.shard.looked,
+            self.shard.scheduled_revision,
             self.shard.resource_requests,
             idle,
             busy,
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -328,7 +328,7 @@
         for job in shard.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
                 self.context.jobs_known.saw(job.id, job.record(), job.revision)
-        shard.seen = max(shard.seen, watermark)
+        shard.seen_revision = max(shard.seen_revision, watermark)
 
     # -- one iteration -------------------------------------------------------------------------
 
