--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -498,7 +498,7 @@
 
     def _job_news(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
         if job_id not in shard.jobs and not self.front.is_final(job_id):
-            shard.status_reporter.came(shard.add_job(value, revision), self.now())
+            shard.status_reporter.record_arrival(shard.add_job(value, revision), self.now())
 
     # -- the mesh ------------------------------------------------------------------------------------------------------------
 
@@ -674,9 +674,7 @@
             return
         if isinstance(frame, TransferMachine):
             owner.apply(
-                lambda shard: shard.status_reporter.transfer_machine(
-                    frame.machine, frame.to, self.now()
-                )
+                lambda shard: shard.status_reporter.transfer_machine(frame.machine, frame.to)
             )
         elif isinstance(frame, Rebalance):
             owner.apply(lambda shard: shard.status_reporter.rebalance(frame, self.now()))
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -84,7 +84,7 @@
                 job.released(since)
                 self.shard.stale = True
                 log.info("job %s may start: the last that it needs is done (%s)", job_id, need)
-                self.shard.status_reporter.came(job, now)
+                self.shard.status_reporter.record_arrival(job, now)
         else:
             for job_id in self.graph.cancelled(need):
                 log.info("job %s is cancelled with %s, which it needs", job_id, need)
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -234,7 +234,7 @@
         short: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
         if self.status_reporter.rebalances:
-            self.status_reporter.pass_on(now)
+            self.status_reporter.rebalance_free_machines(now)
         look = SchedulingCycle(self.shard.machines.values(), now)
         for job in self.waiting(now, look):
             missing = self._try_place(job, look, now)
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -1,4 +1,8 @@
-"""What a shard's owner tells the leader, and what it does of what the leader asks."""
+"""What the leader is told of a shard, and what its commands do: transfer a machine, reclaim machines, rebalance.
+
+The leader's commands change only which machines are vacated and for whom; a machine passes on once it is empty, by a write
+under the shard's claim.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,11 @@
 
 log = logging.getLogger("ashdock.shard")
 
-BOOTS_BACK = 4  # how many boots' time of arrivals tells what is to be expected
+BOOTS_OF_ARRIVALS = 4  # arrivals are remembered for so many times the longest boot
+EXTRA_ROWS = 16  # rows of busy machines that are kept beyond twice the machines there are
+# Sums of task sizes are exact to this, in CPUs and GPUs: half a thousandth of a GPU is not work beyond a guarantee.
+BEYOND_TOLERANCE = 1e-3
+FILLED_TOLERANCE = 1e-6
 
 
 class ResourceRequest(NamedTuple):
@@ -82,8 +90,8 @@
     spare_beyond: int  # machines held beyond the guarantee
 
 
-class _Row(NamedTuple):
-    """What is told of a machine, as of which version of what is placed there, and for how long."""
+class _BusyRow(NamedTuple):
+    """What is told of a busy machine, computed for a version of what is placed there, and until when it holds."""
 
     machine: Machine
     version: int
@@ -91,8 +99,23 @@
     busy: BusyMachine
 
 
+class _Arrival(NamedTuple):
+    """A job that came lately."""
+
+    at: float
+    machines: int  # that it fills
+    spec: JobSpec
+
+
+class _RebalanceRequest(NamedTuple):
+    """A rebalance of the leader's, with what is left of it, and until when it holds."""
+
+    order: Rebalance
+    until: float
+
+
 class ReportedShard(Protocol):
-    """What of a shard goes into its picture, and what the leader's wishes may touch."""
+    """What goes into a shard's status, and what the leader's commands may touch."""
 
     name: str
     team: Team
@@ -106,160 +129,196 @@
     scheduled_revision: int
     classes: Classes
 
-    def drain(self, machine: Machine, now: float) -> None: ...
+    def drain(self, machine: Machine, now: float) -> None:
+        """Evict all tasks of a machine gracefully."""
+        ...
 
-    def note_machine(self, name: str) -> None: ...
+    def note_machine(self, name: str) -> None:
+        """Have a machine's record written, if need be."""
+        ...
 
 
 class StatusReporter:
+    """Reports a shard's status to the leader and carries the leader's commands out."""
+
     def __init__(self, shard: ReportedShard) -> None:
+        """Report on a shard."""
         self.shard = shard
-        self.rebalances: dict[str, tuple[Rebalance, float]] = {}  # by team, and until when
-        self.rows: dict[str, _Row] = {}
-        self.arrived: deque[tuple[float, int, JobSpec]] = (
-            deque()
-        )  # of late: when, how many machines' worth, and what
-
-    def came(self, job: Job, now: float) -> None:
-        """A new job, and not one read at a takeover: what has come of late tells what is to be expected."""
-        if not job.waits and job.spec.kind != "service":
-            self.shard.classes.came(
-                job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
-            )
-        if job.spec.deadline_s is None and job.spec.kind != "service" and not job.waits:
-            per = max(
-                (
-                    capacity(shape, job.spec.cpus, job.spec.gpus, job.spec.memory_gb)
-                    for shape in self.shard.catalog.values()
-                ),
-                default=1,
-            )
-            self.arrived.append((now, -(-job.spec.tasks // max(per, 1)), job.spec))
-            self._lately(now)  # here too: where no machine ever stands empty, nobody else looks
+        self.rebalances: dict[str, _RebalanceRequest] = {}  # by the team that gets the machines
+        self.rows: dict[str, _BusyRow] = {}
+        self.arrivals: deque[_Arrival] = deque()
+
+    # -- arrivals, and the machines kept for them ------------------------------------------------
+
+    def record_arrival(self, job: Job, now: float) -> None:
+        """Take in that a job has come or can start, from which is estimated what is to be expected.
+
+        Jobs read at a failover are none: they came earlier.
+        """
+        if job.waits or job.spec.kind == "service":
+            return
+        self.shard.classes.came(
+            job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
+        )
+        if job.spec.deadline_s is not None:
+            return
+        tasks_per_machine = max(
+            (
+                capacity(shape, job.spec.cpus, job.spec.gpus, job.spec.memory_gb)
+                for shape in self.shard.catalog.values()
+            ),
+            default=1,
+        )
+        machines = -(-job.spec.tasks // max(tasks_per_machine, 1))
+        self.arrivals.append(_Arrival(now, machines, job.spec))
+        self._forget_old_arrivals(now)  # where no machine is ever empty, nobody else does
 
     def headroom(self, now: float) -> int:
-        """How many empty machines to keep at hand for jobs that are not to wait: one standard deviation of what comes
-        in a boot's time. On the mean, what ends makes room for what comes; it is the swings that would have to wait
-        for a boot, or for other work to save itself."""
-        self._lately(now)
-        return round(math.sqrt(sum(size * size for _, size, _ in self.arrived) / BOOTS_BACK))
-
-    def _lately(self, now: float) -> None:
-        """Forget what came longer ago than is looked back on."""
+        """How many empty machines to keep for jobs that are not to wait.
+
+        It is one standard deviation of the machines that arrivals fill in a boot's time. What ends makes room for the mean
+        of what comes; what exceeds it would have to wait for a boot, or for other work to save itself.
+        """
+        self._forget_old_arrivals(now)
+        squares = sum(arrival.machines * arrival.machines for arrival in self.arrivals)
+        return round(math.sqrt(squares / BOOTS_OF_ARRIVALS))
+
+    def _forget_old_arrivals(self, now: float) -> None:
         boot_s = max(
             (shape.boot_s for shape in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
-        while self.arrived and now - self.arrived[0][0] > BOOTS_BACK * boot_s:
-            self.arrived.popleft()
+        while self.arrivals and now - self.arrivals[0].at > BOOTS_OF_ARRIVALS * boot_s:
+            self.arrivals.popleft()
 
-    def _at_hand(self, idle: list[Machine], now: float) -> set[str]:
+    def _kept_empty(self, empty: list[Machine], now: float) -> set[str]:
         """The empty machines to keep, within the guarantee only; those that hold most images first."""
-        keep = self.headroom(now) if idle else 0
-        out: set[str] = set()
+        headroom = self.headroom(now) if empty else 0
+        kept: set[str] = set()
+        if not headroom:
+            return kept
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
-        for machine in sorted(idle, key=lambda m: (-len(m.images), m.name)) if keep else ():
+        for machine in sorted(empty, key=lambda machine: (-len(machine.images), machine.name)):
             cpus, gpus = cpus + machine.shape.cpus, gpus + machine.shape.gpus
-            if len(out) >= keep or not guaranteed(self.shard.team, cpus, gpus):
+            if len(kept) >= headroom or not guaranteed(self.shard.team, cpus, gpus):
                 break
             if any(
-                placing.permits(spec, machine.type, machine.zone, machine.spot)
-                for _, _, spec in self.arrived
+                placing.permits(arrival.spec, machine.type, machine.zone, machine.spot)
+                for arrival in self.arrivals
             ):
-                out.add(machine.name)
-        return out
+                kept.add(machine.name)
+        return kept
+
+    # -- status ------------------------------------------------------------------------------------
 
     def shard_status(self, now: float) -> ShardStatus:
-        # A machine that came after the last pass is not idle: nobody has looked yet at what it is for. Told as idle, with the
-        # wants of that pass, it was lent back to where it came from; so two parts of one controller handed their machines
-        # to each other for a minute, and nothing ran.
+        """The shard's status.
+
+        A machine that was assigned after the last scheduling cycle began is not idle: nobody has looked yet at what it is for.
+        Told as idle, with the resource requests of that cycle, it was assigned back to where it came from, and two shards
+        handed their machines to each other for a minute.
+        """
+        shard = self.shard
         empty = [
-            m
-            for m in self.shard.machines.values()
-            if m.empty
-            and m.idle_since is not None
-            and m.usable
-            and m.name not in self.shard.reserved
-            and m.revision <= self.shard.scheduled_revision
+            machine
+            for machine in shard.machines.values()
+            if machine.empty
+            and machine.idle_since is not None
+            and machine.usable
+            and machine.name not in shard.reserved
+            and machine.revision <= shard.scheduled_revision
+        ]
+        kept = self._kept_empty(empty, now)
+        idle = [
+            (machine.name, now - (machine.idle_since or now))
+            for machine in empty
+            if machine.name not in kept
         ]
-        kept = self._at_hand(empty, now)
-        idle = [(m.name, now - (m.idle_since or now)) for m in empty if m.name not in kept]
         busy = [
-            self._row(m, now)
-            for m in self.shard.machines.values()
-            if m.live and m.usable and m.name not in self.shard.reserved
+            self._busy_machine(machine, now)
+            for machine in shard.machines.values()
+            if machine.live and machine.usable and machine.name not in shard.reserved
         ]
-        if len(self.rows) > 2 * len(self.shard.machines) + 16:
-            self.rows = {
-                name: row for name, row in self.rows.items() if name in self.shard.machines
-            }
-        waiting = sum(job.ready for job in self.shard.jobs.values() if job.active and not job.waits)
+        self._forget_old_rows()
+        waiting = sum(job.ready for job in shard.jobs.values() if job.active and not job.waits)
         return ShardStatus(
-            self.shard.name,
-            self.shard.scheduled_revision,
-            self.shard.resource_requests,
+            shard.name,
+            shard.scheduled_revision,
+            shard.resource_requests,
             idle,
             busy,
-            len(self.shard.machines),
+            len(shard.machines),
             waiting,
-            self._beyond(busy),
+            self._spare_beyond(busy),
         )
 
     def leaving(self) -> list[tuple[str, str]]:
-        """The machines that are being vacated, and for which shard ("" is the pool)."""
+        """The machines that are being vacated, and for which team; "": to be unassigned."""
         return [
-            (m.name, m.to)
-            for m in self.shard.machines.values()
-            if m.to is not None and m.phase is MachinePhase.LEAVING
+            (machine.name, machine.to)
+            for machine in self.shard.machines.values()
+            if machine.to is not None and machine.phase is MachinePhase.LEAVING
         ]
 
-    def _row(self, machine: Machine, now: float) -> BusyMachine:
-        """A machine at work. What stopping it costs changes with what runs there, or slowly: it is worked out anew for each report, not
-        for each picture. Of a large shard, pictures cost more than passes."""
-        known = self.rows.get(machine.name)
+    def counts(self) -> list[tuple[str, int, int]]:
+        """Of each active job: its id, and how many tasks are done and running."""
+        return [(job.id, job.done, job.running) for job in self.shard.jobs.values() if job.active]
+
+    def _forget_old_rows(self) -> None:
+        machines = self.shard.machines
+        if len(self.rows) > 2 * len(machines) + EXTRA_ROWS:
+            self.rows = {name: row for name, row in self.rows.items() if name in machines}
+
+    def _busy_machine(self, machine: Machine, now: float) -> BusyMachine:
+        """What stopping a machine's work costs, computed anew when other tasks are placed there or a heartbeat's interval is over.
+
+        Computed for each status, it took more time in a large shard than the scheduling cycles.
+        """
+        row = self.rows.get(machine.name)
         if (
-            known is None
-            or known.machine is not machine
-            or known.version != machine.version
-            or now >= known.until
+            row is None
+            or row.machine is not machine
+            or row.version != machine.version
+            or now >= row.until
         ):
-            priority = max(
-                self.shard.jobs[placement.job].priority for placement in machine.live.values()
-            )
-            busy = BusyMachine(
-                machine.name, priority, machine_preemption_cost(self.shard.jobs, machine, now)
-            )
-            known = self.rows[machine.name] = _Row(
+            jobs = self.shard.jobs
+            priority = max(jobs[placement.job].priority for placement in machine.live.values())
+            busy = BusyMachine(machine.name, priority, machine_preemption_cost(jobs, machine, now))
+            row = self.rows[machine.name] = _BusyRow(
                 machine, machine.version, now + self.shard.workers.report_s, busy
             )
-        return known.busy
+        return row.busy
 
-    def _beyond(self, busy: list[BusyMachine]) -> int:
-        """How many machines' work the team runs beyond its guarantee. Machines that stand empty or boot do not
-        count: taking running work for those made machines go round between teams that were all within theirs."""
+    def _spare_beyond(self, busy: list[BusyMachine]) -> int:
+        """How many machines' work the team runs beyond its guarantee.
+
+        Machines that are empty or boot do not count: running work was stopped for those, and machines went round between
+        teams that were all within their guarantees.
+        """
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         beyond = 0
         for item in sorted(busy, key=lambda item: item.preemption_cost_s):
             machine = self.shard.machines[item.machine]
             cpus -= machine.shape.cpus - machine.cpus
             gpus -= machine.shape.gpus - machine.gpus
-            if guaranteed(self.shard.team, cpus + 1e-3, gpus + 1e-3) and not self._at_least(
-                cpus, gpus
-            ):
+            if guaranteed(
+                self.shard.team, cpus + BEYOND_TOLERANCE, gpus + BEYOND_TOLERANCE
+            ) and not self._fills_guarantee(cpus, gpus):
                 break
             beyond += 1
         return beyond
 
-    def _at_least(self, cpus: float, gpus: float) -> bool:
-        """Whether so much still fills the guarantee."""
+    def _fills_guarantee(self, cpus: float, gpus: float) -> bool:
         team = self.shard.team
         return not (
-            (team.gpus > 0 and gpus < team.gpus - 1e-6)
-            or (team.cpus > 0 and cpus < team.cpus - 1e-6)
+            (team.gpus > 0 and gpus < team.gpus - FILLED_TOLERANCE)
+            or (team.cpus > 0 and cpus < team.cpus - FILLED_TOLERANCE)
         )
 
-    def transfer_machine(self, name: str, to: str, now: float) -> None:
-        """The leader wants it elsewhere. It goes if empty, by a write under our fence."""
+    # -- the leader's commands -----------------------------------------------------------------------
+
+    def transfer_machine(self, name: str, to: str) -> None:
+        """Pass a machine on to another team, or unassign it (""), if it is empty."""
         machine = self.shard.machines.get(name)
         if machine is not None and machine.usable and machine.empty and to != self.shard.name:
             machine.to = to
@@ -271,17 +330,18 @@
         for name in order.machines:
             machine = self.shard.machines.get(name)
             if machine and machine.usable and name not in self.shard.reserved:
-                log.info("machine %s is vacated for team %s", name, order.to)
+                log.info("machine reclaimed: machine=%s for=%s", name, order.to)
                 machine.leave(f"recalled for {order.to}")
                 machine.to = order.to
                 self.shard.note_machine(name)
                 self.shard.drain(machine, now)
 
     def rebalance(self, order: Rebalance, now: float) -> None:
-        self.rebalances[order.to] = (order, now + self.shard.workers.lease_s)
+        """Have machines passed on as they come free, for as long as an agent's lease unless the leader asks again."""
+        self.rebalances[order.to] = _RebalanceRequest(order, now + self.shard.workers.lease_s)
 
-    def pass_on(self, now: float) -> None:
-        """Nothing is stopped for it: only what has come free goes, before our own work takes it."""
+    def rebalance_free_machines(self, now: float) -> None:
+        """Pass on what has come free, before our own work takes it. Nothing is stopped for a rebalance."""
         for machine in self.shard.machines.values():
             if machine.live or machine.orphaned_tasks or not machine.usable:
                 continue
@@ -296,8 +356,7 @@
                     machine.to = to
                     machine.leave(f"passed on to {to}")
                     self.shard.note_machine(machine.name)
-                    self.rebalances[to] = (order._replace(number=order.number - 1), until)
+                    self.rebalances[to] = _RebalanceRequest(
+                        order._replace(number=order.number - 1), until
+                    )
                     break
-
-    def counts(self) -> list[tuple[str, int, int]]:
-        return [(job.id, job.done, job.running) for job in self.shard.jobs.values() if job.active]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -917,14 +917,14 @@
         gang = shard.add_job(
             queued(spec(n, shape="ensemble", shares=size, accelerators=4.0), 1.0), 7
         )
-        shard.status_reporter.came(gang, 1.0)
+        shard.status_reporter.record_arrival(gang, 1.0)
     assert shard.status_reporter.headroom(2.0) == kept
     within = min(kept, 2)  # red's guarantee is two machines
     assert len(shard.status_reporter.shard_status(2.0).idle) == 6 - within
     late = shard.add_job(queued(spec(99, shares=1), 99.0), 7)
-    shard.status_reporter.came(late, 99.0)
+    shard.status_reporter.record_arrival(late, 99.0)
     assert (
-        len(shard.status_reporter.arrived) == 1
+        len(shard.status_reporter.arrivals) == 1
         and shard.status_reporter.headroom(99.0 + 5 * G4.boot_s) == 0
     )
 
@@ -1093,7 +1093,7 @@
     shard = shard_with([spec(n, shares=1) for n in range(1, 31)], "abc" * 6)
     for name in ("vm-9", "vm-10", "vm-11", "vm-12"):
         shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
-        shard.status_reporter.transfer_machine(name, "blue", 0.5)
+        shard.status_reporter.transfer_machine(name, "blue")
     for name in sorted(set(shard.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
         shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
     shard.scheduler.schedule(1.0)
