--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -24,7 +24,7 @@
 
 BOOTS_OF_ARRIVALS = 4  # arrivals are remembered for so many times the longest boot
 EXTRA_ROWS = 16  # rows of busy machines that are kept beyond twice the machines there are
-# Sums of task sizes are exact to this, in CPUs and GPUs: half a thousandth of a GPU is not work beyond a guarantee.
+# In CPUs and GPUs: tasks ask for fractions of them, and sums of those carry rounding errors.
 BEYOND_TOLERANCE = 1e-3
 FILLED_TOLERANCE = 1e-6
 
