--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -44,8 +44,8 @@
     orphaned_tasks: dict[str, set[str]]
     resource_requests: list[ResourceRequest]
     reserved: set[str]
-    seen: int
-    looked: int
+    seen_revision: int
+    scheduled_revision: int
     stale: bool
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None: ...
@@ -233,11 +233,11 @@
     def schedule(self, now: float) -> None:
         """One pass: place what fits, keep and make room for what does not, and tell what is lacking."""
         self.shard.stale = False
-        self.shard.looked = self.shard.seen
+        self.shard.scheduled_revision = self.shard.seen_revision
         short: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
         if self.status_reporter.rebalances:
-            self.status_reporter.pass_on(now)
+            self.status_reporter.rebalance_free_machines(now)
         look = SchedulingCycle(self.shard.machines.values(), now)
         for job in self.waiting(now, look):
             missing = self._try_place(job, look, now)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -1,8 +1,8 @@
-"""A shard: one team, its jobs and parks, and the machines lent to it, in its one owner's memory.
+"""A shard: one team with its jobs, parks and assigned machines, in the memory of its one owner.
 
-No input or output happens here. Reports, wakes and changes seen elsewhere come in as calls; what is
-to be written comes out as transactions, and what is to be sent as orders. A start is let out only once
-its placement is durable, and a placement counts until its stop is proved.
+No input or output happens here. Heartbeats, wake-ups and changes seen elsewhere come in as calls; what is to be written comes out
+as transactions (`shard_writer.py`), what is to be sent as commands (`task_commands.py`). A start is let out only once its
+placement is durable, and a placement counts until its end is proved.
 """
 
 from __future__ import annotations
@@ -13,41 +13,50 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ashdock.core import park as parking
 from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.estimates import Estimates
 from ashdock.core.heartbeat_reconciler import HeartbeatReconciler
 from ashdock.core.job import Job, JobPhase, chunk_size, spec_of_record
 from ashdock.core.machine import Machine, MachinePhase
+from ashdock.core.park import Parks
 from ashdock.core.quota import Usage
 from ashdock.core.scheduler import Scheduler
 from ashdock.core.scheduling_policy import SchedulingPolicy
+from ashdock.core.shard_maintenance import ShardMaintenance
+from ashdock.core.shard_recovery import StoredEntry, rebuild
 from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import StatusReporter
-from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
+from ashdock.core.task import Phase, Placement, TaskState
+from ashdock.core.task_commands import TaskCommands
+from ashdock.core.task_failures import FailureHandler
 from ashdock.core.write_limits import WriteLimits
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Operators, Shared, Team
-from ashdock.wire.messages import (
-    CommandVerb,
-    Heartbeat,
-    JobKind,
-    JobSpec,
-    JobStatus,
-    MachineType,
-    TaskCommand,
-    TaskStatus,
-    split_task,
-    task_name,
-)
+from ashdock.wire.messages import JobKind, JobSpec, JobStatus, MachineType, TaskStatus
 
 log = logging.getLogger("ashdock.shard")
 
-ORDERS_AT_ONCE = 200  # keeps an answer to a worker well under 64 KiB
-
 
 class Shard:
+    """The state of a shard, and the changes that keep it consistent.
+
+    Attributes:
+        revision: of the claim; it is in the condition of every write.
+        chunk_tasks: tasks to a chunk as versions before had it, whatever the store's limits come to be.
+        orphaned_tasks: by job, the machines where it runs without a placement.
+        reserved: empty machines kept for a gang that lacks others.
+        seen_revision: the latest assignment of a machine that is taken in here.
+        scheduled_revision: what was seen when the last scheduling cycle began.
+        urgent: machines with commands that are not to wait for the next heartbeat.
+        ending: cancelled jobs with tasks that may still be there.
+        inherited_machines: how many were up for the owner before.
+        recovered_at: when the shard had been read back.
+        placed: how many tasks were placed since the claim.
+        stale: whether room or work has come up since the last scheduling cycle.
+        clock: the time as last passed in.
+    """
+
     def __init__(
         self,
         team: Team,
@@ -58,9 +67,20 @@
         rng: random.Random,
         write_limits: WriteLimits | None = None,
     ) -> None:
+        """Begin empty.
+
+        Args:
+            team: the team.
+            revision: of the claim.
+            shared: the deployment's settings.
+            operators: the operators' configuration.
+            catalog: the machine types by name.
+            rng: for the retries' jitter.
+            write_limits: what the store takes; by default the settings' limits.
+        """
         self.team = team
         self.name = team.name
-        self.revision = revision  # of our claim: the fence in every write
+        self.revision = revision
         self.shared = shared
         self.workers = shared.workers
         self.retry = operators.retry
@@ -71,110 +91,52 @@
         self.usage = Usage(team)
         self.policy = SchedulingPolicy(team, shared, catalog)
         self.write_limits = write_limits or WriteLimits(shared.state)
-        self.parks = parking.Parks(team.name, self.write_limits.value_bytes)
-        self.chunk_tasks = chunk_size(
-            shared.state.value_kb
-        )  # as the versions before had it, whatever the limits come to be
+        self.parks = Parks(team.name, self.write_limits.value_bytes)
+        self.chunk_tasks = chunk_size(shared.state.value_kb)
         self.dependency_tracker = DependencyTracker(self)
-        self.orphaned_tasks: dict[
-            str, set[str]
-        ] = {}  # job: machines where it runs without a placement
+        self.orphaned_tasks: dict[str, set[str]] = {}
         self.resource_requests: list[ResourceRequest] = []
         self.lacked_room_before = False
-        self.reserved: set[str] = set()  # empty machines kept for a gang that lacks others
-        self.seen = revision
-        self.looked = revision  # what was seen when the last pass began
-        self.urgent: dict[str, None] = {}  # machines with orders worth sending at once
+        self.reserved: set[str] = set()
+        self.seen_revision = revision
+        self.scheduled_revision = revision
+        self.urgent: dict[str, None] = {}
         self.writer = ShardWriter(self)
-        self.ending: dict[str, Job] = {}  # cancelled jobs with tasks that may still be there
-        self.taken = 0  # machines that were up for the owner before
-        self.taken_at = -math.inf
-        self.placed = 0  # tasks, since it is ours
-        self.unheard_s: float | None = (
-            None  # how long those that do not report are waited for, once that is known
-        )
-        self.stale = True  # room or work has come up since the last pass
-        self.ticked = -math.inf
-        self.clock = -math.inf  # when somebody last told us the time
+        self.ending: dict[str, Job] = {}
+        self.inherited_machines = 0
+        self.recovered_at = -math.inf
+        self.placed = 0
+        self.stale = True
+        self.clock = -math.inf
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
+        self.commands = TaskCommands(self)
+        self.failures = FailureHandler(self)
+        self.maintenance = ShardMaintenance(self)
         self.reconciler = HeartbeatReconciler(self, self.estimates)
         self.status_reporter = StatusReporter(self)
         self.scheduler = Scheduler(self, self.estimates, self.status_reporter)
 
-    # -- taking over --------------------------------------------------------------------------
+    # -- jobs and machines ----------------------------------------------------------------------
 
     def load(
         self,
-        machines: Iterable[tuple[str, Any, int]],
-        work: Iterable[tuple[str, Any, int]],
-        parks: Iterable[tuple[str, Any, int]],
+        machines: Iterable[StoredEntry],
+        work: Iterable[StoredEntry],
+        parks: Iterable[StoredEntry],
         now: float,
     ) -> None:
-        """Rebuild the picture from the state service, then re-arm the parks."""
-        self.clock = now
-        for name, value, revision in machines:
-            self.add_machine(name, value, revision, now)
-        chunks: dict[str, list[tuple[str, Any, int]]] = {}
-        heads: dict[str, tuple[Any, int]] = {}
-        for path, value, revision in work:
-            _, _, job_id, tail = path.split("/", 3)
-            if tail == "job":
-                heads[job_id] = (value, revision)
-            else:
-                chunks.setdefault(job_id, []).append((tail, value, revision))
-        for job_id, (value, revision) in heads.items():
-            job = self.add_job(value, revision, started=job_id in chunks)
-            if job_id in chunks:
-                job.started_at = now  # or so: an earlier owner saw it start
-            for placement in job.load_chunks(chunks.pop(job_id, []), now):
-                self._count(job, placement, now)
-        for job_id, rest in chunks.items():
-            self.writer.leftover += [
-                (f"work/{self.name}/{job_id}/{tail}", revision) for tail, _, revision in rest
-            ]
-        for path, value, revision in parks:
-            for park in self.parks.load(int(path.rsplit("/", 1)[1]), value, revision):
-                parked = self.jobs.get(park.job)
-                for task in range(park.low, park.high + 1):
-                    # The chunk has the last word: a task placed since is not parked.
-                    if parked and parked.states[task] == TaskState.READY:
-                        parked.park(task, park.failure)
-        for machine in self.machines.values():
-            machine.inherited = bool(machine.live) or machine.incarnation > 0
-        self.taken = sum(machine.inherited for machine in self.machines.values())
-        self.taken_at = now
-        for job in self.jobs.values():
-            for chunk in job.chunks.values():
-                if chunk.revision or not job.wider:  # what a wider one still holds is to be written
-                    chunk.durable = chunk.gen
-            self._after_load(job, now)
-        self.dependency_tracker.look(now)
-
-    def _after_load(self, job: Job, now: float) -> None:
-        if not job.active:
-            for placement in list(job.live.values()):
-                self.stop(placement, "cancelled", 0.0, now)
-        elif job.spec.kind == JobKind.GANG and job.done:
-            # Gang tasks complete together, so one that is done proves them all.
-            for task in range(job.spec.tasks):
-                self.finish(job, task, now)
-        elif job.spec.kind == JobKind.GANG and job.live:
-            # Its chunks may have been written one after the other: some of them hold this attempt, some the one before.
-            if (
-                len(job.live) < job.spec.tasks
-                or len({placement.attempt for placement in job.live.values()}) > 1
-            ):
-                self._break(job, "incomplete", now)
-        if job.complete and job.active:
-            self._over(job, now)
-        # Placements on machines that are no longer recorded: their machine is proved gone.
-        for placement in list(job.live.values()):
-            if placement.machine not in self.machines:
-                self.lost(placement, "machine gone", now)
+        """Fill the shard, just claimed, with what is stored of it: `shard_recovery.rebuild`."""
+        rebuild(self, machines, work, parks, now)
 
     def add_job(self, record: dict[str, Any], revision: int, started: bool = False) -> Job:
-        """`started`: tasks of it have been placed before, so all that it needs is known to be done."""
+        """Take in a job's record, unless the job is known already.
+
+        Args:
+            record: `job/<id>`.
+            revision: its revision.
+            started: whether tasks of it have been placed before, so that all its dependencies are known to be done.
+        """
         spec = spec_of_record(record)
         known = self.jobs.get(spec.id)
         if known:
@@ -185,7 +147,7 @@
             else self.chunk_tasks
         )
         job = Job(spec, record["at"], revision, width, self.chunk_tasks)
-        job.listener = self.writer.touched
+        job.listener = self.writer.changed_jobs
         self.stale = True
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
@@ -197,13 +159,15 @@
         job.carried = self.dependency_tracker.graph.of(spec.id)
         return job
 
-    def _over(self, job: Job, now: float) -> None:
+    def complete(self, job: Job, now: float) -> None:
+        """Take in that all tasks of a job are done."""
         self.classes.done(job.id, now)
         job.over(now if self.write_limits.announced_apply else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
+        """Take in the record of a machine that is assigned here; of a known one, what the leader may have changed."""
         shape = self.catalog.get(value["t"])
-        self.seen = max(self.seen, revision)
+        self.seen_revision = max(self.seen_revision, revision)
         known = self.machines.get(name)
         if known:
             if revision > known.revision:
@@ -212,13 +176,14 @@
                     known.decommission(value["x"])
             return
         if shape is None:
-            log.error("machine %s has a type the catalog lacks: %s", name, value["t"])
+            log.error("machine type not in the catalog: machine=%s type=%s", name, value["t"])
             return
         self.machines[name] = Machine(name, value, revision, shape, now)
 
     # -- accounting ---------------------------------------------------------------------------
 
-    def _count(self, job: Job, placement: Placement, now: float) -> None:
+    def count(self, job: Job, placement: Placement) -> None:
+        """Count a placement towards its team's usage and its machine's."""
         spec = job.spec
         self.usage.take(spec)
         machine = self.machines.get(placement.machine)
@@ -226,7 +191,7 @@
             machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
 
     def drop(self, placement: Placement, now: float) -> None:
-        """Only on proof that the task is not, and will not be, on its machine."""
+        """Stop counting a placement; only on proof that its task is not, and will not be, on the machine."""
         self.stale = True
         job = self.jobs[placement.job]
         spec = job.spec
@@ -236,20 +201,23 @@
             machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
 
     def note_machine(self, name: str) -> None:
-        """Its record may have to be written."""
-        self.writer.changing[name] = None
+        """Have a machine's record looked at by the next transaction, since it may have to be written."""
+        self.writer.changed_machines[name] = None
 
     def token(self, machine: Machine) -> int:
+        """The fencing token for commands to the machine."""
         return max(self.revision, machine.revision)
 
     # -- changes of a task's state --------------------------------------------------------------
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
+        """Place a task; its start waits until the placement is durable."""
         placement = job.place(task, machine.name, attempt, now)
         self.placed += 1
-        self._count(job, placement, now)
+        self.count(job, placement)
 
-    def _release(self, placement: Placement, now: float) -> None:
+    def release(self, placement: Placement, now: float) -> None:
+        """Take in that a placement is proved gone; its task is ready again."""
         job = self.jobs[placement.job]
         self.drop(placement, now)
         job.release(placement.task)
@@ -257,6 +225,7 @@
             self._gang_settled(job, now)
 
     def finish(self, job: Job, task: int, now: float) -> None:
+        """Take in that a task is done, whichever attempt of it was."""
         placement = job.unplace(task)
         if placement:
             self.drop(placement, now)
@@ -264,29 +233,34 @@
             job.finish(task)
         job.changed()
         if job.complete and job.active:
-            self._over(job, now)
+            self.complete(job, now)
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
+        """Stop a placement, with so many seconds to save; one whose start was never sent is released at once."""
         if placement.never_sent:
-            self._release(placement, now)
+            self.release(placement, now)
             return
         placement.stop(why, grace_s)
         self.urgent[placement.machine] = None
 
     def lost(self, placement: Placement, why: str, now: float) -> None:
-        """Its stop is confirmed though nobody asked for it; costs it neither count nor clock."""
+        """Take in that a placement is proved gone by no fault of its task; that does not count as a failure of its own."""
         job = self.jobs[placement.job]
         if placement.phase is not Phase.STOPPING:
             log.info(
-                "job %s task %d lost on %s: %s", job.id, placement.task, placement.machine, why
+                "task lost: job=%s task=%d machine=%s reason=%s",
+                job.id,
+                placement.task,
+                placement.machine,
+                why,
             )
         if job.spec.kind == JobKind.GANG and job.active and not job.breaking:
-            self._break(job, why, now)
+            self.break_gang(job, why, now)
         if job.live.get(placement.task) is placement:
-            self._release(placement, now)
+            self.release(placement, now)
 
-    def _break(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
-        """Take a gang's attempt down as a whole."""
+    def break_gang(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
+        """Stop a gang's attempt as a whole."""
         job.breaking = why
         for placement in list(job.live.values()):
             if job.live.get(placement.task) is placement:
@@ -294,191 +268,26 @@
         self._gang_settled(job, now)
 
     def _gang_settled(self, job: Job, now: float) -> None:
-        """All its tasks are confirmed gone: the gang waits, or is parked, as a whole."""
+        """Once all tasks of a gang's attempt are proved gone, have it wait or parked as a whole."""
         if job.live or not job.breaking:
             return
         job.breaking = None
         failure, job.broke = job.broke, None
         if failure and job.active:
-            self._after_failure(job, list(range(job.spec.tasks)), failure, now)
-
-    def own_failure(self, machine: Machine, placement: Placement, why: str, now: float) -> None:
-        job = self.jobs[placement.job]
-        reason = f"{why} on {machine.name}"
-        log.info(
-            "job %s task %d try %d failed: %s", job.id, placement.task, placement.attempt, reason
-        )
-        job.avoid[machine.name] = now + self.retry.cap_s
-        # A job that fails on one machine after another, and nowhere ends well, says nothing about any of them. Arrays
-        # submitted with a mistake fail on dozens at once: two such jobs made sound machines suspect.
-        if job.done or len(job.avoid) == 1:
-            machine.failed[job.id] = now
-        else:
-            self._exonerate(job)
-        recent = [at for at in machine.failed.values() if now - at < self.retry.horizon_s / 3]
-        if len(recent) >= 2 and machine.phase is MachinePhase.UP and self._may_suspect():
-            machine.leave("suspect")
-            self.note_machine(machine.name)
-            log.info(
-                "machine %s is suspect: %d jobs failed there; draining it",
-                machine.name,
-                len(recent),
-            )
-            self.drain(machine, now)
-        failure = Failure(0, now, reason)
-        if job.spec.kind == JobKind.GANG:
-            job.broke = job.broke or failure
-            if not job.breaking:
-                self._break(job, "a task failed", now)
-            if job.live.get(placement.task) is placement:
-                self._release(placement, now)
-        else:
-            self._release(placement, now)
-            self._after_failure(job, [placement.task], failure, now)
-
-    def _exonerate(self, job: Job) -> None:
-        """The machines where it failed are not to blame for that."""
-        for name in job.avoid:
-            if name in self.machines:
-                self.machines[name].failed.pop(job.id, None)
-
-    def _may_suspect(self) -> bool:
-        suspects = sum(1 for machine in self.machines.values() if machine.why == "suspect")
-        return suspects * 4 <= len(self.machines)
-
-    def _after_failure(self, job: Job, tasks: list[int], failure: Failure, now: float) -> None:
-        step = parking.after_failure(
-            self.retry, job.fails.get(tasks[0]), failure.why, now, self.rng
-        )
-        what = "the gang" if job.spec.kind == JobKind.GANG else f"task {tasks[0]}"
-        if job.reason is None:
-            # From the first failure on: who submitted it with a mistake is not to wait for the second.
-            job.set_reason(f"{what} failed: {failure.why}; tried again")
-        if step.step == parking.RetryStep.IN_PLACE:
-            for task in tasks:
-                job.set_failure(task, step.failure)
-            return
-        at = now + step.delay
-        for task in tasks:
-            job.park(task, step.failure)
-        self.parks.add(job.id, ranges_of(tasks), at, step.failure)
-        if step.step == parking.RetryStep.PAST:
-            job.set_reason(
-                f"{what} failed {step.failure.times} times, last: {failure.why}; still tried now and then"
-            )
-            log.info("job %s gave up its bounded retries: %s", job.id, job.reason)
-        else:
-            log.info(
-                "job %s %s parked for %.1f s after %d failures",
-                job.id,
-                what,
-                step.delay,
-                step.failure.times,
-            )
-
-    # -- orders ---------------------------------------------------------------------------------
-
-    def orders(self, machine: Machine, now: float, checkin: Heartbeat | None) -> list[TaskCommand]:
-        """What the machine is to do. With a check-in they go into its answer; without, they go directly."""
-        out: list[TaskCommand] = []
-        for placement in machine.live.values():
-            name = task_name(placement.job, placement.task)
-            if placement.phase is Phase.STOPPING:
-                out.append(
-                    TaskCommand(
-                        verb=CommandVerb.KILL,
-                        task=name,
-                        attempt=placement.attempt,
-                        grace_s=placement.grace_s,
-                    )
-                )
-            elif placement.phase is Phase.COMMITTED or (
-                placement.phase is Phase.START_SENT and not placement.seen
-            ):
-                out.append(TaskCommand(verb=CommandVerb.RUN, task=name, attempt=placement.attempt))
-                if checkin:
-                    placement.answered_with_start(checkin.incarnation, checkin.sequence)
-        for (job_id, task), attempt in machine.orphaned_tasks.items():
-            out.append(
-                TaskCommand(
-                    verb=CommandVerb.KILL,
-                    task=task_name(job_id, task),
-                    attempt=attempt,
-                    grace_s=0.0,
-                )
-            )
-        if checkin or machine.to is not None:
-            for job_id, task, attempt in sorted(machine.ended):
-                if (job_id, task, attempt) not in machine.outstanding and self._forgettable(
-                    job_id, task, attempt
-                ):
-                    out.append(
-                        TaskCommand(
-                            verb=CommandVerb.FORGET, task=task_name(job_id, task), attempt=attempt
-                        )
-                    )
-        return out[:ORDERS_AT_ONCE]
-
-    def _forgettable(self, job_id: str, task: int, attempt: int) -> bool:
-        """Only once its outcome is durable; and never while a start of it may still arrive."""
-        job = self.jobs.get(job_id)
-        if job is None:
-            return True
-        if not 0 <= task < job.spec.tasks:
-            return True
-        live = job.live.get(task)
-        if live is not None and live.attempt == attempt:
-            return False
-        chunk = job.chunk_of(task)
-        return job.phase is not JobPhase.OVER and chunk.durable >= chunk.gen
-
-    def direct(self, machine: Machine, now: float) -> list[TaskCommand]:
-        """Orders worth a message of their own; marks their starts as outstanding until answered."""
-        if machine.sending or not machine.address or not machine.incarnation:
-            return []
-        out = self.orders(machine, now, None)
-        token = self.token(machine)
-        for order in out:
-            placement = machine.live.get(split_task(order.task))
-            if order.verb == CommandVerb.RUN and placement:
-                placement.sent_directly(machine.incarnation)
-                machine.outstanding[(*placement.key, placement.attempt)] = token
-        return out
-
-    def direct_answered(self, machine: Machine, orders: list[TaskCommand]) -> None:
-        for order in orders:
-            machine.outstanding.pop((*split_task(order.task), order.attempt), None)
-
-    def lapses(self, machine: Machine, now: float) -> bool:
-        """Whether its worker's session has to end: a start that was not answered may still arrive, its job was cancelled, and the token
-        that would refuse it has not reached the worker. In an outage it cannot be raised, and a start held up for longer than
-        `cancel_s` was carried out. Not renewed, the session that it names is over in time."""
-        limit = now - (
-            self.workers.cancel_s - self.workers.lease_s - 2 * self.shared.skew_ms / 1000
-        )
-        for job_id, _, _ in machine.outstanding:
-            job = self.jobs.get(job_id)
-            if job is not None and job.cancelled_at is not None and job.cancelled_at < limit:
-                return True
-        return False
-
-    def direct_unanswered(self, machine: Machine, orders: list[TaskCommand]) -> None:
-        """A start may still arrive, even minutes late: raise the token, so that it cannot."""
-        if any(order.verb == CommandVerb.RUN for order in orders):
-            machine.bump = True
-            self.note_machine(machine.name)
+            self.failures.retry(job, list(range(job.spec.tasks)), failure, now)
 
     # -- stopping -------------------------------------------------------------------------------
 
     def grace_s(self, spec: JobSpec) -> float:
+        """How many seconds a stopped task of the job may save; a gang's tasks wait for one another."""
         return spec.save_s + self.workers.gang_peer_s if spec.checkpoint_s > 0 else 0.0
 
     def preempt(self, job: Job, tasks: list[int], why: str, now: float) -> None:
-        """Stop work so that what it has can be saved; a gang as a whole and in time."""
+        """Stop tasks with time to save; a gang as a whole."""
         grace_s = self.grace_s(job.spec)
         if job.spec.kind == JobKind.GANG:
             if not job.breaking:
-                self._break(job, why, now, grace_s)
+                self.break_gang(job, why, now, grace_s)
             return
         for task in tasks:
             placement = job.live.get(task)
@@ -486,6 +295,7 @@
                 self.stop(placement, why, grace_s, now)
 
     def drain(self, machine: Machine, now: float) -> None:
+        """Evict all tasks of a machine gracefully."""
         for placement in list(machine.live.values()):
             if (
                 placement.phase is not Phase.STOPPING
@@ -495,144 +305,81 @@
                     self.jobs[placement.job], [placement.task], machine.why or "drained", now
                 )
 
-    def taken_back(self, machine: Machine, notice: float, now: float) -> None:
+    def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
+        """Take in that the cloud takes a spot instance back: evict what can save in time, or does not run yet."""
         if machine.reclaim_at is None:
-            log.info("machine %s is being taken back in %.1f s", machine.name, notice)
-        machine.reclaim_at = now + notice
+            log.info(
+                "spot instance taken back by the cloud: machine=%s in_s=%.1f",
+                machine.name,
+                notice_s,
+            )
+        machine.reclaim_at = now + notice_s
         machine.leave("recalled")
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement or placement.reclaim_handled:
                 continue
             placement.reclaim_handled = True
             job = self.jobs[placement.job]
-            # What cannot save in time had better go on: it may finish first.
+            # What cannot save in time goes on: it may finish first.
             if (
-                job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice
+                job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice_s
             ) or placement.status != TaskStatus.RUNNING:
                 self.preempt(job, [placement.task], "machine taken back", now)
 
     def cancel(self, job_id: str, at: float, revision: int, now: float) -> None:
+        """Take in a cancellation that was confirmed at `at`, and stop the tasks of its job."""
         job = self.jobs.get(job_id)
         if job is None or job.phase in (JobPhase.CANCELLED, JobPhase.FINAL):
             return
-        log.info("job %s is cancelled; %d tasks to stop", job_id, len(job.live))
+        log.info("job cancelled: job=%s tasks_to_stop=%d", job_id, len(job.live))
         job.cancel(at)
         self.classes.attainment.withdrawn(job_id)
         job.revision = max(job.revision, revision)
         job.breaking = None
         self.dependency_tracker.cancelled(job, now)
         if not job.done:
-            self._exonerate(
-                job
-            )  # most that fail until they are cancelled were submitted with a mistake
+            # Most that fail until they are cancelled were submitted with a mistake.
+            self.failures.exonerate(job)
         self.ending[job_id] = job
         self.parks.drop(job_id)
         for placement in list(job.live.values()):
             self.stop(placement, "cancelled", 0.0, now)
 
     def machine_gone(self, name: str, now: float) -> None:
-        """Its key is deleted, which happens only on proof: released with 200, or listed as failed."""
+        """Take in that a machine's record is deleted.
+
+        That happens only on proof that it is gone: the cloud answered its release with 200, or listed it as failed.
+        """
         machine = self.machines.pop(name, None)
         if machine is None:
             return
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is placement:
                 self.lost(placement, "machine gone", now)
-        for where in self.orphaned_tasks.values():
-            where.discard(name)
-        self.orphaned_tasks = {job: where for job, where in self.orphaned_tasks.items() if where}
+        for machine_names in self.orphaned_tasks.values():
+            machine_names.discard(name)
+        self.orphaned_tasks = {
+            job_id: machine_names
+            for job_id, machine_names in self.orphaned_tasks.items()
+            if machine_names
+        }
 
     # -- time -----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        self.clock = now
-        self.dependency_tracker.look(now)
-        for park in self.parks.due(now):
-            job = self.jobs.get(park.job)
-            if job:
-                self.stale = True
-                for task in range(park.low, park.high + 1):
-                    job.wake(task, park.failure)
-        if now - self.ticked < self.workers.report_s / 4:
-            return
-        self.ticked = now
-        silent = [
-            m
-            for m in self.machines.values()
-            if m.last_at is not None and m.silent_for(now) > self.silent_s
-        ]
-        up = sum(1 for m in self.machines.values() if m.last_at is not None)
-        # Where most fall silent at once, the fault may be on our side: the shard may yet move to a controller
-        # that hears them. But not for ever, or two dead machines of two would hold their tasks for good.
-        patience = self.silent_s if len(silent) * 2 <= up else 2 * self.silent_s
-        gap = 2 * self.workers.report_s
-        unheard = self._patience(now)
-        for machine in self.machines.values():
-            if machine.phase is MachinePhase.DECOMMISSIONED:
-                continue
-            if machine.inherited:
-                if now - machine.since > unheard:
-                    self._decommission(machine, "not heard since the part was taken over")
-            elif machine.phase is MachinePhase.EXPECTED:
-                # Some machines never come up, and are charged all the same. Counted from the rental: counted from
-                # when we came to know of it, each takeover kept such a machine for as long again.
-                if (
-                    now - machine.rented_at > 2.5 * machine.shape.boot_s
-                    and now - machine.since > self.silent_s
-                ):
-                    self._decommission(machine, "never came up")
-            elif (
-                machine.reclaim_at is not None
-                and now > machine.reclaim_at
-                and machine.silent_for(now) > gap
-            ):
-                self._decommission(machine, "taken back")
-            elif machine.why == "suspect" and not machine.live:
-                self._decommission(machine, "suspect")
-            elif machine.last_at is not None and machine.silent_for(now) > patience:
-                # Silence is no proof that its tasks stopped. Releasing it makes one.
-                self._decommission(machine, "silent")
-        for job in list(self.ending.values()):
-            if job.live:
-                self._end_cancelled(job, now)
-            elif job.id not in self.jobs:
-                del self.ending[job.id]
-
-    @property
-    def silent_s(self) -> float:
-        return 1.1 * self.workers.lease_s + self.workers.report_s
-
-    def _patience(self, now: float) -> float:
-        """How long to wait for the workers that a shard was taken over with. Where more than a quarter stay away, the owner
-        before may still answer them: cut off from the state service alone it does so for a while, does not know that it
-        was replaced, and holds them until then. Their machines used to be given up with all their work (inc-f1aa)."""
-        if self.unheard_s is None:
-            away = sum(machine.inherited for machine in self.machines.values())
-            if now - self.taken_at <= self.silent_s:
-                return self.silent_s
-            # Decided once: the others come back one by one, and the last must not be given up because the rest are there.
-            held = away * 4 > self.taken
-            self.unheard_s = self.silent_s + (
-                max(self.silent_s, self.workers.cancel_s - self.workers.lease_s) if held else 0.0
-            )
-        return self.unheard_s
-
-    def _end_cancelled(self, job: Job, now: float) -> None:
-        """Tasks of a cancelled job must be gone in time, even where nobody can reach their machine."""
-        limit = (job.cancelled_at or now) + self.workers.cancel_s / 2 - self.shared.skew_ms / 1000
-        for placement in job.live.values():
-            machine = self.machines.get(placement.machine)
-            if machine and now > limit:
-                self._decommission(machine, f"holds a task of cancelled job {job.id}")
+        """Do the periodic work that is due."""
+        self.maintenance.run(now)
 
-    def _decommission(self, machine: Machine, why: str) -> None:
+    def decommission(self, machine: Machine, why: str) -> None:
+        """Give a machine up durably, so that the leader releases it; the reason is stored."""
         if machine.phase is MachinePhase.DECOMMISSIONED:
             return
-        log.info("machine %s is given up: %s", machine.name, why)
+        log.info("machine decommissioned: machine=%s reason=%s", machine.name, why)
         machine.decommission(why)
         machine.decommission_generation = 1
         self.note_machine(machine.name)
 
     def zone_of(self, machine: str) -> str:
+        """The zone of a machine; "?" if it is not known any more."""
         known = self.machines.get(machine)
         return known.zone if known else "?"
--- a/ashdock/shard_commands.py
+++ b/ashdock/shard_commands.py
@@ -86,15 +86,15 @@
             return
         match command:
             case TransferMachine():
-                owner.note(
+                owner.apply(
                     lambda shard: shard.status_reporter.transfer_machine(
-                        command.machine, command.to, self.now()
+                        command.machine, command.to
                     )
                 )
             case Rebalance():
-                owner.note(lambda shard: shard.status_reporter.rebalance(command, self.now()))
+                owner.apply(lambda shard: shard.status_reporter.rebalance(command, self.now()))
             case TransferShard():
-                owner.give_to = command.to
+                owner.transfer_to = command.to
                 owner.wake.set()
             case Reclaim():
-                owner.note(lambda shard: shard.status_reporter.reclaim(command, self.now()))
+                owner.apply(lambda shard: shard.status_reporter.reclaim(command, self.now()))
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -81,14 +81,14 @@
         name = path.split("/", 1)[1]
         for owner in list(self.table.values()):
             if value is None:
-                owner.note(lambda shard: shard.machine_gone(name, self.now()))
+                owner.apply(lambda shard: shard.machine_gone(name, self.now()))
             elif value["p"] == owner.team.name:
-                owner.note(lambda shard: shard.add_machine(name, value, revision, self.now()))
+                owner.apply(lambda shard: shard.add_machine(name, value, revision, self.now()))
 
     def job_changes_missed(self) -> None:
         """Give up all shards, to be claimed and read again: jobs may have been accepted unnoticed."""
         for owner in list(self.table.values()):
-            owner.lost("changes to jobs were missed")
+            owner.release("changes to jobs were missed")
 
     def job_changed(self, path: str, value: Any, revision: int) -> None:
         """Take in a change of `job/<id>`: new, cancelled, done, or with a reason."""
@@ -102,7 +102,7 @@
         if status == "withdrawn":
             self.job_cancelled(job_id, team, revision, value.get("cancelled_at", self.now()))
         elif owner is not None and status == "queued":
-            owner.note(lambda shard: self._add_job(shard, job_id, value, revision))
+            owner.apply(lambda shard: self._add_job(shard, job_id, value, revision))
         if status != "queued":
             self.job_settled(job_id, status, value.get("done_at"))
 
@@ -110,13 +110,13 @@
         """Let the shard's owner, if it is here, stop a job that was cancelled at `at`."""
         owner = self.table.get(team)
         if owner is not None:
-            owner.note(lambda shard: shard.cancel(job_id, at, revision, self.now()))
+            owner.apply(lambda shard: shard.cancel(job_id, at, revision, self.now()))
 
     def job_settled(self, job_id: str, status: str, done_at: float | None) -> None:
         """Tell the owners whose jobs depend on a job that it is over."""
         for owner in list(self.table.values()):
             if owner.waits_for(job_id):
-                owner.note(
+                owner.apply(
                     lambda shard: shard.dependency_tracker.settled(
                         job_id, status, done_at, self.now()
                     )
@@ -124,13 +124,13 @@
 
     def _add_job(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
         if job_id not in shard.jobs and not self.job_memory.is_final(job_id):
-            shard.status_reporter.came(shard.add_job(value, revision), self.now())
+            shard.status_reporter.record_arrival(shard.add_job(value, revision), self.now())
 
     def inherit_priorities(self, inheritance: PriorityInheritance) -> None:
         """Take in what another shard's jobs pass on to the jobs of shards here that they depend on."""
         for team, owner in self.table.items():
             if team != inheritance.shard:
-                owner.note(lambda shard: shard.dependency_tracker.hear(*inheritance))
+                owner.apply(lambda shard: shard.dependency_tracker.hear(*inheritance))
 
     def claims_received(self, label: str, claims: OwnershipClaims) -> None:
         """Take in claims of a peer that the store did not tell us of.
@@ -145,4 +145,4 @@
                 self.shards.apply_own_write(path, {"owner": label}, revision)
             ours = self.table.get(team)
             if ours is not None and ours.shard and ours.shard.revision < revision:
-                ours.lost(f"claimed by {label}, as it says itself")
+                ours.release(f"claimed by {label}, as it says itself")
--- a/ashdock/shard_ownership.py
+++ b/ashdock/shard_ownership.py
@@ -63,7 +63,7 @@
             if owner is not None:
                 claim = owner.shard.revision if owner.shard else 0
                 if claim and entry and entry.revision > claim:
-                    owner.lost(f"claimed by {entry.value['owner']}")
+                    owner.release(f"claimed by {entry.value['owner']}")
             elif team.name in due and self.connectivity.state_fresh():
                 self.owners.claim(team, entry.revision if entry else 0)
         return self.tick_s
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -63,7 +63,7 @@
     """Changes brought by the watch: what the shard then holds, and what is passed on."""
     shard = loaded_part(values["store"])
     told: list[Plain] = []
-    owner = SimpleNamespace(team=SimpleNamespace(name="red"), note=lambda change: change(shard))
+    owner = SimpleNamespace(team=SimpleNamespace(name="red"), apply=lambda change: change(shard))
     owners: Any = ShardOwners.__new__(ShardOwners)
     owners.table = {"red": owner}
     owners.job_memory = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -86,7 +86,7 @@
         service.state.slow = 0.2
         n = next(n for n, c in service.controllers.items() if "red" in c.owners)
         controller = service.controllers[n]
-        controller.owners["red"].lost("for this test")
+        controller.owners["red"].release("for this test")
         owner = None
         while owner is None or owner.phase is not phase:
             await asyncio.sleep(0.01)
@@ -171,8 +171,8 @@
 
         monkeypatch.setattr(controller.worker_client, "send_commands", send_commands)
         decided_under = owner.shard.token(machine)
-        monkeypatch.setattr(owner.shard, "direct", lambda *_: [object()])
-        monkeypatch.setattr(owner.shard, "direct_answered", lambda *_: None)
+        monkeypatch.setattr(owner.shard.commands, "direct", lambda *_: [object()])
+        monkeypatch.setattr(owner.shard.commands, "direct_answered", lambda *_: None)
         owner.shard.urgent[machine.name] = None
         owner._send_urgent(owner.shard)
         machine.revision += 1000  # its record was written before the message had left
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -268,8 +268,8 @@
     started(shard)
     machine = shard.machines["vm-0"]
     if events[0][0] == "unanswered":
-        orders = shard.direct(machine, 2.5)
-        shard.direct_unanswered(machine, orders)
+        orders = shard.commands.direct(machine)
+        shard.commands.direct_unanswered(machine, orders)
     one = shard.jobs["req-000001"]
     shard.preempt(one, [0], "test", 3.0)
     for kind, a, b, c in events:
@@ -701,7 +701,7 @@
     assert heir.machines["vm-9"].coming(14.0) is True
     heir.tick(16.0)
     assert heir.machines["vm-9"].why == ""  # it may be up: silence since the takeover has to show
-    heir.tick(14.0 + heir.silent_s + 1)
+    heir.tick(14.0 + heir.maintenance.silent_s + 1)
     assert heir.machines["vm-9"].why == "never came up"
 
 
@@ -765,7 +765,7 @@
     ]
     heir.load([("vm-0", record, 5)], work, [], 5.0)
     machine = heir.machines["vm-0"]
-    assert [order.verb for order in heir.direct(machine, 5.0)] == [CommandVerb.RUN]
+    assert [order.verb for order in heir.commands.direct(machine)] == [CommandVerb.RUN]
     tasks: list[tuple[str, int, str, str | None]] = [("req-000001/0", 1, "running", None)]
     if late is not None:
         heir.reconciler.on_heartbeat(
@@ -917,14 +917,14 @@
         gang = shard.add_job(
             queued(spec(n, shape="ensemble", shares=size, accelerators=4.0), 1.0), 7
         )
-        shard.status_reporter.came(gang, 1.0)
+        shard.status_reporter.record_arrival(gang, 1.0)
     assert shard.status_reporter.headroom(2.0) == kept
     within = min(kept, 2)  # red's guarantee is two machines
     assert len(shard.status_reporter.shard_status(2.0).idle) == 6 - within
     late = shard.add_job(queued(spec(99, shares=1), 99.0), 7)
-    shard.status_reporter.came(late, 99.0)
+    shard.status_reporter.record_arrival(late, 99.0)
     assert (
-        len(shard.status_reporter.arrived) == 1
+        len(shard.status_reporter.arrivals) == 1
         and shard.status_reporter.headroom(99.0 + 5 * G4.boot_s) == 0
     )
 
@@ -1010,9 +1010,9 @@
             (f"req-000001/{task}", placement.attempt, "ended", "done")
         )
     for machine, tasks in where.items():
-        shard.direct(shard.machines[machine], 1.0)
-        shard.direct_answered(
-            shard.machines[machine], shard.orders(shard.machines[machine], 1.0, None)
+        shard.commands.direct(shard.machines[machine])
+        shard.commands.direct_answered(
+            shard.machines[machine], shard.commands.orders(shard.machines[machine], None)
         )
         shard.reconciler.on_heartbeat(report(machine, 2, tasks), 5.0, True)
     ends: list[dict[str, Any]] = []
@@ -1093,12 +1093,12 @@
     shard = shard_with([spec(n, shares=1) for n in range(1, 31)], "abc" * 6)
     for name in ("vm-9", "vm-10", "vm-11", "vm-12"):
         shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
-        shard.status_reporter.transfer_machine(name, "blue", 0.5)
+        shard.status_reporter.transfer_machine(name, "blue")
     for name in sorted(set(shard.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
         shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
     shard.scheduler.schedule(1.0)
     writes = []
-    while (txn := shard.writer.next_transaction(a_second=9.0)) is not None:
+    while (txn := shard.writer.next_transaction(writes_per_s=9.0)) is not None:
         writes.append(txn.writes)
         for callback in txn.on_commit:
             callback(20 + len(writes))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -179,7 +179,7 @@
 
 
 def commands(mesh: SentFrames, fenced: bool = True) -> tuple[ShardCommands, Any]:
-    owner = SimpleNamespace(give_to=None, wake=asyncio.Event())
+    owner = SimpleNamespace(transfer_to=None, wake=asyncio.Event())
     owners: Any = SimpleNamespace(table={"red": owner})
     cluster: Any = SimpleNamespace(owner_label={"red": "a", "blue": "b"}.get)
     version: Any = SimpleNamespace(fences_commands=fenced)
@@ -200,7 +200,7 @@
     mesh = SentFrames()
     made, owner = commands(mesh, fenced)
     made.send("red", TransferShard("red", "c"), 5)
-    assert owner.give_to == "c" and owner.wake.is_set() and mesh.sent == []
+    assert owner.transfer_to == "c" and owner.wake.is_set() and mesh.sent == []
     command = Reclaim("blue", "red", ["vm-1"])
     made.send("blue", command, 5)
     made.send("gray", Reclaim("gray", "red", ["vm-2"]), 5)  # nobody owns it
@@ -211,9 +211,9 @@
     made, owner = commands(SentFrames())
     made.terms.observe(6)
     made.fenced_received("b", FencedCommand(5, TransferShard("red", "c")))
-    assert owner.give_to is None and made.terms.refused == 1
+    assert owner.transfer_to is None and made.terms.refused == 1
     made.fenced_received("b", FencedCommand(6, TransferShard("red", "c")))
-    assert owner.give_to == "c"
+    assert owner.transfer_to == "c"
 
 
 @pytest.mark.parametrize(("fenced", "given_to"), [(True, None), (False, "c")])
@@ -222,7 +222,7 @@
 ) -> None:
     made, owner = commands(SentFrames(), fenced)
     made.unfenced_received("b", TransferShard("red", "c"))
-    assert owner.give_to == given_to
+    assert owner.transfer_to == given_to
 
 
 def test_a_step_is_repeated_whatever_goes_wrong(monkeypatch: pytest.MonkeyPatch) -> None:
