--- a/tests/scale.py
+++ b/tests/scale.py
@@ -593,13 +593,12 @@
             real_s=time.perf_counter() - wall,
             takeovers={
                 team: [
-                    owner.takeover.machines,
+                    owner.failover_timeline.machines,
                     len(owner.shard.jobs) if owner.shard else 0,
-                    owner.takeover.words(),
+                    owner.failover_timeline.format_durations(),
                 ]
                 for c in alive
                 for team, owner in c.owners.items()
-                if hasattr(owner, "takeover")
             },
         )
 
