--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -378,34 +378,34 @@
     return ResourceRequest(**usual | more)
 
 
-def machine_views(name: str, shard: str, zone: str = "a", spot: bool = False) -> MachineView:
+def machine_view(name: str, shard: str, zone: str = "a", spot: bool = False) -> MachineView:
     return MachineView(name, shard, "g4", zone, spot, 5, "")
 
 
 LEADER = [  # machines, red's wants, blue's empty and busy machines, how many of them beyond its guarantee -> decisions
     ([], [request()], [], [], 0, [ScaleOut]),
-    ([machine_views("m1", "")], [request()], [], [], 0, [AssignMachine]),
-    ([machine_views("m1", "blue")], [request()], [("m1", 1.0)], [], 0, [AssignMachine]),
-    ([machine_views("m1", "blue", "b")], [request(zone="a")], [("m1", 1.0)], [], 0, [ScaleOut]),
-    ([machine_views("m1", "blue")], [], [("m1", 99.0)], [], 0, [AssignMachine]),
-    ([machine_views("m1", "", spot=True)], [request(spot=False)], [], [], 0, [ScaleOut]),
+    ([machine_view("m1", "")], [request()], [], [], 0, [AssignMachine]),
+    ([machine_view("m1", "blue")], [request()], [("m1", 1.0)], [], 0, [AssignMachine]),
+    ([machine_view("m1", "blue", "b")], [request(zone="a")], [("m1", 1.0)], [], 0, [ScaleOut]),
+    ([machine_view("m1", "blue")], [], [("m1", 99.0)], [], 0, [AssignMachine]),
+    ([machine_view("m1", "", spot=True)], [request(spot=False)], [], [], 0, [ScaleOut]),
     ([], [], [], [], 0, []),
-    ([machine_views("m1", "")], [], [], [], 0, [ScaleIn]),
+    ([machine_view("m1", "")], [], [], [], 0, [ScaleIn]),
     # Work beyond a guarantee gives way to a team's guarantee, whatever its priority; otherwise only to higher priority.
-    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 3, 50.0)], 1, [Reclaim]),
+    ([machine_view("m1", "blue")], [request()], [], [BusyMachine("m1", 3, 50.0)], 1, [Reclaim]),
     (
-        [machine_views("m1", "blue")],
+        [machine_view("m1", "blue")],
         [request(guaranteed=False)],
         [],
         [BusyMachine("m1", 1, 0.0)],
         1,
         [ScaleOut],
     ),
-    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 1, 0.0)], 0, [ScaleOut]),
-    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 5.0)], 0, [Reclaim]),
-    ([machine_views("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 7.0)], 0, [ScaleOut]),
+    ([machine_view("m1", "blue")], [request()], [], [BusyMachine("m1", 1, 0.0)], 0, [ScaleOut]),
+    ([machine_view("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 5.0)], 0, [Reclaim]),
+    ([machine_view("m1", "blue")], [request()], [], [BusyMachine("m1", 0, 7.0)], 0, [ScaleOut]),
     (
-        [machine_views("m1", "blue")],
+        [machine_view("m1", "blue")],
         [request(slack_s=60.0)],
         [],
         [BusyMachine("m1", 0, 5.0)],
@@ -414,7 +414,7 @@
     ),
     # A hot team's urgent work, beyond its guarantee, stops nothing that another runs within its own.
     (
-        [machine_views("m1", "blue")],
+        [machine_view("m1", "blue")],
         [request(guaranteed=False, priority=2)],
         [],
         [BusyMachine("m1", 0, 1.0)],
@@ -422,7 +422,7 @@
         [ScaleOut],
     ),
     (
-        [machine_views("m1", "blue")],
+        [machine_view("m1", "blue")],
         [request(guaranteed=False, priority=2)],
         [],
         [BusyMachine("m1", 0, 1.0)],
@@ -431,7 +431,7 @@
     ),
     # A guarantee is regained only as far as the other is beyond its own.
     (
-        [machine_views(f"m{n}", "blue") for n in range(9)],
+        [machine_view(f"m{n}", "blue") for n in range(9)],
         [request(tasks=12)],
         [],
         [BusyMachine(f"m{n}", 3, 50.0) for n in range(9)],
@@ -440,14 +440,14 @@
     ),
     # What was promised nothing takes cheap machines that stand empty, and leaves the dear ones.
     (
-        [machine_views("m1", "", spot=True)],
+        [machine_view("m1", "", spot=True)],
         [request(idle=True, guaranteed=False)],
         [],
         [],
         0,
         [AssignMachine],
     ),
-    ([machine_views("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [ScaleOut]),
+    ([machine_view("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [ScaleOut]),
 ]
 
 
@@ -879,7 +879,7 @@
         "red": ShardStatus("red", 9, [ours], [], [], 0, 0, 0),
         "blue": ShardStatus("blue", 9, theirs, [], [BusyMachine("m1", 1, 5.0)], 1, 0, 0),
     }
-    decisions = allocator.decide([machine_views("m1", "blue")], shard_statuses, 50.0)
+    decisions = allocator.decide([machine_view("m1", "blue")], shard_statuses, 50.0)
     assert [(d.shard, d.to, d.number) for d in decisions if isinstance(d, Rebalance)] == rebalances
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -377,17 +377,17 @@
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
         while not begun:
             await asyncio.sleep(0.1)
-        machine_views = set(begun[0])
-        assert 0 < len(machine_views) <= most
-        for name in machine_views:
+        assigned = set(begun[0])
+        assert 0 < len(assigned) <= most
+        for name in assigned:
             leader.heartbeats.unrecorded.pop(name, None)
             leader.on_heartbeat(
                 msgspec.structs.replace(report, machine=name), recorded=False
             )  # it goes on reporting meanwhile
-        assert not machine_views & set(leader.heartbeats.unrecorded)
+        assert not assigned & set(leader.heartbeats.unrecorded)
         await asyncio.sleep(3.0)
         assert len(begun) == 1
-        assert not (set(names) - machine_views) & set(
+        assert not (set(names) - assigned) & set(
             leader.allocator.coming
         )  # the rest stays to be lent
         leader.heartbeats.unrecorded.clear()
