--- a/tests/traces.py
+++ b/tests/traces.py
@@ -35,8 +35,10 @@
 
 import pytest
 
+from ashdock import cluster_version
 from ashdock.settings import NextLimits
 from tests import meetings
+from tests.courses import wrong
 from tests.meetings import Met
 from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
@@ -52,7 +54,7 @@
 CONTENT_LENGTH = re.compile(rb"(?im)^content-length: *\d+\r\n")
 
 SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
-FORMS = "ashdock.cluster_version.SUPPORTED_VERSION"  # what a controller announces: patched to play the version before
+EARLIER_VERSION = 1  # of a controller that announces nothing
 HASH_SEED = (
     "0"  # of Python's own string hashes: sets of names are iterated in an order that depends on it
 )
@@ -135,9 +137,7 @@
         worker.error_share = 0.0
 
 
-EXTRA = {
-    trouble.__name__: trouble for trouble in (upgraded, limits_shrink, dependencies, many_fail)
-}
+EXTRA = {trouble.__name__: trouble for trouble in (limits_shrink, dependencies, many_fail)}
 
 
 def events_of(seed: int, rng: random.Random) -> list[Met]:
@@ -170,11 +170,11 @@
         extra: dict[str, Any] = dict(EXTRA)
         if seed % 5 == 0:
             # In a process of the version before nothing of an upgrade is announced.
-            present = _forms()
-            patch.setattr(FORMS, 1)
+            present = cluster_version.SUPPORTED_VERSION
+            patch.setattr(cluster_version, "SUPPORTED_VERSION", EARLIER_VERSION)
 
             async def roll(service: Service, luck: random.Random, for_s: float) -> None:
-                patch.setattr(FORMS, present)
+                patch.setattr(cluster_version, "SUPPORTED_VERSION", present)
                 await upgraded(service, luck, for_s)
 
             extra["upgraded"] = roll
@@ -191,12 +191,6 @@
     return messages
 
 
-def _forms() -> int:
-    from ashdock import cluster_version
-
-    return cluster_version.SUPPORTED_VERSION
-
-
 # -- what is recorded of it ----------------------------------------------------------------------------------
 
 
@@ -261,8 +255,7 @@
 
 def refuse(why: str) -> NoReturn:
     """Bad input: one line, and 2."""
-    print(f"traces: {why}", file=sys.stderr)
-    sys.exit(2)
+    wrong(f"traces: {why}")
 
 
 def each_played(seeds: list[int], jobs: int) -> Iterator[Trace]:
