--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -243,7 +243,7 @@
                 total += 1
                 left -= per
                 if left < 0:
-                    on_the_way.setdefault(team, PendingCapacity()).add_rest(
+                    on_the_way.setdefault(team, PendingCapacity()).add_remainder(
                         shape, zone, spot, (request.cpus, request.gpus, request.memory), per + left
                     )
             if left > 0:
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -153,7 +153,9 @@
         key = (shape.label, zone, spot)
         self.whole[key] = (shape, self.whole.get(key, (shape, 0))[1] + number)
 
-    def add_rest(self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int) -> None:
+    def add_remainder(
+        self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int
+    ) -> None:
         """What is left of a machine once it has so many tasks."""
         free = less((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
         if all(amount > 1e-6 for amount in free[::2]):  # CPUs and memory: nothing runs without
@@ -186,5 +188,5 @@
             self.whole[label, zone, spot] = (shape, number - used)
             last = min(left - (used - 1) * per, per)
             left -= (used - 1) * per + last
-            self.add_rest(shape, zone, spot, need, last)
+            self.add_remainder(shape, zone, spot, need, last)
         return tasks - left
