--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -59,7 +59,8 @@
     def _takes(self, spec: JobSpec) -> float:
         """How long from when it may start until it is done, where it finds room at once."""
         fetch = max(
-            (placing.image_s(spec, shape) for shape in self.shard.catalog.values()), default=0.0
+            (placing.image_fetch_s(spec, shape) for shape in self.shard.catalog.values()),
+            default=0.0,
         )
         return fetch + self.shard.estimates.run_s(spec) + 2 * self.shard.workers.report_s
 
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -1,4 +1,8 @@
-"""Choosing machines for tasks. Costs are in seconds of delay, so that unlike things can be weighed."""
+"""Selects machines for tasks, by a cost in seconds of delay.
+
+One unit for all parts of the cost lets image fetches, bin packing and price be weighed against each
+other.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +15,24 @@
 
 
 class Candidate(NamedTuple):
-    cost: float
+    """A machine on which tasks of a job can be placed.
+
+    Attributes:
+        cost_s: Cost of placing a task there, in seconds of delay.
+        machine: The machine.
+        room: Number of tasks that its free capacity takes.
+    """
+
+    cost_s: float
     machine: Machine
     room: int
 
 
 def permits(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
-    """What the job allows of a machine, whatever its other tasks do."""
+    """Whether the job's own constraints allow such a machine.
+
+    Constraints between its tasks (`one_zone`, `spread`) are left to `select_machines`.
+    """
     if spec.machine_types is not None and machine_type not in spec.machine_types:
         return False
     if spec.zone is not None and zone != spec.zone:
@@ -25,33 +40,39 @@
     return spec.spot or not spot
 
 
-def fetch_s(spec: JobSpec, machine: Machine) -> float:
+def remaining_fetch_s(spec: JobSpec, machine: Machine) -> float:
+    """Seconds that the machine takes to fetch the job's image; 0 if its cache holds it."""
     if spec.image in machine.images:
         return 0.0
-    return image_s(spec, machine.shape)
+    return image_fetch_s(spec, machine.shape)
 
 
-def image_s(spec: JobSpec, shape: MachineType) -> float:
-    """How long its image takes to come."""
+def image_fetch_s(spec: JobSpec, shape: MachineType) -> float:
+    """Seconds that a machine of that type takes to fetch the job's image into an empty cache."""
     return spec.image_gb / max(shape.fetch_gb_per_s, 1e-3)
 
 
-def cost(spec: JobSpec, machine: Machine) -> float:
-    """Delay until the task runs there, with packing as the tie-breaker: full machines
-    are filled first, so that empty ones can be returned or take gangs."""
+def placement_cost_s(spec: JobSpec, machine: Machine) -> float:
+    """Cost of placing a task of the job on the machine, in seconds.
+
+    It is the delay until the task runs, with bin packing as the tie-breaker: full machines are
+    filled first, so that empty ones can be returned to the cloud or take gangs.
+    """
     free = (
         machine.gpus / machine.shape.gpus
         if machine.shape.gpus
         else machine.cpus / machine.shape.cpus
     )
-    # Work that may use the cheap kind leaves the dear one to work that may not, or to be returned.
-    dear = machine.shape.boot_s / 4 if spec.spot and not machine.spot else 0.0
-    return fetch_s(spec, machine) + free * machine.shape.boot_s / 16 + dear
+    # A job that may run on spot instances leaves on-demand machines to jobs that may not, or to be
+    # returned to the cloud.
+    on_demand_penalty_s = machine.shape.boot_s / 4 if spec.spot and not machine.spot else 0.0
+    return remaining_fetch_s(spec, machine) + free * machine.shape.boot_s / 16 + on_demand_penalty_s
 
 
-def choices(job: Job, machines: Iterable[Machine], now: float) -> list[Candidate]:
+def find_candidates(job: Job, machines: Iterable[Machine], now: float) -> list[Candidate]:
+    """Machines on which a task of the job can be placed now, the cheapest first."""
     spec = job.spec
-    out = []
+    candidates = []
     for machine in machines:
         if not machine.usable or machine.no_room_until > now:
             continue
@@ -60,133 +81,176 @@
         room = machine.fits(spec.cpus, spec.gpus, spec.memory_gb)
         if room <= 0:
             continue
-        price = cost(spec, machine)
+        cost_s = placement_cost_s(spec, machine)
         if job.avoid.get(machine.name, 0.0) > now:
-            price += 1000.0  # only where nothing else is
-        out.append(Candidate(price, machine, room))
-    out.sort(key=lambda choice: (choice.cost, choice.machine.name))
-    return out
+            cost_s += 1000.0  # the job failed there recently: last resort
+        candidates.append(Candidate(cost_s, machine, room))
+    candidates.sort(key=lambda candidate: (candidate.cost_s, candidate.machine.name))
+    return candidates
 
 
-def zone_cap(spec: JobSpec) -> int:
+def max_tasks_per_zone(spec: JobSpec) -> int:
+    """Most tasks of the job that one zone may hold: half of them, rounded up, for a spread job."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
-def select(
-    job: Job, options: list[Candidate], request: int, zone_of: Callable[[str], str]
+def select_machines(
+    job: Job, candidates: list[Candidate], wanted: int, zone_of: Callable[[str], str]
 ) -> list[Machine]:
-    """Machines for up to `request` more tasks of the job, one entry a task; for a gang all or none."""
-    if not options:
+    """Machines for up to `wanted` more tasks of the job, one entry per task.
+
+    A gang gets all of them or none.
+
+    Args:
+        job: The job, whose live placements count towards its zone constraints.
+        candidates: Machines with room, the cheapest first.
+        wanted: Number of tasks to place.
+        zone_of: Returns the zone of the machine with that name.
+    """
+    if not candidates:
         return []
     spec = job.spec
-    used: dict[str, int] = {}
+    tasks_by_zone: dict[str, int] = {}
     if spec.one_zone or spec.spread:
         for placement in job.live.values():
             zone = zone_of(placement.machine)
-            used[zone] = used.get(zone, 0) + 1
+            tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
     if spec.one_zone:
-        zones = list(used) or sorted({choice.machine.zone for choice in options})
+        zones = list(tasks_by_zone) or sorted({candidate.machine.zone for candidate in candidates})
         best: tuple[tuple[float, float], list[Machine]] | None = None
         for zone in zones:
-            picked, price = _fill(
-                [c for c in options if c.machine.zone == zone], used, request, zone_cap(spec)
+            selected, highest_cost_s = _fill(
+                [c for c in candidates if c.machine.zone == zone],
+                tasks_by_zone,
+                wanted,
+                max_tasks_per_zone(spec),
             )
-            if not picked or (spec.kind == JobKind.GANG and len(picked) < request):
+            if not selected or (spec.kind == JobKind.GANG and len(selected) < wanted):
                 continue
-            key = (-float(len(picked)), price)
+            key = (-float(len(selected)), highest_cost_s)
             if best is None or key < best[0]:
-                best = key, picked
+                best = key, selected
         return best[1] if best else []
-    picked, _ = _fill(options, used, request, zone_cap(spec))
-    if spec.kind == JobKind.GANG and len(picked) < request:
+    selected, _ = _fill(candidates, tasks_by_zone, wanted, max_tasks_per_zone(spec))
+    if spec.kind == JobKind.GANG and len(selected) < wanted:
         return []
-    return picked
+    return selected
 
 
 def _fill(
-    options: list[Candidate], used: dict[str, int], request: int, cap: int
+    candidates: list[Candidate], tasks_by_zone: dict[str, int], wanted: int, zone_limit: int
 ) -> tuple[list[Machine], float]:
-    used = dict(used)
-    picked: list[Machine] = []
-    worst = 0.0
-    for price, machine, room in options:
-        take = min(room, request - len(picked), cap - used.get(machine.zone, 0))
-        if take <= 0:
+    """Fill the candidates in order; the machines, one entry per task, and the highest cost."""
+    tasks_by_zone = dict(tasks_by_zone)
+    selected: list[Machine] = []
+    highest_cost_s = 0.0
+    for cost_s, machine, room in candidates:
+        tasks = min(room, wanted - len(selected), zone_limit - tasks_by_zone.get(machine.zone, 0))
+        if tasks <= 0:
             continue
-        picked += [machine] * take
-        used[machine.zone] = used.get(machine.zone, 0) + take
-        worst = max(worst, price)
-        if len(picked) >= request:
+        selected += [machine] * tasks
+        tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + tasks
+        highest_cost_s = max(highest_cost_s, cost_s)
+        if len(selected) >= wanted:
             break
-    return picked, worst
+    return selected, highest_cost_s
 
 
-Need = tuple[float, float, float]  # CPUs, GPUs, memory
+Need = tuple[float, float, float]  # CPUs, GPUs and memory in GB of one task
 
 
 class InfeasibleCache:
-    """Needs for which one pass has found no room. Room only shrinks within a pass, so whatever asks for at
-    least as much under the same conditions need not be tried: without this, each waiting job looked at each
-    machine in each pass."""
+    """Needs for which no room was found in the current pass.
+
+    Room only shrinks within a pass, so a request for at least as much under the same conditions
+    need not be tried. Without the cache, each pass looked at every machine for every waiting job.
+    """
 
     def __init__(self) -> None:
-        self.found: dict[Any, list[tuple[Need, int]]] = {}
+        """Create an empty cache, for one pass."""
+        self.infeasible: dict[Any, list[tuple[Need, int]]] = {}
 
     def note(self, conditions: Any, need: Need, tasks: int) -> None:
-        self.found.setdefault(conditions, []).append((need, tasks))
+        """Record that there is no room for so many tasks under these conditions."""
+        self.infeasible.setdefault(conditions, []).append((need, tasks))
 
     def holds(self, conditions: Any, need: Need, tasks: int) -> bool:
+        """Whether a recorded need under the same conditions is no larger than this one."""
         return any(
-            tasks >= many and need[0] >= less_[0] and need[1] >= less_[1] and need[2] >= less_[2]
-            for less_, many in self.found.get(conditions, ())
+            tasks >= known_tasks
+            and need[0] >= known_need[0]
+            and need[1] >= known_need[1]
+            and need[2] >= known_need[2]
+            for known_need, known_tasks in self.infeasible.get(conditions, ())
         )
 
 
 class PendingCapacity:
-    """Room to come: whole machines counted by type, zone and kind, and the rests of those already spoken for."""
+    """Capacity of machines that are still to come, such as those that boot.
+
+    Machines that nothing is reserved on are counted by type, zone and kind (spot or on-demand).
+    Once tasks are reserved on one, its remaining capacity is tracked on its own.
+    """
 
     def __init__(self) -> None:
-        self.whole: dict[tuple[str, str, bool], tuple[MachineType, int]] = {}
-        self.rests: list[tuple[str, str, bool, list[float]]] = []
+        """Create it without any capacity."""
+        self.whole_machines: dict[tuple[str, str, bool], tuple[MachineType, int]] = {}
+        self.remainders: list[tuple[str, str, bool, list[float]]] = []
 
     def add(self, shape: MachineType, zone: str, spot: bool, number: int = 1) -> None:
+        """Add machines that nothing is reserved on."""
         key = (shape.label, zone, spot)
-        self.whole[key] = (shape, self.whole.get(key, (shape, 0))[1] + number)
+        self.whole_machines[key] = (
+            shape,
+            self.whole_machines.get(key, (shape, 0))[1] + number,
+        )
 
     def add_remainder(
         self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int
     ) -> None:
-        """What is left of a machine once it has so many tasks."""
+        """Add what is left of one machine after so many tasks."""
         free = less((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
-        if all(amount > 1e-6 for amount in free[::2]):  # CPUs and memory: nothing runs without
-            self.rests.append((shape.label, zone, spot, free))
-
-    def zones(self, suits: Any, need: Need) -> dict[str, int]:
-        """How many such tasks the whole machines of each zone would take."""
-        out: dict[str, int] = {}
-        for (label, zone, spot), (shape, number) in self.whole.items():
-            if number and suits(label, zone, spot):
-                out[zone] = out.get(zone, 0) + number * capacity(shape, *need)
-        return out
-
-    def take(self, suits: Any, need: Need, tasks: int) -> int:
-        """Speak for room for up to so many tasks; the number that found some."""
+        if all(amount > 1e-6 for amount in free[::2]):  # every task needs CPUs and memory
+            self.remainders.append((shape.label, zone, spot, free))
+
+    def tasks_by_zone(self, is_suitable: Any, need: Need) -> dict[str, int]:
+        """How many such tasks the machines that nothing is reserved on would take, by zone.
+
+        Args:
+            is_suitable: Called with the label of the machine type, the zone and whether it is a
+                spot instance.
+            need: What one task needs.
+        """
+        tasks: dict[str, int] = {}
+        for (label, zone, spot), (shape, number) in self.whole_machines.items():
+            if number and is_suitable(label, zone, spot):
+                tasks[zone] = tasks.get(zone, 0) + number * capacity(shape, *need)
+        return tasks
+
+    def take(self, is_suitable: Any, need: Need, tasks: int) -> int:
+        """Reserve capacity for up to so many tasks; the number of tasks that got some.
+
+        Args:
+            is_suitable: As in `tasks_by_zone`.
+            need: What one task needs.
+            tasks: Number of tasks.
+        """
         left = tasks
-        for label, zone, spot, free in self.rests:
+        for label, zone, spot, free in self.remainders:
             if left <= 0:
                 break
-            if suits(label, zone, spot) and (taken := min(left, fits(free, need))):
+            if is_suitable(label, zone, spot) and (taken := min(left, fits(free, need))):
                 left -= taken
                 free[:] = less(free, need, taken)
-        for (label, zone, spot), (shape, number) in list(self.whole.items()):
+        for (label, zone, spot), (shape, number) in list(self.whole_machines.items()):
             if left <= 0:
                 break
-            per = capacity(shape, *need) if number and suits(label, zone, spot) else 0
-            if per <= 0:
+            per_machine = capacity(shape, *need) if number and is_suitable(label, zone, spot) else 0
+            if per_machine <= 0:
                 continue
-            used = min(number, -(-left // per))
-            self.whole[label, zone, spot] = (shape, number - used)
-            last = min(left - (used - 1) * per, per)
-            left -= (used - 1) * per + last
-            self.add_remainder(shape, zone, spot, need, last)
+            used = min(number, -(-left // per_machine))
+            self.whole_machines[label, zone, spot] = (shape, number - used)
+            on_last = min(left - (used - 1) * per_machine, per_machine)
+            left -= (used - 1) * per_machine + on_last
+            self.add_remainder(shape, zone, spot, need, on_last)
         return tasks - left
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -184,7 +184,7 @@
             if look is not None and look.holders(
                 spec, spec.tasks if spec.kind == JobKind.GANG else 1
             ):
-                ahead = FETCHES_AHEAD * placing.image_s(
+                ahead = FETCHES_AHEAD * placing.image_fetch_s(
                     spec, next(iter(self.shard.catalog.values()))
                 )
             turn, size = self._turn(job, now)
@@ -284,8 +284,8 @@
             spec.kind == JobKind.GANG and look.infeasible.holds(together, need, spec.tasks)
         ):
             return permitted
-        options = placing.choices(job, look.roomy(spec, self.shard.reserved), now)
-        picked = placing.select(job, options, permitted, self.shard.zone_of)
+        options = placing.find_candidates(job, look.roomy(spec, self.shard.reserved), now)
+        picked = placing.select_machines(job, options, permitted, self.shard.zone_of)
         if not options:
             look.infeasible.note(anywhere, need, 1)
         elif not picked and spec.kind == JobKind.GANG:
@@ -346,7 +346,7 @@
             # While one of its machines fetches, all of a gang's wait.
             cost = (
                 sum(preemption_cost(self.shard.jobs, p, now) for p in lower)
-                + placing.fetch_s(spec, machine) * (spec.gpus or spec.cpus) * missing
+                + placing.remaining_fetch_s(spec, machine) * (spec.gpus or spec.cpus) * missing
             )
             victims.append((cost, machine))
         if spec.one_zone and spec.tasks > 1 and not zone:
@@ -384,7 +384,7 @@
             room = machine.fits(*need)
             rooms.setdefault(zone, []).append((machine, room))
             promise[zone] = promise.get(zone, 0) + room
-        for zone, room in look.coming.zones(suits, need).items():
+        for zone, room in look.coming.tasks_by_zone(suits, need).items():
             zone = zone if spec.one_zone else ""
             promise[zone] = promise.get(zone, 0) + room
         best = max(sorted(promise), key=lambda zone: promise[zone], default="")
