--- a/ashdock/core/dependency_graph.py
+++ b/ashdock/core/dependency_graph.py
@@ -13,24 +13,24 @@
 from typing import NamedTuple
 
 
-class Carried(NamedTuple):
+class Urgency(NamedTuple):
     """What a job owes to those that need it."""
 
     priority: int = -1
     finish_by: float = math.inf  # when it had better be done, for the last of them to be in time
 
-    def with_(self, other: Carried) -> Carried:
-        return Carried(max(self.priority, other.priority), min(self.finish_by, other.finish_by))
+    def with_(self, other: Urgency) -> Urgency:
+        return Urgency(max(self.priority, other.priority), min(self.finish_by, other.finish_by))
 
 
-NOTHING = Carried()
+NO_URGENCY = Urgency()
 
 
 class _Waiting:
     __slots__ = ("level", "open", "own", "since", "takes")
 
     def __init__(
-        self, needs: Iterable[str], own: Carried, takes: float, since: float, level: int
+        self, needs: Iterable[str], own: Urgency, takes: float, since: float, level: int
     ) -> None:
         self.open = set(needs)  # those not known to be done
         self.own = own
@@ -43,18 +43,18 @@
     def __init__(self) -> None:
         self.waiting: dict[str, _Waiting] = {}
         self.after: dict[str, dict[str, None]] = {}  # job: the waiting jobs that need it
-        self.carried: dict[
-            str, Carried
+        self.inherited: dict[
+            str, Urgency
         ] = {}  # job that is needed: by all that need it, here or in other shards
         self.told: dict[
-            str, dict[str, Carried]
+            str, dict[str, Urgency]
         ] = {}  # the same by other shards' owners' word: job, then part
         self.fresh: dict[str, None] = {}  # needed, and nobody has looked yet how it stands
         self.changed: set[str] = (
             set()
         )  # jobs whose share is another than when this was last emptied
 
-    def add(self, job: str, needs: Iterable[str], own: Carried, takes: float, since: float) -> None:
+    def add(self, job: str, needs: Iterable[str], own: Urgency, takes: float, since: float) -> None:
         needs = tuple(needs)
         level = 1 + max(
             (self.waiting[need].level for need in needs if need in self.waiting), default=0
@@ -111,13 +111,13 @@
         self._carry(waiting.open)
 
     def _forget(self, job: str) -> None:
-        self.carried.pop(job, None)
+        self.inherited.pop(job, None)
         self.told.pop(job, None)
         self.fresh.pop(job, None)
 
     def hear(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
         """What another shard's jobs make of ours. Its owner says it anew with each beat."""
-        says = {job: Carried(priority, by) for job, priority, by in rows}
+        says = {job: Urgency(priority, by) for job, priority, by in rows}
         changed = [
             job for job, said in self.told.items() if shard in said and says.get(job) != said[shard]
         ]
@@ -136,13 +136,13 @@
         """What to tell of jobs that are not of this shard."""
         here = set(ours)
         return [
-            (job, *self.carried[job])
+            (job, *self.inherited[job])
             for job in self.after
-            if job not in here and job in self.carried
+            if job not in here and job in self.inherited
         ]
 
-    def of(self, job: str) -> Carried:
-        return self.carried.get(job, NOTHING)
+    def of(self, job: str) -> Urgency:
+        return self.inherited.get(job, NO_URGENCY)
 
     def _carry(self, jobs: Iterable[str]) -> None:
         """Carry back from what needs these jobs, and on from each whose share changed. The highest level first: all that
@@ -151,20 +151,20 @@
         heapq.heapify(heap)
         while heap:
             _, job = heapq.heappop(heap)
-            value = NOTHING
+            value = NO_URGENCY
             for said in self.told.get(job, {}).values():
                 value = value.with_(said)
             for after in self.after.get(job, ()):
                 waiting = self.waiting[after]
                 priority, finish_by = waiting.own.with_(self.of(after))
-                value = value.with_(Carried(priority, finish_by - waiting.takes))
+                value = value.with_(Urgency(priority, finish_by - waiting.takes))
             if value == self.of(job):
                 continue
             self.changed.add(job)
-            if value == NOTHING:
-                self.carried.pop(job, None)
+            if value == NO_URGENCY:
+                self.inherited.pop(job, None)
             else:
-                self.carried[job] = value
+                self.inherited[job] = value
             if job in self.waiting:
                 for need in self.waiting[job].open:
                     heapq.heappush(heap, (-self._level(need), need))
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from ashdock.core import placement as placing
-from ashdock.core.dependency_graph import Carried, DependencyGraph
+from ashdock.core.dependency_graph import Urgency, DependencyGraph
 from ashdock.core.estimates import Estimates
 from ashdock.core.job import Job, JobPhase
 from ashdock.core.status_reporter import StatusReporter
@@ -43,7 +43,7 @@
     def add(self, job: Job) -> None:
         """It may not start before all that it needs is durably done."""
         job.waits = True
-        own = Carried(job.spec.priority, job.due)
+        own = Urgency(job.spec.priority, job.due)
         self.graph.add(
             job.id, job.spec.dependencies or (), own, self._takes(job.spec), job.submitted
         )
@@ -100,7 +100,7 @@
         for job_id in self.graph.changed:
             job = self.shard.jobs.get(job_id)
             if job is not None:
-                job.carried = self.graph.of(job_id)
+                job.inherited = self.graph.of(job_id)
         if self.graph.changed:
             self.shard.stale = True
             self.graph.changed.clear()
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ashdock.core.dependency_graph import NOTHING, Carried
+from ashdock.core.dependency_graph import NO_URGENCY, Urgency
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
 from ashdock.wire.messages import JobKind, JobSpec, JobStatus, TaskStatus
 
@@ -65,7 +65,7 @@
         self.submitted = submitted
         self.since = submitted  # when it could first have started: what it needs was done
         self.waits = False  # for other jobs: none of its tasks may be placed
-        self.carried: Carried = NOTHING  # from the jobs that need it
+        self.inherited: Urgency = NO_URGENCY  # from the jobs that need it
         self.revision = (
             revision  # of job/<id>, and of the copy beside the work: they are only written together
         )
@@ -261,13 +261,13 @@
     @property
     def priority(self) -> int:
         """At least that of any job that needs it."""
-        return max(self.spec.priority, self.carried.priority)
+        return max(self.spec.priority, self.inherited.priority)
 
     @property
     def due(self) -> float:
         """When it had better be done: by its own deadline, and for what needs it to be in time."""
         own = math.inf if self.spec.deadline_s is None else self.submitted + self.spec.deadline_s
-        return min(own, self.carried.finish_by)
+        return min(own, self.inherited.finish_by)
 
     @property
     def running(self) -> int:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ashdock.cluster_version import SUPPORTED_VERSION
-from ashdock.core.dependency_graph import NOTHING, Carried, DependencyGraph
+from ashdock.core.dependency_graph import NO_URGENCY, Urgency, DependencyGraph
 from ashdock.core.job import JobPhase, fitting
 from ashdock.core.park import Parks
 from ashdock.core.shard import Shard
@@ -71,23 +71,23 @@
     needs = DependencyGraph()
     for name, its in shape.items():
         last = not any(name in other for other in shape.values())
-        needs.add(name, its, Carried(2 if last else 0, due if last else float("inf")), 10.0, 0.0)
+        needs.add(name, its, Urgency(2 if last else 0, due if last else float("inf")), 10.0, 0.0)
     return needs
 
 
 @pytest.mark.parametrize(("name", "by"), [("chain", 70.0), ("fan", 90.0), ("diamond", 80.0)])
 def test_priority_and_deadline_are_carried_back(name: str, by: float) -> None:
     needs = graph(SHAPES[name])
-    assert needs.of("a") == Carried(2, by)
+    assert needs.of("a") == Urgency(2, by)
     # Another pipeline that shares the first job, more pressing, comes and goes.
-    needs.add("x", ["a"], Carried(3, 20.0), 5.0, 0.0)
-    assert needs.of("a") == Carried(3, 15.0)
+    needs.add("x", ["a"], Urgency(3, 20.0), 5.0, 0.0)
+    assert needs.of("a") == Urgency(3, 15.0)
     needs.drop("x")
-    assert needs.of("a") == Carried(2, by)
+    assert needs.of("a") == Urgency(2, by)
     needs.hear("blue", [("a", 1, 2.0), ("zz", 1, 1.0)])
-    assert needs.of("a") == Carried(2, 2.0)
+    assert needs.of("a") == Urgency(2, 2.0)
     needs.hear("blue", [])
-    assert needs.of("a") == Carried(2, by) and needs.of("zz") == NOTHING and not needs.told
+    assert needs.of("a") == Urgency(2, by) and needs.of("zz") == NO_URGENCY and not needs.told
 
 
 @pytest.mark.parametrize("name", SHAPES)
@@ -102,20 +102,20 @@
         sorted(order) == ["b", "c", "d"]
         and not needs.waiting
         and not needs.after
-        and not needs.carried
+        and not needs.inherited
     )
     needs = graph(SHAPES[name])
     assert sorted(needs.cancelled("a")) == ["b", "c", "d"]
     assert (
-        needs.cancelled("a") == [] and not needs.waiting and not needs.after and not needs.carried
+        needs.cancelled("a") == [] and not needs.waiting and not needs.after and not needs.inherited
     )
 
 
 def test_since_when_a_job_may_start() -> None:
     needs = DependencyGraph()
-    needs.add("c", ["a", "b"], NOTHING, 1.0, 5.0)
+    needs.add("c", ["a", "b"], NO_URGENCY, 1.0, 5.0)
     assert needs.done("b", 30.0) == [] and needs.done("a", None) == [("c", 30.0)]
-    needs.add("d", ["a"], NOTHING, 1.0, 50.0)
+    needs.add("d", ["a"], NO_URGENCY, 1.0, 50.0)
     assert needs.done("a", 30.0) == [("d", 50.0)]  # submitted when all was over
 
 
@@ -130,19 +130,19 @@
     monkeypatch.setattr(heapq, "heappop", counted)
     deep = DependencyGraph()
     for n in range(1, 5000):
-        deep.add(f"{n}", [f"{n - 1}"], Carried(0), 1.0, 0.0)
+        deep.add(f"{n}", [f"{n - 1}"], Urgency(0), 1.0, 0.0)
     assert looked[0] <= 2 * 5000
-    deep.add("last", ["4999"], Carried(2, 9000.0), 1.0, 0.0)
+    deep.add("last", ["4999"], Urgency(2, 9000.0), 1.0, 0.0)
     assert deep.of("0").priority == 2 and looked[0] <= 5 * 5000
     assert len(deep.cancelled("0")) == 5000
     # A ladder of diamonds: as many ways through as there are atoms, and few edges.
     looked[0] = 0
     ladder = DependencyGraph()
     for n in range(1, 200):
-        ladder.add(f"l{n}", [f"l{n - 1}", f"r{n - 1}"], Carried(0), 1.0, 0.0)
-        ladder.add(f"r{n}", [f"l{n - 1}", f"r{n - 1}"], Carried(0), 1.0, 0.0)
-    ladder.add("end", ["l199", "r199"], Carried(2, 1000.0), 1.0, 0.0)
-    assert ladder.of("l0") == Carried(2, 800.0) and looked[0] <= 12 * 400
+        ladder.add(f"l{n}", [f"l{n - 1}", f"r{n - 1}"], Urgency(0), 1.0, 0.0)
+        ladder.add(f"r{n}", [f"l{n - 1}", f"r{n - 1}"], Urgency(0), 1.0, 0.0)
+    ladder.add("end", ["l199", "r199"], Urgency(2, 1000.0), 1.0, 0.0)
+    assert ladder.of("l0") == Urgency(2, 800.0) and looked[0] <= 12 * 400
 
 
 # -- a shard's waiting jobs ----------------------------------------------------------------------------------------
