--- a/ashdock/core/dependency_graph.py
+++ b/ashdock/core/dependency_graph.py
@@ -42,7 +42,7 @@
 class DependencyGraph:
     def __init__(self) -> None:
         self.waiting: dict[str, _Waiting] = {}
-        self.after: dict[str, dict[str, None]] = {}  # job: the waiting jobs that need it
+        self.dependents: dict[str, dict[str, None]] = {}  # job: the waiting jobs that need it
         self.inherited: dict[
             str, Urgency
         ] = {}  # job that is needed: by all that need it, here or in other shards
@@ -61,16 +61,16 @@
         )
         self.waiting[job] = _Waiting(needs, own, takes, since, level)
         for need in needs:
-            if need not in self.after:
-                self.after[need] = {}
+            if need not in self.dependents:
+                self.dependents[need] = {}
                 self.fresh[need] = None
-            self.after[need][job] = None
+            self.dependents[need][job] = None
         self._carry(needs)
 
     def done(self, need: str, at: float | None) -> list[tuple[str, float]]:
         """The jobs that may start now, and since when."""
         out = []
-        for job in self.after.pop(need, ()):
+        for job in self.dependents.pop(need, ()):
             waiting = self.waiting[job]
             waiting.open.discard(need)
             if at is not None:
@@ -87,12 +87,12 @@
         left = [need]
         while left:
             gone = left.pop()
-            for job in list(self.after.get(gone, ())):
+            for job in list(self.dependents.get(gone, ())):
                 if job in self.waiting:
                     self.drop(job)
                     out.append(job)
                     left.append(job)
-            self.after.pop(gone, None)
+            self.dependents.pop(gone, None)
             self._forget(gone)
         return out
 
@@ -102,11 +102,11 @@
         if waiting is None:
             return
         for need in waiting.open:
-            rest = self.after.get(need)
+            rest = self.dependents.get(need)
             if rest is not None:
                 rest.pop(job, None)
                 if not rest:
-                    del self.after[need]
+                    del self.dependents[need]
                     self.fresh.pop(need, None)
         self._carry(waiting.open)
 
@@ -137,7 +137,7 @@
         here = set(ours)
         return [
             (job, *self.inherited[job])
-            for job in self.after
+            for job in self.dependents
             if job not in here and job in self.inherited
         ]
 
@@ -154,7 +154,7 @@
             value = NO_URGENCY
             for said in self.told.get(job, {}).values():
                 value = value.with_(said)
-            for after in self.after.get(job, ()):
+            for after in self.dependents.get(job, ()):
                 waiting = self.waiting[after]
                 priority, finish_by = waiting.own.with_(self.of(after))
                 value = value.with_(Urgency(priority, finish_by - waiting.takes))
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -77,7 +77,7 @@
     def settled(self, need: str, status: str, at: float | None, now: float) -> None:
         """A job that ours may wait for is durably over: they may start, or never will."""
         self.unread.pop(need, None)
-        if need not in self.graph.after:
+        if need not in self.graph.dependents:
             return
         if status == JobStatus.DONE:
             for job_id, since in self.graph.done(need, at):
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -209,7 +209,7 @@
         return (
             self.shard is None
             or self.phase is not OwnershipPhase.ACTIVE
-            or job_id in self.shard.dependency_tracker.graph.after
+            or job_id in self.shard.dependency_tracker.graph.dependents
         )
 
     def _may_renew(self) -> bool:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -97,17 +97,20 @@
     left = ["a"]
     while left:
         order += [job for job, _ in needs.done(left[0], 7.0 + len(order))]
-        left = left[1:] + [job for job in order if job not in left and job in needs.after]
+        left = left[1:] + [job for job in order if job not in left and job in needs.dependents]
     assert (
         sorted(order) == ["b", "c", "d"]
         and not needs.waiting
-        and not needs.after
+        and not needs.dependents
         and not needs.inherited
     )
     needs = graph(SHAPES[name])
     assert sorted(needs.cancelled("a")) == ["b", "c", "d"]
     assert (
-        needs.cancelled("a") == [] and not needs.waiting and not needs.after and not needs.inherited
+        needs.cancelled("a") == []
+        and not needs.waiting
+        and not needs.dependents
+        and not needs.inherited
     )
 
 
