--- a/ashdock/core/dependency_graph.py
+++ b/ashdock/core/dependency_graph.py
@@ -132,7 +132,7 @@
         if changed:
             self._carry(changed)
 
-    def abroad(self, ours: Iterable[str]) -> list[tuple[str, int, float]]:
+    def inherited_elsewhere(self, ours: Iterable[str]) -> list[tuple[str, int, float]]:
         """What to tell of jobs that are not of this shard."""
         here = set(ours)
         return [
@@ -141,7 +141,7 @@
             if job not in here and job in self.inherited
         ]
 
-    def of(self, job: str) -> Urgency:
+    def urgency_of(self, job: str) -> Urgency:
         return self.inherited.get(job, NO_URGENCY)
 
     def _carry(self, jobs: Iterable[str]) -> None:
@@ -156,9 +156,9 @@
                 value = value.with_(said)
             for after in self.dependents.get(job, ()):
                 waiting = self.waiting[after]
-                priority, finish_by = waiting.own.with_(self.of(after))
+                priority, finish_by = waiting.own.with_(self.urgency_of(after))
                 value = value.with_(Urgency(priority, finish_by - waiting.takes))
-            if value == self.of(job):
+            if value == self.urgency_of(job):
                 continue
             self.changed.add(job)
             if value == NO_URGENCY:
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -100,7 +100,7 @@
         for job_id in self.graph.changed:
             job = self.shard.jobs.get(job_id)
             if job is not None:
-                job.inherited = self.graph.of(job_id)
+                job.inherited = self.graph.urgency_of(job_id)
         if self.graph.changed:
             self.shard.stale = True
             self.graph.changed.clear()
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -156,7 +156,7 @@
             job.cancel(record.get("cancelled_at", record["at"]))
         elif spec.dependencies and not started:
             self.dependency_tracker.add(job)
-        job.inherited = self.dependency_tracker.graph.of(spec.id)
+        job.inherited = self.dependency_tracker.graph.urgency_of(spec.id)
         return job
 
     def complete(self, job: Job, now: float) -> None:
--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -160,7 +160,7 @@
         if not self.cluster_version.supports_dependencies:
             return
         for shard in self.owners.active_shards():
-            rows = shard.dependency_tracker.graph.abroad(shard.jobs)
+            rows = shard.dependency_tracker.graph.inherited_elsewhere(shard.jobs)
             if rows or shard.name in self.inheriting:
                 inheritance = PriorityInheritance(shard.name, rows[:JOBS_PER_FRAME])
                 self.mesh.broadcast(inheritance)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -48,7 +48,7 @@
         shard_status=lambda now: f"status of {name}",
         leaving=lambda: [(f"vm-{name}", "")],
     )
-    graph = SimpleNamespace(abroad=lambda ours: list(rows or []))
+    graph = SimpleNamespace(inherited_elsewhere=lambda ours: list(rows or []))
     return SimpleNamespace(
         name=name,
         revision=7,
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -78,16 +78,20 @@
 @pytest.mark.parametrize(("name", "by"), [("chain", 70.0), ("fan", 90.0), ("diamond", 80.0)])
 def test_priority_and_deadline_are_carried_back(name: str, by: float) -> None:
     needs = graph(SHAPES[name])
-    assert needs.of("a") == Urgency(2, by)
+    assert needs.urgency_of("a") == Urgency(2, by)
     # Another pipeline that shares the first job, more pressing, comes and goes.
     needs.add("x", ["a"], Urgency(3, 20.0), 5.0, 0.0)
-    assert needs.of("a") == Urgency(3, 15.0)
+    assert needs.urgency_of("a") == Urgency(3, 15.0)
     needs.drop("x")
-    assert needs.of("a") == Urgency(2, by)
+    assert needs.urgency_of("a") == Urgency(2, by)
     needs.hear("blue", [("a", 1, 2.0), ("zz", 1, 1.0)])
-    assert needs.of("a") == Urgency(2, 2.0)
+    assert needs.urgency_of("a") == Urgency(2, 2.0)
     needs.hear("blue", [])
-    assert needs.of("a") == Urgency(2, by) and needs.of("zz") == NO_URGENCY and not needs.told
+    assert (
+        needs.urgency_of("a") == Urgency(2, by)
+        and needs.urgency_of("zz") == NO_URGENCY
+        and not needs.told
+    )
 
 
 @pytest.mark.parametrize("name", SHAPES)
@@ -136,7 +140,7 @@
         deep.add(f"{n}", [f"{n - 1}"], Urgency(0), 1.0, 0.0)
     assert looked[0] <= 2 * 5000
     deep.add("last", ["4999"], Urgency(2, 9000.0), 1.0, 0.0)
-    assert deep.of("0").priority == 2 and looked[0] <= 5 * 5000
+    assert deep.urgency_of("0").priority == 2 and looked[0] <= 5 * 5000
     assert len(deep.cancelled("0")) == 5000
     # A ladder of diamonds: as many ways through as there are atoms, and few edges.
     looked[0] = 0
@@ -145,7 +149,7 @@
         ladder.add(f"l{n}", [f"l{n - 1}", f"r{n - 1}"], Urgency(0), 1.0, 0.0)
         ladder.add(f"r{n}", [f"l{n - 1}", f"r{n - 1}"], Urgency(0), 1.0, 0.0)
     ladder.add("end", ["l199", "r199"], Urgency(2, 1000.0), 1.0, 0.0)
-    assert ladder.of("l0") == Urgency(2, 800.0) and looked[0] <= 12 * 400
+    assert ladder.urgency_of("l0") == Urgency(2, 800.0) and looked[0] <= 12 * 400
 
 
 # -- a shard's waiting jobs ----------------------------------------------------------------------------------------
