--- a/ashdock/core/dependency_graph.py
+++ b/ashdock/core/dependency_graph.py
@@ -115,7 +115,7 @@
         self.told.pop(job, None)
         self.fresh.pop(job, None)
 
-    def hear(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
+    def receive_inheritance(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
         """What another shard's jobs make of ours. Its owner says it anew with each beat."""
         says = {job: Urgency(priority, by) for job, priority, by in rows}
         changed = [
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -64,7 +64,7 @@
         )
         return fetch + self.shard.estimates.run_s(spec) + 2 * self.shard.workers.report_s
 
-    def look(self, now: float) -> None:
+    def check_new_dependencies(self, now: float) -> None:
         """How the jobs stand that ours have come to wait for: what is not of this shard has to be read."""
         while self.graph.fresh:
             need, _ = self.graph.fresh.popitem()
@@ -92,8 +92,8 @@
                 self.shard.jobs[job_id].orphan(need, now)
         self._carry()
 
-    def hear(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
-        self.graph.hear(shard, rows)
+    def receive_inheritance(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
+        self.graph.receive_inheritance(shard, rows)
         self._carry()
 
     def _carry(self) -> None:
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -55,7 +55,7 @@
         """Make parked tasks ready whose time has come; now and then look at machines and cancelled jobs."""
         shard = self.shard
         shard.clock = now
-        shard.dependency_tracker.look(now)
+        shard.dependency_tracker.check_new_dependencies(now)
         for park in shard.parks.due(now):
             job = shard.jobs.get(park.job)
             if job:
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -57,7 +57,7 @@
             if chunk.revision or not job.wider:  # what a wider one still holds is to be written
                 chunk.durable = chunk.gen
         _settle(shard, job, now)
-    shard.dependency_tracker.look(now)
+    shard.dependency_tracker.check_new_dependencies(now)
 
 
 def _by_job(work: Iterable[StoredEntry]) -> _StoredWork:
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -130,7 +130,9 @@
         """Take in what another shard's jobs pass on to the jobs of shards here that they depend on."""
         for team, owner in self.table.items():
             if team != inheritance.shard:
-                owner.apply(lambda shard: shard.dependency_tracker.hear(*inheritance))
+                owner.apply(
+                    lambda shard: shard.dependency_tracker.receive_inheritance(*inheritance)
+                )
 
     def claims_received(self, label: str, claims: OwnershipClaims) -> None:
         """Take in claims of a peer that the store did not tell us of.
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -84,9 +84,9 @@
     assert needs.urgency_of("a") == Urgency(3, 15.0)
     needs.drop("x")
     assert needs.urgency_of("a") == Urgency(2, by)
-    needs.hear("blue", [("a", 1, 2.0), ("zz", 1, 1.0)])
+    needs.receive_inheritance("blue", [("a", 1, 2.0), ("zz", 1, 1.0)])
     assert needs.urgency_of("a") == Urgency(2, 2.0)
-    needs.hear("blue", [])
+    needs.receive_inheritance("blue", [])
     assert (
         needs.urgency_of("a") == Urgency(2, by)
         and needs.urgency_of("zz") == NO_URGENCY
