--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -107,9 +107,11 @@
         self.shard = shard
         self.estimates = estimates
         self.status_reporter = status_reporter
-        self.aims: dict[str, list[float]] = {}  # by class: within what times its jobs are to start
+        self.wait_targets_s: dict[
+            str, list[float]
+        ] = {}  # by class: within what times its jobs are to start
 
-    def waiting(self, now: float, look: SchedulingCycle | None = None) -> list[Job]:
+    def schedulable_jobs(self, now: float, look: SchedulingCycle | None = None) -> list[Job]:
         out = [
             job
             for job in self.shard.jobs.values()
@@ -219,14 +221,14 @@
         return (2.0, 0.0) if age <= last else (3.0, 0.0)
 
     def _wait_aims(self, job_class: str) -> list[float]:
-        if job_class not in self.aims:
+        if job_class not in self.wait_targets_s:
             within = [
                 o.within_s
                 for o in self.shard.shared.objectives
                 if o.kind == "wait" and o.job_class == job_class
             ]
-            self.aims[job_class] = sorted(aim for aim in within if aim)
-        return self.aims[job_class]
+            self.wait_targets_s[job_class] = sorted(aim for aim in within if aim)
+        return self.wait_targets_s[job_class]
 
     grace = 0.25  # estimates are often wrong: a job is late for sure only with this share of its run time to spare
 
@@ -239,7 +241,7 @@
         if self.status_reporter.rebalances:
             self.status_reporter.rebalance_free_machines(now)
         look = SchedulingCycle(self.shard.machines.values(), now)
-        for job in self.waiting(now, look):
+        for job in self.schedulable_jobs(now, look):
             missing = self._try_place(job, look, now)
             if job.doubtful:
                 continue  # tried where there is room: nothing is stopped, kept or rented for it alone
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -596,9 +596,9 @@
     shard.policy = SchedulingPolicy(
         Team("red"), msgspec.structs.replace(shard.shared, objectives=aims), shard.catalog
     )
-    assert [job.id[-1] for job in shard.scheduler.waiting(9.0)] == ["3", "2", "1"]
+    assert [job.id[-1] for job in shard.scheduler.schedulable_jobs(9.0)] == ["3", "2", "1"]
     shard.jobs["req-000002"].since = -2000.0  # long overdue: nothing starves
-    assert [job.id[-1] for job in shard.scheduler.waiting(9.0)] == ["2", "3", "1"]
+    assert [job.id[-1] for job in shard.scheduler.schedulable_jobs(9.0)] == ["2", "3", "1"]
 
 
 def fails(shard: Shard, name: str, tally: int, tasks: list[tuple[str, int]], now: float) -> None:
@@ -966,11 +966,13 @@
     gangs: list[tuple[int, float]], order: list[int]
 ) -> None:
     shard = shard_with([], "")
-    shard.scheduler.aims["w"] = [10.0, 60.0]
+    shard.scheduler.wait_targets_s["w"] = [10.0, 60.0]
     for n, (tasks, at) in enumerate(gangs):
         one = spec(n, shape="ensemble", shares=tasks, accelerators=2.0)
         shard.add_job(queued(one, at), 7)
-    assert [job.id for job in shard.scheduler.waiting(100.0)] == [f"req-{n:06d}" for n in order]
+    assert [job.id for job in shard.scheduler.schedulable_jobs(100.0)] == [
+        f"req-{n:06d}" for n in order
+    ]
 
 
 def test_rentals_for_all_teams_go_out_together() -> None:
