--- a/ashdock/core/dependency_graph.py
+++ b/ashdock/core/dependency_graph.py
@@ -1,8 +1,10 @@
-"""What a shard's jobs wait for: other jobs, of any part, that have to be done first.
+"""Graph of the jobs of one shard that wait for other jobs.
 
-The edges are those of the shard's own waiting jobs; what they name may be anywhere. An outcome arrives once it is durable and
-then never changes, so whatever is decided from it holds for good. Priority and deadline are carried back along the edges; how
-much work that is goes by the edges touched, and nothing recurses.
+The nodes are the shard's own waiting jobs; the jobs that they need may belong to any shard. An
+outcome is passed in only once it is durable, and never changes afterwards, so releases and
+cancellations are final. Priorities and deadlines are inherited backwards along the edges. The cost
+of an operation depends on the edges that it touches, not on the size of the graph, and nothing
+recurses.
 """
 
 from __future__ import annotations
@@ -14,160 +16,237 @@
 
 
 class Urgency(NamedTuple):
-    """What a job owes to those that need it."""
+    """How urgent a job is, by itself or on behalf of its dependents.
+
+    Attributes:
+        priority: Priority, higher first; -1 is below any job's.
+        finish_by: Time by which the job should be done, in seconds; infinite without a deadline. An
+            inherited one leaves every dependent its estimated duration to meet its own.
+    """
 
     priority: int = -1
-    finish_by: float = math.inf  # when it had better be done, for the last of them to be in time
+    finish_by: float = math.inf
 
-    def with_(self, other: Urgency) -> Urgency:
+    def merged_with(self, other: Urgency) -> Urgency:
+        """The higher priority and the earlier due time of the two."""
         return Urgency(max(self.priority, other.priority), min(self.finish_by, other.finish_by))
 
 
 NO_URGENCY = Urgency()
 
 
-class _Waiting:
-    __slots__ = ("level", "open", "own", "since", "takes")
+class _WaitingJob:
+    """A job that waits for its dependencies.
+
+    Attributes:
+        unfinished: Dependencies that are not known to be done.
+        own: The job's urgency by its own specification.
+        duration_s: Estimated time from when it may start until it is done.
+        ready_since: When its last dependency so far was done, but not before it was submitted.
+        level: One above the highest level of its dependencies; jobs that do not wait have level 0.
+    """
+
+    __slots__ = ("duration_s", "level", "own", "ready_since", "unfinished")
 
     def __init__(
-        self, needs: Iterable[str], own: Urgency, takes: float, since: float, level: int
+        self,
+        dependencies: Iterable[str],
+        own: Urgency,
+        duration_s: float,
+        ready_since: float,
+        level: int,
     ) -> None:
-        self.open = set(needs)  # those not known to be done
+        self.unfinished = set(dependencies)
         self.own = own
-        self.takes = takes  # from when it may start until it is done, as far as can be told
-        self.since = since  # when the last of what it needs was done
-        self.level = level  # above all that it needs
+        self.duration_s = duration_s
+        self.ready_since = ready_since
+        self.level = level
 
 
 class DependencyGraph:
+    """Waiting jobs, what they wait for, and the urgency that their dependencies inherit.
+
+    Attributes:
+        waiting: Waiting jobs by id.
+        dependents: By id of a job, the waiting jobs of this shard that need it.
+        inherited: By id of a job that is needed, the urgency it inherits from all its dependents,
+            in this shard and in others.
+        received: By id of a job and then by shard, the part of its inherited urgency that the
+            owner of that shard reported.
+        unchecked: Jobs that are needed and whose state nobody has looked up yet.
+        changed: Jobs whose inherited urgency has changed since the caller last cleared this set.
+    """
+
     def __init__(self) -> None:
-        self.waiting: dict[str, _Waiting] = {}
-        self.dependents: dict[str, dict[str, None]] = {}  # job: the waiting jobs that need it
-        self.inherited: dict[
-            str, Urgency
-        ] = {}  # job that is needed: by all that need it, here or in other shards
-        self.told: dict[
-            str, dict[str, Urgency]
-        ] = {}  # the same by other shards' owners' word: job, then part
-        self.fresh: dict[str, None] = {}  # needed, and nobody has looked yet how it stands
-        self.changed: set[str] = (
-            set()
-        )  # jobs whose share is another than when this was last emptied
-
-    def add(self, job: str, needs: Iterable[str], own: Urgency, takes: float, since: float) -> None:
-        needs = tuple(needs)
+        """Create an empty graph."""
+        self.waiting: dict[str, _WaitingJob] = {}
+        self.dependents: dict[str, dict[str, None]] = {}
+        self.inherited: dict[str, Urgency] = {}
+        self.received: dict[str, dict[str, Urgency]] = {}
+        self.unchecked: dict[str, None] = {}
+        self.changed: set[str] = set()
+
+    def add(
+        self,
+        job: str,
+        dependencies: Iterable[str],
+        own: Urgency,
+        duration_s: float,
+        ready_since: float,
+    ) -> None:
+        """Add a waiting job.
+
+        Args:
+            job: Its id.
+            dependencies: Ids of the jobs that it needs.
+            own: Its urgency by its own specification.
+            duration_s: Estimated time from when it may start until it is done.
+            ready_since: When it could start if it needed nothing.
+        """
+        dependencies = tuple(dependencies)
         level = 1 + max(
-            (self.waiting[need].level for need in needs if need in self.waiting), default=0
+            (
+                self.waiting[dependency].level
+                for dependency in dependencies
+                if dependency in self.waiting
+            ),
+            default=0,
         )
-        self.waiting[job] = _Waiting(needs, own, takes, since, level)
-        for need in needs:
-            if need not in self.dependents:
-                self.dependents[need] = {}
-                self.fresh[need] = None
-            self.dependents[need][job] = None
-        self._carry(needs)
-
-    def done(self, need: str, at: float | None) -> list[tuple[str, float]]:
-        """The jobs that may start now, and since when."""
-        out = []
-        for job in self.dependents.pop(need, ()):
+        self.waiting[job] = _WaitingJob(dependencies, own, duration_s, ready_since, level)
+        for dependency in dependencies:
+            if dependency not in self.dependents:
+                self.dependents[dependency] = {}
+                self.unchecked[dependency] = None
+            self.dependents[dependency][job] = None
+        self._propagate(dependencies)
+
+    def done(self, dependency: str, at: float | None) -> list[tuple[str, float]]:
+        """Release the jobs for which this was the last dependency.
+
+        Args:
+            dependency: Id of the job that is done.
+            at: When it was done, in seconds; None if that is not known.
+
+        Returns:
+            The ids of the released jobs, each with the time since when it could have started.
+        """
+        released = []
+        for job in self.dependents.pop(dependency, ()):
             waiting = self.waiting[job]
-            waiting.open.discard(need)
+            waiting.unfinished.discard(dependency)
             if at is not None:
-                waiting.since = max(waiting.since, at)
-            if not waiting.open:
-                out.append((job, waiting.since))
+                waiting.ready_since = max(waiting.ready_since, at)
+            if not waiting.unfinished:
+                released.append((job, waiting.ready_since))
                 del self.waiting[job]
-        self._forget(need)
-        return out
-
-    def cancelled(self, need: str) -> list[str]:
-        """All that can never run now, directly or through others."""
-        out: list[str] = []
-        left = [need]
-        while left:
-            gone = left.pop()
-            for job in list(self.dependents.get(gone, ())):
+        self._forget(dependency)
+        return released
+
+    def cancelled(self, dependency: str) -> list[str]:
+        """Remove all jobs that need a cancelled job, directly or through others; their ids."""
+        removed: list[str] = []
+        unvisited = [dependency]
+        while unvisited:
+            cancelled = unvisited.pop()
+            for job in list(self.dependents.get(cancelled, ())):
                 if job in self.waiting:
                     self.drop(job)
-                    out.append(job)
-                    left.append(job)
-            self.dependents.pop(gone, None)
-            self._forget(gone)
-        return out
+                    removed.append(job)
+                    unvisited.append(job)
+            self.dependents.pop(cancelled, None)
+            self._forget(cancelled)
+        return removed
 
     def drop(self, job: str) -> None:
-        """It waits no more, for whatever reason. What it needed owes it nothing."""
+        """Remove a job that no longer waits; its dependencies no longer inherit from it."""
         waiting = self.waiting.pop(job, None)
         if waiting is None:
             return
-        for need in waiting.open:
-            rest = self.dependents.get(need)
-            if rest is not None:
-                rest.pop(job, None)
-                if not rest:
-                    del self.dependents[need]
-                    self.fresh.pop(need, None)
-        self._carry(waiting.open)
+        for dependency in waiting.unfinished:
+            remaining = self.dependents.get(dependency)
+            if remaining is not None:
+                remaining.pop(job, None)
+                if not remaining:
+                    del self.dependents[dependency]
+                    self.unchecked.pop(dependency, None)
+        self._propagate(waiting.unfinished)
 
     def _forget(self, job: str) -> None:
         self.inherited.pop(job, None)
-        self.told.pop(job, None)
-        self.fresh.pop(job, None)
+        self.received.pop(job, None)
+        self.unchecked.pop(job, None)
 
     def receive_inheritance(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
-        """What another shard's jobs make of ours. Its owner says it anew with each beat."""
-        says = {job: Urgency(priority, by) for job, priority, by in rows}
+        """Replace what jobs inherit from dependents in another shard.
+
+        Args:
+            shard: The other shard, whose owner sends all its rows with every heartbeat.
+            rows: Id of a job, the priority and the due time that it inherits.
+        """
+        reported = {job: Urgency(priority, finish_by) for job, priority, finish_by in rows}
         changed = [
-            job for job, said in self.told.items() if shard in said and says.get(job) != said[shard]
+            job
+            for job, by_shard in self.received.items()
+            if shard in by_shard and reported.get(job) != by_shard[shard]
         ]
         for job in changed:
-            del self.told[job][shard]
-            if not self.told[job]:
-                del self.told[job]
-        for job, value in says.items():
-            if self.told.get(job, {}).get(shard) != value:
-                self.told.setdefault(job, {})[shard] = value
+            del self.received[job][shard]
+            if not self.received[job]:
+                del self.received[job]
+        for job, urgency in reported.items():
+            if self.received.get(job, {}).get(shard) != urgency:
+                self.received.setdefault(job, {})[shard] = urgency
                 changed.append(job)
         if changed:
-            self._carry(changed)
+            self._propagate(changed)
+
+    def inherited_elsewhere(self, own_jobs: Iterable[str]) -> list[tuple[str, int, float]]:
+        """What jobs of other shards inherit from dependents here, to be sent to their owners.
 
-    def inherited_elsewhere(self, ours: Iterable[str]) -> list[tuple[str, int, float]]:
-        """What to tell of jobs that are not of this shard."""
-        here = set(ours)
+        Args:
+            own_jobs: Ids of all jobs of this shard, which are left out.
+
+        Returns:
+            Rows of a job's id, the priority and the due time that it inherits.
+        """
+        own_ids = set(own_jobs)
         return [
             (job, *self.inherited[job])
             for job in self.dependents
-            if job not in here and job in self.inherited
+            if job not in own_ids and job in self.inherited
         ]
 
     def urgency_of(self, job: str) -> Urgency:
+        """The urgency that a job inherits from its dependents."""
         return self.inherited.get(job, NO_URGENCY)
 
-    def _carry(self, jobs: Iterable[str]) -> None:
-        """Carry back from what needs these jobs, and on from each whose share changed. The highest level first: all that
-        needs a job has been looked at before it is, so each edge is looked at once."""
+    def _propagate(self, jobs: Iterable[str]) -> None:
+        """Update what these jobs inherit, and go on to the dependencies of each that changed.
+
+        The highest level goes first. Where dependencies were added before their dependents, all
+        dependents of a job have then been updated before the job is, so it changes at most once.
+        """
         heap = [(-self._level(job), job) for job in set(jobs)]
         heapq.heapify(heap)
         while heap:
             _, job = heapq.heappop(heap)
-            value = NO_URGENCY
-            for said in self.told.get(job, {}).values():
-                value = value.with_(said)
-            for after in self.dependents.get(job, ()):
-                waiting = self.waiting[after]
-                priority, finish_by = waiting.own.with_(self.urgency_of(after))
-                value = value.with_(Urgency(priority, finish_by - waiting.takes))
-            if value == self.urgency_of(job):
+            urgency = NO_URGENCY
+            for received in self.received.get(job, {}).values():
+                urgency = urgency.merged_with(received)
+            for dependent in self.dependents.get(job, ()):
+                waiting = self.waiting[dependent]
+                priority, finish_by = waiting.own.merged_with(self.urgency_of(dependent))
+                urgency = urgency.merged_with(Urgency(priority, finish_by - waiting.duration_s))
+            if urgency == self.urgency_of(job):
                 continue
             self.changed.add(job)
-            if value == NO_URGENCY:
+            if urgency == NO_URGENCY:
                 self.inherited.pop(job, None)
             else:
-                self.inherited[job] = value
+                self.inherited[job] = urgency
             if job in self.waiting:
-                for need in self.waiting[job].open:
-                    heapq.heappush(heap, (-self._level(need), need))
+                for dependency in self.waiting[job].unfinished:
+                    heapq.heappush(heap, (-self._level(dependency), dependency))
 
     def _level(self, job: str) -> int:
         waiting = self.waiting.get(job)
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -1,7 +1,8 @@
-"""A shard's jobs that wait for others: released or cancelled as the outcomes come in, and ranked by what needs them.
+"""Releases or cancels a shard's waiting jobs as outcomes of their dependencies arrive.
 
-An outcome is only told once it is durable, by the watch on jobs, by our own write or by a read; it never changes again. So a
-job is released once for good, and so it is cancelled.
+It also passes priorities and deadlines of waiting jobs on to their dependencies. An outcome is
+reported only once it is durable, by the watch on job records, by this controller's own write or by
+a read, and never changes afterwards. So a job is released or cancelled at most once.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from typing import Protocol
 
 from ashdock.core import placement as placing
-from ashdock.core.dependency_graph import Urgency, DependencyGraph
+from ashdock.core.dependency_graph import DependencyGraph, Urgency
 from ashdock.core.estimates import Estimates
 from ashdock.core.job import Job, JobPhase
 from ashdock.core.status_reporter import StatusReporter
@@ -22,7 +23,7 @@
 
 
 class DependentShard(Protocol):
-    """What of a shard its waiting jobs rest on."""
+    """The part of a shard that the dependency tracker uses."""
 
     workers: Workers
     catalog: dict[str, MachineType]
@@ -33,70 +34,101 @@
 
 
 class DependencyTracker:
+    """Keeps a shard's waiting jobs up to date with their dependencies.
+
+    Attributes:
+        shard: The shard.
+        graph: Its waiting jobs and their dependencies.
+        unread: Dependencies that this shard does not hold and whose stored records still have to
+            be read: jobs of other shards, or jobs that are over.
+    """
+
     def __init__(self, shard: DependentShard) -> None:
+        """Create a tracker without any waiting jobs."""
         self.shard = shard
         self.graph = DependencyGraph()
-        self.unread: dict[
-            str, None
-        ] = {}  # jobs that ours wait for, of which it is not known yet how they stand
+        self.unread: dict[str, None] = {}
 
     def add(self, job: Job) -> None:
-        """It may not start before all that it needs is durably done."""
+        """Have a job wait until all its dependencies are durably done."""
         job.waits = True
         own = Urgency(job.spec.priority, job.due)
         self.graph.add(
-            job.id, job.spec.dependencies or (), own, self._takes(job.spec), job.submitted
+            job.id,
+            job.spec.dependencies or (),
+            own,
+            self._estimated_duration_s(job.spec),
+            job.submitted,
         )
-        self._carry()
+        self._apply_inherited()
 
     def cancelled(self, job: Job, now: float) -> None:
-        """Durably; so are all that need it."""
+        """Take in that a job of this shard is durably cancelled, and cancel its dependents."""
         job.waits = False
         self.graph.drop(job.id)
         self.settled(job.id, JobStatus.WITHDRAWN, None, now)
-        self._carry()
+        self._apply_inherited()
 
-    def _takes(self, spec: JobSpec) -> float:
-        """How long from when it may start until it is done, where it finds room at once."""
-        fetch = max(
+    def _estimated_duration_s(self, spec: JobSpec) -> float:
+        """Seconds from when it may start until it is done, if it is placed at once."""
+        fetch_s = max(
             (placing.image_fetch_s(spec, shape) for shape in self.shard.catalog.values()),
             default=0.0,
         )
-        return fetch + self.shard.estimates.run_s(spec) + 2 * self.shard.workers.report_s
+        return fetch_s + self.shard.estimates.run_s(spec) + 2 * self.shard.workers.report_s
 
     def check_new_dependencies(self, now: float) -> None:
-        """How the jobs stand that ours have come to wait for: what is not of this shard has to be read."""
-        while self.graph.fresh:
-            need, _ = self.graph.fresh.popitem()
-            job = self.shard.jobs.get(need)
+        """Look up the state of dependencies that were added since the last call.
+
+        Those that this shard does not hold are entered in `unread`.
+        """
+        while self.graph.unchecked:
+            dependency, _ = self.graph.unchecked.popitem()
+            job = self.shard.jobs.get(dependency)
             if job is None:
-                self.unread[need] = None
+                self.unread[dependency] = None
             elif job.phase is JobPhase.CANCELLED:
-                self.settled(need, JobStatus.WITHDRAWN, None, now)
-
-    def settled(self, need: str, status: str, at: float | None, now: float) -> None:
-        """A job that ours may wait for is durably over: they may start, or never will."""
-        self.unread.pop(need, None)
-        if need not in self.graph.dependents:
+                self.settled(dependency, JobStatus.WITHDRAWN, None, now)
+
+    def settled(self, dependency: str, status: str, at: float | None, now: float) -> None:
+        """Release or cancel the dependents of a job whose outcome is durable.
+
+        Args:
+            dependency: Id of the job, of any shard; unknown ones are ignored.
+            status: Its final status. Any other than `JobStatus.DONE` cancels the dependents.
+            at: When it was done, in seconds; None if that is not known.
+            now: Time, in seconds.
+        """
+        self.unread.pop(dependency, None)
+        if dependency not in self.graph.dependents:
             return
         if status == JobStatus.DONE:
-            for job_id, since in self.graph.done(need, at):
+            for job_id, ready_since in self.graph.done(dependency, at):
                 job = self.shard.jobs[job_id]
-                job.released(since)
+                job.released(ready_since)
                 self.shard.stale = True
-                log.info("job %s may start: the last that it needs is done (%s)", job_id, need)
+                log.info("all dependencies done: job=%s last=%s", job_id, dependency)
                 self.shard.status_reporter.record_arrival(job, now)
         else:
-            for job_id in self.graph.cancelled(need):
-                log.info("job %s is cancelled with %s, which it needs", job_id, need)
-                self.shard.jobs[job_id].orphan(need, now)
-        self._carry()
+            for job_id in self.graph.cancelled(dependency):
+                log.info(
+                    "job cancelled with its dependency: job=%s dependency=%s", job_id, dependency
+                )
+                self.shard.jobs[job_id].orphan(dependency, now)
+        self._apply_inherited()
 
     def receive_inheritance(self, shard: str, rows: Iterable[tuple[str, int, float]]) -> None:
+        """Replace what jobs here inherit from dependents in another shard.
+
+        Args:
+            shard: The other shard.
+            rows: Id of a job, the priority and the due time that it inherits.
+        """
         self.graph.receive_inheritance(shard, rows)
-        self._carry()
+        self._apply_inherited()
 
-    def _carry(self) -> None:
+    def _apply_inherited(self) -> None:
+        """Pass changes of inherited urgency on to the shard's jobs."""
         for job_id in self.graph.changed:
             job = self.shard.jobs.get(job_id)
             if job is not None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -90,7 +90,7 @@
     assert (
         needs.urgency_of("a") == Urgency(2, by)
         and needs.urgency_of("zz") == NO_URGENCY
-        and not needs.told
+        and not needs.received
     )
 
 
