--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -160,10 +160,10 @@
 
 
 class InfeasibleCache:
-    """Needs for which no room was found in the current pass.
+    """Needs for which no room was found in the current cycle.
 
-    Room only shrinks within a pass, so a request for at least as much under the same conditions
-    need not be tried. Without the cache, each pass looked at every machine for every waiting job.
+    Room only shrinks within a cycle, so a request for at least as much under the same conditions
+    need not be tried. Without the cache, each cycle looked at every machine for every waiting job.
     """
 
     def __init__(self) -> None:
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -1,4 +1,7 @@
-"""Ranking and passes: who goes first, what is placed, what is kept or stopped for whom, and what is lacking."""
+"""One scheduling cycle of a shard: ranks its jobs, places tasks, reserves machines and preempts.
+
+What still lacks room afterwards becomes the shard's resource requests to the leader.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +26,15 @@
 
 log = logging.getLogger("ashdock.shard")
 
-FETCHES_AHEAD = 4  # how many fetches longer a job may have waited that is overtaken by one whose image is at hand
-MOST_REQUESTS = (
-    100  # told to the leader at a time, the first in rank: once those are served the next are told
-)
+# A job whose image is cached on machines with room overtakes jobs that have waited up to this many
+# fetches of its image longer.
+CACHED_IMAGE_LEAD_FETCHES = 4
+# The first in rank are sent to the leader; once they are served, the next are sent.
+MAX_RESOURCE_REQUESTS = 100
 
 
 class SchedulableShard(Protocol):
-    """What of a shard a pass looks at, and the changes of state that it may make."""
+    """The part of a shard that a scheduling cycle reads, and the changes that it may make."""
 
     team: Team
     shared: Shared
@@ -48,71 +52,102 @@
     scheduled_revision: int
     stale: bool
 
-    def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None: ...
+    def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
+        """Place an attempt of a task on a machine."""
 
-    def preempt(self, job: Job, tasks: list[int], why: str, now: float) -> None: ...
+    def preempt(self, job: Job, tasks: list[int], why: str, now: float) -> None:
+        """Stop tasks of a job with time to save; a gang as a whole."""
 
-    def zone_of(self, machine: str) -> str: ...
+    def zone_of(self, machine: str) -> str:
+        """The zone of the machine with that name."""
 
 
 class SchedulingCycle:
-    """What one scheduling pass looks at, gathered once: machines with room, room to come, and what found none."""
+    """The machines as one scheduling cycle sees them, gathered once at its start.
+
+    Attributes:
+        machines: Machines that are up and have free capacity.
+        pending_capacity: Machines that are booting, and not much later than usual.
+        infeasible: Needs for which the cycle has found no room.
+        fitting_machines: By need and constraints, the machines that had room when last asked.
+        cached_images: By image and then by zone, the number of machines with free capacity whose
+            cache holds the image.
+    """
 
     def __init__(self, machines: Iterable[Machine], now: float) -> None:
-        self.open: list[Machine] = []
-        self.coming = placing.PendingCapacity()
+        """Gather the machines with free capacity and those that are booting."""
+        self.machines: list[Machine] = []
+        self.pending_capacity = placing.PendingCapacity()
         self.infeasible = placing.InfeasibleCache()
-        self.found: dict[
-            tuple[object, ...], list[Machine]
-        ] = {}  # machines with room for a need, as of when it was last asked for
-        self.images: dict[
-            str, dict[str, int]
-        ] = {}  # by image and zone: machines with room that hold it
+        self.fitting_machines: dict[tuple[object, ...], list[Machine]] = {}
+        self.cached_images: dict[str, dict[str, int]] = {}
         for machine in machines:
             if machine.phase is MachinePhase.UP:
                 if machine.cpus > 1e-6 and machine.memory > 1e-6 and machine.usable:
-                    self.open.append(machine)
+                    self.machines.append(machine)
                     for image in machine.images:
-                        zones = self.images.setdefault(image, {})
+                        zones = self.cached_images.setdefault(image, {})
                         zones[machine.zone] = zones.get(machine.zone, 0) + 1
             elif machine.coming(now):
-                self.coming.add(machine.shape, machine.zone, machine.spot)
+                self.pending_capacity.add(machine.shape, machine.zone, machine.spot)
 
-    def roomy(self, spec: JobSpec, reserved: set[str]) -> list[Machine]:
-        """Machines with room for a task of it. Within a pass room only shrinks, and what is kept for somebody stays so: who asks as much
-        need only look at those that had room for the one before. Each waiting gang looked at each machine, twice."""
+    def machines_with_room(self, spec: JobSpec, reserved: set[str]) -> list[Machine]:
+        """Machines that are not reserved and have room for a task of the job.
+
+        Within a cycle room only shrinks and reservations stay, so a job with the same need and
+        constraints as an earlier one looks only at the machines that had room for that one. Without
+        this, each waiting gang looked at each machine twice.
+        """
         need = (spec.cpus, spec.gpus, spec.memory_gb)
         key = (need, tuple(spec.machine_types or ()), spec.zone, spec.spot)
-        found = self.found[key] = [
+        fitting = self.fitting_machines[key] = [
             machine
-            for machine in self.found.get(key, self.open)
+            for machine in self.fitting_machines.get(key, self.machines)
             if machine.name not in reserved
             and placing.permits(spec, machine.type, machine.zone, machine.spot)
             and machine.fits(*need)
         ]
-        return found
+        return fitting
+
+    def is_image_cached(self, spec: JobSpec, number: int) -> bool:
+        """Whether at least `number` machines with free capacity hold the job's image.
 
-    def holders(self, spec: JobSpec, number: int) -> bool:
-        """Whether so many machines with room hold the image, in one zone where the job is to be in one."""
-        zones = self.images.get(spec.image)
+        If the job has to run in one zone, they have to be in one.
+        """
+        zones = self.cached_images.get(spec.image)
         if not zones:
             return False
         return (max(zones.values()) if spec.one_zone else sum(zones.values())) >= number
 
 
 class Scheduler:
+    """Runs the scheduling cycles of one shard.
+
+    Attributes:
+        shard: The shard.
+        estimates: Estimates of run times.
+        status_reporter: Holds the requests to pass machines on to other shards.
+        wait_targets_s: By job class, the targets of its objectives for the wait before a start, in
+            seconds, ascending.
+    """
+
     def __init__(
         self, shard: SchedulableShard, estimates: Estimates, status_reporter: StatusReporter
     ) -> None:
+        """Create the scheduler of a shard."""
         self.shard = shard
         self.estimates = estimates
         self.status_reporter = status_reporter
-        self.wait_targets_s: dict[
-            str, list[float]
-        ] = {}  # by class: within what times its jobs are to start
+        self.wait_targets_s: dict[str, list[float]] = {}
+
+    def schedulable_jobs(self, now: float, cycle: SchedulingCycle | None = None) -> list[Job]:
+        """Jobs with tasks that may be placed now, in the order in which they are tried.
 
-    def schedulable_jobs(self, now: float, look: SchedulingCycle | None = None) -> list[Job]:
-        out = [
+        Args:
+            now: Time, in seconds.
+            cycle: The current cycle; without one, cached images do not count in the order.
+        """
+        jobs = [
             job
             for job in self.shard.jobs.values()
             if job.active
@@ -122,14 +157,17 @@
             and job.id not in self.shard.orphaned_tasks
             and (job.spec.kind != JobKind.GANG or job.ready == job.spec.tasks)
         ]
-        out.sort(key=lambda job: self._rank(job, now, look))
-        lifted = self.shard.classes.lifted(out, self._can_run(out), now)
+        jobs.sort(key=lambda job: self._rank(job, now, cycle))
+        lifted = self.shard.classes.lifted(jobs, self._permitted_job_ids(jobs), now)
         if lifted:
-            out.sort(key=lambda job: (-job.priority, job.id not in lifted))
-        return out
+            jobs.sort(key=lambda job: (-job.priority, job.id not in lifted))
+        return jobs
 
-    def _can_run(self, jobs: list[Job]) -> Iterator[str]:
-        """Those for which the shard has a machine of a kind that they allow, be it full. Not looked for before somebody asks."""
+    def _permitted_job_ids(self, jobs: list[Job]) -> Iterator[str]:
+        """Ids of the jobs that may run on one of the shard's usable machines, even if it is full.
+
+        Lazy, because it is only needed while a job class is behind its objectives.
+        """
         kinds = {
             (machine.type, machine.zone, machine.spot)
             for machine in self.shard.machines.values()
@@ -140,16 +178,20 @@
         )
 
     def slack(self, job: Job, now: float) -> float:
-        """Seconds until the job had better be running."""
+        """Seconds until the job should be running; negative if it is late."""
         spec = job.spec
         if math.isinf(job.due):
-            return job.since + self.aim_s(spec) - now
+            return job.since + self.start_target_s(spec) - now
         return job.due - self.estimates.run_s(spec) - now
 
-    def pressed(self, job: Job, now: float) -> bool:
-        """Whether lower work is to be stopped for it. Not for a priority that is only carried back to it, as long as it can
-        wait for a boot, or once it is too late to help what comes after. Steps of pipelines stopped whole gangs, and each
-        other's tasks that save nothing, for places that came free a few seconds later (hunted day: 3425 tasks lost)."""
+    def may_preempt(self, job: Job, now: float) -> bool:
+        """Whether work of lower priority may be stopped for the job.
+
+        A job that only inherits its priority may not preempt as long as it can wait for a machine
+        to boot, or once it is so late that its dependents are not helped. Without this, steps of
+        pipelines stopped whole gangs, and each other's tasks without checkpoints, although room
+        came free a few seconds later: 3425 tasks were lost in one simulated day.
+        """
         if job.priority <= job.spec.priority:
             return True
         boot_s = max(
@@ -158,20 +200,37 @@
         )
         return (job.submitted - job.due) / 2 < self.slack(job, now) < boot_s
 
-    def aim_s(self, spec: JobSpec) -> float:
-        aims = [
+    def start_target_s(self, spec: JobSpec) -> float:
+        """Seconds within which the job should start.
+
+        The strictest target among the objectives for waits of its class and for guarantees; without
+        any, a worker's lease.
+        """
+        targets = [
             o.within_s
             for o in self.shard.shared.objectives
             if o.kind == "wait" and o.job_class == spec.job_class
         ]
-        aims += [o.within_s for o in self.shard.shared.objectives if o.kind == "guarantee"]
-        return min((aim for aim in aims if aim is not None), default=self.shard.workers.lease_s)
-
-    def _rank(self, job: Job, now: float, look: SchedulingCycle | None = None) -> tuple[float, ...]:
-        """Priority; then what can still be in time, then what can be in time for the later aim, then the rest.
-        Among deadlines the least work comes first: when not all can be met, that way the most are. What is
-        long overdue comes first again, so that nothing starves. What would find its image on the machines that are
-        free goes ahead of what has waited a few fetches longer: where machines are short, fetching wastes them."""
+        targets += [o.within_s for o in self.shard.shared.objectives if o.kind == "guarantee"]
+        return min(
+            (target for target in targets if target is not None),
+            default=self.shard.workers.lease_s,
+        )
+
+    def _rank(
+        self, job: Job, now: float, cycle: SchedulingCycle | None = None
+    ) -> tuple[float, ...]:
+        """Sort key of a job: the smallest goes first.
+
+        Priority decides first. Jobs with a deadline are ordered by how many deadline objectives of
+        their class they are expected to miss, then the least work goes first: if not all deadlines
+        can be met, most are met that way. Jobs that are long overdue go first again, so that none
+        starves.
+
+        A gang or service without a deadline whose image is cached on machines with free capacity is
+        ranked as if it had waited some fetches longer: where machines are short, fetching wastes
+        their time.
+        """
         spec = job.spec
         if job.doubtful:
             return (-job.priority, 9.0, job.since)
@@ -182,24 +241,24 @@
                 job.since,
             )
         if math.isinf(job.due):
-            ahead = 0.0
-            if look is not None and look.holders(
+            lead_s = 0.0
+            if cycle is not None and cycle.is_image_cached(
                 spec, spec.tasks if spec.kind == JobKind.GANG else 1
             ):
-                ahead = FETCHES_AHEAD * placing.image_fetch_s(
+                lead_s = CACHED_IMAGE_LEAD_FETCHES * placing.image_fetch_s(
                     spec, next(iter(self.shard.catalog.values()))
                 )
-            turn, size = self._turn(job, now)
-            return (-job.priority, turn, size, job.since - now - ahead)
+            group, size = self._wait_rank(job, now)
+            return (-job.priority, group, size, job.since - now - lead_s)
         deadline_s = max(job.due - job.submitted, 1e-3)
-        late = now + self.estimates.run_s(spec) * (1 - self.grace) - job.submitted
-        times = sorted(
+        expected_s = now + self.estimates.run_s(spec) * (1 - self.RUN_TIME_MARGIN) - job.submitted
+        factors = sorted(
             o.times
             for o in self.shard.shared.objectives
             if o.kind == "deadline" and o.job_class == spec.job_class and o.times
         )
-        rank = float(sum(1 for factor in times or [1.0] if late > deadline_s * factor))
-        if late > deadline_s * 4:
+        rank = float(sum(1 for factor in factors or [1.0] if expected_s > deadline_s * factor))
+        if expected_s > deadline_s * 4:
             rank = 0.0
         return (
             -job.priority,
@@ -207,95 +266,114 @@
             (spec.tasks - job.done) * self.estimates.run_s(spec) * max(spec.gpus, 1.0),
         )
 
-    def _turn(self, job: Job, now: float) -> tuple[float, float]:
-        """When not all can start in time, the most do if the small go first while they are in time for the first
-        aim. Before the last aim passes the large have their turn; what is late for all goes last, but not for ever."""
-        aims = self._wait_aims(job.spec.job_class)
-        if not aims:
+    def _wait_rank(self, job: Job, now: float) -> tuple[float, float]:
+        """Group and size by which a gang or service without a deadline is ranked by its wait.
+
+        If not all jobs can start in time, most do if the small go first while they can still meet
+        the strictest target. Jobs whose last target is about to pass go before them, whatever their
+        size. Jobs that have missed all targets go last, until they have waited three times the last
+        one.
+        """
+        targets_s = self._class_wait_targets_s(job.spec.job_class)
+        if not targets_s:
             return 0.0, 0.0
-        first, last, age = aims[0], aims[-1], now - job.since
-        if last * 0.6 < age <= last or age > 3 * last:
+        first_s, last_s, waited_s = targets_s[0], targets_s[-1], now - job.since
+        if last_s * 0.6 < waited_s <= last_s or waited_s > 3 * last_s:
             return 0.0, 0.0
-        if age <= first:
+        if waited_s <= first_s:
             return 1.0, job.spec.tasks * max(job.spec.gpus, 1.0)
-        return (2.0, 0.0) if age <= last else (3.0, 0.0)
+        return (2.0, 0.0) if waited_s <= last_s else (3.0, 0.0)
 
-    def _wait_aims(self, job_class: str) -> list[float]:
+    def _class_wait_targets_s(self, job_class: str) -> list[float]:
         if job_class not in self.wait_targets_s:
-            within = [
+            within_s = [
                 o.within_s
                 for o in self.shard.shared.objectives
                 if o.kind == "wait" and o.job_class == job_class
             ]
-            self.wait_targets_s[job_class] = sorted(aim for aim in within if aim)
+            self.wait_targets_s[job_class] = sorted(target for target in within_s if target)
         return self.wait_targets_s[job_class]
 
-    grace = 0.25  # estimates are often wrong: a job is late for sure only with this share of its run time to spare
+    # Estimates are often wrong: a job counts as late only if it would miss its deadline even with a
+    # run time shorter by this share.
+    RUN_TIME_MARGIN = 0.25
 
     def schedule(self, now: float) -> None:
-        """One pass: place what fits, keep and make room for what does not, and tell what is lacking."""
+        """Run one scheduling cycle.
+
+        It places tasks, reserves machines for gangs, preempts work of lower priority where it has
+        to, and replaces the shard's resource requests by what is still lacking.
+        """
         self.shard.stale = False
         self.shard.scheduled_revision = self.shard.seen_revision
-        short: list[tuple[Job, int, str]] = []
+        unplaced: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
         if self.status_reporter.rebalances:
             self.status_reporter.rebalance_free_machines(now)
-        look = SchedulingCycle(self.shard.machines.values(), now)
-        for job in self.schedulable_jobs(now, look):
-            missing = self._try_place(job, look, now)
+        cycle = SchedulingCycle(self.shard.machines.values(), now)
+        for job in self.schedulable_jobs(now, cycle):
+            missing = self._try_place(job, cycle, now)
             if job.doubtful:
-                continue  # tried where there is room: nothing is stopped, kept or rented for it alone
+                continue  # runs only where there is room: no preemption, reservation or renting
             zone = ""
             if missing and job.spec.kind == JobKind.GANG and job.spec.tasks > 1:
-                zone, kept = self._keep_for_gang(job, look)
-                missing -= kept
+                zone, reserved = self._reserve_for_gang(job, cycle)
+                missing -= reserved
             if now - job.preempted_at < self.shard.workers.lease_s / 2:
-                missing -= job.cleared  # room is being made already
+                missing -= job.cleared  # the preempted work is still stopping
             if missing > 0:
-                short.append((job, missing, zone))
-        lowest = min((self.shard.jobs[p.job].priority for p in self._some_live()), default=0)
-        lower: dict[int, list[tuple[Machine, list[Placement]]]] = {}
-        for job, missing, zone in short:
-            # Nothing of lower priority runs, mostly: then there is nothing to look at.
+                unplaced.append((job, missing, zone))
+        lowest = min(
+            (self.shard.jobs[p.job].priority for p in self._one_placement_per_job()), default=0
+        )
+        preemptible: dict[int, list[tuple[Machine, list[Placement]]]] = {}
+        for job, missing, zone in unplaced:
+            # Mostly nothing of lower priority runs; the machines are then not searched.
             if (
                 job.priority > lowest
                 and now - job.preempted_at >= self.shard.workers.lease_s
-                and self.pressed(job, now)
+                and self.may_preempt(job, now)
             ):
-                if job.priority not in lower:
-                    lower[job.priority] = self._lower_work(job.priority)
-                self._make_room(job, missing, zone, lower[job.priority], now)
-        self.shard.resource_requests = self._missing_room(short, look, now)
+                if job.priority not in preemptible:
+                    preemptible[job.priority] = self._preemptible_machines(job.priority)
+                self._preempt_for(job, missing, zone, preemptible[job.priority], now)
+        self.shard.resource_requests = self._resource_requests(unplaced, cycle, now)
 
-    def _some_live(self) -> Iterable[Placement]:
-        """One placement of each job that has any: they share the job's priority."""
+    def _one_placement_per_job(self) -> Iterable[Placement]:
+        """One placement of each job that has any: all placements of a job share its priority."""
         return (next(iter(job.live.values())) for job in self.shard.jobs.values() if job.live)
 
-    def _try_place(self, job: Job, look: SchedulingCycle, now: float) -> int:
-        """Place what fits; the number of tasks that want room and found none."""
+    def _try_place(self, job: Job, cycle: SchedulingCycle, now: float) -> int:
+        """Place tasks where there is room; the number of permitted tasks that found none.
+
+        Permitted are ready tasks within the team's limits. A gang that is not permitted as a whole
+        counts as none.
+        """
         spec = job.spec
         permitted = min(self.shard.usage.room(spec), job.ready)
         if job.doubtful and spec.kind != JobKind.GANG:
-            permitted = min(permitted, 1 - len(job.live))  # one task at a time tells as much as all
+            permitted = min(permitted, 1 - len(job.live))  # one task shows whether the job works
         if (spec.kind == JobKind.GANG and permitted < spec.tasks) or permitted <= 0:
             return 0
         need = (spec.cpus, spec.gpus, spec.memory_gb)
-        anywhere = (tuple(spec.machine_types or ()), spec.zone, spec.spot)
-        together = (*anywhere, spec.one_zone, spec.spread)
-        if look.infeasible.holds(anywhere, need, 1) or (
-            spec.kind == JobKind.GANG and look.infeasible.holds(together, need, spec.tasks)
+        task_conditions = (tuple(spec.machine_types or ()), spec.zone, spec.spot)
+        gang_conditions = (*task_conditions, spec.one_zone, spec.spread)
+        if cycle.infeasible.holds(task_conditions, need, 1) or (
+            spec.kind == JobKind.GANG and cycle.infeasible.holds(gang_conditions, need, spec.tasks)
         ):
             return permitted
-        options = placing.find_candidates(job, look.roomy(spec, self.shard.reserved), now)
-        picked = placing.select_machines(job, options, permitted, self.shard.zone_of)
-        if not options:
-            look.infeasible.note(anywhere, need, 1)
-        elif not picked and spec.kind == JobKind.GANG:
-            look.infeasible.note(together, need, spec.tasks)
-        if picked:
-            tasks = job.ready_tasks(len(picked))
+        candidates = placing.find_candidates(
+            job, cycle.machines_with_room(spec, self.shard.reserved), now
+        )
+        selected = placing.select_machines(job, candidates, permitted, self.shard.zone_of)
+        if not candidates:
+            cycle.infeasible.note(task_conditions, need, 1)
+        elif not selected and spec.kind == JobKind.GANG:
+            cycle.infeasible.note(gang_conditions, need, spec.tasks)
+        if selected:
+            tasks = job.ready_tasks(len(selected))
             attempt = job.attempt_for(0)
-            for task, machine in zip(tasks, picked, strict=True):
+            for task, machine in zip(tasks, selected, strict=True):
                 self.shard.place(
                     job,
                     task,
@@ -304,25 +382,28 @@
                     now,
                 )
             log.info(
-                "job %s: %d tasks placed on %s",
+                "tasks placed: job=%s tasks=%d machines=%s",
                 job.id,
-                len(picked),
-                ",".join(sorted({m.name for m in picked})),
+                len(selected),
+                ",".join(sorted({m.name for m in selected})),
             )
-        return permitted - len(picked)
+        return permitted - len(selected)
 
-    def _lower_work(self, priority: int) -> list[tuple[Machine, list[Placement]]]:
-        """Machines with work below a priority, and that work; none where something is being stopped already."""
-        out = []
+    def _preemptible_machines(self, priority: int) -> list[tuple[Machine, list[Placement]]]:
+        """Machines with work below a priority, and that work.
+
+        Left out are reserved machines and those on which a task is already being stopped.
+        """
+        preemptible = []
         for machine in self.shard.machines.values():
             if not machine.usable or not machine.live or machine.name in self.shard.reserved:
                 continue
             lower = [p for p in machine.live.values() if self.shard.jobs[p.job].priority < priority]
             if lower and not any(p.phase is Phase.STOPPING for p in machine.live.values()):
-                out.append((machine, lower))
-        return out
+                preemptible.append((machine, lower))
+        return preemptible
 
-    def _make_room(
+    def _preempt_for(
         self,
         job: Job,
         missing: int,
@@ -330,7 +411,11 @@
         candidates: list[tuple[Machine, list[Placement]]],
         now: float,
     ) -> None:
-        """Stop work of lower priority of this team for it, once per lease at most for any one job."""
+        """Stop the team's work of lower priority on as many machines as the job lacks tasks.
+
+        The machines where stopping costs least are chosen. The caller allows it once per worker
+        lease for each job.
+        """
         spec = job.spec
         victims: list[tuple[float, Machine]] = []
         for machine, lower in candidates:
@@ -345,21 +430,21 @@
             memory = machine.memory + sum(self.shard.jobs[p.job].spec.memory_gb for p in lower)
             if cpus + 1e-6 < spec.cpus or gpus + 1e-6 < spec.gpus or memory + 1e-6 < spec.memory_gb:
                 continue
-            # While one of its machines fetches, all of a gang's wait.
+            # While one machine fetches the image, all tasks of a gang wait.
             cost = (
                 sum(preemption_cost(self.shard.jobs, p, now) for p in lower)
                 + placing.remaining_fetch_s(spec, machine) * (spec.gpus or spec.cpus) * missing
             )
             victims.append((cost, machine))
         if spec.one_zone and spec.tasks > 1 and not zone:
-            by_zone = [victim[1].zone for victim in victims]
-            best = max(sorted(set(by_zone)), key=by_zone.count, default="")
-            victims = [victim for victim in victims if victim[1].zone == best]
+            victim_zones = [victim[1].zone for victim in victims]
+            best_zone = max(sorted(set(victim_zones)), key=victim_zones.count, default="")
+            victims = [victim for victim in victims if victim[1].zone == best_zone]
         victims.sort(key=lambda victim: (victim[0], victim[1].name))
         job.cleared = len(victims[:missing])
         for _, machine in victims[:missing]:
             job.preempted_at = now
-            log.info("job %s takes the place of lower work on %s", job.id, machine.name)
+            log.info("lower-priority work preempted: job=%s machine=%s", job.id, machine.name)
             for placement in list(machine.live.values()):
                 other = self.shard.jobs.get(placement.job)
                 if (
@@ -369,41 +454,51 @@
                 ):
                     self.shard.preempt(other, [placement.task], f"made room for {job.id}", now)
 
-    def _keep_for_gang(self, job: Job, look: SchedulingCycle) -> tuple[str, int]:
-        """The zone where a gang that finds no room is best completed ("" if any will do), and how many of
-        its tasks the machines kept for it there would take. Without this, lesser work and other teams
-        would take each machine before the last one is there."""
+    def _reserve_for_gang(self, job: Job, cycle: SchedulingCycle) -> tuple[str, int]:
+        """Reserve machines for a gang that finds no room as a whole.
+
+        Without this, less urgent work and other teams would take each machine before the last one
+        that the gang needs is there.
+
+        Returns:
+            The zone with the most room for it, now and on booting machines ("" if the gang may be
+            spread over zones), and how many of its tasks the machines reserved there would take.
+        """
         spec = job.spec
-        rooms: dict[str, list[tuple[Machine, int]]] = {}
-        promise: dict[str, int] = {}
+        roomy_machines: dict[str, list[tuple[Machine, int]]] = {}
+        expected_tasks: dict[str, int] = {}
         need = (spec.cpus, spec.gpus, spec.memory_gb)
 
-        def suits(label: str, zone: str, spot: bool) -> bool:
+        def is_suitable(label: str, zone: str, spot: bool) -> bool:
             return placing.permits(spec, label, zone, spot)
 
-        for machine in look.roomy(spec, self.shard.reserved):
+        for machine in cycle.machines_with_room(spec, self.shard.reserved):
             zone = machine.zone if spec.one_zone else ""
             room = machine.fits(*need)
-            rooms.setdefault(zone, []).append((machine, room))
-            promise[zone] = promise.get(zone, 0) + room
-        for zone, room in look.coming.tasks_by_zone(suits, need).items():
+            roomy_machines.setdefault(zone, []).append((machine, room))
+            expected_tasks[zone] = expected_tasks.get(zone, 0) + room
+        for zone, room in cycle.pending_capacity.tasks_by_zone(is_suitable, need).items():
             zone = zone if spec.one_zone else ""
-            promise[zone] = promise.get(zone, 0) + room
-        best = max(sorted(promise), key=lambda zone: promise[zone], default="")
-        kept = 0
-        for machine, room in rooms.get(best, ()):
-            if kept < spec.tasks:
+            expected_tasks[zone] = expected_tasks.get(zone, 0) + room
+        best_zone = max(sorted(expected_tasks), key=lambda zone: expected_tasks[zone], default="")
+        reserved = 0
+        for machine, room in roomy_machines.get(best_zone, ()):
+            if reserved < spec.tasks:
                 self.shard.reserved.add(machine.name)
-                kept += room
-        return best, min(kept, spec.tasks)
+                reserved += room
+        return best_zone, min(reserved, spec.tasks)
 
-    def _missing_room(
-        self, short: list[tuple[Job, int, str]], look: SchedulingCycle, now: float
+    def _resource_requests(
+        self, unplaced: list[tuple[Job, int, str]], cycle: SchedulingCycle, now: float
     ) -> list[ResourceRequest]:
-        """What is lacking once the machines still booting are counted in."""
+        """What the unplaced tasks lack beyond the machines that are booting.
+
+        Beyond the team's guarantee, a job asks for no more tasks than the scheduling policy finds
+        worth machines of their own.
+        """
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
-        out: list[ResourceRequest] = []
-        for job, missing, zone in short:
+        requests: list[ResourceRequest] = []
+        for job, missing, zone in unplaced:
             spec = job.spec
             if not guaranteed(
                 self.shard.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
@@ -412,14 +507,16 @@
             cpus += spec.cpus * missing
             gpus += spec.gpus * missing
 
-            def suits(
+            def is_suitable(
                 label: str, where: str, spot: bool, spec: JobSpec = spec, zone: str = zone
             ) -> bool:
                 return zone in ("", where) and placing.permits(spec, label, where, spot)
 
-            missing -= look.coming.take(suits, (spec.cpus, spec.gpus, spec.memory_gb), missing)
-            if missing > 0 and len(out) < MOST_REQUESTS:
-                out.append(
+            missing -= cycle.pending_capacity.take(
+                is_suitable, (spec.cpus, spec.gpus, spec.memory_gb), missing
+            )
+            if missing > 0 and len(requests) < MAX_RESOURCE_REQUESTS:
+                requests.append(
                     ResourceRequest(
                         spec.cpus,
                         spec.gpus,
@@ -437,4 +534,4 @@
                         math.isinf(job.due) and not self.shard.policy.promised(spec),
                     )
                 )
-        return out
+        return requests
