--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for others, the upgrade's mark, and the state service's smaller limits."""
+"""Jobs with dependencies, the upgrade to a new cluster version, and the store's smaller limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import pytest
 
 from ashdock.cluster_version import SUPPORTED_VERSION
-from ashdock.core.dependency_graph import NO_URGENCY, Urgency, DependencyGraph
+from ashdock.core.dependency_graph import NO_URGENCY, DependencyGraph, Urgency
 from ashdock.core.job import JobPhase, fitting
 from ashdock.core.park import Parks
 from ashdock.core.shard import Shard
@@ -38,15 +38,17 @@
 from tests.test_whole import crash_all, quiet, roll, state_down
 from tests.whole import Service, job, shared
 
-SMALL = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
+SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
 
 
-def new_part(team: str = "red", revision: int = 10, value_kb: float = 0.5, ops: int = 6) -> Shard:
-    """Of a controller that has seen the mark, within small limits."""
+def upgraded_shard(
+    team: str = "red", revision: int = 10, value_kb: float = 0.5, ops: int = 6
+) -> Shard:
+    """A shard of a controller that has seen the new cluster version, within the smaller limits."""
     limits = StateLimits(200, 200, 8.0, 48, NextLimits(value_kb=value_kb, txn_ops=ops))
     common = msgspec.structs.replace(shared(), state=limits)
-    bounds = WriteLimits(limits)
-    bounds.apply_announced()
+    write_limits = WriteLimits(limits)
+    write_limits.apply_announced()
     return Shard(
         next(t for t in common.teams if t.name == team),
         revision,
@@ -54,108 +56,111 @@
         Operators(),
         {"g4": G4},
         random.Random(1),
-        bounds,
+        write_limits,
     )
 
 
-# -- edges ------------------------------------------------------------------------------------------------------
+# -- dependency graph --------------------------------------------------------------------------
 
-SHAPES = {  # job: what it needs
+GRAPHS = {  # job -> its dependencies
     "chain": {"b": ["a"], "c": ["b"], "d": ["c"]},
     "fan": {"b": ["a"], "c": ["a"], "d": ["a"]},
     "diamond": {"b": ["a"], "c": ["a"], "d": ["b", "c"]},
 }
 
 
-def graph(shape: dict[str, list[str]], due: float = 100.0) -> DependencyGraph:
-    needs = DependencyGraph()
-    for name, its in shape.items():
-        last = not any(name in other for other in shape.values())
-        needs.add(name, its, Urgency(2 if last else 0, due if last else float("inf")), 10.0, 0.0)
-    return needs
-
-
-@pytest.mark.parametrize(("name", "by"), [("chain", 70.0), ("fan", 90.0), ("diamond", 80.0)])
-def test_priority_and_deadline_are_carried_back(name: str, by: float) -> None:
-    needs = graph(SHAPES[name])
-    assert needs.urgency_of("a") == Urgency(2, by)
-    # Another pipeline that shares the first job, more pressing, comes and goes.
-    needs.add("x", ["a"], Urgency(3, 20.0), 5.0, 0.0)
-    assert needs.urgency_of("a") == Urgency(3, 15.0)
-    needs.drop("x")
-    assert needs.urgency_of("a") == Urgency(2, by)
-    needs.receive_inheritance("blue", [("a", 1, 2.0), ("zz", 1, 1.0)])
-    assert needs.urgency_of("a") == Urgency(2, 2.0)
-    needs.receive_inheritance("blue", [])
+def build_graph(edges: dict[str, list[str]], due: float = 100.0) -> DependencyGraph:
+    """A graph whose last job alone has a priority above 0 and a deadline; each job takes 10 s."""
+    graph = DependencyGraph()
+    for name, dependencies in edges.items():
+        last = not any(name in other for other in edges.values())
+        graph.add(
+            name, dependencies, Urgency(2 if last else 0, due if last else float("inf")), 10.0, 0.0
+        )
+    return graph
+
+
+@pytest.mark.parametrize(("name", "finish_by"), [("chain", 70.0), ("fan", 90.0), ("diamond", 80.0)])
+def test_priority_and_deadline_are_inherited(name: str, finish_by: float) -> None:
+    graph = build_graph(GRAPHS[name])
+    assert graph.urgency_of("a") == Urgency(2, finish_by)
+    # A more urgent pipeline that shares the first job is added and dropped.
+    graph.add("x", ["a"], Urgency(3, 20.0), 5.0, 0.0)
+    assert graph.urgency_of("a") == Urgency(3, 15.0)
+    graph.drop("x")
+    assert graph.urgency_of("a") == Urgency(2, finish_by)
+    graph.receive_inheritance("blue", [("a", 1, 2.0), ("zz", 1, 1.0)])
+    assert graph.urgency_of("a") == Urgency(2, 2.0)
+    graph.receive_inheritance("blue", [])
     assert (
-        needs.urgency_of("a") == Urgency(2, by)
-        and needs.urgency_of("zz") == NO_URGENCY
-        and not needs.received
+        graph.urgency_of("a") == Urgency(2, finish_by)
+        and graph.urgency_of("zz") == NO_URGENCY
+        and not graph.received
     )
 
 
-@pytest.mark.parametrize("name", SHAPES)
-def test_what_waits_is_released_or_cancelled_once(name: str) -> None:
-    needs = graph(SHAPES[name])
-    order: list[str] = []
-    left = ["a"]
-    while left:
-        order += [job for job, _ in needs.done(left[0], 7.0 + len(order))]
-        left = left[1:] + [job for job in order if job not in left and job in needs.dependents]
+@pytest.mark.parametrize("name", GRAPHS)
+def test_waiting_jobs_are_released_or_cancelled_once(name: str) -> None:
+    graph = build_graph(GRAPHS[name])
+    released: list[str] = []
+    done = ["a"]
+    while done:
+        released += [job for job, _ in graph.done(done[0], 7.0 + len(released))]
+        done = done[1:] + [job for job in released if job not in done and job in graph.dependents]
     assert (
-        sorted(order) == ["b", "c", "d"]
-        and not needs.waiting
-        and not needs.dependents
-        and not needs.inherited
+        sorted(released) == ["b", "c", "d"]
+        and not graph.waiting
+        and not graph.dependents
+        and not graph.inherited
     )
-    needs = graph(SHAPES[name])
-    assert sorted(needs.cancelled("a")) == ["b", "c", "d"]
+    graph = build_graph(GRAPHS[name])
+    assert sorted(graph.cancelled("a")) == ["b", "c", "d"]
     assert (
-        needs.cancelled("a") == []
-        and not needs.waiting
-        and not needs.dependents
-        and not needs.inherited
+        graph.cancelled("a") == []
+        and not graph.waiting
+        and not graph.dependents
+        and not graph.inherited
     )
 
 
-def test_since_when_a_job_may_start() -> None:
-    needs = DependencyGraph()
-    needs.add("c", ["a", "b"], NO_URGENCY, 1.0, 5.0)
-    assert needs.done("b", 30.0) == [] and needs.done("a", None) == [("c", 30.0)]
-    needs.add("d", ["a"], NO_URGENCY, 1.0, 50.0)
-    assert needs.done("a", 30.0) == [("d", 50.0)]  # submitted when all was over
+def test_a_released_job_is_ready_since_its_last_dependency() -> None:
+    graph = DependencyGraph()
+    graph.add("c", ["a", "b"], NO_URGENCY, 1.0, 5.0)
+    assert graph.done("b", 30.0) == [] and graph.done("a", None) == [("c", 30.0)]
+    graph.add("d", ["a"], NO_URGENCY, 1.0, 50.0)
+    assert graph.done("a", 30.0) == [("d", 50.0)]  # submitted after the dependency was done
 
 
-def test_deep_and_wide_cost_no_more_than_their_edges(monkeypatch: pytest.MonkeyPatch) -> None:
-    looked = [0]
+def test_deep_and_wide_graphs_cost_few_visits_per_job(monkeypatch: pytest.MonkeyPatch) -> None:
+    visits = [0]
     pop = heapq.heappop
 
-    def counted(heap: Any) -> Any:
-        looked[0] += 1
+    def counting_pop(heap: Any) -> Any:
+        visits[0] += 1
         return pop(heap)
 
-    monkeypatch.setattr(heapq, "heappop", counted)
+    monkeypatch.setattr(heapq, "heappop", counting_pop)
     deep = DependencyGraph()
     for n in range(1, 5000):
         deep.add(f"{n}", [f"{n - 1}"], Urgency(0), 1.0, 0.0)
-    assert looked[0] <= 2 * 5000
+    assert visits[0] <= 2 * 5000
     deep.add("last", ["4999"], Urgency(2, 9000.0), 1.0, 0.0)
-    assert deep.urgency_of("0").priority == 2 and looked[0] <= 5 * 5000
+    assert deep.urgency_of("0").priority == 2 and visits[0] <= 5 * 5000
     assert len(deep.cancelled("0")) == 5000
-    # A ladder of diamonds: as many ways through as there are atoms, and few edges.
-    looked[0] = 0
+    # A ladder of diamonds has 2 to the 199th paths, but few edges.
+    visits[0] = 0
     ladder = DependencyGraph()
     for n in range(1, 200):
         ladder.add(f"l{n}", [f"l{n - 1}", f"r{n - 1}"], Urgency(0), 1.0, 0.0)
         ladder.add(f"r{n}", [f"l{n - 1}", f"r{n - 1}"], Urgency(0), 1.0, 0.0)
     ladder.add("end", ["l199", "r199"], Urgency(2, 1000.0), 1.0, 0.0)
-    assert ladder.urgency_of("l0") == Urgency(2, 800.0) and looked[0] <= 12 * 400
+    assert ladder.urgency_of("l0") == Urgency(2, 800.0) and visits[0] <= 12 * 400
 
 
-# -- a shard's waiting jobs ----------------------------------------------------------------------------------------
+# -- waiting jobs of a shard --------------------------------------------------------------------
 
 
-def test_a_waiting_job_holds_nothing_and_starts_when_the_last_is_done() -> None:
+def test_a_waiting_job_uses_no_quota_and_starts_when_its_last_dependency_is_done() -> None:
     shard = shard_with(
         [
             spec(1),
@@ -187,13 +192,13 @@
         ]
         shard.reconciler.on_heartbeat(report(name, 2, ended), 6.0, checkin=True)
     shard.scheduler.schedule(6.5)
-    assert first.phase is JobPhase.OVER and not last.live  # done in memory only
+    assert first.phase is JobPhase.OVER and not last.live  # its dependency is done in memory only
     commit(shard, 21)
     shard.scheduler.schedule(7.0)
     assert not last.waits and len(last.live) == 8 and last.since >= 3.0
 
 
-def test_a_cancelled_job_takes_those_after_it_along() -> None:
+def test_a_cancelled_job_cancels_its_dependents() -> None:
     shard = shard_with(
         [spec(1), spec(2, awaits=["req-000001"]), spec(3, awaits=["req-000002"]), spec(4)]
     )
@@ -213,7 +218,7 @@
             and writes[f"work/red/req-{number:06d}/job"] is None
         )
     assert list(shard.jobs) == ["req-000004"]
-    # One that comes later and names them: by the word of whoever read how they stand.
+    # A job that is submitted later and needs one of them is cancelled once their record was read.
     shard.add_job(queued(spec(5, awaits=["req-000003"]), 6.0), 40)
     shard.tick(7.0)
     assert list(shard.dependency_tracker.unread) == ["req-000003"]
@@ -221,27 +226,28 @@
     assert shard.jobs["req-000005"].phase is JobPhase.ORPHANED
 
 
-@pytest.mark.parametrize("first", ["users", "ours"])
-def test_a_user_and_an_owner_withdraw_at_once(first: str) -> None:
+@pytest.mark.parametrize("first", ["user", "owner"])
+def test_a_user_and_an_owner_cancel_a_job_at_the_same_time(first: str) -> None:
     shard = shard_with([spec(2, awaits=["req-000001"])])
     shard.dependency_tracker.settled("req-000001", "withdrawn", None, 5.0)
     withdrawn = shard.jobs["req-000002"].record() | {"cancelled_at": 5.0}
-    if first == "users":
-        assert shard.writer.next_transaction() is not None  # and its conditions fail
+    if first == "user":
+        assert shard.writer.next_transaction() is not None  # is sent, and its conditions fail
         shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
         shard.writer.take_in_stored("work/red/req-000002/job", withdrawn, 50, 6.0)
         assert commit(shard, 60) == {"work/red/req-000002/job": None}
     else:
-        assert shard.writer.next_transaction() is not None  # applied, and its answer lost
+        assert shard.writer.next_transaction() is not None  # is applied, and its answer lost
         shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
         shard.writer.take_in_stored("work/red/req-000002/job", None, 0, 6.0)
     assert not shard.jobs and shard.writer.next_transaction() is None
 
 
-# -- what production wrote ------------------------------------------------------------------------------------------
+# -- records of the previous version ------------------------------------------------------------
 
-# As the version before pipelines wrote it: an array of three chunks, a gang half placed, a cancelled job, parks, a machine.
-WAS: dict[str, Any] = {
+# As the version before jobs with dependencies stored them: an array of three chunks, a gang half
+# placed, a cancelled job, parks, a machine.
+OLD_RECORDS: dict[str, Any] = {
     "machine/vm-000001": {
         "t": "g4",
         "z": "a",
@@ -348,19 +354,29 @@
 
 
 class Store:
-    """The shard's keys, with revisions, and a transaction applied or refused as the state service does it."""
-
-    def __init__(self, keys: dict[str, Any], bytes_: int = 1 << 20, ops: int = 1 << 10) -> None:
+    """The keys of one shard and their revisions; applies transactions as the real store does."""
+
+    def __init__(
+        self, keys: dict[str, Any], value_bytes: int = 1 << 20, ops: int = 1 << 10
+    ) -> None:
+        """Store these values.
+
+        Args:
+            keys: Values by key.
+            value_bytes: Largest value that a transaction may write.
+            ops: Most writes of a transaction.
+        """
         self.keys = {path: (value, 5) for path, value in keys.items()}
         self.keys |= {
             f"job/{path.split('/')[2]}": (value, 5)
             for path, value in keys.items()
             if path.endswith("/job")
         }
-        self.ledger = 10
-        self.bytes, self.ops = bytes_, ops
+        self.revision = 10
+        self.value_bytes, self.ops = value_bytes, ops
 
-    def shard(self, shard: Shard) -> Shard:
+    def load_into(self, shard: Shard) -> Shard:
+        """Let the shard claim its key and load its records, as its owner does in a failover."""
         self.keys[f"part/{shard.name}"] = ({}, shard.revision)
         rows = [(path, value, revision) for path, (value, revision) in sorted(self.keys.items())]
         shard.load(
@@ -372,19 +388,20 @@
         return shard
 
     def apply(self, txn: Any) -> bool:
+        """Apply a transaction unless a revision differs from the expected one; whether it was."""
         if any(
             self.keys.get(path, (None, 0))[1] != revision for path, revision in txn.when.items()
         ):
             return False
         assert len(txn.writes) <= self.ops and all(
-            len(encode(value)) <= self.bytes for value in txn.writes.values()
+            len(encode(value)) <= self.value_bytes for value in txn.writes.values()
         )
-        self.ledger += 1
+        self.revision += 1
         for path, value in txn.writes.items():
             if value is None:
                 self.keys.pop(path, None)
             else:
-                self.keys[path] = (json.loads(encode(value)), self.ledger)
+                self.keys[path] = (json.loads(encode(value)), self.revision)
         return True
 
     def commit(self, shard: Shard) -> bool:
@@ -394,18 +411,21 @@
             return False
         assert self.apply(txn)
         for callback in txn.on_commit:
-            callback(self.ledger)
+            callback(self.revision)
         return True
 
 
-def only(job: str) -> dict[str, Any]:
-    """What production wrote of one job, and of the machine."""
+def old_records_of(job: str) -> dict[str, Any]:
+    """What the previous version stored of one job, and of the machine."""
     return {
-        path: value for path, value in WAS.items() if job in path or path.startswith("machine/")
+        path: value
+        for path, value in OLD_RECORDS.items()
+        if job in path or path.startswith("machine/")
     }
 
 
 def states(shard: Shard) -> dict[str, Any]:
+    """Task states, placements, failures and phase of each job."""
     return {
         job.id: (
             bytes(job.states),
@@ -417,8 +437,11 @@
     }
 
 
-def test_production_s_values_are_read_as_they_were_meant() -> None:
-    old, new = Store(WAS).shard(shard_with([], "")), Store(WAS).shard(new_part())
+def test_records_of_the_previous_version_are_read_and_written_as_it_does() -> None:
+    old, new = (
+        Store(OLD_RECORDS).load_into(shard_with([], "")),
+        Store(OLD_RECORDS).load_into(upgraded_shard()),
+    )
     assert states(old) == states(new)
     one, gang, gone = (new.jobs[f"req-00000{n}"] for n in (1, 2, 3))
     assert {task for task in range(150) if one.states[task] == TaskState.DONE} == {
@@ -437,20 +460,22 @@
     assert one.fails[11].times == 1 and one.live[3].attempt == 2 and one.reason and not one.waits
     assert all(p.phase is Phase.STOPPING for p in (*gang.live.values(), *gone.live.values()))
     assert new.usage.gpus == 2.0 and new.machines["vm-000001"].incarnation == 2
-    # What is written for as long as no mark is there is what production would have written.
+    # Before the new cluster version is in force, the same is written as by the previous version.
     one = old.jobs["req-000001"]
     assert [one.chunk_value(n) for n in range(3)] == [
-        WAS[f"work/red/req-000001/{n}"] for n in range(3)
+        OLD_RECORDS[f"work/red/req-000001/{n}"] for n in range(3)
     ]
     assert (
-        json.loads(encode(one.record())) == WAS["work/red/req-000001/job"]
+        json.loads(encode(one.record())) == OLD_RECORDS["work/red/req-000001/job"]
         and one.path(2) == "work/red/req-000001/2"
     )
     machine = old.machines["vm-000001"]
-    assert machine.value("red") == WAS["machine/vm-000001"] | {"i": [["img", 2.0], ["old", 0.0]]}
+    assert machine.value("red") == OLD_RECORDS["machine/vm-000001"] | {
+        "i": [["img", 2.0], ["old", 0.0]]
+    }
 
 
-HEX = [  # frames as production packed them
+OLD_FRAMES = [  # as the previous version packed them
     (Hello("n1"), "414403010000000400026e31"),
     (
         PeerHeartbeat(7, 0.5, 1.5, True, False, 2.0, 3.0),
@@ -479,37 +504,40 @@
 ]
 
 
-@pytest.mark.parametrize(("frame", "raw"), HEX, ids=lambda item: type(item).__name__)
-def test_frames_are_production_s(frame: Any, raw: str) -> None:
+@pytest.mark.parametrize(("frame", "raw"), OLD_FRAMES, ids=lambda item: type(item).__name__)
+def test_frames_are_packed_as_by_the_previous_version(frame: Any, raw: str) -> None:
     assert frames.pack(frame).hex() == raw
 
 
-# -- smaller values --------------------------------------------------------------------------------------------------
+# -- smaller values and transactions ------------------------------------------------------------
 
 
-def test_a_takeover_reads_one_picture_at_each_step_of_going_over_to_narrower_chunks() -> None:
-    """Values of 8 KiB went over to values of half a KiB, in transactions of four changes."""
-    keys = only("req-000001")
+def test_a_failover_at_each_step_of_the_change_to_narrower_chunks_reads_the_same_state() -> None:
+    """Chunks for values of 8 KiB are replaced by ones for half a KiB, four writes a transaction."""
+    keys = old_records_of("req-000001")
     keys["work/red/req-000001/1"] = {
         "a": 1,
         "p": [[task, "vm-000001", 1] for task in range(65, 125)],
     }
-    store = Store(keys, bytes_=512, ops=4)
-    shard = store.shard(new_part(ops=4))
+    store = Store(keys, value_bytes=512, ops=4)
+    shard = store.load_into(upgraded_shard(ops=4))
     job = shard.jobs["req-000001"]
-    for placement in list(job.live.values())[:4]:  # what makes the values be written anew
+    for placement in list(job.live.values())[:4]:  # so that the values are written again
         job.set_failure(placement.task, Failure(1, 2.0, "error on vm-000001"))
     before = states(shard)
     written = 0
     while store.commit(shard):
         written += 1
-        heir = store.shard(new_part(revision=shard.revision))
-        at_heir, meant = states(heir)["req-000001"], before["req-000001"]
-        assert at_heir[:2] == meant[:2] and {task for task, _ in at_heir[2]} <= {
-            task for task, _ in meant[2]
+        successor = store.load_into(upgraded_shard(revision=shard.revision))
+        loaded, expected = states(successor)["req-000001"], before["req-000001"]
+        assert loaded[:2] == expected[:2] and {task for task, _ in loaded[2]} <= {
+            task for task, _ in expected[2]
         }
-        assert heir.jobs["req-000001"].attempt_for(80) == job.attempt_for(80)
-    assert written > 2 and states(store.shard(new_part()))["req-000001"] == before["req-000001"]
+        assert successor.jobs["req-000001"].attempt_for(80) == job.attempt_for(80)
+    assert (
+        written > 2
+        and states(store.load_into(upgraded_shard()))["req-000001"] == before["req-000001"]
+    )
     assert not [
         path
         for path in store.keys
@@ -517,36 +545,36 @@
         and path[-1].isdigit()
         and "w" not in path.rsplit("/", 1)[1]
     ]
-    # An heir in the midst of it goes on, and ends at the same.
-    store = Store(keys, bytes_=512, ops=4)
-    shard = store.shard(new_part(ops=4))
+    # A successor that takes over half-way completes the change, with the same result.
+    store = Store(keys, value_bytes=512, ops=4)
+    shard = store.load_into(upgraded_shard(ops=4))
     job = shard.jobs["req-000001"]
     for placement in list(job.live.values())[:4]:
         job.set_failure(placement.task, Failure(1, 2.0, "error on vm-000001"))
     txn = shard.writer.next_transaction()
     assert txn is not None and store.apply(txn)
-    heir = store.shard(new_part(revision=11, ops=4))
-    while store.commit(heir):
+    successor = store.load_into(upgraded_shard(revision=11, ops=4))
+    while store.commit(successor):
         pass
-    assert states(store.shard(new_part()))["req-000001"][:2] == before["req-000001"][:2]
+    assert states(store.load_into(upgraded_shard()))["req-000001"][:2] == before["req-000001"][:2]
 
 
-def test_a_late_transaction_of_an_ended_process_is_fenced() -> None:
-    """Production's process had sent a placement when it was killed; it is applied after the new owner's claim, or never."""
-    keys = only("req-000001")
+def test_a_late_transaction_of_an_earlier_owner_is_fenced() -> None:
+    """A placement that an ended owner had sent must not be applied after the next owner's claim."""
+    keys = old_records_of("req-000001")
     store = Store(keys)
-    old = store.shard(shard_with([], "", revision=9))
+    old = store.load_into(shard_with([], "", revision=9))
     old.machines["vm-000001"].came_up("x")
     old.scheduler.schedule(20.0)
     late = old.writer.next_transaction()
     assert late is not None and any(path.endswith("/0") for path in late.writes)
-    store.shard(new_part(revision=10))
+    store.load_into(upgraded_shard(revision=10))
     assert not store.apply(late)
 
 
 @pytest.mark.parametrize("chunks", [True, False])
-def test_a_late_transaction_from_before_narrower_chunks_has_no_say(chunks: bool) -> None:
-    keys = only("req-000001")
+def test_a_late_transaction_from_before_narrower_chunks_changes_nothing(chunks: bool) -> None:
+    keys = old_records_of("req-000001")
     if not chunks:
         keys = {
             path: value
@@ -554,23 +582,21 @@
             if not path.startswith("work/") or path.endswith("/job")
         }
     store = Store(keys)
-    shard = store.shard(new_part(value_kb=8.0))
+    shard = store.load_into(upgraded_shard(value_kb=8.0))
     shard.machines["vm-000001"].came_up("x")
     shard.scheduler.schedule(21.0)
     late = shard.writer.next_transaction()
     assert late is not None and any(path.endswith("/1") for path in late.writes)
-    meant = states(shard)
+    expected = states(shard)
     shard.jobs["req-000001"].narrow(20)
     while store.commit(shard):
         pass
-    assert (
-        store.apply(late) is not chunks
-    )  # a chunk of which nothing was known can still be created
-    assert states(store.shard(new_part())) == meant
+    assert store.apply(late) is not chunks  # a chunk that was not stored yet can still be created
+    assert states(store.load_into(upgraded_shard())) == expected
 
 
-def test_a_wide_gang_is_placed_in_several_transactions_and_no_start_before_the_last() -> None:
-    shard = new_part(ops=4)
+def test_a_wide_gang_is_placed_in_several_transactions_and_started_after_the_last() -> None:
+    shard = upgraded_shard(ops=4)
     shard.load(
         [
             (f"vm-{n}", {"t": "g4", "z": "a", "s": False, "p": "red", "n": 1, "a": "x:1"}, 5)
@@ -585,7 +611,7 @@
     job.narrow(8)
     shard.scheduler.schedule(1.0)
     assert len(job.live) == 120
-    store = Store({}, bytes_=512, ops=4)
+    store = Store({}, value_bytes=512, ops=4)
     store.keys |= {
         "part/red": ({}, 10),
         "job/req-000001": ({}, 7),
@@ -595,25 +621,28 @@
     while (txn := shard.writer.next_transaction()) is not None:
         assert store.apply(txn) and not any(p.phase is Phase.COMMITTED for p in job.live.values())
         for callback in txn.on_commit:
-            callback(store.ledger)
+            callback(store.revision)
         steps += 1
-        heir = store.shard(new_part(ops=4))
-        if heir.jobs["req-000001"].live:
-            stopped = all(p.phase is Phase.STOPPING for p in heir.jobs["req-000001"].live.values())
-            assert stopped == (len(heir.jobs["req-000001"].live) < 120)
+        successor = store.load_into(upgraded_shard(ops=4))
+        if successor.jobs["req-000001"].live:
+            stopped = all(
+                p.phase is Phase.STOPPING for p in successor.jobs["req-000001"].live.values()
+            )
+            assert stopped == (len(successor.jobs["req-000001"].live) < 120)
     assert steps == 4 and all(p.phase is Phase.COMMITTED for p in job.live.values())
-    # Attempts of two kinds, of which one is of before: not a whole gang.
+    # The chunks hold placements of two different attempts, so the gang is not whole.
     value, revision = store.keys["work/red/req-000001/3w8"]
     store.keys["work/red/req-000001/3w8"] = (
         {"a": 2, "p": [[task, name, 2] for task, name, _ in value["p"]]},
         revision,
     )
     assert all(
-        p.phase is Phase.STOPPING for p in store.shard(new_part()).jobs["req-000001"].live.values()
+        p.phase is Phase.STOPPING
+        for p in store.load_into(upgraded_shard()).jobs["req-000001"].live.values()
     )
 
 
-def test_parks_spill_over_smaller_values_and_none_is_lost_or_told_twice() -> None:
+def test_parks_are_split_into_smaller_values_and_none_is_lost_or_doubled() -> None:
     parks = Parks("red", 4000)
     for n in range(30):
         parks.add(f"req-{n:06d}", [[0, 3]], 100.0 + n, Failure(2, 50.0, "error on vm-1"))
@@ -623,34 +652,38 @@
     parks.fit(400)
     writes = parks.writes()
     assert all(len(encode(value)) <= 400 for _, value in writes) and len(writes) > 3
-    for n, value in writes:  # one transaction each, at worst
+    for n, value in writes:  # each in a transaction of its own, at worst
         stored[n] = value
-        again = Parks("red", 400)
+        reloaded = Parks("red", 400)
         for k, rows in sorted(stored.items()):
-            again.load(k, rows or [], 6)
-        assert sorted(again.items) == sorted(parks.items)
+            reloaded.load(k, rows or [], 6)
+        assert sorted(reloaded.items) == sorted(parks.items)
 
 
-def test_what_is_refused_for_its_size_leads_to_smaller_ones() -> None:
-    bounds = WriteLimits(StateLimits(200, 80, 8.0, 48))
-    bounds.lower_after_refusal(48, 3000)
-    assert (bounds.ops, bounds.value_bytes) == (24, int(8 * 1024 * 0.9))
+def test_a_refusal_for_its_size_makes_transactions_and_values_smaller() -> None:
+    write_limits = WriteLimits(StateLimits(200, 80, 8.0, 48))
+    write_limits.lower_after_refusal(48, 3000)
+    assert (write_limits.ops, write_limits.value_bytes) == (24, int(8 * 1024 * 0.9))
     for _ in range(9):
-        bounds.lower_after_refusal(bounds.ops, 3000)
-    assert bounds.ops == 4 and bounds.value_bytes == 2250
+        write_limits.lower_after_refusal(write_limits.ops, 3000)
+    assert write_limits.ops == 4 and write_limits.value_bytes == 2250
     for _ in range(20):
-        bounds.lower_after_refusal(4, bounds.value_bytes)
-    assert bounds.value_bytes == 512
-    shard = new_part()
-    long = spec(1, hulls=["g4", *(f"type-{n:03d}" for n in range(100))])
-    shard.add_job(queued(long, 0.0), 7)
+        write_limits.lower_after_refusal(4, write_limits.value_bytes)
+    assert write_limits.value_bytes == 512
+    shard = upgraded_shard()
+    large_spec = spec(1, hulls=["g4", *(f"type-{n:03d}" for n in range(100))])
+    shard.add_job(queued(large_spec, 0.0), 7)
     assert len(encode(shard.jobs["req-000001"].record())) > 1000
     shard.cancel("req-000001", 1.0, 8, 1.0)
-    short = fitting(shard.jobs["req-000001"].record(), 512)
-    assert len(encode(short)) <= 512 and short["status"] == "withdrawn" and short["spec"].tasks == 4
+    trimmed = fitting(shard.jobs["req-000001"].record(), 512)
+    assert (
+        len(encode(trimmed)) <= 512
+        and trimmed["status"] == "withdrawn"
+        and trimmed["spec"].tasks == 4
+    )
 
 
-# -- whole services ------------------------------------------------------------------------------------------------------
+# -- whole services ----------------------------------------------------------------------------
 
 
 def play(
@@ -659,11 +692,12 @@
     day: Callable[[Service], Awaitable[Any]],
     **more: Any,
 ) -> Service:
-    return test_whole.play(monkeypatch, seed, day, settle=4.0, **more)  # until the mark is there
+    # The settling time is enough for the new cluster version to come into force.
+    return test_whole.play(monkeypatch, seed, day, settle=4.0, **more)
 
 
 def pipeline(first: int, **more: Any) -> list[dict[str, Any]]:
-    """An array, two arrays after it, a gang of the other team, and the last after all."""
+    """An array, two arrays that need it, a gang of the other team after those, and a last job."""
     a, b, c, d = (f"req-{first + n:06d}" for n in range(4))
     return [
         job(first, shares=2, expect_s=4.0, urgency="best_effort", **more),
@@ -674,13 +708,13 @@
     ]
 
 
-async def late_and_lost(service: Service) -> None:
+async def transactions_late_or_unanswered(service: Service) -> None:
     service.state.apply_late = service.state.lose_answers = 0.06
     await asyncio.sleep(30)
     service.state.apply_late = service.state.lose_answers = 0.0
 
 
-async def watch_behind(service: Service) -> None:
+async def watch_falls_behind(service: Service) -> None:
     service.state.blind = True
     await asyncio.sleep(6)
     service.state.blind = False
@@ -693,7 +727,15 @@
 
 @pytest.mark.parametrize(
     "fault",
-    [quiet, state_down, crash_all, roll, late_and_lost, watch_behind, limits_fall],
+    [
+        quiet,
+        state_down,
+        crash_all,
+        roll,
+        transactions_late_or_unanswered,
+        watch_falls_behind,
+        limits_fall,
+    ],
     ids=lambda f: f.__name__,
 )
 def test_pipelines_end_in_order(
@@ -707,25 +749,27 @@
         if fault is quiet:
             assert await service.poll("req-000004") == "queued"
             assert service.answers["req-000004"]["reason"] == "waits for req-000002, req-000003"
-            assert (
-                await service.until_final(["req-000004"], 120) == []
-            )  # the last one comes when all is over
+            # The last job is then submitted when all that it needs is done.
+            assert await service.until_final(["req-000004"], 120) == []
         assert await service.submit(runs[4]) in (200, 201)
         assert await service.until_final([run["id"] for run in runs], 200) == []
         assert {service.rules.told[run["id"]] for run in runs} == {"done"}
 
-    service = play(monkeypatch, 31, day, later=SMALL)
-    assert service.state.refused.get(400, 0) == 0  # all was within the limits before they fell
+    service = play(monkeypatch, 31, day, later=SMALLER_LIMITS)
+    # Every transaction kept to the smaller limits before the store applied them.
+    assert service.state.refused.get(400, 0) == 0
 
 
 @pytest.mark.parametrize(
     "step", ["none", "job/req-000002", "job/req-000004", "job/req-000005", "state"]
 )
-def test_a_cancellation_passes_on_through_two_teams(
+def test_a_cancellation_reaches_dependents_of_two_teams(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The owner of each shard is killed as soon as the withdrawal of a job of its is durable, or the state service is down
-    just when the first has been told."""
+    """A shard's owner crashes as soon as it has stored a cancellation, or the store fails.
+
+    The store fails right after the first cancellation was answered.
+    """
 
     async def day(service: Service) -> None:
         runs = pipeline(1)
@@ -749,7 +793,7 @@
             service.state.down = False
         ids = [run["id"] for run in runs]
         await asyncio.sleep(1)
-        # One that is submitted only now, and names one that was cancelled for another.
+        # Submitted only now, it needs a job that was cancelled with its dependency.
         assert await service.submit(job(9, owner="blue", awaits=["req-000004"])) in (200, 201)
         assert await service.until_final([*ids, "req-000009"], 15) == []
         assert {service.rules.told[name] for name in [*ids, "req-000009"]} == {"withdrawn"}
@@ -761,7 +805,9 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_an_acceptance_races_a_withdrawal(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_submission_races_the_cancellation_of_its_dependency(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def day(service: Service) -> None:
         numbers = range(1, 9)
         await asyncio.gather(*(service.submit(job(n, expect_s=20.0, shares=1)) for n in numbers))
@@ -780,7 +826,7 @@
     play(monkeypatch, 40 + seed, day)
 
 
-def test_a_cancellation_that_came_too_late_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_cancellation_after_the_end_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=1.0))
         assert await service.until_final(["req-000001"], 60) == []
@@ -794,7 +840,7 @@
     play(monkeypatch, 35, day)
 
 
-NEEDS = [  # what a submission names -> status
+AWAITS = [  # dependencies of a submission -> HTTP status
     ("req-000001", 400),
     ([1], 400),
     ([""], 400),
@@ -813,24 +859,24 @@
 ]
 
 
-def test_answers_to_what_a_submission_names(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answers_to_the_dependencies_of_a_submission(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=2.0))
         await service.submit(job(2, shape="daemon", shares=1))
         await service.submit(job(3, shape="daemon", shares=1))
         await service.withdraw("req-000003")
         client = Client("10.0.0.1", 8080, keep=0)
-        for n, (named, expected) in enumerate(NEEDS, 50):
-            run = job(n if n < 59 else n + 1, shares=1, expect_s=1.0) | {"awaits": named}
-            if named == ["req-000050"]:
-                run["id"] = "req-000050"  # its own name
+        for n, (awaits, expected) in enumerate(AWAITS, 50):
+            run = job(n if n < 59 else n + 1, shares=1, expect_s=1.0) | {"awaits": awaits}
+            if awaits == ["req-000050"]:
+                run["id"] = "req-000050"  # its own id
             service.rules.submitted(run)
             status, answer = await client.request("POST", "/v2/runs", json.dumps(run).encode(), 5.0)
-            assert status == expected, (named, answer)
-        # One that was accepted is answered so, whatever a late copy of it names.
-        for named in (["req-777777"], [f"req-{n:06d}" for n in range(1000, 2000)], ["req-000001"]):
+            assert status == expected, (awaits, answer)
+        # A repeated submission of an accepted job is answered with 200, whatever it needs.
+        for awaits in (["req-777777"], [f"req-{n:06d}" for n in range(1000, 2000)], ["req-000001"]):
             status, _ = await client.request(
-                "POST", "/v2/runs", json.dumps(job(1) | {"awaits": named}).encode(), 5.0
+                "POST", "/v2/runs", json.dumps(job(1) | {"awaits": awaits}).encode(), 5.0
             )
             assert status == 200
         service.state.down = True
@@ -845,11 +891,11 @@
     play(monkeypatch, 36, day)
 
 
-def test_the_mark_waits_for_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Two controllers are of the new version, one after the other dies and comes back; the third has not announced anything."""
+def test_the_cluster_version_waits_for_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two controllers announced the new version, and one of them restarts; the third did not."""
 
     async def main(net: simtime.Net) -> Service:
-        service = Service(net, later=SMALL)
+        service = Service(net, later=SMALLER_LIMITS)
         boot = service.boot
         service.boot = lambda n: boot(n) if n != 2 else None  # type: ignore[method-assign]
         await service.start()
@@ -877,7 +923,7 @@
         boot(2)
         await asyncio.sleep(4)
         assert service.state.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION
-        service.crash(1, 0.5)  # one that has announced stays counted
+        service.crash(1, 0.5)  # a controller that has announced it still counts while it is down
         service.crash(2, 0.5)
         await asyncio.sleep(3)
         status, _ = await client.request("POST", "/v2/runs", body, 5.0)
@@ -890,9 +936,9 @@
     assert simtime.run(main, 37, monkeypatch).rules.broken == []
 
 
-@pytest.mark.parametrize("told", [True, False], ids=["told", "untold"])
-def test_limits_fall_in_the_midst_of_a_large_array_and_a_wide_gang(
-    told: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("announced", [True, False], ids=["announced", "unannounced"])
+def test_limits_fall_while_a_large_array_and_a_wide_gang_run(
+    announced: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def day(service: Service) -> None:
         wide = job(
@@ -920,16 +966,16 @@
         monkeypatch,
         38,
         day,
-        later=NextLimits(write_rps=60.0, value_kb=0.7, txn_ops=5) if told else None,
+        later=NextLimits(write_rps=60.0, value_kb=0.7, txn_ops=5) if announced else None,
     )
-    if told:
+    if announced:
         assert service.state.refused.get(400, 0) == 0
     else:
         assert 0 < service.state.refused.get(400, 0) < 60
 
 
 def test_a_pipeline_costs_few_requests_and_writes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Releasing waits for nobody's question: ten jobs that wait half a minute for one cost no more than ten that do not."""
+    """Jobs are released without polling: ten that wait half a minute cost as much as ten others."""
     cost: list[tuple[int, int]] = []
     for waiting in (False, True):
 
@@ -955,11 +1001,14 @@
     assert cost[1][1] <= cost[0][1] + 5 and cost[1][0] <= cost[0][0] + 40, cost
 
 
-def test_what_may_start_does_not_wait_for_all_that_is_to_be_written(
+def test_scheduling_does_not_wait_until_all_changes_are_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With few changes a second, an array's transactions took nine seconds, and until the last no pass was made: each step of a
-    pipeline began five seconds late."""
+    """Scheduling cycles run while transactions of large arrays are being written.
+
+    With few writes a second, an array's transactions took nine seconds. No scheduling cycle ran
+    before the last, so each step of a pipeline began five seconds late.
+    """
 
     async def day(service: Service) -> None:
         for n in range(1, 25):
@@ -970,19 +1019,19 @@
         controller = next(c for c in service.controllers.values() if "red" in c.owners)
         shard = controller.owners["red"].shard
         assert shard is not None
-        txn, schedule, passes = controller.store.txn, shard.scheduler.schedule, [service.now()]
+        txn, schedule, cycles = controller.store.txn, shard.scheduler.schedule, [service.now()]
 
-        async def slow(when: dict[str, int], writes: dict[str, Any], **more: Any) -> int:
+        async def slow_txn(when: dict[str, int], writes: dict[str, Any], **more: Any) -> int:
             await asyncio.sleep(0.4 if "part/red" in when else 0.0)
             return await txn(when, writes, **more)
 
-        monkeypatch.setattr(controller.store, "txn", slow)
+        monkeypatch.setattr(controller.store, "txn", slow_txn)
 
-        def noted(now: float) -> Any:
-            passes.append(service.now())
+        def recording_schedule(now: float) -> Any:
+            cycles.append(service.now())
             return schedule(now)
 
-        monkeypatch.setattr(shard.scheduler, "schedule", noted)
+        monkeypatch.setattr(shard.scheduler, "schedule", recording_schedule)
         for one in shard.jobs.values():
             for chunk in one.chunks.values():
                 chunk.placed = chunk.touch()
@@ -991,7 +1040,7 @@
         await asyncio.sleep(0.5)
         shard.stale = True
         await asyncio.sleep(6)
-        assert max(b - a for a, b in itertools.pairwise([*passes, service.now()])) < 1.2
+        assert max(b - a for a, b in itertools.pairwise([*cycles, service.now()])) < 1.2
         assert await service.until_final([f"req-{n:06d}" for n in range(1, 25)], 240) == []
 
     play(monkeypatch, 45, day, later=NextLimits(value_kb=1.0, txn_ops=4))
@@ -1000,7 +1049,7 @@
 @pytest.mark.parametrize(
     ("now", "stopped"), [(10.0, 0), (128.0, 2), (400.0, 0)], ids=["in time", "pressed", "too late"]
 )
-def test_a_carried_priority_stops_lower_work_only_when_it_helps(now: float, stopped: int) -> None:
+def test_an_inherited_priority_preempts_only_when_it_helps(now: float, stopped: int) -> None:
     shard = shard_with(
         [
             spec(
@@ -1021,12 +1070,12 @@
     commit(shard, 20)
     for name in shard.machines:
         shard.reconciler.on_heartbeat(report(name, 1), 1.0, checkin=True)
-        its = [
+        running = [
             (f"{p.job}/{p.task}", p.attempt, "running", None)
             for p in shard.jobs["req-000001"].live.values()
             if p.machine == name
         ]
-        shard.reconciler.on_heartbeat(report(name, 2, its), 2.0, checkin=True)
+        shard.reconciler.on_heartbeat(report(name, 2, running), 2.0, checkin=True)
     shard.add_job(
         queued(
             spec(2, shares=2, cpus=16.0, accelerators=0.0, urgency="best_effort", expect_s=8.0), 0.0
@@ -1045,10 +1094,10 @@
 
 
 @pytest.mark.parametrize(("short", "most"), [(False, 18), (True, 6)])
-def test_where_changes_are_short_what_can_wait_goes_along_in_part_only(
+def test_when_writes_are_scarce_few_changes_that_can_wait_are_included(
     short: bool, most: int
 ) -> None:
-    shard = new_part(value_kb=0.3, ops=48)
+    shard = upgraded_shard(value_kb=0.3, ops=48)
     shard.shared.state.write_rps = shard.write_limits.write_rps = 54.0
     shard.add_job(queued(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7)
     job = shard.jobs["req-000001"]
