--- a/ashdock/leader/heartbeats.py
+++ b/ashdock/leader/heartbeats.py
@@ -1,4 +1,4 @@
-"""The last heartbeats of machines that are assigned to no shard, as the leader has noted them."""
+"""The latest heartbeats of unassigned machines, which the leader keeps in memory."""
 
 from __future__ import annotations
 
@@ -8,33 +8,43 @@
 
 
 class ReceivedHeartbeat(NamedTuple):
-    """The last heartbeat of an unassigned machine that has a record."""
+    """The latest heartbeat of an unassigned machine that has a record."""
 
     heartbeat: Heartbeat
-    received_at: float  # seconds of the time of day
+    received_at: float  # seconds since the epoch
 
 
 class UnrecordedMachine(NamedTuple):
-    """A machine that reports without a record."""
+    """A machine that sends heartbeats but has no record."""
 
-    heartbeat: Heartbeat  # the last one
-    since: float  # when the first one came, in seconds of the time of day
+    heartbeat: Heartbeat  # the latest one
+    first_received_at: float  # seconds since the epoch
 
 
 class UnassignedHeartbeats:
-    """Heartbeats of unassigned machines, by machine."""
+    """The latest heartbeats of unassigned machines, by machine name."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without heartbeats."""
         self.recorded: dict[str, ReceivedHeartbeat] = {}
         self.unrecorded: dict[str, UnrecordedMachine] = {}
 
     def note_recorded(self, heartbeat: Heartbeat, now: float) -> None:
-        """An unassigned machine that has a record reported."""
+        """Store the heartbeat of an unassigned machine that has a record.
+
+        Args:
+            heartbeat: What the machine sent.
+            now: When it arrived, in seconds since the epoch.
+        """
         self.recorded[heartbeat.machine] = ReceivedHeartbeat(heartbeat, now)
 
     def note_unrecorded(self, heartbeat: Heartbeat, now: float) -> None:
-        """A machine without a record reported; the time of its first heartbeat is kept."""
-        known = self.unrecorded.get(heartbeat.machine)
-        since = known.since if known is not None else now
-        self.unrecorded[heartbeat.machine] = UnrecordedMachine(heartbeat, since)
+        """Store the heartbeat of a machine without a record, and keep the time of its first one.
+
+        Args:
+            heartbeat: What the machine sent.
+            now: When it arrived, in seconds since the epoch.
+        """
+        previous = self.unrecorded.get(heartbeat.machine)
+        first_received_at = previous.first_received_at if previous is not None else now
+        self.unrecorded[heartbeat.machine] = UnrecordedMachine(heartbeat, first_received_at)
--- a/ashdock/leader/inventory.py
+++ b/ashdock/leader/inventory.py
@@ -123,7 +123,7 @@
         for name, machine in iterate_live(self.heartbeats.unrecorded):
             if self.records.entry(name) is not None:
                 self.heartbeats.unrecorded.pop(name, None)
-            elif now - machine.since > self.adopt_after_s:
+            elif now - machine.first_received_at > self.adopt_after_s:
                 self.heartbeats.unrecorded.pop(name, None)
                 await self._adopt(name, machine.heartbeat)
 
