--- a/ashdock/leader/leadership.py
+++ b/ashdock/leader/leadership.py
@@ -1,4 +1,4 @@
-"""What one term of leadership permits, and the condition under which the term's writes are applied."""
+"""Fences the effects of one term of leadership."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 
 
 class Leadership:
-    """One term of an election, as the fence of what is done in it.
+    """Fence for the effects of one term of an election.
 
-    The local check rests on this controller's own clock. The store applies a write of the term only while the leader's key
-    still has the term as its revision, so a write named with `condition` fails once another controller has been elected.
+    The local checks use this controller's own clock. A write whose transaction includes `condition`
+    is applied only while the leader's key still has the term as its revision, so it fails once
+    another controller has been elected.
     """
 
     def __init__(self, election: Election, term: int) -> None:
-        """Bind the fence to `term` of `election`."""
+        """Create the fence for `term` of `election`."""
         self.election = election
         self.term = term
 
     @property
     def key(self) -> str:
-        """The leader's key in the store."""
+        """The key in the store that names the leader."""
         return self.election.path
 
     @property
     def condition(self) -> dict[str, int]:
-        """The compare of a transaction that is applied in this term only."""
+        """The compare that lets the store apply a transaction in this term only."""
         return {self.election.path: self.term}
 
     def may_act(self) -> bool:
@@ -35,22 +36,26 @@
         return self.election.may_act(time.monotonic(), self.term)
 
     def may_decide(self) -> bool:
-        """Whether something new may be begun, which takes more than finishing what is under way."""
+        """Whether new work may begin now.
+
+        Stricter than `may_act`, which holds before reconciliation and during a transfer of
+        leadership as well, so that work in progress can be finished.
+        """
         return self.election.may_decide(time.monotonic(), self.term)
 
     def term_age_s(self) -> float:
-        """Seconds since the leadership was taken."""
+        """Seconds since this controller was elected."""
         return time.monotonic() - self.election.acquired_at
 
-    def reconciled(self) -> None:
-        """What earlier terms left unfinished is known: new decisions may be made."""
+    def complete_reconciliation(self) -> None:
+        """Allow new decisions: the work that earlier terms left unfinished is known."""
         self.election.complete_reconciliation(self.term)
 
     def check(self) -> None:
         """Raise unless an effect of this term may begin now.
 
-        Asked directly before each call to the cloud, which knows no conditions: a process that was suspended goes on in the
-        middle of what it did.
+        Called directly before each request to the cloud, which supports no conditional requests: a
+        process that was suspended resumes in the middle of its work, when its term may be over.
 
         Raises:
             NotLeaderError: The term is over, or its lease is in doubt.
--- a/ashdock/leader/provisioner.py
+++ b/ashdock/leader/provisioner.py
@@ -256,7 +256,7 @@
         }
         self.results.scale_outs += counted.values()
         self.open_intents.update(intents)
-        self.leadership.reconciled()
+        self.leadership.complete_reconciliation()
         for name, intent in intents.items():
             self.spawn(self._carry_out(intent, counted.get(name)))
 
