--- a/ashdock/leader/provisioning_intent.py
+++ b/ashdock/leader/provisioning_intent.py
@@ -1,4 +1,7 @@
-"""A provisioning intent (`charter/<name>`): written before a scale-out, so that it is finished or repeated by a later leader."""
+"""Provisioning intents (`charter/<name>`), stored before each scale-out.
+
+A later leader finds the intent of an unfinished scale-out and repeats its request.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,18 @@
 
 INTENT_PREFIX = "charter/"
 
-# The stored names of an intent.
-TEAMS = "teams"  # pairs of a team and a number of machines
+# Field names of a stored intent.
+TEAMS = "teams"  # pairs of a team and its number of machines
 TYPE = "t"
 ZONE = "z"
 SPOT = "s"
-# Earlier versions wrote one team and its number instead of the pairs.
-EARLIER_TEAM = "team"
-EARLIER_NUMBER = "n"
+# Earlier versions stored a single team and its number of machines instead of the pairs.
+LEGACY_TEAM = "team"
+LEGACY_MACHINE_COUNT = "n"
 
 
 class ProvisioningIntent(NamedTuple):
-    """A scale-out that is durable: the cloud takes its name as the idempotency key."""
+    """A stored scale-out. Its name is the idempotency key of the request to the cloud."""
 
     name: str
     scale_out: ScaleOut
@@ -27,19 +30,19 @@
 
 
 def intent_path(name: str) -> str:
-    """The key of an intent."""
+    """The key in the store of the intent `name`."""
     return f"{INTENT_PREFIX}{name}"
 
 
 def intent_name(path: str) -> str:
-    """The name of the intent with the key `path`."""
+    """The name of the intent that is stored at the key `path`."""
     return path.split("/", 1)[1]
 
 
 def scale_out_to_stored(scale_out: ScaleOut) -> dict[str, Any]:
-    """The value that is stored for a scale-out."""
+    """Encode a scale-out as the value of a stored intent."""
     return {
-        TEAMS: [list(team) for team in scale_out.teams],
+        TEAMS: [list(team_and_count) for team_and_count in scale_out.teams],
         TYPE: scale_out.type,
         ZONE: scale_out.zone,
         SPOT: scale_out.spot,
@@ -47,8 +50,8 @@
 
 
 def scale_out_from_stored(value: dict[str, Any]) -> ScaleOut:
-    """The scale-out that a stored intent names."""
-    teams = value.get(TEAMS) or [[value[EARLIER_TEAM], value[EARLIER_NUMBER]]]
+    """Decode the value of a stored intent, also in the form of earlier versions."""
+    teams = value.get(TEAMS) or [[value[LEGACY_TEAM], value[LEGACY_MACHINE_COUNT]]]
     return ScaleOut(
-        tuple((team, number) for team, number in teams), value[TYPE], value[ZONE], value[SPOT]
+        tuple((team, count) for team, count in teams), value[TYPE], value[ZONE], value[SPOT]
     )
