--- a/ashdock/leader/__init__.py
+++ b/ashdock/leader/__init__.py
@@ -1,4 +1,4 @@
-"""The leader: the one controller that scales the fleet and assigns machines to shards."""
+"""The work of the leader: the one controller that scales the fleet and assigns its machines."""
 
 from ashdock.leader.leader import Leader
 
--- a/ashdock/leader/snapshot.py
+++ b/ashdock/leader/snapshot.py
@@ -1,4 +1,4 @@
-"""The machines as the allocator sees them in one round."""
+"""The allocator's input: a view of every machine."""
 
 from __future__ import annotations
 
@@ -9,21 +9,23 @@
 
 
 class MachineSnapshot:
-    """Views of all machines, recorded or not; a view is made anew only when its record has changed.
+    """Views of all machines, recorded or not. A view is rebuilt only when its record has changed.
 
-    Thousands of lists of images, read several times a second, were most of what leading cost.
+    Decoding the image lists of thousands of records several times a second took most of the
+    leader's processor time.
     """
 
     def __init__(self, cache: WatchCache, heartbeats: UnassignedHeartbeats) -> None:
-        """Take records from `cache` and unrecorded machines from `heartbeats`."""
+        """Read records from `cache` and unrecorded machines from `heartbeats`."""
         self.cache = cache
         self.heartbeats = heartbeats
-        self.views: dict[str, MachineView] = {}  # by path
+        self.views_by_path: dict[str, MachineView] = {}
 
     def machine_views(self) -> list[MachineView]:
-        """Unrecorded machines first, as unassigned ones, then the recorded ones.
+        """Views of the unrecorded machines, as unassigned ones, followed by the recorded machines.
 
-        An unrecorded machine is recorded when it is assigned, in one write instead of two.
+        The allocator sees unrecorded machines too, because recording and assigning one together
+        takes one write instead of two.
         """
         entries = self.cache.entries
         unrecorded = [
@@ -39,12 +41,12 @@
             for name, machine in self.heartbeats.unrecorded.items()
             if machine_path(name) not in entries
         ]
-        before, self.views = self.views, {}
+        previous_views, self.views_by_path = self.views_by_path, {}
         for path, entry in entries.items():
-            known = before.get(path)
-            self.views[path] = (
-                known
-                if known is not None and known.revision == entry.revision
+            previous = previous_views.get(path)
+            self.views_by_path[path] = (
+                previous
+                if previous is not None and previous.revision == entry.revision
                 else machine_view(entry)
             )
-        return unrecorded + list(self.views.values())
+        return unrecorded + list(self.views_by_path.values())
