--- a/ashdock/leader/inventory.py
+++ b/ashdock/leader/inventory.py
@@ -97,7 +97,7 @@
         if recorded:
             self.heartbeats.note_recorded(heartbeat, now)
         elif (
-            name not in self.assignments.assigning
+            name not in self.assignments.pending_assignments
             and len(self.heartbeats.unrecorded) < MAX_UNRECORDED
             and heartbeat.machine_type in self.catalog
             and not self._recently_released(name, now)
@@ -134,7 +134,7 @@
             return
         if self._recently_released(name, now):
             return
-        await self.records.create(name, MachineRecord.of(source, shard="", now=now))
+        await self.records.create(name, MachineRecord.from_source(source, shard="", now=now))
 
     # -- the cloud's list ----------------------------------------------------------------------
 
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -284,7 +284,7 @@
 
         What is not written is neither assigned nor on its way: counted as that, a machine stood idle for half a lease.
         """
-        limit = self.assignments.limit()
+        limit = self.assignments.max_new_assignments()
         self.allocator.not_assigned(list(assignments)[limit:])
         if limit:
             self._spawn(self.assignments.assign(dict(list(assignments.items())[:limit])))
--- a/ashdock/leader/machine_records.py
+++ b/ashdock/leader/machine_records.py
@@ -1,4 +1,4 @@
-"""Records of machines (`machine/<name>`) as the leader reads and writes them."""
+"""Machine records (`machine/<name>`) and the leader's access to them."""
 
 from __future__ import annotations
 
@@ -19,37 +19,43 @@
 MACHINE_PREFIX = "machine/"
 ABSENT = 0  # the revision of a key that does not exist
 
-# The stored names of a machine's record.
+# Field names of a stored machine record.
 TYPE = "t"
 ZONE = "z"
 SPOT = "s"
 ADDRESS = "a"
 SHARD = "p"  # "": unassigned
-TIMESTAMP = "at"  # seconds of the time of day at which it was rented or found
-IS_SCALE_OUT_TIME = "r"  # present if the timestamp is the time at which it was rented
+TIMESTAMP = "at"  # when it was rented or discovered, in seconds since the epoch
+IS_SCALE_OUT_TIME = "r"  # present if the timestamp is when it was rented
 INCARNATION = "n"
-DECOMMISSIONED = "x"  # why; absent or empty: not decommissioned
+DECOMMISSIONED = "x"  # the reason; absent or empty: not decommissioned
 
 
 class MachineRecord(NamedTuple):
-    """A machine's record as the leader creates it."""
+    """A machine's record when the leader creates it."""
 
     machine_type: str
     zone: str
     spot: bool
     address: str  # "": not known yet
     shard: str  # "": unassigned
-    timestamp: float  # seconds of the time of day
-    is_scale_out_time: bool = False  # whether the timestamp is that of the scale-out
-    incarnation: int | None = None  # None: has not reported
+    timestamp: float  # when it was rented or discovered, in seconds since the epoch
+    is_scale_out_time: bool = False  # whether the timestamp is when it was rented
+    incarnation: int | None = None  # of its agent; None: not recorded
 
     @classmethod
-    def of(cls, source: Heartbeat | Host, shard: str, now: float) -> MachineRecord:
-        """The record of a machine that was found by its heartbeat or in the cloud's list."""
+    def from_source(cls, source: Heartbeat | Host, shard: str, now: float) -> MachineRecord:
+        """Build the record of a machine found by its heartbeat or in the cloud's list.
+
+        Args:
+            source: The machine's heartbeat, or its entry in the cloud's list.
+            shard: The shard that it is assigned to; "": none.
+            now: The time in seconds since the epoch.
+        """
         return cls(source.machine_type, source.zone, source.spot, source.address, shard, now)
 
     def to_stored(self) -> dict[str, Any]:
-        """The value that is stored."""
+        """Encode the record as a value of the store."""
         value: dict[str, Any] = {
             TYPE: self.machine_type,
             ZONE: self.zone,
@@ -66,29 +72,29 @@
 
 
 class RecordWrite(NamedTuple):
-    """One change of a machine's record: applied if the record still has `revision`."""
+    """A write to a machine's record, applied only if the record still has `revision`."""
 
-    revision: int  # ABSENT: it must not exist
-    value: dict[str, Any] | None  # None: delete
+    revision: int  # ABSENT: the record must not exist
+    value: dict[str, Any] | None  # None: delete the record
 
 
 def machine_path(name: str) -> str:
-    """The key of a machine's record."""
+    """The key of the record of the machine `name`."""
     return f"{MACHINE_PREFIX}{name}"
 
 
 def machine_name(path: str) -> str:
-    """The machine whose record has the key `path`."""
+    """The name of the machine whose record has the key `path`."""
     return path.split("/", 1)[1]
 
 
 def is_decommissioned(entry: Entry) -> bool:
-    """Whether the machine is durably given up."""
+    """Whether a record marks its machine as decommissioned."""
     return bool(entry.value.get(DECOMMISSIONED))
 
 
 def machine_view(entry: Entry) -> MachineView:
-    """A record as the allocator sees it."""
+    """Decode a record into the view that the allocator works on."""
     value = entry.value
     return MachineView(
         machine_name(entry.path),
@@ -103,7 +109,11 @@
 
 
 class MachineRecords:
-    """The records of all machines: read from the watch cache, written under the term and their revisions."""
+    """The records of all machines.
+
+    They are read from the watch cache. A write is applied only if the leader's term and the
+    record's revision still hold.
+    """
 
     def __init__(
         self,
@@ -112,18 +122,18 @@
         leadership: Leadership,
         write_limits: WriteLimits,
     ) -> None:
-        """Read from `cache`; write to `store` within `write_limits` while `leadership` lasts."""
+        """Read from `cache`, and write to `store` under `leadership` and within `write_limits`."""
         self.store = store
         self.cache = cache
         self.leadership = leadership
         self.write_limits = write_limits
 
     def entry(self, name: str) -> Entry | None:
-        """A machine's record, or None if there is none."""
+        """The record of the machine `name`, or None if there is none."""
         return self.cache.entries.get(machine_path(name))
 
     def decommissioned(self) -> list[tuple[str, int]]:
-        """Names and revisions of the machines that are to be released."""
+        """Names of all decommissioned machines, with the revisions of their records."""
         return [
             (machine_name(entry.path), entry.revision)
             for entry in self.cache.entries.values()
@@ -131,22 +141,28 @@
         ]
 
     def scale_out_times(self) -> dict[str, float]:
-        """When each machine was rented, of those of which this is known."""
+        """When each machine was rented, in seconds since the epoch, where its record tells."""
         return {
             machine_name(entry.path): entry.value[TIMESTAMP]
             for entry in self.cache.entries.values()
             if entry.value.get(IS_SCALE_OUT_TIME)
         }
 
-    def writes_within(self, seconds: float) -> int:
-        """How many records may be written in so many seconds at this controller's share of the limit."""
-        return max(1, int(seconds * self.store.write_limiter.per_s))
+    def writes_within(self, duration_s: float) -> int:
+        """How many records this controller's share of the write rate lets it write in `duration_s`.
+
+        At least one.
+        """
+        return max(1, int(duration_s * self.store.write_limiter.per_s))
 
     async def create(self, name: str, record: MachineRecord) -> bool:
         """Write the record of a machine that has none.
 
         Returns:
-            Whether it was written: another record, or another leader, may have been first.
+            Whether it was written; not if a record exists already or another leader was elected.
+
+        Raises:
+            StoreUnavailableError: The store did not answer; the record may have been written.
         """
         path = machine_path(name)
         value = record.to_stored()
@@ -156,19 +172,19 @@
             )
         except CompareFailedError:
             return False
-        log.info("unrecorded machine adopted machine=%s", name)
+        log.info("unrecorded machine adopted: machine=%s", name)
         self.cache.apply_own_write(path, value, revision)
         return True
 
     async def write_all(self, writes: dict[str, RecordWrite]) -> list[str]:
-        """Write records that still have the given revisions, many to a transaction.
+        """Write the records that still have the given revisions, in batched transactions.
 
         Returns:
-            The machines whose records were written.
+            Names of the machines whose records were written.
 
         Raises:
             NotLeaderError: Another controller was elected meanwhile.
-            StoreUnavailableError: The store did not answer; some may have been written.
+            StoreUnavailableError: The store did not answer; some records may have been written.
         """
         names = list(writes)
         written: list[str] = []
@@ -179,7 +195,7 @@
         return written
 
     async def _write_batch(self, writes: dict[str, RecordWrite]) -> list[str]:
-        """Write records in one transaction, leaving out those that have changed meanwhile."""
+        """Write records in one transaction, repeated without those whose revision has changed."""
         max_bytes = self.write_limits.value_bytes
         remaining = {
             name: RecordWrite(write.revision, write.value and trimmed(write.value, max_bytes))
@@ -192,7 +208,8 @@
                 self.leadership.check_not_replaced(error.failed_keys)
                 changed = {machine_name(path) for path in error.failed_keys} & set(remaining)
                 log.debug(
-                    "machine records changed meanwhile machines=%s", ",".join(sorted(changed))
+                    "machine records changed before their write: machines=%s",
+                    ",".join(sorted(changed)),
                 )
                 if not changed:
                     return []
@@ -206,7 +223,7 @@
         return []
 
     async def _write_transaction(self, writes: dict[str, RecordWrite]) -> int:
-        """Write all or none of the records; the revision that they have then."""
+        """Write all or none of the records, and return their new revision."""
         compares = {
             **self.leadership.condition,
             **{machine_path(name): write.revision for name, write in writes.items()},
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -316,12 +316,12 @@
         pieces.machine("vm-0")
         task = asyncio.create_task(pieces.assignments.assign({"vm-0": "red"}))
         await asyncio.sleep(0)
-        assert pieces.assignments.limit() == 0 and pieces.assignments.under_way
+        assert pieces.assignments.max_new_assignments() == 0 and pieces.assignments.under_way
         await task
 
-    assert pieces.assignments.limit() == MAX_ASSIGN_S * WRITES_PER_S
+    assert pieces.assignments.max_new_assignments() == MAX_ASSIGN_S * WRITES_PER_S
     asyncio.run(run())
-    assert pieces.assignments.limit() and not pieces.assignments.under_way
+    assert pieces.assignments.max_new_assignments() and not pieces.assignments.under_way
 
 
 def test_a_machine_is_decommissioned_once(pieces: Pieces) -> None:
@@ -491,13 +491,16 @@
     pieces.time += 0.1
     asyncio.run(inventory.adopt_unrecorded())
     assert pieces.recorded() == ["vm-9"] and not pieces.heartbeats.unrecorded
-    assert pieces.stored("vm-9") == MachineRecord.of(heartbeat("vm-9"), "", pieces.time).to_stored()
+    assert (
+        pieces.stored("vm-9")
+        == MachineRecord.from_source(heartbeat("vm-9"), "", pieces.time).to_stored()
+    )
 
 
 def test_heartbeats_of_released_and_of_assigned_machines_are_not_noted(pieces: Pieces) -> None:
     inventory = pieces.inventory()
     inventory.note_released(["vm-1"])
-    pieces.assignments.assigning.add("vm-2")
+    pieces.assignments.pending_assignments.add("vm-2")
     for name in ("vm-1", "vm-2"):
         inventory.on_heartbeat(heartbeat(name), recorded=False)
     assert not pieces.heartbeats.unrecorded
