--- a/ashdock/leader/inventory.py
+++ b/ashdock/leader/inventory.py
@@ -1,4 +1,4 @@
-"""Reconciles the cloud's list of machines and the heartbeats of unrecorded machines with the records."""
+"""Reconciles machine records with the cloud's list and with heartbeats of unrecorded machines."""
 
 from __future__ import annotations
 
@@ -17,50 +17,64 @@
 
 log = logging.getLogger("ashdock.leader")
 
-MAX_UNRECORDED = 2000  # unrecorded machines whose heartbeats are kept at a time
-LAG_DECAY = 0.9  # of the list's lag as last seen, with each list that is younger
-# In lags of the list:
-MISSING_LAGS = 3  # a machine listed for longer that is not listed any more is gone
-UNRECORDED_LAGS = 2  # one listed without a record for longer is really there
-LATE_HEARTBEAT_LAGS = 4  # with a lease, how long a released machine's heartbeats may still come
-FORGET_RELEASED_LAGS = 20  # with a minute, after which a released machine is forgotten
+MAX_UNRECORDED = 2000  # unrecorded machines whose heartbeats are kept
+LAG_DECAY = 0.9  # factor of the estimated lag with each list that shows a smaller one
+# Multiples of the lag of the cloud's list.
+MISSING_LAGS = 3  # a machine first listed longer ago that a list lacks is gone
+UNRECORDED_LAGS = 2  # a machine listed without a record for longer does exist
+LATE_HEARTBEAT_LAGS = 4  # plus an agent lease: how long heartbeats may arrive after a release
+FORGET_RELEASED_LAGS = 20  # plus FORGET_RELEASED_S: how long a release is remembered
 FORGET_RELEASED_S = 60.0
 
 
 def missing_machines(
-    first_listed: dict[str, float], names: list[str], now: float, certain_after_s: float
+    first_listed: dict[str, float], listed_names: list[str], now: float, max_list_age_s: float
 ) -> list[str]:
-    """Machines that a list lacks though they have been listed for so long that even an old list would hold them.
+    """Find machines that a list lacks although even an outdated list would contain them.
 
     Args:
-        first_listed: When each machine was first listed, in seconds; brought up to date.
-        names: The machines listed now.
-        now: The time in seconds.
-        certain_after_s: Seconds after which even an old list holds a machine.
+        first_listed: When each machine was first listed, in seconds since the epoch; updated.
+        listed_names: The machines in the list.
+        now: The time in seconds since the epoch.
+        max_list_age_s: A list contains every machine that was first listed longer ago than this.
+
+    Returns:
+        Names of the machines; they are removed from `first_listed`.
     """
-    listed = set(names)
-    for name in names:
+    listed = set(listed_names)
+    for name in listed_names:
         first_listed.setdefault(name, now)
     missing = [
         name
-        for name, since in first_listed.items()
-        if name not in listed and now - since > certain_after_s
+        for name, first_listed_at in first_listed.items()
+        if name not in listed and now - first_listed_at > max_list_age_s
     ]
     for name in missing:
         del first_listed[name]
     return missing
 
 
-def list_lag(ages: list[tuple[str, float]], scaled_out: dict[str, float], now: float) -> float:
-    """How old a list is, in seconds, by the ages that it gives to machines whose time of scale-out is known."""
+def list_lag(ages: list[tuple[str, float]], scale_out_times: dict[str, float], now: float) -> float:
+    """How many seconds a list is behind, judged by the ages that it states.
+
+    Args:
+        ages: The age in seconds that the list states for each machine.
+        scale_out_times: When machines were rented, in seconds since the epoch, where known.
+        now: The time in seconds since the epoch.
+
+    Returns:
+        The largest difference between a machine's age since its scale-out and its stated age; 0.0
+        if no scale-out time is known.
+    """
     return max(
-        (now - scaled_out[name] - age for name, age in ages if name in scaled_out), default=0.0
+        (now - scale_out_times[name] - age for name, age in ages if name in scale_out_times),
+        default=0.0,
     )
 
 
 @dataclass(kw_only=True, eq=False)
 class InventoryReconciler:
-    """Finds machines that are missing, failed or unrecorded, in one term."""
+    """Decommissions missing and failed machines and records unrecorded ones, during one term."""
 
     cloud: CloudClient
     records: MachineRecords
@@ -68,29 +82,33 @@
     heartbeats: UnassignedHeartbeats
     leadership: Leadership
     catalog: dict[str, MachineType]
-    scaling_out: Callable[[], bool]  # whether machines may be listed before they are recorded
-    now: Callable[[], float]  # the time of day in seconds
-    min_lag_s: float  # of the cloud's list, as declared
-    lease_s: float
-    adopt_after_s: float  # an unrecorded machine that nobody wants for longer is recorded
-
-    first_listed: dict[str, float] = field(default_factory=dict)  # by machine, the time
-    unrecorded_since: dict[str, float] = field(default_factory=dict)  # listed without a record
-    # Released machines, which a list that lags may still name, with the time of release.
+    scaling_out: Callable[[], bool]  # whether new machines may be listed before their records exist
+    now: Callable[[], float]  # returns the time in seconds since the epoch
+    min_lag_s: float  # lag of the cloud's list according to the settings
+    lease_s: float  # agent lease
+    adopt_after_s: float  # an unrecorded machine that stays unassigned for longer is recorded
+
+    # By machine name, in seconds since the epoch: when it was first listed, since when it has been
+    # listed without a record, and when it was released. A lagging list still names released ones.
+    first_listed: dict[str, float] = field(default_factory=dict)
+    unrecorded_since: dict[str, float] = field(default_factory=dict)
     released_at: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Start with the declared lag."""
-        self.lag_s = self.min_lag_s  # as far as the lists have shown
+        """Start with the lag in the settings as the estimate."""
+        self.lag_s = self.min_lag_s  # estimated lag of the cloud's list
 
     # -- heartbeats ----------------------------------------------------------------------------
 
     def on_heartbeat(self, heartbeat: Heartbeat, recorded: bool) -> None:
-        """Note a heartbeat of an unassigned machine.
+        """Store a heartbeat of an unassigned machine.
+
+        One of a machine without a record is ignored while the machine is being assigned, shortly
+        after its release, if its type is unknown, or once MAX_UNRECORDED machines are stored.
 
         Args:
             heartbeat: What the machine sent.
-            recorded: Whether it has a record.
+            recorded: Whether the machine has a record.
         """
         now = self.now()
         name = heartbeat.machine
@@ -105,21 +123,27 @@
             self.heartbeats.note_unrecorded(heartbeat, now)
 
     def note_released(self, names: list[str]) -> None:
-        """Machines were released: what is heard of them from now on is out of date."""
+        """Remember when machines were released, so that late reports about them are ignored."""
         now = self.now()
         self.released_at.update((name, now) for name in names)
 
     def _recently_released(self, name: str, now: float) -> bool:
-        """Whether a sign of life may be that of a machine released a moment ago."""
+        """Whether a heartbeat or a list may be outdated and show a machine that was released."""
         since_release = now - self.released_at.get(name, -math.inf)
         return since_release < LATE_HEARTBEAT_LAGS * self.lag_s + self.lease_s
 
     # -- adoption ------------------------------------------------------------------------------
 
     async def adopt_unrecorded(self) -> None:
-        """Record machines that nobody has wanted for a while: nothing unrecorded is ever released."""
+        """Record machines that have stayed unassigned for `adopt_after_s`.
+
+        Only recorded machines are ever released.
+
+        Raises:
+            StoreUnavailableError: The store did not answer.
+        """
         now = self.now()
-        # Adopting waits, and meanwhile a machine may be assigned and so recorded.
+        # While one machine is adopted, another may be assigned and thereby recorded.
         for name, machine in iterate_live(self.heartbeats.unrecorded):
             if self.records.entry(name) is not None:
                 self.heartbeats.unrecorded.pop(name, None)
@@ -128,7 +152,7 @@
                 await self._adopt(name, machine.heartbeat)
 
     async def _adopt(self, name: str, source: Heartbeat | Host) -> None:
-        """Record a machine as unassigned, unless it is recorded, of an unknown type, or released."""
+        """Record a machine as unassigned, unless its type is unknown or it was just released."""
         now = self.now()
         if self.records.entry(name) is not None or source.machine_type not in self.catalog:
             return
@@ -139,11 +163,12 @@
     # -- the cloud's list ----------------------------------------------------------------------
 
     async def reconcile(self) -> None:
-        """Compare the cloud's list with the records.
+        """Compare the cloud's list with the records, and decommission or adopt machines.
 
         Raises:
             CloudError: The cloud did not answer.
             NotLeaderError: The term is over, or its lease is in doubt.
+            StoreUnavailableError: The store did not answer.
         """
         requested_at = self.now()
         self.leadership.check()
@@ -152,56 +177,60 @@
         self._update_lag(hosts, now)
         await self._decommission_missing(hosts, now)
         await self._reconcile_hosts(hosts, requested_at, now)
-        self._drop_outdated(now)
+        self._prune_stale_state(now)
 
     def _update_lag(self, hosts: list[Host], now: float) -> None:
-        """Take the list's lag from what it shows; a longer one seen before fades."""
-        shown_s = list_lag(
+        """Raise the estimated lag to what the list shows, or let a larger estimate decay."""
+        observed_lag_s = list_lag(
             [(host.id, host.age_s) for host in hosts], self.records.scale_out_times(), now
         )
-        self.lag_s = max(self.lag_s * LAG_DECAY, shown_s, self.min_lag_s)
+        self.lag_s = max(self.lag_s * LAG_DECAY, observed_lag_s, self.min_lag_s)
 
     async def _decommission_missing(self, hosts: list[Host], now: float) -> None:
-        """Decommission machines taken without notice: their release proves it; without it, their tasks would wait out a silence."""
-        listed = [host.id for host in hosts]
-        certain_after_s = MISSING_LAGS * self.lag_s
-        for name in missing_machines(self.first_listed, listed, now, certain_after_s):
+        """Decommission machines that the cloud took back without notice.
+
+        The cloud's answer to their release proves that their tasks have stopped. Otherwise those
+        tasks would wait until heartbeats have been missing for long enough.
+        """
+        listed_names = [host.id for host in hosts]
+        max_list_age_s = MISSING_LAGS * self.lag_s
+        for name in missing_machines(self.first_listed, listed_names, now, max_list_age_s):
             if self._is_active(name):
-                log.info("machine is not listed any more machine=%s", name)
+                log.info("machine missing from the cloud's list: machine=%s", name)
                 await self.assignments.decommission([name], "not listed any more")
 
     async def _reconcile_hosts(self, hosts: list[Host], requested_at: float, now: float) -> None:
-        """Decommission failed machines, and adopt those that have long been listed without a record.
+        """Decommission failed machines, and adopt machines long listed without a record.
 
-        A list may be older than the records: a machine released under an earlier leader is still listed. One that lacks a
-        record for longer than any list lags is really there.
+        A list may be older than the records and still contain a machine that an earlier leader
+        released. A machine that is listed without a record for longer than any list lags exists.
         """
         unrecorded_since: dict[str, float] = {}
         for host in hosts:
             if host.status == "failed":
                 if self._is_active(host.id):
-                    log.info("machine failed machine=%s", host.id)
+                    log.info("cloud reported a failed machine: machine=%s", host.id)
                     await self.assignments.decommission([host.id], "failed")
             elif self.records.entry(host.id) is None:
-                since = self.unrecorded_since.get(host.id, requested_at)
-                unrecorded_since[host.id] = since
-                if not self.scaling_out() and now - since > UNRECORDED_LAGS * self.lag_s:
+                listed_since = self.unrecorded_since.get(host.id, requested_at)
+                unrecorded_since[host.id] = listed_since
+                if not self.scaling_out() and now - listed_since > UNRECORDED_LAGS * self.lag_s:
                     await self._adopt(host.id, host)
         self.unrecorded_since = unrecorded_since
 
     def _is_active(self, name: str) -> bool:
-        """Whether a machine is recorded and not decommissioned."""
+        """Whether a machine has a record and is not decommissioned."""
         entry = self.records.entry(name)
         return entry is not None and not is_decommissioned(entry)
 
-    def _drop_outdated(self, now: float) -> None:
-        """Drop what was noted of machines that have no record any more, or were released long ago."""
+    def _prune_stale_state(self, now: float) -> None:
+        """Drop heartbeats of machines whose record is gone, and releases of long ago."""
         self.heartbeats.recorded = {
             name: received
             for name, received in self.heartbeats.recorded.items()
             if self.records.entry(name) is not None
         }
         forget_after_s = FORGET_RELEASED_LAGS * self.lag_s + FORGET_RELEASED_S
-        for name, at in list(self.released_at.items()):
-            if now - at > forget_after_s:
+        for name, released_at in list(self.released_at.items()):
+            if now - released_at > forget_after_s:
                 del self.released_at[name]
