--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -139,7 +139,7 @@
             cloud=context.cloud,
             records=self.records,
             leadership=self.leadership,
-            results=self.allocator,
+            scale_out_tracker=self.allocator,
             naming=context,
             catalog=context.catalog,
             write_limits=context.write_limits,
--- a/ashdock/leader/provisioner.py
+++ b/ashdock/leader/provisioner.py
@@ -1,4 +1,4 @@
-"""Scales the fleet out from durable provisioning intents, and in by releasing decommissioned machines."""
+"""Scales the fleet out by provisioning intents, and in by releasing decommissioned machines."""
 
 from __future__ import annotations
 
@@ -30,101 +30,118 @@
 
 log = logging.getLogger("ashdock.leader")
 
-CLOUD_ATTEMPTS = 5  # of one scale-out, until the intent is given up as not answered
-CLOUD_ATTEMPTS_PER_LEASE = 10  # attempts in the time of an agent lease
-RECORD_ATTEMPTS = 3  # to record what was rented; afterwards it is found in the cloud's list
-MAX_RELEASED = 100  # machines in one request
+CLOUD_ATTEMPTS = 5  # requests for one scale-out before its intent is dropped unanswered
+CLOUD_RETRIES_PER_LEASE = 10  # the pause between requests is an agent lease divided by this
+# Writes of rented machines' records. Machines left over are adopted from the cloud's list.
+RECORD_ATTEMPTS = 3
+MAX_RELEASED_PER_REQUEST = 100  # machines
 
 
 class IntentNaming(Protocol):
-    """Where the numbers of intents come from: they go on over all terms of a process, since names are never reused."""
+    """Source of intent names, which are never reused.
+
+    Attributes:
+        label: This controller's label.
+        intent_count: Number of the last intent, counted over all terms of the process.
+    """
 
     label: str
     intent_count: int
 
 
 class ScaleOutAnswer(NamedTuple):
-    """What the cloud said to a scale-out."""
+    """The outcome of the requests for a scale-out."""
 
     names: list[str] | None  # of the machines rented; None: no answer, or no capacity
     no_capacity: bool
 
     def __str__(self) -> str:
-        """For the log."""
+        """Format the answer for the log."""
         return ",".join(self.names or ()) or ("no capacity" if self.no_capacity else "no answer")
 
 
-class ScaleOutResults(Protocol):
-    """Who counts the scale-outs that are under way: the allocator."""
+class ScaleOutTracker(Protocol):
+    """Counts the scale-outs in progress; implemented by the allocator.
+
+    Attributes:
+        scale_outs: The scale-outs whose outcome is not known yet.
+    """
 
     scale_outs: list[ScaleOut]
 
     def scaled_out(self, scale_out: ScaleOut, names: list[str], now: float, /) -> None:
-        """The machines `names` were rented."""
+        """Replace the scale-out by the machines that were rented, which may be fewer."""
 
     def scale_out_failed(self, scale_out: ScaleOut, now: float, /, no_capacity: bool) -> None:
-        """Nothing is known to have been rented."""
+        """Stop counting a scale-out of which no machine is known to have been rented."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Provisioner:
-    """Scale-out and scale-in of one term."""
+    """Scale-out and scale-in during one term."""
 
     store: StoreClient
     cloud: CloudClient
     records: MachineRecords
     leadership: Leadership
-    results: ScaleOutResults
+    scale_out_tracker: ScaleOutTracker
     naming: IntentNaming
     catalog: dict[str, MachineType]
     write_limits: WriteLimits
     state_fresh: Callable[[], bool]  # whether the watch caches are up to date
-    on_released: Callable[[list[str]], None]  # called with the machines that are gone
-    spawn: Callable[[Coroutine[Any, Any, None]], None]
-    now: Callable[[], float]  # the time of day in seconds
-    lease_s: float
-    tick_s: float
-
-    open_intents: set[str] = field(default_factory=set)
-    # Those that were broken off while the leader's lease was in doubt.
-    interrupted: dict[str, ProvisioningIntent] = field(default_factory=dict)
-    finished_intents: dict[str, int] = field(default_factory=dict)  # carried out: revision
+    on_released: Callable[[list[str]], None]  # called with the names of released machines
+    spawn: Callable[[Coroutine[Any, Any, None]], None]  # runs a coroutine in the background
+    now: Callable[[], float]  # returns the time in seconds since the epoch
+    lease_s: float  # agent lease
+    tick_s: float  # pause before a failed write of records is repeated
+
+    open_intents: set[str] = field(default_factory=set)  # names of those in progress
+    # Intents whose execution stopped because this controller might not act as leader.
+    interrupted_intents: dict[str, ProvisioningIntent] = field(default_factory=dict)
+    # Revisions of intents that are carried out and not known to be deleted.
+    finished_intents: dict[str, int] = field(default_factory=dict)
     releasing: bool = False
 
     def __post_init__(self) -> None:
-        """Note which intents an earlier term of this process, ended by an outage, may have left."""
-        self.intents_before = self.naming.intent_count
+        """Keep the number of the last intent before this term.
+
+        Intents up to it may be left over from leadership of this process that an outage ended.
+        """
+        self.initial_intent_count = self.naming.intent_count
 
     @property
     def under_way(self) -> bool:
-        """Whether a scale-out or a release has begun and is not over."""
+        """Whether a scale-out or a release is in progress."""
         return bool(self.open_intents or self.releasing)
 
     @property
     def scaling_out(self) -> bool:
-        """Whether an intent is not carried out yet, so that its machines may be listed without a record."""
+        """Whether a scale-out is in progress; its machines may be listed before they have records."""
         return bool(self.open_intents)
 
     # -- scale-out -----------------------------------------------------------------------------
 
     async def scale_out(self, scale_out: ScaleOut) -> None:
-        """Write an intent and carry it out.
+        """Store an intent and carry it out.
+
+        If the intent cannot be stored, the scale-out is reported as failed.
 
         Raises:
-            NotLeaderError: The term ended; the intent, if it was written, is left to the next leader.
+            NotLeaderError: The term ended, or its lease is in doubt. The stored intent is kept for
+                `resume_intents`, of this leader or the next one.
         """
         self.naming.intent_count += 1
-        # Unique for good: no other process has led in this term, and within it the number only grows.
+        # Never reused: no other process leads in this term, and this process only counts up.
         name = f"{self._name_prefix}.{self.naming.intent_count}"
         self.open_intents.add(name)
         try:
             revision = await self._write_intent(name, scale_out)
         except (CompareFailedError, StoreUnavailableError, NotLeaderError) as error:
-            log.debug("provisioning intent not written intent=%s error=%r", name, error)
+            log.debug("provisioning intent not written: intent=%s error=%r", name, error)
             self.open_intents.discard(name)
-            self.results.scale_out_failed(scale_out, self.now(), no_capacity=False)
+            self.scale_out_tracker.scale_out_failed(scale_out, self.now(), no_capacity=False)
             return
-        await self._carry_out(ProvisioningIntent(name, scale_out, revision), counted=scale_out)
+        await self._carry_out(ProvisioningIntent(name, scale_out, revision), tracked=scale_out)
 
     @property
     def _name_prefix(self) -> str:
@@ -137,12 +154,13 @@
             {path: ABSENT, **self.leadership.condition}, {path: scale_out_to_stored(scale_out)}
         )
 
-    async def _carry_out(self, intent: ProvisioningIntent, counted: ScaleOut | None) -> None:
-        """Ask the cloud, record what it gave, and delete the intent.
+    async def _carry_out(self, intent: ProvisioningIntent, tracked: ScaleOut | None) -> None:
+        """Request machines from the cloud, record them, and delete the intent.
 
         Args:
-            intent: What is to be carried out, for the first time or once more.
-            counted: The scale-out that the allocator counts as on its way until its result is known.
+            intent: The stored intent, whose request may have been sent before.
+            tracked: The scale-out as the tracker counts it until its outcome is known; None: it is
+                not counted, since its machine type is not in the catalog.
 
         Raises:
             NotLeaderError: The term ended, or its lease is in doubt.
@@ -153,60 +171,64 @@
             no_capacity = answer.no_capacity
             self._log_answer(intent, answer)
             now = self.now()
-            if counted is not None and answer.names is not None:
-                self.results.scaled_out(counted, answer.names, now)
-                counted = None
+            if tracked is not None and answer.names is not None:
+                self.scale_out_tracker.scaled_out(tracked, answer.names, now)
+                tracked = None
             if answer.names:
                 await self._record_machines(intent.scale_out, answer.names, now)
             self.finished_intents[intent.name] = intent.revision
             await self._delete_finished_intents()
         except NotLeaderError:
-            # It is durable: this controller goes on with it once its lease is renewed, or the next leader does.
-            self.interrupted[intent.name] = intent
+            # The intent stays stored: this leader resumes it once its lease is renewed, or else the
+            # next leader does.
+            self.interrupted_intents[intent.name] = intent
             raise
         finally:
-            if counted is not None:
-                self.results.scale_out_failed(counted, self.now(), no_capacity)
+            if tracked is not None:
+                self.scale_out_tracker.scale_out_failed(tracked, self.now(), no_capacity)
             self.open_intents.discard(intent.name)
 
     async def _request_machines(self, intent: ProvisioningIntent) -> ScaleOutAnswer:
-        """Ask the cloud until it answers. The name makes a repeated request harmless: nothing is rented twice."""
-        wanted = intent.scale_out
+        """Request machines until the cloud answers, at most CLOUD_ATTEMPTS times.
+
+        The intent's name is the idempotency key: a repeated request rents nothing twice.
+        """
+        scale_out = intent.scale_out
         for _ in range(CLOUD_ATTEMPTS):
             try:
                 names = await self.cloud.rent(
                     intent.name,
-                    wanted.type,
-                    wanted.zone,
-                    wanted.spot,
-                    wanted.number,
+                    scale_out.type,
+                    scale_out.zone,
+                    scale_out.spot,
+                    scale_out.number,
                     self.leadership.check,
                 )
             except NoCapacityError:
                 return ScaleOutAnswer(None, no_capacity=True)
             except CloudError as error:
-                log.debug("scale-out not answered intent=%s error=%s", intent.name, error)
-                await asyncio.sleep(self.lease_s / CLOUD_ATTEMPTS_PER_LEASE)
+                log.debug("scale-out request failed: intent=%s error=%s", intent.name, error)
+                await asyncio.sleep(self.lease_s / CLOUD_RETRIES_PER_LEASE)
             else:
                 return ScaleOutAnswer(names, no_capacity=False)
         return ScaleOutAnswer(None, no_capacity=False)
 
     @staticmethod
     def _log_answer(intent: ProvisioningIntent, answer: ScaleOutAnswer) -> None:
-        wanted = intent.scale_out
+        scale_out = intent.scale_out
         log.info(
-            "scale-out intent=%s number=%d type=%s zone=%s spot=%s teams=%s answer=%s",
+            "scale-out requested: intent=%s number=%d type=%s zone=%s spot=%s teams=%s answer=%s",
             intent.name,
-            wanted.number,
-            wanted.type,
-            wanted.zone,
-            wanted.spot,
-            ",".join(team for team, _ in wanted.teams),
+            scale_out.number,
+            scale_out.type,
+            scale_out.zone,
+            scale_out.spot,
+            ",".join(team for team, _ in scale_out.teams),
             answer,
         )
 
     async def _record_machines(self, scale_out: ScaleOut, names: list[str], now: float) -> None:
-        """Record rented machines. One that reported sooner may be recorded already: that record stays."""
+        """Record rented machines, except those recorded already after an early heartbeat."""
         writes = {
             name: RecordWrite(
                 ABSENT,
@@ -238,9 +260,10 @@
     # -- intents of earlier terms --------------------------------------------------------------
 
     async def resume_intents(self) -> None:
-        """Take in what earlier terms set out to rent, and repeat their requests to learn the result.
+        """Carry out the unfinished intents of earlier terms and those that were interrupted.
 
-        All of it is counted as on its way before anything is decided: otherwise the same machines were asked for again.
+        Their requests are repeated to learn the outcome. All of them are counted as in progress
+        before new decisions are allowed; otherwise the same machines were requested again.
 
         Raises:
             NotLeaderError: The term is over, or its lease is in doubt.
@@ -249,46 +272,48 @@
         self.leadership.check()
         await self._delete_finished_intents()
         intents = await self._unfinished_intents()
-        counted = {
+        tracked_by_intent = {
             name: intent.scale_out
             for name, intent in intents.items()
             if intent.scale_out.type in self.catalog
         }
-        self.results.scale_outs += counted.values()
+        self.scale_out_tracker.scale_outs += tracked_by_intent.values()
         self.open_intents.update(intents)
         self.leadership.complete_reconciliation()
         for name, intent in intents.items():
-            self.spawn(self._carry_out(intent, counted.get(name)))
+            self.spawn(self._carry_out(intent, tracked_by_intent.get(name)))
 
     async def _unfinished_intents(self) -> dict[str, ProvisioningIntent]:
-        """Those of earlier terms and the interrupted ones, without those that are under way or carried out.
+        """Stored intents of earlier terms and interrupted ones, if not in progress or carried out.
 
-        Intents of this term may have been carried out and deleted since the list was read. Repeated, the cloud would name
-        machines again that were released meanwhile, and each would be recorded once more.
+        Stored intents of this leader are left out: they may have been carried out and deleted since
+        the list was read. If such a request were repeated, the cloud would name the same machines,
+        and those released meanwhile would be recorded again.
         """
         entries, _ = await self.store.list_prefix(INTENT_PREFIX)
         stored = {intent_name(entry.path): entry for entry in entries}
         intents = {
             name: ProvisioningIntent(name, scale_out_from_stored(entry.value), entry.revision)
             for name, entry in stored.items()
-            if not self._is_of_this_term(name)
-        } | self.interrupted
-        self.interrupted.clear()
+            if not self._is_of_this_leader(name)
+        } | self.interrupted_intents
+        self.interrupted_intents.clear()
         return {
             name: intent
             for name, intent in intents.items()
             if name not in self.finished_intents and name not in self.open_intents
         }
 
-    def _is_of_this_term(self, name: str) -> bool:
-        """Whether it was written since this leader began."""
+    def _is_of_this_leader(self, name: str) -> bool:
+        """Whether this provisioner, rather than an earlier one, wrote the intent."""
         prefix, _, number = name.rpartition(".")
-        return prefix == self._name_prefix and int(number) > self.intents_before
+        return prefix == self._name_prefix and int(number) > self.initial_intent_count
 
     async def _delete_finished_intents(self) -> None:
         """Delete the intents that are carried out.
 
-        One left over would be repeated by the next leader, and machines recorded again that were released long ago.
+        The next leader would repeat the request of one left over, and record its machines again
+        although they may have been released long before.
         """
         for name, revision in iterate_live(self.finished_intents):
             path = intent_path(name)
@@ -301,23 +326,27 @@
             except CompareFailedError as error:
                 self.leadership.check_not_replaced(error.failed_keys)
             except StoreUnavailableError as error:
-                log.debug("provisioning intent not deleted intent=%s error=%s", name, error)
+                log.debug("provisioning intent not deleted: intent=%s error=%s", name, error)
                 return
             self.finished_intents.pop(name, None)
 
     # -- scale-in ------------------------------------------------------------------------------
 
     async def scale_in(self) -> None:
-        """Release decommissioned machines. The cloud's answer proves that they and all on them are gone.
+        """Release decommissioned machines, and then delete their records.
+
+        The cloud's answer proves that the machines and the tasks on them are gone.
 
         Raises:
-            CloudError: The cloud did not answer; the machines stay decommissioned and are released again.
+            CloudError: The cloud did not answer. The machines stay decommissioned, so that their
+                release is repeated.
             NotLeaderError: The term is over, or its lease is in doubt.
+            StoreUnavailableError: The store did not answer; some records may have been deleted.
         """
         decommissioned = self.records.decommissioned()
         if not decommissioned or not self.state_fresh():
             return
-        decommissioned = decommissioned[: min(MAX_RELEASED, self.write_limits.ops)]
+        decommissioned = decommissioned[: min(MAX_RELEASED_PER_REQUEST, self.write_limits.ops)]
         names = [name for name, _ in decommissioned]
         self.releasing = True
         try:
@@ -328,4 +357,4 @@
             )
         finally:
             self.releasing = False
-        log.info("machines released machines=%s", ",".join(names))
+        log.info("machines released: machines=%s", ",".join(names))
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -67,7 +67,7 @@
             cloud=SimpleNamespace(release=release),
         )
         allocator = SimpleNamespace(scale_outs=[])
-        provisioner = provisioner_of(home, results=allocator, spawn=left.append)
+        provisioner = provisioner_of(home, scale_out_tracker=allocator, spawn=left.append)
         await provisioner.resume_intents()
         await provisioner.scale_in()
         for carried_out in left:
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -98,7 +98,7 @@
         "cloud": home.cloud,
         "records": machine_records_of(home),
         "leadership": leadership(),
-        "results": SimpleNamespace(scale_outs=[]),
+        "scale_out_tracker": SimpleNamespace(scale_outs=[]),
         "naming": home,
         "catalog": home.catalog,
         "write_limits": home.write_limits,
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -107,10 +107,10 @@
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
         label, revision = leader.context.label, leader.term
-        leader.context.intent_count = leader.provisioner.intents_before + 5
+        leader.context.intent_count = leader.provisioner.initial_intent_count + 5
         value = {"teams": [["red", 1]], "t": "g4", "z": "a", "s": False}
         for name in (
-            f"{label}.{revision}.{leader.provisioner.intents_before + 3}",
+            f"{label}.{revision}.{leader.provisioner.initial_intent_count + 3}",
             f"{label}.{revision}.0",
             f"n9.{revision}.7",
         ):
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -25,7 +25,7 @@
     RecordWrite,
     machine_view,
 )
-from ashdock.leader.provisioner import CLOUD_ATTEMPTS, MAX_RELEASED, Provisioner
+from ashdock.leader.provisioner import CLOUD_ATTEMPTS, MAX_RELEASED_PER_REQUEST, Provisioner
 from ashdock.leader.provisioning_intent import scale_out_from_stored, scale_out_to_stored
 from ashdock.leader.snapshot import MachineSnapshot
 from ashdock.net.cloud import CloudError, NoCapacityError
@@ -190,7 +190,7 @@
             "cloud": self.cloud,
             "records": self.records,
             "leadership": self.leadership,
-            "results": self.allocator,
+            "scale_out_tracker": self.allocator,
             "naming": self.naming,
             "catalog": self.catalog,
             "write_limits": self.write_limits,
@@ -472,7 +472,7 @@
     asyncio.run(provisioner.scale_in())
     assert released == ["vm-1", "vm-2", "vm-3", "vm-4"], "as many as a transaction takes"
     assert pieces.recorded() == ["vm-0", "vm-5", "vm-6"]
-    pieces.write_limits.ops = 10 * MAX_RELEASED
+    pieces.write_limits.ops = 10 * MAX_RELEASED_PER_REQUEST
     asyncio.run(provisioner.scale_in())
     assert pieces.recorded() == ["vm-0"]
 
