--- a/ashdock/leader/provisioner.py
+++ b/ashdock/leader/provisioner.py
@@ -116,7 +116,7 @@
 
     @property
     def scaling_out(self) -> bool:
-        """Whether a scale-out is in progress; its machines may be listed before they have records."""
+        """Whether a scale-out is in progress; its machines may be listed without a record."""
         return bool(self.open_intents)
 
     # -- scale-out -----------------------------------------------------------------------------
