--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -339,7 +339,7 @@
             terms=self.terms,
             now=self.now,
         )
-        self.to_owner = self.shard_commands.send
+        self.send_shard_command = self.shard_commands.send
         self.load_handover = LoadHandover(
             mesh=self.mesh,
             cluster=self.cluster,
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -77,7 +77,7 @@
     def leaving(self) -> list[tuple[str, str]]:
         """Machines that are being reclaimed, each with the team that it is for."""
 
-    def to_owner(self, team: str, command: ShardCommand, term: int, /) -> None:
+    def send_shard_command(self, team: str, command: ShardCommand, term: int, /) -> None:
         """Send a command to the owner of a team's shard, fenced by the term."""
 
 
@@ -277,7 +277,7 @@
                     decision.to,
                 )
                 command = decision
-        self.context.to_owner(decision.shard, command, self.term)
+        self.context.send_shard_command(decision.shard, command, self.term)
 
     def _assign(self, assignments: dict[str, str]) -> None:
         """Write as many assignments as may be written now; the rest are decided again.
