--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -1,4 +1,8 @@
-"""The leader's loops: the allocator decides on a snapshot of the machines, and the pieces of this package carry it out."""
+"""The leader's loops.
+
+The allocator decides on a snapshot of the machines; the other classes of this package carry its
+decisions out.
+"""
 
 from __future__ import annotations
 
@@ -37,15 +41,15 @@
 
 log = logging.getLogger("ashdock.leader")
 
-RETRY_TICKS = 2  # ticks until a loop whose store, cloud or term failed is tried again
-RETRY_AFTER_FAULT_S = 1.0  # until a loop that ended with a fault of ours is begun again
-NOT_DECIDING_TICKS = 1 / 4  # ticks until it is asked again whether something new may be begun
-RESUME_INTENTS_LEASES = 2  # agent leases between two looks at the intents of earlier terms
-MAX_LIST_RATE = 1 / 8  # share of the cloud's rate limit that the requests for its list may take
+RETRY_TICKS = 2  # pause of a loop after an expected error of the store, the cloud or the term
+RETRY_AFTER_FAULT_S = 1.0  # pause of a loop after an unexpected exception
+MAY_DECIDE_POLL_TICKS = 1 / 4  # pause of the allocation loop while new decisions are not allowed
+RESUME_INTENTS_LEASES = 2  # agent leases between two searches for unfinished intents
+MAX_LIST_RATE_SHARE = 1 / 8  # share of the cloud's rate limit for requests of its machine list
 
 
 class LeaderContext(Protocol):
-    """What of its controller the leader uses, and no more."""
+    """The leader's dependencies on its controller."""
 
     label: str
     shared: Shared
@@ -60,36 +64,37 @@
     machines: WatchCache
 
     def now(self) -> float:
-        """The time of day in seconds."""
+        """The time in seconds since the epoch."""
 
     def state_fresh(self) -> bool:
         """Whether the watch caches are up to date."""
 
     def fit_members(self) -> list[str]:
-        """The controllers that may own shards."""
+        """Labels of the controllers that may own shards."""
 
     def owner_label(self, team: str) -> str | None:
-        """The controller that owns a team's shard."""
+        """Label of the controller that owns a team's shard, or None."""
 
     def shard_statuses(self) -> dict[str, ShardStatus]:
-        """The last status of each shard that has been heard of."""
+        """The latest status of each shard, by team, as far as received."""
 
     def leaving(self) -> list[tuple[str, str]]:
-        """Machines that are being reclaimed, each with the team that it is for."""
+        """Machines that are being reclaimed, each with the team that gets it."""
 
     def send_shard_command(self, team: str, command: ShardCommand, term: int, /) -> None:
         """Send a command to the owner of a team's shard, fenced by the term."""
 
 
 class Leader:
-    """One term of leadership over the machines.
+    """The work of one term of leadership.
 
-    Its writes have the leader's key in their condition, its commands and intents hold the term, and its calls to the cloud
-    rest on what is durable and on names that are never used twice (docs/leader-election.md).
+    Its writes are conditional on the leader's key, and its commands and intents contain the term.
+    Requests that change the fleet follow stored intents and decommission marks, and intent names are
+    never reused (docs/leader-election.md).
     """
 
     def __init__(self, context: LeaderContext, election: Election) -> None:
-        """Begin the loops of the term that `election` has just entered."""
+        """Start the loops for the term that `election` has just acquired."""
         self.context = context
         self.term = election.term
         self.leadership = Leadership(election, self.term)
@@ -151,56 +156,61 @@
             tick_s=context.tick_s,
         )
 
-    # -- life ----------------------------------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------------------------------
 
     @property
     def under_way(self) -> bool:
-        """Whether something has begun that the next leader would have to find out about."""
+        """Whether an effect is in progress whose outcome the next leader would have to find out."""
         return self.provisioner.under_way or self.assignments.under_way
 
     def stop(self) -> None:
-        """End all that this term does, at once."""
+        """Cancel all loops and background tasks at once."""
         self.stopped = True
         for task in [*self.loops, *self.background]:
             task.cancel()
 
     async def _run_loop(self, step: Callable[[], Awaitable[float]]) -> None:
-        """Repeat a step, each time after the pause in seconds that it returns."""
+        """Repeat `step`, and pause after each run for the seconds that it returns."""
         name = getattr(step, "__name__", repr(step))
         while not self.stopped:
             try:
-                pause = await step()
-                await asyncio.sleep(pause)
+                delay_s = await step()
+                await asyncio.sleep(delay_s)
             except (
                 StoreUnavailableError,
                 CloudError,
                 CompareFailedError,
                 NotLeaderError,
             ) as error:
-                log.debug("leader's loop interrupted step=%s error=%r", name, error)
+                log.debug("leader loop interrupted: step=%s error=%r", name, error)
                 await asyncio.sleep(self.context.tick_s * RETRY_TICKS)
-            except Exception:  # a fault in one step must not end the loop for the rest of the term
-                log.exception("leader's loop failed step=%s", name)
+            except Exception:  # one failed step must not end the loop for the rest of the term
+                log.exception("leader loop failed: step=%s", name)
                 await asyncio.sleep(RETRY_AFTER_FAULT_S)
 
-    def _spawn(self, job: Coroutine[Any, Any, None]) -> None:
-        """Run something beside the loops."""
-        task = asyncio.create_task(self._run_while_leader(job))
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine in the background until it ends or the leader is stopped."""
+        task = asyncio.create_task(self._run_while_leader(work))
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
     @staticmethod
-    async def _run_while_leader(job: Coroutine[Any, Any, None]) -> None:
+    async def _run_while_leader(work: Coroutine[Any, Any, None]) -> None:
         try:
-            await job
+            await work
         except NotLeaderError:
-            log.debug("work left to the next leader")
+            log.debug("background work ended: this controller may not act as leader")
 
     def on_heartbeat(self, heartbeat: Heartbeat, recorded: bool) -> None:
-        """Note a heartbeat of a machine that is assigned to no shard; `recorded`: it has a record."""
+        """Take in a heartbeat of an unassigned machine.
+
+        Args:
+            heartbeat: What the machine sent.
+            recorded: Whether the machine has a record.
+        """
         self.inventory.on_heartbeat(heartbeat, recorded)
 
-    # -- the four loops ------------------------------------------------------------------------
+    # -- loop steps ----------------------------------------------------------------------------
 
     async def _resume_intents(self) -> float:
         await self.provisioner.resume_intents()
@@ -214,16 +224,16 @@
     async def _reconcile_inventory(self) -> float:
         await self.inventory.reconcile()
         cloud = self.context.shared.cloud
-        return max(cloud.list_lag_s, 1 / (MAX_LIST_RATE * cloud.rps))
+        return max(cloud.list_lag_s, 1 / (MAX_LIST_RATE_SHARE * cloud.rps))
 
     async def _allocate(self) -> float:
-        """One round of the allocator."""
+        """Run one round of the allocator, unless this controller may not decide now."""
         context = self.context
         now = context.now()
         if not context.state_fresh() or not context.machines.ready.is_set():
             return context.tick_s
         if not self.leadership.may_decide():
-            return context.tick_s * NOT_DECIDING_TICKS
+            return context.tick_s * MAY_DECIDE_POLL_TICKS
         shard_statuses = context.shard_statuses()
         if self.leadership.term_age_s() < context.workers.lease_s:
             self.allocator.note_reclaims(context.leaving(), now)
@@ -237,7 +247,7 @@
     # -- decisions -----------------------------------------------------------------------------
 
     def _dispatch(self, decisions: list[Decision]) -> None:
-        """Begin what was decided; assignments of unassigned machines are written together."""
+        """Start to carry out decisions; assignments of unassigned machines are written together."""
         assignments: dict[str, str] = {}
         for decision in decisions:
             match decision:
@@ -253,17 +263,17 @@
             self._assign(assignments)
 
     def _send_to_owner(self, decision: AssignMachine | MoveShard | Reclaim | Rebalance) -> None:
-        """Send the owner of a shard what it is to do."""
+        """Send a decision as a command to the owner of the shard that has to act."""
         command: ShardCommand
         match decision:
             case AssignMachine(shard, machine, to):
                 command = TransferMachine(shard, machine, to)
             case MoveShard(shard, to):
-                log.info("shard is to be transferred shard=%s to=%s", shard, to)
+                log.info("shard transfer requested: shard=%s to=%s", shard, to)
                 command = TransferShard(shard, to)
             case Reclaim(shard, to, machines):
                 log.info(
-                    "machines are reclaimed machines=%s from_team=%s to_team=%s",
+                    "machine reclaim requested: machines=%s from_team=%s to_team=%s",
                     ",".join(machines),
                     shard,
                     to,
@@ -271,7 +281,7 @@
                 command = decision
             case Rebalance():
                 log.info(
-                    "machines are rebalanced as they come free number=%d from_team=%s to_team=%s",
+                    "machine rebalance requested: number=%d from_team=%s to_team=%s",
                     decision.number,
                     decision.shard,
                     decision.to,
@@ -280,11 +290,12 @@
         self.context.send_shard_command(decision.shard, command, self.term)
 
     def _assign(self, assignments: dict[str, str]) -> None:
-        """Write as many assignments as may be written now; the rest are decided again.
+        """Write as many assignments as may be pending; the allocator decides on the rest again.
 
-        What is not written is neither assigned nor on its way: counted as that, a machine stood idle for half a lease.
+        The allocator is told of the rest: as long as it expected such a machine at the new shard,
+        the machine stayed idle, for half an agent lease.
         """
-        limit = self.assignments.max_new_assignments()
-        self.allocator.not_assigned(list(assignments)[limit:])
-        if limit:
-            self._spawn(self.assignments.assign(dict(list(assignments.items())[:limit])))
+        max_count = self.assignments.max_new_assignments()
+        self.allocator.not_assigned(list(assignments)[max_count:])
+        if max_count:
+            self._spawn(self.assignments.assign(dict(list(assignments.items())[:max_count])))
