--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -89,8 +89,8 @@
     """The work of one term of leadership.
 
     Its writes are conditional on the leader's key, and its commands and intents contain the term.
-    Requests that change the fleet follow stored intents and decommission marks, and intent names are
-    never reused (docs/leader-election.md).
+    Requests that change the fleet follow stored intents and decommission marks, and intent names
+    are never reused (docs/leader-election.md).
     """
 
     def __init__(self, context: LeaderContext, election: Election) -> None:
