--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""The pieces of the leader, each by itself: records, assignments, provisioner, inventory and snapshot."""
+"""Unit tests of the leader's records, assignments, provisioner, inventory and snapshot."""
 
 from __future__ import annotations
 
@@ -43,32 +43,32 @@
 
 
 class FakeStore:
-    """Compare-and-swap on a table, which is also the watch cache's."""
+    """A store with compare-and-swap in memory; the fake watch cache shares its entries."""
 
     def __init__(self) -> None:
-        """Hold the leader's key alone."""
+        """Start with the leader's key only."""
         self.entries: dict[str, Entry] = {"leader": Entry("leader", {}, TERM)}
         self.revision = 100
         self.write_limiter = SimpleNamespace(per_s=WRITES_PER_S)
         self.transactions: list[dict[str, Any]] = []
         self.attempts = 0  # transactions that were sent
-        self.down = False
+        self.unavailable = False
 
     def put(self, path: str, value: dict[str, Any]) -> int:
-        """Write without a condition."""
+        """Write unconditionally, and return the new revision."""
         self.revision += 1
         self.entries[path] = Entry(path, value, self.revision)
         return self.revision
 
     def apply_own_write(self, path: str, value: Any, revision: int) -> None:
-        """The cache is the store's own table."""
+        """Do nothing: the cache shares the store's entries."""
 
     async def txn(self, compare: dict[str, int], writes: dict[str, Any], **_: Any) -> int:
-        """Apply the writes if every revision holds."""
+        """Apply the writes if all compared revisions match."""
         self.attempts += 1
         await asyncio.sleep(0)
-        if self.down:
-            raise StoreUnavailableError("down")
+        if self.unavailable:
+            raise StoreUnavailableError("unavailable")
         failed = [
             path
             for path, revision in compare.items()
@@ -85,64 +85,64 @@
         return self.revision
 
     async def list_prefix(self, prefix: str) -> tuple[list[Entry], int]:
-        """All entries whose keys begin with the prefix."""
+        """Return the entries whose keys begin with the prefix, and the store's revision."""
         found = [entry for path, entry in self.entries.items() if path.startswith(prefix)]
         return found, self.revision
 
 
 @dataclass
 class FakeCloud:
-    """Answers in turn with what the test gives, and notes what it was asked."""
+    """Gives the answers that a test has queued, and keeps the requests."""
 
     answers: list[Any] = field(default_factory=list)
-    hosts_listed: list[Host] = field(default_factory=list)
-    rented: list[str] = field(default_factory=list)
-    released: list[list[str]] = field(default_factory=list)
+    listed_hosts: list[Host] = field(default_factory=list)
+    rental_requests: list[str] = field(default_factory=list)
+    release_requests: list[list[str]] = field(default_factory=list)
 
     async def rent(self, name: str, *request: Any) -> list[str]:
-        """Give the next answer, or raise it."""
+        """Return the next answer, or raise it if it is an exception."""
         *_, guard = request
         guard()
-        self.rented.append(name)
+        self.rental_requests.append(name)
         answer = self.answers.pop(0)
         if isinstance(answer, Exception):
             raise answer
         return list(answer)
 
     async def release(self, names: list[str], guard: Any) -> None:
-        """Note the names; raise the next answer, if there is one."""
+        """Keep the names, and raise the next answer if there is one."""
         guard()
-        self.released.append(names)
+        self.release_requests.append(names)
         if self.answers:
             raise self.answers.pop(0)
 
     async def list_machines(self) -> list[Host]:
-        """The list that the test gives."""
-        return self.hosts_listed
+        """Return the hosts that the test has set."""
+        return self.listed_hosts
 
 
 class FakeAllocator:
-    """Notes what came of scale-outs."""
+    """Keeps the outcomes of scale-outs."""
 
     def __init__(self) -> None:
         """Start without scale-outs."""
         self.scale_outs: list[ScaleOut] = []
-        self.results: list[Any] = []
+        self.outcomes: list[Any] = []
 
-    def scaled_out(self, rent: ScaleOut, names: list[str], now: float) -> None:
-        """Note the machines."""
-        self.results.append(names)
+    def scaled_out(self, scale_out: ScaleOut, names: list[str], now: float) -> None:
+        """Keep the machines' names."""
+        self.outcomes.append(names)
 
-    def scale_out_failed(self, rent: ScaleOut, now: float, no_capacity: bool) -> None:
-        """Note whether for lack of capacity."""
-        self.results.append(no_capacity)
+    def scale_out_failed(self, scale_out: ScaleOut, now: float, no_capacity: bool) -> None:
+        """Keep whether capacity was lacking."""
+        self.outcomes.append(no_capacity)
 
 
-class Pieces:
-    """The pieces, each with the fakes that it needs, in the term TERM."""
+class LeaderComponents:
+    """The leader's components with the fakes that they need, in the term TERM."""
 
     def __init__(self) -> None:
-        """Lead, with nothing recorded."""
+        """Start as the leader, without machine records."""
         self.store = cast(Any, FakeStore())
         self.cache = cast(
             Any,
@@ -152,7 +152,7 @@
         )
         self.cloud = cast(Any, FakeCloud())
         self.time = 1000.0
-        self.fresh = True
+        self.state_fresh = True
         self.scaling_out = False
         self.election = Election("machines", "leader", "n1", 1)
         self.election.term, self.election.lease_valid_until = TERM, math.inf
@@ -168,7 +168,7 @@
         self.spawned: list[Coroutine[Any, Any, None]] = []
 
     def inventory(self) -> InventoryReconciler:
-        """The reconciliation with the cloud's list."""
+        """Create the inventory reconciler."""
         return InventoryReconciler(
             cloud=self.cloud,
             records=self.records,
@@ -183,9 +183,9 @@
             adopt_after_s=ADOPT_AFTER_S,
         )
 
-    def provisioner(self, **more: Any) -> Provisioner:
-        """Scale-out and scale-in, without pauses between attempts."""
-        collaborators: Any = {
+    def provisioner(self, **overrides: Any) -> Provisioner:
+        """Create a provisioner that does not pause between attempts."""
+        arguments: Any = {
             "store": self.store,
             "cloud": self.cloud,
             "records": self.records,
@@ -194,37 +194,37 @@
             "naming": self.naming,
             "catalog": self.catalog,
             "write_limits": self.write_limits,
-            "state_fresh": lambda: self.fresh,
+            "state_fresh": lambda: self.state_fresh,
             "on_released": lambda names: None,
             "spawn": self.spawned.append,
             "now": lambda: self.time,
             "lease_s": 0.0,
             "tick_s": 0.0,
         }
-        return Provisioner(**(collaborators | more))
+        return Provisioner(**(arguments | overrides))
 
-    def machine(self, name: str, **more: Any) -> int:
-        """Record an unassigned machine, with further stored fields; its revision."""
+    def add_machine(self, name: str, **stored_fields: Any) -> int:
+        """Store the record of an unassigned machine, and return its revision."""
         record = MachineRecord("g4", "a", False, "", "", self.time - 100)
-        return int(self.store.put(f"machine/{name}", record.to_stored() | more))
+        return int(self.store.put(f"machine/{name}", record.to_stored() | stored_fields))
 
-    def stored(self, name: str) -> dict[str, Any]:
-        """A machine's record."""
+    def stored_record(self, name: str) -> dict[str, Any]:
+        """Return the stored record of a machine."""
         value: dict[str, Any] = self.store.entries[f"machine/{name}"].value
         return value
 
-    def recorded(self) -> list[str]:
-        """The machines that have records."""
+    def recorded_names(self) -> list[str]:
+        """Return the names of the machines that have records."""
         return [path.split("/")[1] for path in self.store.entries if path.startswith("machine/")]
 
-    def replaced(self) -> None:
-        """Another controller takes the lead."""
+    def elect_another_leader(self) -> None:
+        """Write the leader's key as another controller would."""
         self.store.put("leader", {})
 
 
 @pytest.fixture
-def pieces() -> Pieces:
-    return Pieces()
+def components() -> LeaderComponents:
+    return LeaderComponents()
 
 
 def heartbeat(name: str, machine_type: str = "g4") -> Heartbeat:
@@ -235,10 +235,10 @@
     return Host(name, "10.1.0.1:9000", "g4", "a", status, False, age_s)
 
 
-# -- records -----------------------------------------------------------------------------------------
+# -- records ---------------------------------------------------------------------------------------
 
 
-def test_what_is_stored_of_a_new_machine() -> None:
+def test_stored_form_of_a_new_machine() -> None:
     record = MachineRecord("g4", "a", True, "", "red", 12.34567)
     stored = {"t": "g4", "z": "a", "s": True, "a": "", "p": "red", "at": 12.346}
     assert list(record.to_stored().items()) == list(stored.items())
@@ -246,112 +246,127 @@
     assert rented.to_stored() == stored | {"r": 1, "n": 4}
 
 
-def test_records_are_written_many_to_a_transaction_and_without_those_that_changed(
-    pieces: Pieces,
+def test_records_are_written_in_batches_without_those_that_changed(
+    components: LeaderComponents,
 ) -> None:
     names = [f"vm-{n}" for n in range(6)]
-    writes = {name: RecordWrite(pieces.machine(name), {"p": "red"}) for name in names}
-    pieces.machine("vm-1")
-    written = asyncio.run(pieces.records.write_all(writes))
+    writes = {name: RecordWrite(components.add_machine(name), {"p": "red"}) for name in names}
+    components.add_machine("vm-1")
+    written = asyncio.run(components.records.write_all(writes))
     assert written == ["vm-0", "vm-2", "vm-3", "vm-4", "vm-5"]
-    assert [len(writes) for writes in pieces.store.transactions] == [3, 2]
-    assert pieces.stored("vm-1")["p"] == "" and pieces.stored("vm-5") == {"p": "red"}
+    assert [len(writes) for writes in components.store.transactions] == [3, 2]
+    assert components.stored_record("vm-1")["p"] == "" and components.stored_record("vm-5") == {
+        "p": "red"
+    }
 
 
-def test_nothing_is_written_once_another_leads(pieces: Pieces) -> None:
-    write = RecordWrite(pieces.machine("vm-0"), None)
-    pieces.replaced()
+def test_nothing_is_written_after_another_leader_was_elected(components: LeaderComponents) -> None:
+    write = RecordWrite(components.add_machine("vm-0"), None)
+    components.elect_another_leader()
     with pytest.raises(NotLeaderError):
-        asyncio.run(pieces.records.write_all({"vm-0": write}))
+        asyncio.run(components.records.write_all({"vm-0": write}))
     assert not asyncio.run(
-        pieces.records.create("vm-9", MachineRecord("g4", "a", False, "", "", 1.0))
+        components.records.create("vm-9", MachineRecord("g4", "a", False, "", "", 1.0))
     )
-    assert pieces.recorded() == ["vm-0"] and not pieces.store.transactions
+    assert components.recorded_names() == ["vm-0"] and not components.store.transactions
 
 
-def test_leadership_is_fenced_by_lease_time_and_term(pieces: Pieces) -> None:
-    pieces.leadership.check()
-    assert pieces.leadership.may_act() and pieces.leadership.may_decide()
-    assert not Leadership(pieces.election, TERM - 1).may_act()
-    pieces.election.state = ElectionState.TRANSFERRING
-    assert pieces.leadership.may_act() and not pieces.leadership.may_decide()
-    pieces.election.lease_valid_until = -math.inf
+def test_leadership_is_fenced_by_lease_time_and_term(components: LeaderComponents) -> None:
+    components.leadership.check()
+    assert components.leadership.may_act() and components.leadership.may_decide()
+    assert not Leadership(components.election, TERM - 1).may_act()
+    components.election.state = ElectionState.TRANSFERRING
+    assert components.leadership.may_act() and not components.leadership.may_decide()
+    components.election.lease_valid_until = -math.inf
     with pytest.raises(NotLeaderError):
-        pieces.leadership.check()
+        components.leadership.check()
 
 
-# -- assignments -------------------------------------------------------------------------------------
+# -- assignments -----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("silent_s", "known"), [(0.5, {"a": "10.1.0.1:9000", "n": 3}), (2.5, {"a": ""})]
+    ("heartbeat_age_s", "heartbeat_fields"),
+    [(0.5, {"a": "10.1.0.1:9000", "n": 3}), (2.5, {"a": ""})],
 )
-def test_an_assigned_machine_keeps_its_fields_and_what_it_reported_just_now(
-    silent_s: float, known: dict[str, Any], pieces: Pieces
+def test_an_assigned_machine_keeps_its_fields_and_those_of_a_recent_heartbeat(
+    heartbeat_age_s: float, heartbeat_fields: dict[str, Any], components: LeaderComponents
 ) -> None:
-    pieces.machine("vm-0", later_version=[1])
-    before = dict(pieces.stored("vm-0"))
-    pieces.heartbeats.note_recorded(heartbeat("vm-0"), pieces.time - silent_s)
-    asyncio.run(pieces.assignments.assign({"vm-0": "red"}))
-    assert pieces.stored("vm-0") == before | {"p": "red"} | known
+    components.add_machine("vm-0", later_version=[1])
+    before = dict(components.stored_record("vm-0"))
+    components.heartbeats.note_recorded(heartbeat("vm-0"), components.time - heartbeat_age_s)
+    asyncio.run(components.assignments.assign({"vm-0": "red"}))
+    assert components.stored_record("vm-0") == before | {"p": "red"} | heartbeat_fields
 
 
-def test_an_unrecorded_machine_is_recorded_when_it_is_assigned(pieces: Pieces) -> None:
-    pieces.heartbeats.note_unrecorded(heartbeat("vm-9"), pieces.time)
-    asyncio.run(pieces.assignments.assign({"vm-9": "red", "vm-unknown": "red"}))
-    expected = MachineRecord("g4", "a", False, "10.1.0.1:9000", "red", pieces.time, incarnation=3)
-    assert pieces.stored("vm-9") == expected.to_stored()
-    assert pieces.recorded() == ["vm-9"] and not pieces.heartbeats.unrecorded
+def test_an_unrecorded_machine_is_recorded_when_it_is_assigned(
+    components: LeaderComponents,
+) -> None:
+    components.heartbeats.note_unrecorded(heartbeat("vm-9"), components.time)
+    asyncio.run(components.assignments.assign({"vm-9": "red", "vm-unknown": "red"}))
+    expected = MachineRecord(
+        "g4", "a", False, "10.1.0.1:9000", "red", components.time, incarnation=3
+    )
+    assert components.stored_record("vm-9") == expected.to_stored()
+    assert components.recorded_names() == ["vm-9"] and not components.heartbeats.unrecorded
 
 
-def test_only_unassigned_machines_are_assigned(pieces: Pieces) -> None:
-    pieces.machine("vm-0", p="blue")
-    pieces.machine("vm-1", x="returned")
-    asyncio.run(pieces.assignments.assign({"vm-0": "red", "vm-1": "red"}))
-    assert pieces.stored("vm-0")["p"] == "blue" and pieces.stored("vm-1")["p"] == ""
+def test_only_unassigned_machines_are_assigned(components: LeaderComponents) -> None:
+    components.add_machine("vm-0", p="blue")
+    components.add_machine("vm-1", x="returned")
+    asyncio.run(components.assignments.assign({"vm-0": "red", "vm-1": "red"}))
+    assert (
+        components.stored_record("vm-0")["p"] == "blue"
+        and components.stored_record("vm-1")["p"] == ""
+    )
 
 
-def test_nothing_more_is_assigned_while_assignments_are_written(pieces: Pieces) -> None:
+def test_nothing_is_assigned_while_assignments_are_pending(components: LeaderComponents) -> None:
     async def run() -> None:
-        pieces.machine("vm-0")
-        task = asyncio.create_task(pieces.assignments.assign({"vm-0": "red"}))
+        components.add_machine("vm-0")
+        task = asyncio.create_task(components.assignments.assign({"vm-0": "red"}))
         await asyncio.sleep(0)
-        assert pieces.assignments.max_new_assignments() == 0 and pieces.assignments.under_way
+        assert (
+            components.assignments.max_new_assignments() == 0 and components.assignments.under_way
+        )
         await task
 
-    assert pieces.assignments.max_new_assignments() == MAX_ASSIGN_S * WRITES_PER_S
+    assert components.assignments.max_new_assignments() == MAX_ASSIGN_S * WRITES_PER_S
     asyncio.run(run())
-    assert pieces.assignments.max_new_assignments() and not pieces.assignments.under_way
+    assert components.assignments.max_new_assignments() and not components.assignments.under_way
 
 
-def test_a_machine_is_decommissioned_once(pieces: Pieces) -> None:
+def test_a_machine_is_decommissioned_once(components: LeaderComponents) -> None:
     async def run() -> None:
         await asyncio.gather(
-            pieces.assignments.decommission(["vm-0"], "returned"),
-            pieces.assignments.decommission(["vm-0", "vm-1"], "failed"),
+            components.assignments.decommission(["vm-0"], "returned"),
+            components.assignments.decommission(["vm-0", "vm-1"], "failed"),
         )
-        await pieces.assignments.decommission(["vm-0", "vm-unknown"], "failed")
+        await components.assignments.decommission(["vm-0", "vm-unknown"], "failed")
 
-    pieces.machine("vm-0", later_version=[1])
-    pieces.machine("vm-1")
+    components.add_machine("vm-0", later_version=[1])
+    components.add_machine("vm-1")
     asyncio.run(run())
-    assert [pieces.stored(name)["x"] for name in ("vm-0", "vm-1")] == ["returned", "failed"]
-    assert pieces.stored("vm-0")["later_version"] == [1]
-    assert pieces.store.attempts == 2 and not pieces.assignments.under_way
+    assert [components.stored_record(name)["x"] for name in ("vm-0", "vm-1")] == [
+        "returned",
+        "failed",
+    ]
+    assert components.stored_record("vm-0")["later_version"] == [1]
+    assert components.store.attempts == 2 and not components.assignments.under_way
 
 
-def test_failed_writes_are_no_longer_under_way(pieces: Pieces) -> None:
-    pieces.machine("vm-0")
-    pieces.store.down = True
-    asyncio.run(pieces.assignments.assign({"vm-0": "red"}))
-    asyncio.run(pieces.assignments.decommission(["vm-0"], "returned"))
-    assert not pieces.assignments.under_way and pieces.stored("vm-0")["p"] == ""
+def test_failed_writes_are_not_pending_any_more(components: LeaderComponents) -> None:
+    components.add_machine("vm-0")
+    components.store.unavailable = True
+    asyncio.run(components.assignments.assign({"vm-0": "red"}))
+    asyncio.run(components.assignments.decommission(["vm-0"], "returned"))
+    assert not components.assignments.under_way and components.stored_record("vm-0")["p"] == ""
 
 
-# -- provisioner -------------------------------------------------------------------------------------
+# -- provisioner -----------------------------------------------------------------------------------
 
 
-def test_what_is_stored_of_a_scale_out() -> None:
+def test_stored_form_of_a_scale_out() -> None:
     stored = scale_out_to_stored(SCALE_OUT)
     assert stored == {"teams": [["red", 1], ["blue", 1]], "t": "g4", "z": "a", "s": True}
     assert scale_out_from_stored(stored) == SCALE_OUT
@@ -360,18 +375,18 @@
 
 
 def test_an_intent_is_written_before_the_request_and_deleted_after_it(
-    pieces: Pieces,
+    components: LeaderComponents,
 ) -> None:
-    pieces.cloud.answers = [CloudError("no answer", True), ["vm-1", "vm-2"]]
-    provisioner = pieces.provisioner()
+    components.cloud.answers = [CloudError("no answer", True), ["vm-1", "vm-2"]]
+    provisioner = components.provisioner()
     asyncio.run(provisioner.scale_out(SCALE_OUT))
-    intent, machines, deletion = pieces.store.transactions
+    intent, machines, deletion = components.store.transactions
     assert intent == {f"charter/n1.{TERM}.8": scale_out_to_stored(SCALE_OUT)}
     assert [value["p"] for value in machines.values()] == ["red", "blue"]
     assert all(value["r"] == 1 for value in machines.values())
     assert deletion == {f"charter/n1.{TERM}.8": None}
-    assert pieces.cloud.rented == [f"n1.{TERM}.8"] * 2
-    assert pieces.allocator.results == [["vm-1", "vm-2"]] and not provisioner.under_way
+    assert components.cloud.rental_requests == [f"n1.{TERM}.8"] * 2
+    assert components.allocator.outcomes == [["vm-1", "vm-2"]] and not provisioner.under_way
 
 
 @pytest.mark.parametrize(
@@ -381,211 +396,234 @@
         ([CloudError("no answer", True)] * CLOUD_ATTEMPTS, False),
     ],
 )
-def test_a_scale_out_without_machines(
-    answers: list[Exception], no_capacity: bool, pieces: Pieces
+def test_outcome_of_a_scale_out_without_machines(
+    answers: list[Exception], no_capacity: bool, components: LeaderComponents
+) -> None:
+    components.cloud.answers = list(answers)
+    asyncio.run(components.provisioner().scale_out(SCALE_OUT))
+    assert components.allocator.outcomes == [no_capacity] and not components.cloud.answers
+    assert components.recorded_names() == [] and "charter" not in str(
+        list(components.store.entries)
+    )
+
+
+@pytest.mark.parametrize("failure", ["store unavailable", "another leader", "lease expired"])
+def test_no_machines_are_requested_without_a_stored_intent(
+    failure: str, components: LeaderComponents
 ) -> None:
-    pieces.cloud.answers = list(answers)
-    asyncio.run(pieces.provisioner().scale_out(SCALE_OUT))
-    assert pieces.allocator.results == [no_capacity] and not pieces.cloud.answers
-    assert pieces.recorded() == [] and "charter" not in str(list(pieces.store.entries))
-
-
-@pytest.mark.parametrize("why", ["down", "replaced", "lease over"])
-def test_without_a_durable_intent_the_cloud_is_not_asked(why: str, pieces: Pieces) -> None:
-    provisioner = pieces.provisioner()
-    if why == "down":
-        pieces.store.down = True
-    elif why == "replaced":
-        pieces.replaced()
+    provisioner = components.provisioner()
+    if failure == "store unavailable":
+        components.store.unavailable = True
+    elif failure == "another leader":
+        components.elect_another_leader()
     else:
-        pieces.election.lease_valid_until = -math.inf
+        components.election.lease_valid_until = -math.inf
     asyncio.run(provisioner.scale_out(SCALE_OUT))
-    assert not pieces.cloud.rented and pieces.allocator.results == [False]
-    assert not provisioner.under_way and not pieces.store.transactions
+    assert not components.cloud.rental_requests and components.allocator.outcomes == [False]
+    assert not provisioner.under_way and not components.store.transactions
+
 
+def test_an_interrupted_intent_is_resumed_under_its_name(components: LeaderComponents) -> None:
+    provisioner = components.provisioner()
 
-def test_an_interrupted_intent_is_resumed_under_its_name(pieces: Pieces) -> None:
-    provisioner = pieces.provisioner()
+    class LeaseExpiringCloud(FakeCloud):
+        """Lets the leader's lease expire before each rental request."""
 
-    class Suspended(FakeCloud):
         async def rent(self, name: str, *request: Any) -> list[str]:
-            pieces.election.lease_valid_until = -math.inf
+            components.election.lease_valid_until = -math.inf
             return await super().rent(name, *request)
 
-    provisioner.cloud = Suspended()  # type: ignore[assignment]
+    provisioner.cloud = LeaseExpiringCloud()  # type: ignore[assignment]
     with pytest.raises(NotLeaderError):
         asyncio.run(provisioner.scale_out(SCALE_OUT))
-    assert pieces.allocator.results == [False] and not provisioner.under_way
-    pieces.election.lease_valid_until = math.inf
-    provisioner.cloud, pieces.cloud.answers = pieces.cloud, [["vm-1", "vm-2"]]
+    assert components.allocator.outcomes == [False] and not provisioner.under_way
+    components.election.lease_valid_until = math.inf
+    provisioner.cloud, components.cloud.answers = components.cloud, [["vm-1", "vm-2"]]
     asyncio.run(provisioner.resume_intents())
-    assert pieces.allocator.scale_outs == [SCALE_OUT] and provisioner.scaling_out
-    asyncio.run(pieces.spawned.pop())
-    assert pieces.cloud.rented == [f"n1.{TERM}.8"] and pieces.recorded() == ["vm-1", "vm-2"]
-    assert not provisioner.under_way and not pieces.spawned
+    assert components.allocator.scale_outs == [SCALE_OUT] and provisioner.scaling_out
+    asyncio.run(components.spawned.pop())
+    assert components.cloud.rental_requests == [f"n1.{TERM}.8"] and components.recorded_names() == [
+        "vm-1",
+        "vm-2",
+    ]
+    assert not provisioner.under_way and not components.spawned
 
 
-def test_intents_of_earlier_terms_are_counted_and_repeated(pieces: Pieces) -> None:
+def test_intents_of_earlier_terms_are_counted_and_repeated(components: LeaderComponents) -> None:
     unknown_type = scale_out_to_stored(SCALE_OUT._replace(type="h9"))
     names = [f"n1.{TERM}.7", f"n1.{TERM}.8", f"n1.{TERM - 1}.9", "n2.30.9"]
     for name in names:
-        pieces.store.put(f"charter/{name}", scale_out_to_stored(SCALE_OUT))
-    pieces.store.put("charter/n2.30.10", unknown_type)
-    provisioner = pieces.provisioner()
+        components.store.put(f"charter/{name}", scale_out_to_stored(SCALE_OUT))
+    components.store.put("charter/n2.30.10", unknown_type)
+    provisioner = components.provisioner()
     asyncio.run(provisioner.resume_intents())
     resumed = {f"n1.{TERM}.7", f"n1.{TERM - 1}.9", "n2.30.9", "n2.30.10"}
-    assert provisioner.open_intents == resumed, "the eighth of this term is this leader's own"
-    assert pieces.allocator.scale_outs == [SCALE_OUT] * 3
-    assert pieces.election.reconciled_term == TERM and len(pieces.spawned) == 4
+    assert provisioner.open_intents == resumed, "number 8 of this term was written by this leader"
+    assert components.allocator.scale_outs == [SCALE_OUT] * 3
+    assert components.election.reconciled_term == TERM and len(components.spawned) == 4
     asyncio.run(provisioner.resume_intents())
-    assert len(pieces.spawned) == 4, "what is under way is not begun again"
-    for job in pieces.spawned:
-        job.close()
+    assert len(components.spawned) == 4, "intents in progress are not resumed again"
+    for coroutine in components.spawned:
+        coroutine.close()
 
 
-def test_a_finished_intent_is_deleted_once_the_store_answers(pieces: Pieces) -> None:
-    provisioner = pieces.provisioner()
-    revision = pieces.store.put("charter/n2.30.9", scale_out_to_stored(SCALE_OUT))
+def test_a_finished_intent_is_deleted_once_the_store_answers(components: LeaderComponents) -> None:
+    provisioner = components.provisioner()
+    revision = components.store.put("charter/n2.30.9", scale_out_to_stored(SCALE_OUT))
     provisioner.finished_intents = {"n2.30.9": revision}
-    pieces.store.down = True
+    components.store.unavailable = True
     asyncio.run(provisioner._delete_finished_intents())
     assert list(provisioner.finished_intents) == ["n2.30.9"]
-    pieces.store.down = False
+    components.store.unavailable = False
     asyncio.run(provisioner.resume_intents())
-    assert not provisioner.finished_intents and not pieces.spawned
-    assert "charter/n2.30.9" not in pieces.store.entries
+    assert not provisioner.finished_intents and not components.spawned
+    assert "charter/n2.30.9" not in components.store.entries
 
 
-def test_a_decommissioned_machine_is_deleted_after_its_release(pieces: Pieces) -> None:
+def test_a_decommissioned_machine_is_deleted_after_its_release(
+    components: LeaderComponents,
+) -> None:
     released: list[str] = []
-    provisioner = pieces.provisioner(on_released=released.extend)
-    pieces.machine("vm-0")
+    provisioner = components.provisioner(on_released=released.extend)
+    components.add_machine("vm-0")
     for n in range(1, 7):
-        pieces.machine(f"vm-{n}", x="returned")
-    pieces.fresh = False
+        components.add_machine(f"vm-{n}", x="returned")
+    components.state_fresh = False
     asyncio.run(provisioner.scale_in())
-    assert not pieces.cloud.released
-    pieces.fresh, pieces.cloud.answers = True, [CloudError("no answer", True)]
+    assert not components.cloud.release_requests
+    components.state_fresh, components.cloud.answers = True, [CloudError("no answer", True)]
     with pytest.raises(CloudError):
         asyncio.run(provisioner.scale_in())
-    assert len(pieces.recorded()) == 7 and not released and not provisioner.under_way
+    assert len(components.recorded_names()) == 7 and not released and not provisioner.under_way
     asyncio.run(provisioner.scale_in())
-    assert released == ["vm-1", "vm-2", "vm-3", "vm-4"], "as many as a transaction takes"
-    assert pieces.recorded() == ["vm-0", "vm-5", "vm-6"]
-    pieces.write_limits.ops = 10 * MAX_RELEASED_PER_REQUEST
+    assert released == ["vm-1", "vm-2", "vm-3", "vm-4"], (
+        "limited by the operations of one transaction"
+    )
+    assert components.recorded_names() == ["vm-0", "vm-5", "vm-6"]
+    components.write_limits.ops = 10 * MAX_RELEASED_PER_REQUEST
     asyncio.run(provisioner.scale_in())
-    assert pieces.recorded() == ["vm-0"]
+    assert components.recorded_names() == ["vm-0"]
 
 
-# -- inventory ---------------------------------------------------------------------------------------
+# -- inventory -------------------------------------------------------------------------------------
 
 
-def test_an_unassigned_unrecorded_machine_is_adopted(pieces: Pieces) -> None:
-    inventory = pieces.inventory()
+def test_an_unassigned_unrecorded_machine_is_adopted(components: LeaderComponents) -> None:
+    inventory = components.inventory()
     inventory.on_heartbeat(heartbeat("vm-9"), recorded=False)
     inventory.on_heartbeat(heartbeat("vm-8", "h9"), recorded=False)
-    pieces.time += ADOPT_AFTER_S
+    components.time += ADOPT_AFTER_S
     inventory.on_heartbeat(heartbeat("vm-9"), recorded=False)
     asyncio.run(inventory.adopt_unrecorded())
-    assert pieces.recorded() == []
-    pieces.time += 0.1
+    assert components.recorded_names() == []
+    components.time += 0.1
     asyncio.run(inventory.adopt_unrecorded())
-    assert pieces.recorded() == ["vm-9"] and not pieces.heartbeats.unrecorded
+    assert components.recorded_names() == ["vm-9"] and not components.heartbeats.unrecorded
     assert (
-        pieces.stored("vm-9")
-        == MachineRecord.from_source(heartbeat("vm-9"), "", pieces.time).to_stored()
+        components.stored_record("vm-9")
+        == MachineRecord.from_source(heartbeat("vm-9"), "", components.time).to_stored()
     )
 
 
-def test_heartbeats_of_released_and_of_assigned_machines_are_not_noted(pieces: Pieces) -> None:
-    inventory = pieces.inventory()
+def test_heartbeats_of_released_and_of_assigned_machines_are_not_stored(
+    components: LeaderComponents,
+) -> None:
+    inventory = components.inventory()
     inventory.note_released(["vm-1"])
-    pieces.assignments.pending_assignments.add("vm-2")
+    components.assignments.pending_assignments.add("vm-2")
     for name in ("vm-1", "vm-2"):
         inventory.on_heartbeat(heartbeat(name), recorded=False)
-    assert not pieces.heartbeats.unrecorded
-    pieces.time += 4 * LAG_S + LEASE_S - 0.1
+    assert not components.heartbeats.unrecorded
+    components.time += 4 * LAG_S + LEASE_S - 0.1
     inventory.on_heartbeat(heartbeat("vm-1"), recorded=False)
-    assert not pieces.heartbeats.unrecorded
-    pieces.time += 0.1
+    assert not components.heartbeats.unrecorded
+    components.time += 0.1
     inventory.on_heartbeat(heartbeat("vm-1"), recorded=False)
     inventory.on_heartbeat(heartbeat("vm-3"), recorded=True)
-    assert list(pieces.heartbeats.unrecorded) == ["vm-1"]
-    assert list(pieces.heartbeats.recorded) == ["vm-3"]
+    assert list(components.heartbeats.unrecorded) == ["vm-1"]
+    assert list(components.heartbeats.recorded) == ["vm-3"]
 
 
-def test_failed_and_missing_machines_are_decommissioned(pieces: Pieces) -> None:
-    inventory = pieces.inventory()
+def test_failed_and_missing_machines_are_decommissioned(components: LeaderComponents) -> None:
+    inventory = components.inventory()
     for name in ("vm-0", "vm-1", "vm-2"):
-        pieces.machine(name)
-    pieces.cloud.hosts_listed = [host("vm-0"), host("vm-1"), host("vm-2", "failed")]
+        components.add_machine(name)
+    components.cloud.listed_hosts = [host("vm-0"), host("vm-1"), host("vm-2", "failed")]
     asyncio.run(inventory.reconcile())
-    assert pieces.stored("vm-2")["x"] == "failed"
-    pieces.cloud.hosts_listed = [host("vm-0")]
-    pieces.time += 3 * LAG_S
+    assert components.stored_record("vm-2")["x"] == "failed"
+    components.cloud.listed_hosts = [host("vm-0")]
+    components.time += 3 * LAG_S
     asyncio.run(inventory.reconcile())
-    assert "x" not in pieces.stored("vm-1"), "an old list may not hold it yet"
-    pieces.time += 0.1
+    assert "x" not in components.stored_record("vm-1"), "an outdated list may not contain it yet"
+    components.time += 0.1
     asyncio.run(inventory.reconcile())
-    assert pieces.stored("vm-1")["x"] == "not listed any more"
-    assert pieces.stored("vm-2")["x"] == "failed" and "x" not in pieces.stored("vm-0")
+    assert components.stored_record("vm-1")["x"] == "not listed any more"
+    assert components.stored_record("vm-2")[
+        "x"
+    ] == "failed" and "x" not in components.stored_record("vm-0")
 
 
-def test_a_listed_machine_is_adopted_when_no_list_can_be_so_old(pieces: Pieces) -> None:
-    inventory = pieces.inventory()
-    pieces.cloud.hosts_listed = [host("vm-9")]
+def test_a_machine_listed_for_longer_than_lists_lag_is_adopted(
+    components: LeaderComponents,
+) -> None:
+    inventory = components.inventory()
+    components.cloud.listed_hosts = [host("vm-9")]
     asyncio.run(inventory.reconcile())
-    pieces.time += 2 * LAG_S
+    components.time += 2 * LAG_S
     asyncio.run(inventory.reconcile())
-    pieces.time += 0.1
-    pieces.scaling_out = True
+    components.time += 0.1
+    components.scaling_out = True
     asyncio.run(inventory.reconcile())
-    assert pieces.recorded() == [], "what is being rented is listed before it is recorded"
-    pieces.scaling_out = False
+    assert components.recorded_names() == [], (
+        "machines of a scale-out in progress are listed before they are recorded"
+    )
+    components.scaling_out = False
     asyncio.run(inventory.reconcile())
-    assert pieces.recorded() == ["vm-9"]
+    assert components.recorded_names() == ["vm-9"]
 
 
-def test_the_lag_is_what_the_lists_show_and_fades(pieces: Pieces) -> None:
-    inventory = pieces.inventory()
-    pieces.machine("vm-0", r=1)  # rented 100 s ago
-    pieces.cloud.hosts_listed = [host("vm-0", age_s=80.0)]
+def test_lag_estimate_follows_the_lists_and_decays(components: LeaderComponents) -> None:
+    inventory = components.inventory()
+    components.add_machine("vm-0", r=1)  # rented 100 s ago
+    components.cloud.listed_hosts = [host("vm-0", age_s=80.0)]
     asyncio.run(inventory.reconcile())
     assert inventory.lag_s == 20.0
-    pieces.cloud.hosts_listed = [host("vm-0", age_s=99.0)]
+    components.cloud.listed_hosts = [host("vm-0", age_s=99.0)]
     asyncio.run(inventory.reconcile())
     assert inventory.lag_s == 18.0
 
 
-def test_notes_about_deleted_machines_are_dropped(pieces: Pieces) -> None:
-    inventory = pieces.inventory()
-    pieces.machine("vm-0")
+def test_state_of_deleted_and_released_machines_is_pruned(components: LeaderComponents) -> None:
+    inventory = components.inventory()
+    components.add_machine("vm-0")
     for name in ("vm-0", "vm-1"):
         inventory.on_heartbeat(heartbeat(name), recorded=True)
     inventory.note_released(["vm-2"])
     asyncio.run(inventory.reconcile())
-    assert list(pieces.heartbeats.recorded) == ["vm-0"] and list(inventory.released_at) == ["vm-2"]
-    pieces.time += 20 * LAG_S + 60.1
+    assert list(components.heartbeats.recorded) == ["vm-0"] and list(inventory.released_at) == [
+        "vm-2"
+    ]
+    components.time += 20 * LAG_S + 60.1
     asyncio.run(inventory.reconcile())
     assert not inventory.released_at
 
 
-def test_no_list_is_asked_for_once_the_lease_is_over(pieces: Pieces) -> None:
-    pieces.election.lease_valid_until = -math.inf
+def test_no_list_is_requested_after_the_lease_expired(components: LeaderComponents) -> None:
+    components.election.lease_valid_until = -math.inf
     with pytest.raises(NotLeaderError):
-        asyncio.run(pieces.inventory().reconcile())
+        asyncio.run(components.inventory().reconcile())
 
 
-# -- snapshot ----------------------------------------------------------------------------------------
+# -- snapshot --------------------------------------------------------------------------------------
 
 
-def test_a_view_is_made_anew_only_when_its_record_changed(pieces: Pieces) -> None:
-    pieces.machine("vm-0", i=[["image", 2.0], "earlier form"])
-    pieces.machine("vm-1", x="returned")
-    del pieces.store.entries["leader"]
+def test_a_view_is_rebuilt_only_when_its_record_changed(components: LeaderComponents) -> None:
+    components.add_machine("vm-0", i=[["image", 2.0], "earlier form"])
+    components.add_machine("vm-1", x="returned")
+    del components.store.entries["leader"]
     for name in ("vm-1", "vm-9"):
-        pieces.heartbeats.note_unrecorded(heartbeat(name), pieces.time)
-    snapshot = MachineSnapshot(pieces.cache, pieces.heartbeats)
+        components.heartbeats.note_unrecorded(heartbeat(name), components.time)
+    snapshot = MachineSnapshot(components.cache, components.heartbeats)
     first = snapshot.machine_views()
     assert [(view.name, view.revision) for view in first] == [
         ("vm-9", ABSENT),
@@ -593,7 +631,7 @@
         ("vm-1", 102),
     ]
     assert first[1].images == {"image", "earlier form"} and first[2].decommissioned == "returned"
-    pieces.machine("vm-1")
+    components.add_machine("vm-1")
     second = snapshot.machine_views()
     assert second[1] is first[1]
-    assert second[2] == machine_view(pieces.store.entries["machine/vm-1"]) != first[2]
+    assert second[2] == machine_view(components.store.entries["machine/vm-1"]) != first[2]
