--- a/ashdock/leader/inventory.py
+++ b/ashdock/leader/inventory.py
@@ -20,8 +20,8 @@
 MAX_UNRECORDED = 2000  # unrecorded machines whose heartbeats are kept
 LAG_DECAY = 0.9  # factor of the estimated lag with each list that shows a smaller one
 # Multiples of the lag of the cloud's list.
-MISSING_LAGS = 3  # a machine first listed longer ago that a list lacks is gone
-UNRECORDED_LAGS = 2  # a machine listed without a record for longer does exist
+MISSING_LAGS = 3  # a machine first listed longer ago is gone if a list lacks it
+UNRECORDED_LAGS = 2  # a machine listed without a record for longer than this exists
 LATE_HEARTBEAT_LAGS = 4  # plus an agent lease: how long heartbeats may arrive after a release
 FORGET_RELEASED_LAGS = 20  # plus FORGET_RELEASED_S: how long a release is remembered
 FORGET_RELEASED_S = 60.0
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -292,8 +292,8 @@
     def _assign(self, assignments: dict[str, str]) -> None:
         """Write as many assignments as may be pending; the allocator decides on the rest again.
 
-        The allocator is told of the rest: as long as it expected such a machine at the new shard,
-        the machine stayed idle, for half an agent lease.
+        The allocator is told which machines are left out. If it counted them as on their way to a
+        shard, they would stay idle for half an agent lease.
         """
         max_count = self.assignments.max_new_assignments()
         self.allocator.not_assigned(list(assignments)[max_count:])
