--- a/ashdock/core/write_limits.py
+++ b/ashdock/core/write_limits.py
@@ -1,8 +1,8 @@
-"""The largest transaction and value that the store takes.
+"""The largest transaction and value that the store accepts.
 
-They come from the settings. Once all controllers understand the new stored forms, the smaller limits
-that the settings announce apply as well; and they are lowered whenever the store refuses a
-transaction as too large.
+The limits come from the settings. Once every controller supports the newer record formats, the
+smaller limits that the settings announce apply as well. The limits are also lowered whenever the
+store refuses a transaction as too large.
 """
 
 from __future__ import annotations
@@ -13,33 +13,35 @@
 
 log = logging.getLogger("ashdock.write_limits")
 
-USABLE_VALUE = 0.9  # of the largest value that the store takes; the rest is a margin
+USABLE_VALUE_SHARE = 0.9  # share of the store's largest value that is used; the rest is a margin
 MIN_OPS = 4  # no transaction needs more: accepting a job takes two
-MIN_VALUE_BYTES = 512  # below this a refusal lowers the limit no further
-# A task's typical size in its chunk: its placement. Chunks are made as wide as that allows and narrowed when they
-# turn out too full; made for the fullest tasks there would be four times as many chunks and writes.
+MIN_VALUE_BYTES = 512  # refused transactions do not lower the limit below this
+# Typical size of one task in its chunk: its placement. Chunks are as wide as this allows, and are
+# narrowed if they turn out too large. Sized for the largest tasks, there would be four times as
+# many chunks and writes.
 TYPICAL_TASK_BYTES = 28
 
 
 def _usable_bytes(value_kb: float) -> int:
-    return int(value_kb * 1024 * USABLE_VALUE)
+    return int(value_kb * 1024 * USABLE_VALUE_SHARE)
 
 
 class WriteLimits:
-    """What a controller keeps to when it writes; all of its components share one instance.
+    """The limits that a controller observes when it writes; its components share one instance.
 
     Attributes:
-        announced_apply: whether the smaller limits that the settings announce apply, which also
-            means that every controller understands the new stored forms.
-        rps: requests a second, of all controllers together.
-        write_rps: puts and deletes a second, of all controllers together.
-        ops: puts and deletes of one transaction.
-        value_bytes: size of one value, lowered after a refusal.
-        configured_value_bytes: the same by the settings alone.
+        limits: The limits as configured, current and announced.
+        announced_apply: Whether the smaller limits that the settings announce apply, which also
+            means that every controller supports the newer record formats.
+        rps: Requests per second, of all controllers together.
+        write_rps: Puts and deletes per second, of all controllers together.
+        ops: Maximum number of puts and deletes in one transaction.
+        value_bytes: Maximum size of one value, lowered after a refusal.
+        configured_value_bytes: Maximum size of one value by the settings alone.
     """
 
     def __init__(self, limits: StateLimits) -> None:
-        """Apply the limits in force by the settings."""
+        """Apply the settings' current limits."""
         self.limits = limits
         self.announced_apply = False
         self.write_rps = limits.write_rps
@@ -48,7 +50,7 @@
         self.value_bytes = self.configured_value_bytes = _usable_bytes(limits.value_kb)
 
     def apply_announced(self) -> None:
-        """Keep to the announced limits as well from now on: the store may apply them at any moment."""
+        """Observe the announced limits too from now on: the store may enforce them at any time."""
         self.announced_apply = True
         smaller = self.limits.smaller()
         self.write_rps, self.rps = smaller.write_rps, smaller.rps
@@ -57,13 +59,15 @@
         self.value_bytes = min(self.value_bytes, self.configured_value_bytes)
 
     def lower_after_refusal(self, ops: int, largest_bytes: int) -> None:
-        """Halve the transactions, or else make values a quarter smaller, after the store refused one.
+        """Lower the limits after the store refused a transaction.
 
-        The same transaction would be refused again, and no other of its shard could follow.
+        Halves the number of operations, or makes values a quarter smaller once that number is at
+        its minimum. Otherwise the same transaction would be refused again, and would block every
+        later one of its shard.
 
         Args:
-            ops: puts and deletes of the transaction refused.
-            largest_bytes: size of its largest value.
+            ops: Number of puts and deletes in the refused transaction.
+            largest_bytes: Size of its largest value.
         """
         if ops > MIN_OPS:
             self.ops = max(MIN_OPS, min(self.ops, ops // 2))
@@ -80,5 +84,5 @@
 
     @property
     def typical_chunk_tasks(self) -> int:
-        """Tasks that fit into a chunk as long as they are of typical size."""
+        """Number of tasks of typical size that fit into one chunk."""
         return max(1, self.value_bytes // TYPICAL_TASK_BYTES)
