--- a/ashdock/core/shard_claims.py
+++ b/ashdock/core/shard_claims.py
@@ -1,4 +1,7 @@
-"""Which controller should claim which shard: a choice that every controller makes alike, without input or output."""
+"""Chooses which controller claims which shard.
+
+The choice is deterministic, so that all controllers with the same view of the cluster agree on it.
+"""
 
 from __future__ import annotations
 
@@ -7,32 +10,49 @@
 
 
 class OwnershipSnapshot(NamedTuple):
-    """Who owns the shards and who may own them, as one controller knows it."""
+    """Which controllers own shards and which are eligible, as one controller knows it.
+
+    Attributes:
+        label: Label of that controller.
+        may_own_shards: Whether that controller is eligible, by its own state or by its record
+            among the members.
+        eligible_members: Labels of the controllers that report themselves as eligible.
+        owners: Owner's label by team, in the order of the settings; None if the shard has never
+            been claimed.
+        others_may_return: Whether all controllers may have stopped together, so that the recorded
+            owners may be about to come back.
+    """
 
-    label: str  # of that controller
-    may_serve: bool  # whether it may own shards, by its own entry or the one among the members
-    fit_members: Collection[str]  # labels of the controllers that say they may own shards
-    owners: Mapping[str, str | None]  # by team, in the order of the settings; None: never claimed
-    others_may_return: bool  # all may have ended together, and be on their way back
+    label: str
+    may_own_shards: bool
+    eligible_members: Collection[str]
+    owners: Mapping[str, str | None]
+    others_may_return: bool
 
     @property
     def candidates(self) -> set[str]:
-        """Labels of the controllers that may own shards; this one alone if nobody else is known."""
-        return {*self.fit_members, *([self.label] if self.may_serve else [])} or {self.label}
+        """Labels of the eligible controllers; this one alone if no other is known."""
+        return {*self.eligible_members, *([self.label] if self.may_own_shards else [])} or {
+            self.label
+        }
 
 
-def claimants(snapshot: OwnershipSnapshot) -> dict[str, str]:
-    """The controller that should claim each orphaned shard, by team.
+def choose_claimants(snapshot: OwnershipSnapshot) -> dict[str, str]:
+    """Choose the controller that should claim each orphaned shard.
 
-    Each orphan goes to the candidate with the fewest shards, the first by label among equals.
+    A shard is orphaned if its owner is not a candidate. Each one goes to the candidate with the
+    fewest shards, the first by label among equals.
+
+    Returns:
+        The chosen controller's label by team.
     """
     load = dict.fromkeys(snapshot.candidates, 0)
     orphans = [team for team, owner in snapshot.owners.items() if owner not in load]
     for owner in snapshot.owners.values():
         if owner in load:
             load[owner] += 1
-    # If all controllers have ended together, the first one back would otherwise take every shard a moment
-    # before the owners are back: just started, it leaves theirs to them for a while.
+    # If all controllers have stopped together, the first one to restart would otherwise claim every
+    # shard a moment before the recorded owners are back, so it leaves theirs alone for a while.
     if snapshot.others_may_return:
         orphans = [team for team in orphans if snapshot.owners[team] in (None, snapshot.label)]
     chosen: dict[str, str] = {}
@@ -44,11 +64,15 @@
 
 
 def shards_to_own(snapshot: OwnershipSnapshot) -> frozenset[str]:
-    """Teams whose shards this controller should own: its own from before a restart, and its orphans."""
+    """Return the teams whose shards this controller should own.
+
+    These are the shards already recorded as its own, also from before a restart, and the orphaned
+    ones that it should claim.
+    """
     recorded = {
         team
         for team, owner in snapshot.owners.items()
-        if owner == snapshot.label and snapshot.may_serve
+        if owner == snapshot.label and snapshot.may_own_shards
     }
-    chosen = {team for team, label in claimants(snapshot).items() if label == snapshot.label}
+    chosen = {team for team, label in choose_claimants(snapshot).items() if label == snapshot.label}
     return frozenset(recorded | chosen)
--- a/ashdock/shard_ownership.py
+++ b/ashdock/shard_ownership.py
@@ -77,8 +77,8 @@
     def _snapshot(self) -> OwnershipSnapshot:
         return OwnershipSnapshot(
             label=self.owners.label,
-            may_serve=self.membership.may_own_and_lead(),
-            fit_members=self.membership.eligible_members(),
+            may_own_shards=self.membership.may_own_and_lead(),
+            eligible_members=self.membership.eligible_members(),
             owners={team.name: self.cluster.owner_label(team.name) for team in self.cluster.teams},
             others_may_return=self.connectivity.recently_started(),
         )
--- a/tests/test_shard_claims.py
+++ b/tests/test_shard_claims.py
@@ -1,4 +1,4 @@
-"""Which controller should claim which shard."""
+"""Tests for the choice of the controller that claims each shard."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 import pytest
 
-from ashdock.core.shard_claims import OwnershipSnapshot, claimants, shards_to_own
+from ashdock.core.shard_claims import OwnershipSnapshot, choose_claimants, shards_to_own
 
 
 def snapshot(
     owners: Mapping[str, str | None],
     *,
     label: str = "a",
-    fit: tuple[str, ...] = ("a", "b", "c"),
-    may_serve: bool = True,
+    eligible: tuple[str, ...] = ("a", "b", "c"),
+    may_own_shards: bool = True,
     others_may_return: bool = False,
 ) -> OwnershipSnapshot:
-    return OwnershipSnapshot(label, may_serve, fit, owners, others_may_return)
+    return OwnershipSnapshot(label, may_own_shards, eligible, owners, others_may_return)
 
 
 @pytest.mark.parametrize(
@@ -27,7 +27,7 @@
         ({"red": "a", "blue": "b"}, {}),
         ({"red": None, "blue": None, "gray": None}, {"red": "a", "blue": "b", "gray": "c"}),
         ({"red": "a", "blue": "b", "gray": "gone"}, {"gray": "c"}),
-        # Owners count wherever they stand among the teams, before any orphan is given away.
+        # All existing owners count towards the load before the first orphan is assigned.
         ({"red": None, "blue": "a", "gray": "b"}, {"red": "c"}),
         ({"red": "gone", "blue": "a", "gray": None, "pink": "c"}, {"red": "b", "gray": "a"}),
     ],
@@ -35,35 +35,37 @@
 def test_orphans_go_to_the_fewest_shards_then_the_first_label(
     owners: dict[str, str | None], chosen: dict[str, str]
 ) -> None:
-    assert claimants(snapshot(owners)) == chosen
+    assert choose_claimants(snapshot(owners)) == chosen
 
 
-def test_every_controller_chooses_alike() -> None:
+def test_every_controller_makes_the_same_choice() -> None:
     owners = {"red": "gone", "blue": "b", "gray": None, "pink": "gone"}
-    choices = [claimants(snapshot(owners, label=label)) for label in "abc"]
+    choices = [choose_claimants(snapshot(owners, label=label)) for label in "abc"]
     assert choices[0] == choices[1] == choices[2]
-    due = [shards_to_own(snapshot(owners, label=label)) for label in "abc"]
-    assert sorted(team for teams in due for team in teams) == sorted(owners)
+    to_own = [shards_to_own(snapshot(owners, label=label)) for label in "abc"]
+    assert sorted(team for teams in to_own for team in teams) == sorted(owners)
 
 
-def test_just_started_it_leaves_the_shards_of_others_to_them() -> None:
+def test_recently_started_controller_leaves_recorded_shards_to_their_owners() -> None:
     owners = {"red": "gone", "blue": None, "gray": "a"}
-    assert claimants(snapshot(owners, fit=("a",), others_may_return=True)) == {"blue": "a"}
-    assert claimants(snapshot(owners, fit=("a",))) == {"red": "a", "blue": "a"}
+    assert choose_claimants(snapshot(owners, eligible=("a",), others_may_return=True)) == {
+        "blue": "a"
+    }
+    assert choose_claimants(snapshot(owners, eligible=("a",))) == {"red": "a", "blue": "a"}
 
 
-def test_its_own_shard_from_before_a_restart_even_if_just_started() -> None:
+def test_recently_started_controller_keeps_its_own_recorded_shard() -> None:
     assert shards_to_own(snapshot({"red": "a"}, others_may_return=True)) == {"red"}
 
 
-def test_one_that_may_not_serve_claims_nothing_while_others_may() -> None:
+def test_ineligible_controller_claims_nothing_while_others_are_eligible() -> None:
     owners = {"red": "a", "blue": None}
-    unfit = snapshot(owners, fit=("b",), may_serve=False)
-    assert claimants(unfit) == {"red": "b", "blue": "b"}
-    assert shards_to_own(unfit) == set()
+    ineligible = snapshot(owners, eligible=("b",), may_own_shards=False)
+    assert choose_claimants(ineligible) == {"red": "b", "blue": "b"}
+    assert shards_to_own(ineligible) == set()
 
 
-def test_where_nobody_is_known_it_claims_the_orphans_itself() -> None:
-    alone = snapshot({"red": "a", "blue": None}, fit=(), may_serve=False)
-    assert claimants(alone) == {"blue": "a"}
+def test_ineligible_controller_claims_orphans_if_no_other_is_known() -> None:
+    alone = snapshot({"red": "a", "blue": None}, eligible=(), may_own_shards=False)
+    assert choose_claimants(alone) == {"blue": "a"}
     assert shards_to_own(alone) == {"blue"}
