--- a/ashdock/core/__init__.py
+++ b/ashdock/core/__init__.py
@@ -0,0 +1,1 @@
+"""The scheduling core: decides without input or output."""
--- a/ashdock/core/shard_status.py
+++ b/ashdock/core/shard_status.py
@@ -1,7 +1,8 @@
-"""What a shard's owner and the leader exchange about machines.
+"""Messages about machines between the owner of a shard and the leader.
 
-The owner sends its `ShardStatus` with every beat; the leader answers needs of other shards with
-`Reclaim` and `Rebalance`. `ashdock.wire.frames` packs them.
+The owner reports a `ShardStatus` regularly, and at once when its shard starts to lack room. The
+leader answers resource requests of other shards with `Reclaim` and `Rebalance`.
+`ashdock.wire.frames` encodes all of them.
 """
 
 from __future__ import annotations
@@ -10,24 +11,25 @@
 
 
 class ResourceRequest(NamedTuple):
-    """Room that a shard lacks for a number of like tasks.
+    """Capacity that a shard lacks for a number of tasks with equal requirements.
 
     Attributes:
-        cpus: Cores of one task.
-        gpus: Accelerators of one task.
+        cpus: CPUs of one task.
+        gpus: GPUs of one task.
         memory: Memory of one task, in GB.
-        types: The machine types that may run it; none given: any.
-        zone: The zone that it has to run in, or "".
-        spot: Whether a spot instance will do.
+        types: Machine types that the job allows; empty: any.
+        zone: Zone that the tasks have to run in; "": any.
+        spot: Whether the tasks may run on spot instances.
         together: Whether all tasks have to run in one zone.
         tasks: Number of tasks.
-        priority: The job's priority, higher first.
+        priority: Priority of the job; higher ones go first.
         guaranteed: Whether the tasks are within the team's guarantee.
-        slack_s: Seconds until the job had better run.
-        image: Image that the tasks need.
-        whole: Of a gang whose zone the owner chose: the number of all its tasks, in case another
-            zone suits better; else 0.
-        idle: Whether nothing was promised: no guarantee, no deadline, no service-level objective.
+        slack_s: Seconds until the job should be running.
+        image: Image of the tasks.
+        whole: Number of all tasks of a gang whose zone the shard's owner chose: the leader may
+            choose another zone, and then requests capacity for all of them. Else 0.
+        idle: Whether the job has no guarantee, deadline or service-level objective, so that it
+            is served last and from the cheapest machines that it allows.
     """
 
     cpus: float
@@ -47,7 +49,13 @@
 
 
 class Reclaim(NamedTuple):
-    """The leader asks the owner of `shard` to vacate `machines` for the shard `to`."""
+    """Command of the leader to vacate machines for another shard, preempting their tasks.
+
+    Attributes:
+        shard: Shard that gives the machines up.
+        to: Shard that gets them.
+        machines: Names of the machines.
+    """
 
     shard: str
     to: str
@@ -55,17 +63,17 @@
 
 
 class Rebalance(NamedTuple):
-    """The leader asks the owner of `shard` to pass machines on to the shard `to` as they come free.
+    """Command of the leader to transfer machines to another shard as they become free.
 
-    The other shard's like work has waited longer. Nothing is stopped for it.
+    Sent when similar work of the other shard has waited longer. Nothing is preempted for it.
 
     Attributes:
-        shard: The shard that passes machines on.
-        to: The shard that gets them.
+        shard: Shard that gives the machines up.
+        to: Shard that gets them.
         number: Number of machines.
-        types: The machine types that are of use; none given: any.
-        zone: The zone that they have to be in, or "".
-        spot: Whether spot instances are of use.
+        types: Suitable machine types; empty: any.
+        zone: Zone of the machines; "": any.
+        spot: Whether spot instances are suitable.
     """
 
     shard: str
@@ -77,11 +85,11 @@
 
 
 class BusyMachine(NamedTuple):
-    """A machine with running tasks, and what preempting it would lose.
+    """A machine with placed tasks, and what preempting them would cost.
 
     Attributes:
-        machine: Its name.
-        priority: The highest priority among its tasks.
+        machine: Name of the machine.
+        priority: Highest priority among its tasks.
         preemption_cost_s: Work that would be lost, in seconds of the whole machine.
     """
 
@@ -91,17 +99,19 @@
 
 
 class ShardStatus(NamedTuple):
-    """What the owner of a shard reports to the leader.
+    """Status that the owner of a shard reports to the leader.
 
     Attributes:
-        team: The shard's name, which is its team's.
-        seen: Revision of the latest machine assignment that this status takes into account.
-        resource_requests: What the shard lacks.
-        idle: Machines without tasks, with the seconds for which they have been idle.
+        team: Team of the shard.
+        seen: Revision of the latest machine assignment that the scheduling cycle behind this
+            status took into account.
+        resource_requests: Capacity that the shard lacks.
+        idle: Names of machines without tasks that the shard can give up, with the seconds that
+            they have been idle.
         busy: Machines with tasks.
         machines: Number of machines assigned to the shard.
         waiting: Number of tasks that are ready and not placed.
-        spare_beyond: Number of machines that the shard uses beyond its guarantee.
+        spare_beyond: Number of busy machines whose work exceeds the team's guarantee.
     """
 
     team: str
