--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -49,7 +49,7 @@
         seen_revision: the latest assignment of a machine that is taken in here.
         scheduled_revision: what was seen when the last scheduling cycle began.
         urgent: machines with commands that are not to wait for the next heartbeat.
-        ending: cancelled jobs with tasks that may still be there.
+        cancelled_jobs: cancelled jobs with tasks that may still be there.
         inherited_machines: how many were up for the owner before.
         recovered_at: when the shard had been read back.
         placed: how many tasks were placed since the claim.
@@ -102,7 +102,7 @@
         self.scheduled_revision = revision
         self.urgent: dict[str, None] = {}
         self.writer = ShardWriter(self)
-        self.ending: dict[str, Job] = {}
+        self.cancelled_jobs: dict[str, Job] = {}
         self.inherited_machines = 0
         self.recovered_at = -math.inf
         self.placed = 0
@@ -152,7 +152,7 @@
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
         if record["status"] == JobStatus.WITHDRAWN:
-            self.ending[spec.id] = job
+            self.cancelled_jobs[spec.id] = job
             job.cancel(record.get("cancelled_at", record["at"]))
         elif spec.dependencies and not started:
             self.dependency_tracker.add(job)
@@ -340,7 +340,7 @@
         if not job.done:
             # Most that fail until they are cancelled were submitted with a mistake.
             self.failures.exonerate(job)
-        self.ending[job_id] = job
+        self.cancelled_jobs[job_id] = job
         self.parks.drop(job_id)
         for placement in list(job.live.values()):
             self.stop(placement, "cancelled", 0.0, now)
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -1,4 +1,4 @@
-"""A shard's periodic work: parks whose time has come, machines to be decommissioned, cancelled jobs that must end."""
+"""Periodic work of a shard: wakes parked tasks, decommissions machines, enforces cancellations."""
 
 from __future__ import annotations
 
@@ -11,19 +11,17 @@
 from ashdock.core.park import Parks
 from ashdock.settings import Shared, Workers
 
-CHECKS_PER_REPORT = 4  # how often in a heartbeat's interval the machines are looked at
-LEASE_MARGIN = 1.1  # agents' clocks, and the way of their heartbeats
-BOOTS_UNTIL_UP = (
-    2.5  # of its type's boot time, after which a rented machine is not expected to come up
-)
-REPORTS_MISSED = 2  # after which a machine that the cloud takes back counts as gone
-ABSENT_SHARE = (
-    4  # more than one of so many machines that stay away after a failover have a reason in common
-)
+CHECKS_PER_HEARTBEAT_INTERVAL = 4  # checks of machines and cancelled jobs
+LEASE_MARGIN_FACTOR = 1.1  # covers the drift of agents' clocks and the delay of their heartbeats
+# A rented machine that is not up after this many times its type's boot time is given up.
+BOOT_TIMEOUT_FACTOR = 2.5
+MISSED_HEARTBEATS = 2  # after which a spot instance past its reclaim time counts as gone
+# If more than 1/4 of the inherited machines stay silent after a failover, a common cause is assumed.
+ABSENT_SHARE_DIVISOR = 4
 
 
 class MaintainedShard(Protocol):
-    """What the periodic work needs of a shard."""
+    """The part of a shard that the periodic work uses."""
 
     shared: Shared
     workers: Workers
@@ -31,28 +29,38 @@
     machines: dict[str, Machine]
     parks: Parks
     dependency_tracker: DependencyTracker
-    ending: dict[str, Job]
+    cancelled_jobs: dict[str, Job]
     inherited_machines: int
     recovered_at: float
     stale: bool
     clock: float
 
     def decommission(self, machine: Machine, why: str) -> None:
-        """Give a machine up durably, for a reason that is stored."""
+        """Give a machine up durably, so that the leader releases it; the reason is stored."""
         ...
 
 
 class ShardMaintenance:
-    """Does what time brings, for one shard."""
+    """Runs the periodic work of one shard.
+
+    Attributes:
+        shard: The shard.
+        checked_at: Time of the last check of machines and cancelled jobs.
+        inherited_limit_s: How long to wait for inherited machines, once it has been decided.
+    """
 
     def __init__(self, shard: MaintainedShard) -> None:
-        """Look at the machines with the first call."""
+        """Start such that the first call of `run` checks the machines."""
         self.shard = shard
         self.checked_at = -math.inf
-        self.inherited_limit_s: float | None = None  # once it is decided
+        self.inherited_limit_s: float | None = None
 
     def run(self, now: float) -> None:
-        """Make parked tasks ready whose time has come; now and then look at machines and cancelled jobs."""
+        """Wake the parked tasks that are due, and check machines and cancelled jobs if it is time.
+
+        Args:
+            now: Time of day, in seconds.
+        """
         shard = self.shard
         shard.clock = now
         shard.dependency_tracker.look(now)
@@ -62,7 +70,7 @@
                 shard.stale = True
                 for task in range(park.low, park.high + 1):
                     job.wake(task, park.failure)
-        if now - self.checked_at < shard.workers.report_s / CHECKS_PER_REPORT:
+        if now - self.checked_at < shard.workers.report_s / CHECKS_PER_HEARTBEAT_INTERVAL:
             return
         self.checked_at = now
         self._check_machines(now)
@@ -70,8 +78,8 @@
 
     @property
     def silent_s(self) -> float:
-        """How long a worker may be silent: until its lease has run out, and a heartbeat more."""
-        return LEASE_MARGIN * self.shard.workers.lease_s + self.shard.workers.report_s
+        """Seconds that a worker may be silent: until its lease has expired, plus one heartbeat."""
+        return LEASE_MARGIN_FACTOR * self.shard.workers.lease_s + self.shard.workers.report_s
 
     def _check_machines(self, now: float) -> None:
         shard, silent_s = self.shard, self.silent_s
@@ -84,70 +92,76 @@
                 if now - machine.since > inherited_limit_s:
                     shard.decommission(machine, "not heard since the part was taken over")
             elif machine.phase is MachinePhase.EXPECTED:
-                # Some machines never come up, and are charged all the same. Their time counts from the rental: counted
-                # from when we came to know of it, each failover kept such a machine for as long again.
+                # Some machines never come up but are charged for all the same. The timeout starts at
+                # the rental: started when this owner learnt of the machine, it began anew with each
+                # failover.
                 if (
-                    now - machine.rented_at > BOOTS_UNTIL_UP * machine.shape.boot_s
+                    now - machine.rented_at > BOOT_TIMEOUT_FACTOR * machine.shape.boot_s
                     and now - machine.since > silent_s
                 ):
                     shard.decommission(machine, "never came up")
             elif (
                 machine.reclaim_at is not None
                 and now > machine.reclaim_at
-                and machine.silent_for(now) > REPORTS_MISSED * shard.workers.report_s
+                and machine.silent_for(now) > MISSED_HEARTBEATS * shard.workers.report_s
             ):
                 shard.decommission(machine, "taken back")
             elif machine.why == "suspect" and not machine.live:
                 shard.decommission(machine, "suspect")
             elif machine.last_at is not None and machine.silent_for(now) > silence_limit_s:
-                # Silence is no proof that its tasks stopped. Releasing it makes one.
+                # Silence does not prove that the machine's tasks have stopped; its release does.
                 shard.decommission(machine, "silent")
 
     def _silence_limit_s(self, now: float) -> float:
-        """How long to wait for silent workers.
+        """Return the seconds to wait for silent workers.
 
-        Where most fall silent at once, the fault may be on our side: the shard may yet move to a controller that hears
-        them. But not for ever, or two dead machines of two would hold their tasks for good.
+        If more than half are silent, the fault may be on this controller's side, and the shard may
+        still move to a controller that receives their heartbeats, so the limit is doubled. It stays
+        finite: otherwise two failed machines of two would hold their tasks forever.
         """
-        heard = [machine for machine in self.shard.machines.values() if machine.last_at is not None]
+        reporting = [
+            machine for machine in self.shard.machines.values() if machine.last_at is not None
+        ]
         silent_s = self.silent_s
-        silent = sum(1 for machine in heard if machine.silent_for(now) > silent_s)
-        return silent_s if silent * 2 <= len(heard) else 2 * silent_s
+        silent = sum(1 for machine in reporting if machine.silent_for(now) > silent_s)
+        return silent_s if silent * 2 <= len(reporting) else 2 * silent_s
 
     def _inherited_limit_s(self, now: float) -> float:
-        """How long to wait for the workers of the owner before.
+        """Return the seconds to wait for the workers that were up for the previous owner.
 
-        Where more than a quarter stay away, that owner may still answer them: cut off from the store alone it does so for
-        a while, since it does not know that it was replaced. Decided once: the others come back one by one, and the
-        last must not be given up because the rest are there.
+        If more than a quarter stay silent, the previous owner may still be answering them: cut off
+        from the store alone, it continues for a while, since it does not know that it was replaced.
+        The limit is decided only once: the workers come back one by one, and the last ones must not
+        be given up because the others are there.
         """
         if self.inherited_limit_s is None:
             silent_s, workers = self.silent_s, self.shard.workers
             absent = sum(machine.inherited for machine in self.shard.machines.values())
             if now - self.shard.recovered_at <= silent_s:
                 return silent_s
-            held_elsewhere = absent * ABSENT_SHARE > self.shard.inherited_machines
+            answered_elsewhere = absent * ABSENT_SHARE_DIVISOR > self.shard.inherited_machines
             self.inherited_limit_s = silent_s + (
-                max(silent_s, workers.cancel_s - workers.lease_s) if held_elsewhere else 0.0
+                max(silent_s, workers.cancel_s - workers.lease_s) if answered_elsewhere else 0.0
             )
         return self.inherited_limit_s
 
     def _check_cancelled_jobs(self, now: float) -> None:
-        """Tasks of a cancelled job must be gone in time, even where nobody can reach their machine."""
-        ending = self.shard.ending
-        for job in list(ending.values()):
+        """Make sure that cancelled jobs' tasks end in time, even if their machine is unreachable."""
+        cancelled_jobs = self.shard.cancelled_jobs
+        for job in list(cancelled_jobs.values()):
             if job.live:
-                self._end_cancelled(job, now)
+                self._enforce_cancellation(job, now)
             elif job.id not in self.shard.jobs:
-                del ending[job.id]
+                del cancelled_jobs[job.id]
 
-    def _end_cancelled(self, job: Job, now: float) -> None:
-        limit = (
+    def _enforce_cancellation(self, job: Job, now: float) -> None:
+        """Decommission the machines that hold tasks of a cancelled job for too long."""
+        deadline = (
             (job.cancelled_at or now)
             + self.shard.workers.cancel_s / 2
             - self.shard.shared.skew_ms / 1000
         )
         for placement in job.live.values():
             machine = self.shard.machines.get(placement.machine)
-            if machine and now > limit:
+            if machine and now > deadline:
                 self.shard.decommission(machine, f"holds a task of cancelled job {job.id}")
