--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -1,6 +1,7 @@
-"""Rebuilds a shard at a failover from what is stored of it.
+"""Rebuilds a shard from the store at a failover.
 
-All that was placed counts as before, until a heartbeat under the new token proves its end; parks are armed again.
+Every stored placement counts as before, until a heartbeat under the new fencing token proves that
+its task has ended. Parked tasks wait for their stored retry times.
 """
 
 from __future__ import annotations
@@ -16,15 +17,20 @@
 if TYPE_CHECKING:
     from ashdock.core.shard import Shard
 
-# The name of a key below its prefix, or its path; its value; its revision.
+# A key's path, or the end of it; its value; its revision.
 StoredEntry = tuple[str, Any, int]
 
 
 class _StoredWork(NamedTuple):
-    """What is stored under `work/<team>/`."""
+    """What is stored under `work/<team>/`.
 
-    records: dict[str, tuple[Any, int]]  # by job: its record and revision
-    chunks: dict[str, list[StoredEntry]]  # by job: each chunk by the end of its path
+    Attributes:
+        records: Each job's record and its revision, by job id.
+        chunks: Each job's chunks with the last part of their path, by job id.
+    """
+
+    records: dict[str, tuple[Any, int]]
+    chunks: dict[str, list[StoredEntry]]
 
 
 def rebuild(
@@ -34,19 +40,19 @@
     parks: Iterable[StoredEntry],
     now: float,
 ) -> None:
-    """Fill an empty shard.
+    """Fill an empty shard that was just claimed.
 
     Args:
-        shard: the shard, just claimed.
-        machines: the records of the machines that are assigned to it, by name.
-        work: the records and chunks of its jobs, by path.
-        parks: its parks, by path.
-        now: the time.
+        shard: The shard.
+        machines: Records of the machines that are assigned to it, by name.
+        work: Records and chunks of its jobs, by path.
+        parks: Its stored parks, by path.
+        now: Time of day, in seconds.
     """
     shard.clock = now
     for name, value, revision in machines:
         shard.add_machine(name, value, revision, now)
-    _load_jobs(shard, _by_job(work), now)
+    _load_jobs(shard, _group_by_job(work), now)
     _load_parks(shard, parks)
     for machine in shard.machines.values():
         machine.inherited = bool(machine.live) or machine.incarnation > 0
@@ -54,13 +60,14 @@
     shard.recovered_at = now
     for job in shard.jobs.values():
         for chunk in job.chunks.values():
-            if chunk.revision or not job.wider:  # what a wider one still holds is to be written
+            # A narrower chunk whose tasks only a wider stored chunk holds still has to be written.
+            if chunk.revision or not job.wider:
                 chunk.durable = chunk.gen
-        _settle(shard, job, now)
+        _resolve_inconsistencies(shard, job, now)
     shard.dependency_tracker.look(now)
 
 
-def _by_job(work: Iterable[StoredEntry]) -> _StoredWork:
+def _group_by_job(work: Iterable[StoredEntry]) -> _StoredWork:
     stored = _StoredWork({}, {})
     for path, value, revision in work:
         _, _, job_id, tail = path.split("/", 3)
@@ -75,13 +82,14 @@
     for job_id, (value, revision) in stored.records.items():
         job = shard.add_job(value, revision, started=job_id in stored.chunks)
         if job_id in stored.chunks:
-            job.started_at = now  # or so: an earlier owner saw it start
+            job.started_at = now  # not exact: an earlier owner saw it start
         for placement in job.load_chunks(stored.chunks.pop(job_id, []), now):
             shard.count(job, placement)
-    # Chunks without a job's record: the job has ended, and its last chunks were still to be deleted.
-    for job_id, rest in stored.chunks.items():
+    # A job with chunks but no record has ended, and its last chunks have not been deleted yet.
+    for job_id, entries in stored.chunks.items():
         shard.writer.obsolete_keys += [
-            StoredKey(f"work/{shard.name}/{job_id}/{tail}", revision) for tail, _, revision in rest
+            StoredKey(f"work/{shard.name}/{job_id}/{tail}", revision)
+            for tail, _, revision in entries
         ]
 
 
@@ -92,28 +100,29 @@
             if job is None:
                 continue
             for task in range(park.low, park.high + 1):
-                # The chunk decides: a task placed since is not parked.
+                # The chunk takes precedence: a task that was placed since is not parked.
                 if job.states[task] == TaskState.READY:
                     job.park(task, park.failure)
 
 
-def _settle(shard: Shard, job: Job, now: float) -> None:
-    """Finish what the owner before may have left half done of a job."""
+def _resolve_inconsistencies(shard: Shard, job: Job, now: float) -> None:
+    """Complete the changes of a job that the previous owner may have left unfinished."""
     if not job.active:
         for placement in list(job.live.values()):
             shard.stop(placement, "cancelled", 0.0, now)
     elif job.spec.kind == JobKind.GANG and job.done:
-        # Gang tasks complete together, so one that is done proves them all.
+        # A gang's tasks complete together, so one done task proves that all are done.
         for task in range(job.spec.tasks):
             shard.finish(job, task, now)
     elif job.spec.kind == JobKind.GANG and job.live:
-        # Its chunks may have been written one after the other: some of them hold this attempt, some the one before.
+        # Its chunks may have been written one after the other, so that some hold the latest attempt
+        # and others the one before.
         attempts = {placement.attempt for placement in job.live.values()}
         if len(job.live) < job.spec.tasks or len(attempts) > 1:
             shard.break_gang(job, "incomplete", now)
     if job.complete and job.active:
         shard.complete(job, now)
     for placement in list(job.live.values()):
-        # A machine's record is deleted only on proof that it is gone.
+        # A machine's record is deleted only once the machine is proved to be gone.
         if placement.machine not in shard.machines:
             shard.lost(placement, "machine gone", now)
