--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -1,8 +1,9 @@
 """A shard: one team with its jobs, parks and assigned machines, in the memory of its one owner.
 
-No input or output happens here. Heartbeats, wake-ups and changes seen elsewhere come in as calls; what is to be written comes out
-as transactions (`shard_writer.py`), what is to be sent as commands (`task_commands.py`). A start is let out only once its
-placement is durable, and a placement counts until its end is proved.
+No input or output happens here. Heartbeats, timer ticks and changes seen in the store come in as
+calls. Writes go out as transactions (`shard_writer.py`) and messages to workers as commands
+(`task_commands.py`). A run command goes out only once its placement is durable, and a placement
+counts until its task's end is proved.
 """
 
 from __future__ import annotations
@@ -42,19 +43,23 @@
     """The state of a shard, and the changes that keep it consistent.
 
     Attributes:
-        revision: of the claim; it is in the condition of every write.
-        chunk_tasks: tasks to a chunk as versions before had it, whatever the store's limits come to be.
-        orphaned_tasks: by job, the machines where it runs without a placement.
-        reserved: empty machines kept for a gang that lacks others.
-        seen_revision: the latest assignment of a machine that is taken in here.
-        scheduled_revision: what was seen when the last scheduling cycle began.
-        urgent: machines with commands that are not to wait for the next heartbeat.
-        cancelled_jobs: cancelled jobs with tasks that may still be there.
-        inherited_machines: how many were up for the owner before.
-        recovered_at: when the shard had been read back.
-        placed: how many tasks were placed since the claim.
-        stale: whether room or work has come up since the last scheduling cycle.
-        clock: the time as last passed in.
+        revision: Revision of the claim; every write is conditional on it.
+        chunk_tasks: Number of tasks per chunk in the record format of earlier versions. It does not
+            change when the store's limits do.
+        orphaned_tasks: Names of the machines where a job runs without a placement, by job id.
+        resource_requests: Capacity that the last scheduling cycle found lacking.
+        lacked_room_before: Whether there were resource requests when it was last decided whether
+            the leader is told of them at once.
+        reserved: Names of machines with free capacity that are kept for a gang that lacks more.
+        seen_revision: Revision of the latest machine assignment that was applied here.
+        scheduled_revision: `seen_revision` when the last scheduling cycle began.
+        urgent: Names of machines with commands that do not wait for the next heartbeat.
+        cancelled_jobs: Cancelled jobs whose tasks may still run, by id.
+        inherited_machines: Number of machines that were up for the previous owner.
+        recovered_at: Time at which the shard had been rebuilt from the store.
+        placed: Number of tasks placed since the claim.
+        stale: Whether free capacity or work may have appeared since the last scheduling cycle.
+        clock: The time last passed to `tick` or `load`.
     """
 
     def __init__(
@@ -67,16 +72,16 @@
         rng: random.Random,
         write_limits: WriteLimits | None = None,
     ) -> None:
-        """Begin empty.
+        """Create an empty shard.
 
         Args:
-            team: the team.
-            revision: of the claim.
-            shared: the deployment's settings.
-            operators: the operators' configuration.
-            catalog: the machine types by name.
-            rng: for the retries' jitter.
-            write_limits: what the store takes; by default the settings' limits.
+            team: The team.
+            revision: Revision of the claim.
+            shared: The deployment's settings.
+            operators: The operators' configuration.
+            catalog: Machine types by name.
+            rng: Source of the retry delays' jitter.
+            write_limits: Limits of the store; by default those of the settings.
         """
         self.team = team
         self.name = team.name
@@ -126,27 +131,31 @@
         parks: Iterable[StoredEntry],
         now: float,
     ) -> None:
-        """Fill the shard, just claimed, with what is stored of it: `shard_recovery.rebuild`."""
+        """Fill the shard from the store after its claim; see `shard_recovery.rebuild`."""
         rebuild(self, machines, work, parks, now)
 
     def add_job(self, record: dict[str, Any], revision: int, started: bool = False) -> Job:
-        """Take in a job's record, unless the job is known already.
+        """Add a job from its record, unless the job is known already.
 
         Args:
-            record: `job/<id>`.
-            revision: its revision.
-            started: whether tasks of it have been placed before, so that all its dependencies are known to be done.
+            record: Value of `job/<id>`.
+            revision: Revision of the record.
+            started: Whether tasks of the job were placed before, so that all its dependencies are
+                known to be done.
+
+        Returns:
+            The job.
         """
         spec = spec_of_record(record)
         known = self.jobs.get(spec.id)
         if known:
             return known
-        width = (
+        chunk_tasks = (
             min(self.chunk_tasks, self.write_limits.typical_chunk_tasks)
             if self.write_limits.announced_apply
             else self.chunk_tasks
         )
-        job = Job(spec, record["at"], revision, width, self.chunk_tasks)
+        job = Job(spec, record["at"], revision, chunk_tasks, self.chunk_tasks)
         job.listener = self.writer.changed_jobs
         self.stale = True
         job.reason = record.get("reason")
@@ -160,12 +169,22 @@
         return job
 
     def complete(self, job: Job, now: float) -> None:
-        """Take in that all tasks of a job are done."""
+        """Complete a job, all of whose tasks are done."""
         self.classes.done(job.id, now)
         job.over(now if self.write_limits.announced_apply else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
-        """Take in the record of a machine that is assigned here; of a known one, what the leader may have changed."""
+        """Add a machine that is assigned here.
+
+        Of a machine that is known already, only the revision and a decommission are taken from the
+        record: the leader changes nothing else of it.
+
+        Args:
+            name: Name of the machine.
+            value: Its record.
+            revision: Revision of the record.
+            now: Time of day, in seconds.
+        """
         shape = self.catalog.get(value["t"])
         self.seen_revision = max(self.seen_revision, revision)
         known = self.machines.get(name)
@@ -183,7 +202,7 @@
     # -- accounting ---------------------------------------------------------------------------
 
     def count(self, job: Job, placement: Placement) -> None:
-        """Count a placement towards its team's usage and its machine's."""
+        """Count a placement towards the usage of its team and of its machine."""
         spec = job.spec
         self.usage.take(spec)
         machine = self.machines.get(placement.machine)
@@ -191,7 +210,10 @@
             machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
 
     def drop(self, placement: Placement, now: float) -> None:
-        """Stop counting a placement; only on proof that its task is not, and will not be, on the machine."""
+        """Stop counting a placement.
+
+        Call this only on proof that the task is not on the machine and will not start there.
+        """
         self.stale = True
         job = self.jobs[placement.job]
         spec = job.spec
@@ -201,31 +223,31 @@
             machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
 
     def note_machine(self, name: str) -> None:
-        """Have a machine's record looked at by the next transaction, since it may have to be written."""
+        """Mark a machine's record as changed, so that the next transaction may write it."""
         self.writer.changed_machines[name] = None
 
     def token(self, machine: Machine) -> int:
-        """The fencing token for commands to the machine."""
+        """Return the fencing token for commands to the machine."""
         return max(self.revision, machine.revision)
 
     # -- changes of a task's state --------------------------------------------------------------
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
-        """Place a task; its start waits until the placement is durable."""
+        """Place a task; its run command waits until the placement is durable."""
         placement = job.place(task, machine.name, attempt, now)
         self.placed += 1
         self.count(job, placement)
 
     def release(self, placement: Placement, now: float) -> None:
-        """Take in that a placement is proved gone; its task is ready again."""
+        """Remove a placement that is proved gone, and make its task ready again."""
         job = self.jobs[placement.job]
         self.drop(placement, now)
         job.release(placement.task)
         if job.spec.kind == JobKind.GANG:
-            self._gang_settled(job, now)
+            self._finish_stopped_gang(job, now)
 
     def finish(self, job: Job, task: int, now: float) -> None:
-        """Take in that a task is done, whichever attempt of it was."""
+        """Record that a task is done, whichever of its attempts finished it."""
         placement = job.unplace(task)
         if placement:
             self.drop(placement, now)
@@ -236,7 +258,14 @@
             self.complete(job, now)
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
-        """Stop a placement, with so many seconds to save; one whose start was never sent is released at once."""
+        """Stop a placement; one whose run command was never sent is released at once.
+
+        Args:
+            placement: The placement.
+            why: The reason, for the log.
+            grace_s: Seconds that the task has to save its state.
+            now: Time of day, in seconds.
+        """
         if placement.never_sent:
             self.release(placement, now)
             return
@@ -244,7 +273,10 @@
         self.urgent[placement.machine] = None
 
     def lost(self, placement: Placement, why: str, now: float) -> None:
-        """Take in that a placement is proved gone by no fault of its task; that does not count as a failure of its own."""
+        """Handle a placement that is proved gone through no fault of its task.
+
+        This does not count as a failure of the task. It stops a gang's whole attempt.
+        """
         job = self.jobs[placement.job]
         if placement.phase is not Phase.STOPPING:
             log.info(
@@ -260,15 +292,15 @@
             self.release(placement, now)
 
     def break_gang(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
-        """Stop a gang's attempt as a whole."""
+        """Stop all tasks of a gang's attempt."""
         job.breaking = why
         for placement in list(job.live.values()):
             if job.live.get(placement.task) is placement:
                 self.stop(placement, why, grace_s, now)
-        self._gang_settled(job, now)
+        self._finish_stopped_gang(job, now)
 
-    def _gang_settled(self, job: Job, now: float) -> None:
-        """Once all tasks of a gang's attempt are proved gone, have it wait or parked as a whole."""
+    def _finish_stopped_gang(self, job: Job, now: float) -> None:
+        """Once all tasks of a stopped attempt are proved gone, retry the gang if it failed."""
         if job.live or not job.breaking:
             return
         job.breaking = None
@@ -279,11 +311,14 @@
     # -- stopping -------------------------------------------------------------------------------
 
     def grace_s(self, spec: JobSpec) -> float:
-        """How many seconds a stopped task of the job may save; a gang's tasks wait for one another."""
+        """Return the seconds that a stopped task of the job has to save its state; 0 if it cannot.
+
+        It includes `gang_peer_s`, because the tasks of a gang wait for one another.
+        """
         return spec.save_s + self.workers.gang_peer_s if spec.checkpoint_s > 0 else 0.0
 
     def preempt(self, job: Job, tasks: list[int], why: str, now: float) -> None:
-        """Stop tasks with time to save; a gang as a whole."""
+        """Stop tasks with time to save their state; of a gang, all tasks."""
         grace_s = self.grace_s(job.spec)
         if job.spec.kind == JobKind.GANG:
             if not job.breaking:
@@ -295,7 +330,7 @@
                 self.stop(placement, why, grace_s, now)
 
     def drain(self, machine: Machine, now: float) -> None:
-        """Evict all tasks of a machine gracefully."""
+        """Preempt all tasks of a machine, with time to save their state."""
         for placement in list(machine.live.values()):
             if (
                 placement.phase is not Phase.STOPPING
@@ -306,28 +341,43 @@
                 )
 
     def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
-        """Take in that the cloud takes a spot instance back: evict what can save in time, or does not run yet."""
+        """Handle a notice that the cloud reclaims a spot instance.
+
+        Preempts the tasks that can save a checkpoint in time and those that do not run yet.
+
+        Args:
+            machine: The spot instance.
+            notice_s: Seconds until it is reclaimed.
+            now: Time of day, in seconds.
+        """
         if machine.reclaim_at is None:
             log.info(
-                "spot instance taken back by the cloud: machine=%s in_s=%.1f",
+                "spot instance reclaimed by the cloud: machine=%s in_s=%.1f",
                 machine.name,
                 notice_s,
             )
         machine.reclaim_at = now + notice_s
-        machine.leave("recalled")
+        machine.leave("spot reclaim")
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement or placement.reclaim_handled:
                 continue
             placement.reclaim_handled = True
             job = self.jobs[placement.job]
-            # What cannot save in time goes on: it may finish first.
+            # A running task that cannot save in time continues: it may finish before the reclaim.
             if (
                 job.active and job.spec.checkpoint_s > 0 and job.spec.save_s < notice_s
             ) or placement.status != TaskStatus.RUNNING:
-                self.preempt(job, [placement.task], "machine taken back", now)
+                self.preempt(job, [placement.task], "spot instance reclaimed", now)
 
     def cancel(self, job_id: str, at: float, revision: int, now: float) -> None:
-        """Take in a cancellation that was confirmed at `at`, and stop the tasks of its job."""
+        """Apply a cancellation, and stop the tasks of its job.
+
+        Args:
+            job_id: Id of the job.
+            at: Time of day at which the cancellation was confirmed, in seconds.
+            revision: Revision of the job's record that has the cancellation.
+            now: Time of day, in seconds.
+        """
         job = self.jobs.get(job_id)
         if job is None or job.phase in (JobPhase.CANCELLED, JobPhase.FINAL):
             return
@@ -338,7 +388,7 @@
         job.breaking = None
         self.dependency_tracker.cancelled(job, now)
         if not job.done:
-            # Most that fail until they are cancelled were submitted with a mistake.
+            # Most jobs that fail until they are cancelled were submitted with a mistake.
             self.failures.exonerate(job)
         self.cancelled_jobs[job_id] = job
         self.parks.drop(job_id)
@@ -346,9 +396,10 @@
             self.stop(placement, "cancelled", 0.0, now)
 
     def machine_gone(self, name: str, now: float) -> None:
-        """Take in that a machine's record is deleted.
+        """Remove a machine whose record was deleted.
 
-        That happens only on proof that it is gone: the cloud answered its release with 200, or listed it as failed.
+        A record is deleted only on proof that the machine is gone: the cloud answered its release
+        with 200, or listed it as failed.
         """
         machine = self.machines.pop(name, None)
         if machine is None:
@@ -367,7 +418,7 @@
     # -- time -----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Do the periodic work that is due."""
+        """Run the periodic work that is due at `now`, the time of day in seconds."""
         self.maintenance.run(now)
 
     def decommission(self, machine: Machine, why: str) -> None:
@@ -380,6 +431,6 @@
         self.note_machine(machine.name)
 
     def zone_of(self, machine: str) -> str:
-        """The zone of a machine; "?" if it is not known any more."""
+        """Return the zone of a machine; "?" if it is no longer known."""
         known = self.machines.get(machine)
         return known.zone if known else "?"
