--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -16,7 +16,7 @@
 # A rented machine that is not up after this many times its type's boot time is given up.
 BOOT_TIMEOUT_FACTOR = 2.5
 MISSED_HEARTBEATS = 2  # after which a spot instance past its reclaim time counts as gone
-# If more than 1/4 of the inherited machines stay silent after a failover, a common cause is assumed.
+# More than 1/4 of the inherited machines that stay silent after a failover have a common cause.
 ABSENT_SHARE_DIVISOR = 4
 
 
@@ -92,9 +92,9 @@
                 if now - machine.since > inherited_limit_s:
                     shard.decommission(machine, "not heard since the part was taken over")
             elif machine.phase is MachinePhase.EXPECTED:
-                # Some machines never come up but are charged for all the same. The timeout starts at
-                # the rental: started when this owner learnt of the machine, it began anew with each
-                # failover.
+                # Some machines never come up but are charged for all the same. The timeout starts
+                # at the rental: started when the owner learnt of the machine, it began anew with
+                # each failover.
                 if (
                     now - machine.rented_at > BOOT_TIMEOUT_FACTOR * machine.shape.boot_s
                     and now - machine.since > silent_s
@@ -146,7 +146,7 @@
         return self.inherited_limit_s
 
     def _check_cancelled_jobs(self, now: float) -> None:
-        """Make sure that cancelled jobs' tasks end in time, even if their machine is unreachable."""
+        """Make sure that cancelled jobs' tasks end in time, even on unreachable machines."""
         cancelled_jobs = self.shard.cancelled_jobs
         for job in list(cancelled_jobs.values()):
             if job.live:
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -1,7 +1,8 @@
-"""What of a shard is not durable yet, and the transactions that make it so (a write-ahead log in the store).
+"""Tracks what of a shard is not durable yet, and builds the transactions that write it.
 
-Every transaction has the revision of the shard's claim and of each key that it writes in its condition. Its effects are applied
-in memory by callbacks once it has been answered; whether one that was not answered was applied shows by the revisions.
+Every transaction is a compare-and-swap on the revision of the shard's claim and of each key that it
+writes. Callbacks apply its effects in memory once the store has answered. Whether a transaction
+without an answer was applied shows in the revisions of its keys.
 """
 
 from __future__ import annotations
@@ -27,65 +28,82 @@
 
 log = logging.getLogger("ashdock.shard")
 
-MACHINE_SHARE = 3  # one of so many writes is kept for machines that come and go, if there are any
-DEFERRED_SHARE = (
-    4  # where the store is short, one of so many writes beside urgent ones may be for what can wait
-)
-MIN_OPS = 4  # writes in a transaction, however few the store takes a second
+# Up to 1/3 of a transaction's writes are reserved for the machine records that have changed.
+MACHINE_OPS_DIVISOR = 3
+# If writes are scarce, a transaction with urgent changes has at most 1/4 of its writes for
+# deferrable ones.
+DEFERRED_OPS_DIVISOR = 4
+MIN_OPS = 4  # writes allowed in a transaction, however low the write rate
 
-# Sizes in bytes. A transaction is a request body, and the store refuses those of 64 KiB.
+# A transaction is one request body, and the store refuses bodies of 64 KiB.
 MAX_TRANSACTION_BYTES = 60 * 1024
-ENVELOPE_BYTES = 200  # of a transaction, without its writes
-KEY_BYTES = 100  # a path with its condition, hence a deletion
-CHUNK_ENVELOPE_BYTES = 120  # what a chunk's path and two conditions add to its value
-MACHINE_BYTES = 300  # a machine's record, path and condition
+TRANSACTION_ENVELOPE_BYTES = 200  # a transaction without its writes
+KEY_BYTES = 100  # a path with its condition, which is all that a deletion has
+CHUNK_ENVELOPE_BYTES = 120  # a chunk's path and two conditions, without its value
+MACHINE_BYTES = 300  # a machine's record with its path and condition
 
-OPS_BESIDE_CHUNKS = 4  # an outcome's writes of the job, with room to spare
-OPS_OF_JOB_RECORD = 2  # `job/<id>` and the copy beside its chunks
+OUTCOME_RESERVED_OPS = 4  # for the writes of an outcome beside its chunks; two are needed
+JOB_RECORD_OPS = 2  # `job/<id>` and the copy next to its chunks
 
 
 class StoredKey(NamedTuple):
-    """A key as last known to be stored."""
+    """A key with its last known revision."""
 
     path: str
     revision: int
 
 
 class Transaction:
-    """A compare-and-swap that is being built, with callbacks for when it is durable.
+    """A compare-and-swap that is being built, with callbacks for its commit.
 
     Attributes:
-        when: the condition: path to revision.
-        writes: path to value; None deletes.
-        on_commit: called in order with the revision that the transaction was applied at.
-        max_ops: how many writes it may have.
-        bytes: about how large it is.
-        urgent: whether a start or an outcome waits for it.
+        when: Conditions: expected revision by path.
+        writes: New value by path; None deletes the key.
+        on_commit: Callbacks, called in order with the revision at which it was applied.
+        max_ops: Maximum number of writes.
+        bytes: Approximate size.
+        urgent: Whether a run command, an outcome or a change of a machine waits for it.
     """
 
     def __init__(self, max_ops: int) -> None:
-        """Begin an empty one."""
+        """Create an empty transaction."""
         self.when: dict[str, int] = {}
         self.writes: dict[str, Any] = {}
         self.on_commit: list[Callable[[int], None]] = []
         self.max_ops = max_ops
-        self.bytes = ENVELOPE_BYTES
+        self.bytes = TRANSACTION_ENVELOPE_BYTES
         self.urgent = False
 
     def room(self, ops: int, size: int) -> bool:
-        """Whether so many writes of so many bytes in all still fit. The first always do, or they would never be written."""
+        """Whether more writes fit.
+
+        The first writes always do; otherwise they could never be written.
+
+        Args:
+            ops: Number of the writes.
+            size: Their total size, in bytes.
+        """
         return not self.writes or (
             len(self.writes) + ops <= self.max_ops and self.bytes + size <= MAX_TRANSACTION_BYTES
         )
 
     def put(self, path: str, value: Any, revision: int) -> None:
-        """Write a value (None: delete the key) if the key still has the given revision. The caller counts `bytes`."""
+        """Add a write that is conditional on the key's revision. The caller adds to `bytes`.
+
+        Args:
+            path: The key.
+            value: The new value; None deletes the key.
+            revision: The expected revision; 0 if the key does not exist.
+        """
         self.when[path] = revision
         self.writes[path] = value
 
 
 class WrittenShard(Protocol):
-    """What the writer needs of a shard: the state that is written, and the changes that follow from a commit or conflict."""
+    """The part of a shard that the writer uses.
+
+    This is the state that is written, and the changes that follow from a commit or a conflict.
+    """
 
     name: str
     team: Team
@@ -101,7 +119,7 @@
     urgent: dict[str, None]
 
     def token(self, machine: Machine) -> int:
-        """The fencing token for commands to the machine."""
+        """Return the fencing token for commands to the machine."""
         ...
 
     def drop(self, placement: Placement, now: float) -> None:
@@ -109,29 +127,31 @@
         ...
 
     def cancel(self, job_id: str, at: float, revision: int, now: float) -> None:
-        """Take in a cancellation that was confirmed at `at`."""
+        """Apply a cancellation that was confirmed at `at`."""
         ...
 
     def machine_gone(self, name: str, now: float) -> None:
-        """Take in that a machine's record is deleted."""
+        """Remove a machine whose record was deleted."""
         ...
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
-        """Take in a machine's record."""
+        """Add a machine from its record, or update it."""
         ...
 
 
 class ShardWriter:
-    """Tracks what has changed since it was last written, and builds transactions of it.
+    """Tracks what of a shard has changed since it was last written, and builds transactions.
 
     Attributes:
-        changed_jobs: jobs with something to write, so that a transaction need not look at all of them.
-        changed_machines: machines whose record may have to be written.
-        obsolete_keys: chunks of ended jobs, still to be deleted.
+        shard: The shard.
+        changed_jobs: Jobs with something to write, by id, so that building a transaction does not
+            iterate over all jobs.
+        changed_machines: Names of machines whose record may have to be written, in order.
+        obsolete_keys: Chunks of ended jobs that have not been deleted yet.
     """
 
     def __init__(self, shard: WrittenShard) -> None:
-        """Begin with nothing to write."""
+        """Start with nothing to write."""
         self.shard = shard
         self.changed_jobs: dict[str, Job] = {}
         self.changed_machines: dict[str, None] = {}
@@ -140,13 +160,13 @@
     # -- building a transaction ------------------------------------------------------------------
 
     def next_transaction(
-        self, short: bool = False, writes_per_s: float = math.inf
+        self, scarce: bool = False, writes_per_s: float = math.inf
     ) -> Transaction | None:
-        """Build a transaction of what is not durable yet, beginning with what starts and outcomes wait for.
+        """Build a transaction of what is not durable yet, the most urgent changes first.
 
         Args:
-            short: whether the store takes hardly as many writes as there are.
-            writes_per_s: how many it takes of this controller.
+            scarce: Whether the store accepts hardly as many writes as there are.
+            writes_per_s: Number of writes per second that it accepts from this controller.
 
         Returns:
             The transaction; None if there is nothing to write.
@@ -156,16 +176,20 @@
         transaction = Transaction(max_ops)
         shard.parks.fit(shard.write_limits.value_bytes)
         if self.changed_machines:
-            # Without this, the starts of a team with many jobs filled each transaction, and the machines that it was to
-            # pass on stood empty, thirty at a time.
-            transaction.max_ops -= max(1, min(max_ops // MACHINE_SHARE, len(self.changed_machines)))
+            # Without this reserve, the placements of a team with many jobs filled each transaction,
+            # while thirty machines at a time that it was to transfer stood empty.
+            transaction.max_ops -= max(
+                1, min(max_ops // MACHINE_OPS_DIVISOR, len(self.changed_machines))
+            )
         deferred = self._add_urgent_jobs(transaction)
         self._add_parks(transaction)
         transaction.max_ops = max_ops
         self._add_machines(transaction)
-        if transaction.urgent and short:
-            # What can wait is better written once than each time that something else has to be.
-            transaction.max_ops = min(max_ops, len(transaction.writes) + max_ops // DEFERRED_SHARE)
+        if transaction.urgent and scarce:
+            # Deferrable changes are better written once, later, than with each urgent transaction.
+            transaction.max_ops = min(
+                max_ops, len(transaction.writes) + max_ops // DEFERRED_OPS_DIVISOR
+            )
         self._add_deferred_jobs(transaction, deferred)
         self._add_deletions(transaction)
         if not transaction.writes:
@@ -174,17 +198,23 @@
         return transaction
 
     def _max_ops(self, writes_per_s: float) -> int:
-        """No more writes than this controller may make in a second: what comes after must not wait for longer.
+        """Return the maximum number of writes in a transaction.
 
-        That is its share as it is now, not an equal one: of a controller with half as much, one transaction took two
-        seconds' worth, and submissions were refused meanwhile.
+        It is no more than this controller may write in one second, so that later writes do not wait
+        for longer. That is its current share of the write rate, not an equal one: a controller
+        with half an equal share needed two seconds for one transaction, and refused submissions
+        meanwhile.
         """
         limits = self.shard.write_limits
         equal_share = limits.write_rps / self.shard.shared.size
         return max(MIN_OPS, min(limits.ops, int(min(equal_share, writes_per_s))))
 
     def _add_urgent_jobs(self, transaction: Transaction) -> list[Job]:
-        """Add the jobs that a start or an outcome waits for; those that can wait are returned."""
+        """Add the jobs for which a run command or an outcome waits.
+
+        Returns:
+            The changed jobs that can be written later.
+        """
         deferred: list[Job] = []
         for job in list(self.changed_jobs.values()):
             if job.id not in self.shard.jobs or not self._has_unwritten(job):
@@ -201,12 +231,12 @@
         parks, size = self.shard.parks, self.shard.write_limits.value_bytes
         if not parks.dirty:
             return
-        for n, value in parks.writes():
+        for index, value in parks.writes():
             if transaction.room(1, size):
-                revision = parks.revisions[n] if n < len(parks.revisions) else 0
-                transaction.put(parks.path(n), value, revision)
+                revision = parks.revisions[index] if index < len(parks.revisions) else 0
+                transaction.put(parks.path(index), value, revision)
                 transaction.bytes += size
-                transaction.on_commit.append(partial(self._parks_durable, n, value))
+                transaction.on_commit.append(partial(self._parks_durable, index, value))
 
     def _add_machines(self, transaction: Transaction) -> None:
         for name in list(self.changed_machines):
@@ -219,7 +249,8 @@
             transaction.urgent = True
             self._write_machine(machine, transaction)
             if machine.to is not None and machine.ended and not machine.live:
-                # The sooner its worker forgets what has ended, the sooner it can go.
+                # A machine is transferred only after its worker has forgotten all ended attempts,
+                # so the command to forget them does not wait for a heartbeat.
                 self.shard.urgent[machine.name] = None
 
     def _add_deferred_jobs(self, transaction: Transaction, deferred: list[Job]) -> None:
@@ -233,7 +264,7 @@
             transaction.put(path, None, revision)
 
     def _is_bulk(self, job: Job) -> bool:
-        """Whether it is a large array beyond any guarantee and without a deadline: other jobs are written before it."""
+        """Whether the job is a large array without deadline or guarantee, written after others."""
         spec = job.spec
         return (
             job.active
@@ -252,7 +283,11 @@
         )
 
     def _write_job(self, job: Job, transaction: Transaction) -> bool:
-        """Add what of a job is not durable. Returns whether all of it found room."""
+        """Add what of a job is not durable.
+
+        Returns:
+            Whether all of it fit into the transaction.
+        """
         if job.settled:
             return self._write_outcome(job, transaction)
         if not self._write_chunks(job, transaction):
@@ -265,19 +300,20 @@
 
     def _write_chunks(self, job: Job, transaction: Transaction) -> bool:
         changed = self._changed_chunks(job, transaction.max_ops)
-        agreed = self.shard.write_limits.announced_apply
+        announced_apply = self.shard.write_limits.announced_apply
         is_gang = job.spec.kind == JobKind.GANG
         if is_gang and changed:
-            # A gang is placed whole or not at all, so its chunks go together. Where one transaction does not take them all
-            # they go one after the other, and no start before the last; a failover in between stops the attempt.
+            # A gang is placed whole or not at all, so its chunks go into one transaction. If they
+            # do not fit into one, they are written one after the other, and no run command is sent
+            # before the last; a failover in between stops the attempt.
             size = sum(len(value) + CHUNK_ENVELOPE_BYTES for _, value in changed)
-            if (len(changed) <= transaction.max_ops or not agreed) and not transaction.room(
-                len(changed), size
-            ):
+            if (
+                len(changed) <= transaction.max_ops or not announced_apply
+            ) and not transaction.room(len(changed), size):
                 return False
         for chunk, value in changed:
             size = len(value) + CHUNK_ENVELOPE_BYTES
-            if (not is_gang or agreed) and not transaction.room(1, size):
+            if (not is_gang or announced_apply) and not transaction.room(1, size):
                 return False
             transaction.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
             transaction.when[job.job_path] = job.revision
@@ -286,7 +322,14 @@
         return True
 
     def _delete_replaced_chunks(self, job: Job, transaction: Transaction) -> bool:
-        """Delete each chunk whose tasks narrower ones hold that are durable, or become so with this transaction."""
+        """Delete the wider chunks that narrower ones have replaced.
+
+        A wider chunk is deleted once all chunks that took over its tasks are durable or become so
+        with this transaction.
+
+        Returns:
+            Whether all such deletions fit into the transaction.
+        """
         for tail, wide in list(job.wider.items()):
             if not all(
                 chunk.gen <= chunk.durable or job.path(chunk.n) in transaction.writes
@@ -302,12 +345,12 @@
 
     def _write_reason(self, job: Job, transaction: Transaction) -> bool:
         record = job.record()
-        size = OPS_OF_JOB_RECORD * len(msgspec.json.encode(record))
-        if size > OPS_OF_JOB_RECORD * self.shard.write_limits.value_bytes:
-            # The submission alone fills a value: its reason stays in its owner's log.
+        size = JOB_RECORD_OPS * len(msgspec.json.encode(record))
+        if size > JOB_RECORD_OPS * self.shard.write_limits.value_bytes:
+            # The submission alone nearly fills a value: the reason is only in the owner's log.
             job.reason_durable = job.reason_gen
             return True
-        if not transaction.room(OPS_OF_JOB_RECORD, size):
+        if not transaction.room(JOB_RECORD_OPS, size):
             return False
         transaction.put(job.job_path, record, job.revision)
         transaction.put(job.head_path, record, job.revision)
@@ -316,9 +359,9 @@
         return True
 
     def _changed_chunks(self, job: Job, max_chunks: int) -> list[tuple[Chunk, bytes]]:
-        """The chunks to be written, encoded, and narrowed until each fits a value.
+        """Return the changed chunks with their encoded values, narrowed until each value fits.
 
-        Of a gang that is all of them, of an array at most `max_chunks`.
+        Of a gang these are all changed chunks, of any other job at most `max_chunks`.
         """
         while True:
             changed = (chunk for chunk in job.chunks.values() if chunk.gen > chunk.durable)
@@ -335,7 +378,7 @@
                 or not self.shard.write_limits.announced_apply
             ):
                 return encoded
-            # In proportion to its excess, and by a quarter at least, so that this ends soon.
+            # Narrow in proportion to the excess, by at least a quarter so that this ends soon.
             fitting_tasks = job.chunk_tasks * self.shard.write_limits.value_bytes // largest
             job.narrow(max(1, min(fitting_tasks, job.chunk_tasks * 3 // 4)))
             log.info(
@@ -346,7 +389,13 @@
             )
 
     def _write_outcome(self, job: Job, transaction: Transaction) -> bool:
-        """Write how a job ended and delete its chunks; those that one transaction does not take are deleted later."""
+        """Write a job's outcome and delete its chunks.
+
+        Chunks that do not fit into the transaction are deleted later.
+
+        Returns:
+            Whether the outcome fit into the transaction.
+        """
         stored = [
             StoredKey(job.path(chunk.n), chunk.revision)
             for chunk in job.chunks.values()
@@ -355,33 +404,38 @@
         stored += [
             StoredKey(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()
         ]
-        most = transaction.max_ops - OPS_BESIDE_CHUNKS
-        together, later = stored[:most], stored[most:]
+        max_deletions = transaction.max_ops - OUTCOME_RESERVED_OPS
+        deleted_now, deleted_later = stored[:max_deletions], stored[max_deletions:]
         record = fitting(job.record(), self.shard.write_limits.value_bytes)
-        ops = len(together) + OPS_OF_JOB_RECORD
+        ops = len(deleted_now) + JOB_RECORD_OPS
         size = KEY_BYTES * ops + len(msgspec.json.encode(record))
         if not transaction.room(ops, size):
             return False
         if job.phase is not JobPhase.CANCELLED:
             transaction.put(job.job_path, record, job.revision)
         transaction.put(job.head_path, None, job.revision)
-        for path, revision in together:
+        for path, revision in deleted_now:
             transaction.put(path, None, revision)
         transaction.bytes += size
-        transaction.on_commit.append(partial(self._outcome_committed, job, later))
+        transaction.on_commit.append(partial(self._outcome_committed, job, deleted_later))
         return True
 
     def _write_machine(self, machine: Machine, transaction: Transaction) -> None:
-        """Write a machine's record if it passes to another team, needs a higher token, or is decommissioned."""
-        moves = machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
+        """Write a machine's record if the machine is transferred or decommissioned.
+
+        The record is also rewritten to raise the fencing token above that of an unanswered command.
+        """
+        transferred = (
+            machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
+        )
         raises_token = machine.bump and any(
             sent >= self.shard.token(machine) for sent in machine.outstanding.values()
         )
-        if not (moves or raises_token or machine.decommission_generation):
+        if not (transferred or raises_token or machine.decommission_generation):
             return
         if not transaction.room(1, MACHINE_BYTES):
             return
-        team = machine.to if moves and machine.to is not None else self.shard.name
+        team = machine.to if transferred and machine.to is not None else self.shard.name
         transaction.put(
             f"machine/{machine.name}",
             trimmed(machine.value(team), self.shard.write_limits.value_bytes),
@@ -390,10 +444,10 @@
         transaction.bytes += MACHINE_BYTES
         transaction.on_commit.append(partial(self._machine_durable, machine, team))
 
-    # -- once it is durable ------------------------------------------------------------------------
+    # -- after a commit ----------------------------------------------------------------------------
 
-    def _parks_durable(self, n: int, value: list[Any] | None, revision: int) -> None:
-        self.shard.parks.wrote(n, value, revision)
+    def _parks_durable(self, index: int, value: list[Any] | None, revision: int) -> None:
+        self.shard.parks.wrote(index, value, revision)
         self.shard.parks.dirty = bool(self.shard.parks.writes())
 
     def _machine_durable(self, machine: Machine, team: str, revision: int) -> None:
@@ -402,7 +456,7 @@
         machine.bump = False
         if team != self.shard.name:
             log.info(
-                "machine passed on: machine=%s from=%s to=%s",
+                "machine transferred: machine=%s from=%s to=%s",
                 machine.name,
                 self.shard.name,
                 team or "unassigned",
@@ -410,7 +464,7 @@
             self.shard.machines.pop(machine.name, None)
 
     def _chunk_durable(self, job: Job, chunk: Chunk, generation: int, revision: int) -> None:
-        """Let the starts out that waited for the chunk; those of a gang only with its last chunk."""
+        """Allow the run commands that waited for the chunk; a gang's only after its last chunk."""
         chunk.revision = revision
         chunk.durable = max(chunk.durable, generation)
         is_gang = job.spec.kind == JobKind.GANG
@@ -433,17 +487,17 @@
         job.reason_durable = generation
         job.revision = revision
 
-    def _outcome_committed(self, job: Job, later: list[StoredKey], _revision: int) -> None:
-        self._outcome_durable(job, later)
+    def _outcome_committed(self, job: Job, remaining: list[StoredKey], _revision: int) -> None:
+        self._outcome_durable(job, remaining)
 
-    def _outcome_durable(self, job: Job, later: list[StoredKey]) -> None:
-        """Forget a job whose end is stored.
+    def _outcome_durable(self, job: Job, remaining: list[StoredKey]) -> None:
+        """Forget a job whose outcome is durable.
 
         Args:
-            job: the job.
-            later: its chunks that are still to be deleted.
+            job: The job.
+            remaining: Its chunks that have not been deleted yet.
         """
-        self.obsolete_keys += later
+        self.obsolete_keys += remaining
         done = job.phase is JobPhase.OVER
         if done:
             log.info("job done: job=%s", job.id)
@@ -459,30 +513,31 @@
     # -- conflicts ---------------------------------------------------------------------------------
 
     def take_in_stored(self, path: str, value: Any, revision: int, now: float) -> None:
-        """Take in what a key holds now, after the condition on it failed though the shard is still ours.
+        """Apply the current value of a key after the condition on it failed.
 
-        Only a transaction of our own that was applied late, a cancellation, or the leader's deletion of a
-        machine that is gone can have changed it.
+        Only called while the shard is still owned here. Then the change can only come from a
+        transaction of this owner that was applied late, from a cancellation, or from the leader,
+        which decommissions failed machines and deletes the records of machines that are gone.
 
         Args:
-            path: the key.
-            value: what it holds; None if it is deleted.
-            revision: its revision, 0 if it is deleted.
-            now: the time.
+            path: The key.
+            value: Its value; None if it was deleted.
+            revision: Its revision; 0 if it was deleted.
+            now: Time of day, in seconds.
         """
         kind, _, rest = path.partition("/")
         if kind == "job":
-            self._take_in_job(rest, value, revision, now)
+            self._apply_stored_job(rest, value, revision, now)
         elif kind == "work":
             _, job_id, tail = rest.split("/", 2)
-            self._take_in_work(job_id, tail, value, revision)
+            self._apply_stored_chunk(job_id, tail, value, revision)
         elif kind == "park":
             self.shard.parks.wrote(int(rest.rsplit("/", 1)[1]), value, revision)
             self.shard.parks.dirty = True
         elif kind == "machine":
-            self._take_in_machine(rest, value, revision, now)
+            self._apply_stored_machine(rest, value, revision, now)
 
-    def _take_in_job(
+    def _apply_stored_job(
         self, job_id: str, record: dict[str, Any] | None, revision: int, now: float
     ) -> None:
         job = self.shard.jobs.get(job_id)
@@ -494,7 +549,7 @@
         if record["status"] == JobStatus.DONE and job.phase is JobPhase.OVER:
             self._outcome_durable(job, [])
 
-    def _take_in_work(self, job_id: str, tail: str, value: Any, revision: int) -> None:
+    def _apply_stored_chunk(self, job_id: str, tail: str, value: Any, revision: int) -> None:
         job = self.shard.jobs.get(job_id)
         if job is None:
             return
@@ -503,7 +558,7 @@
         elif value is None and job.phase is JobPhase.CANCELLED:
             self._outcome_durable(job, [])
 
-    def _take_in_machine(
+    def _apply_stored_machine(
         self, name: str, record: dict[str, Any] | None, revision: int, now: float
     ) -> None:
         if record is None:
