--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -1,7 +1,7 @@
-"""What the leader is told of a shard, and what its commands do: transfer a machine, reclaim machines, rebalance.
+"""Reports a shard's status to the leader, and executes the leader's commands about machines.
 
-The leader's commands change only which machines are vacated and for whom; a machine passes on once it is empty, by a write
-under the shard's claim.
+The commands only decide which machines are vacated and for which shard. A machine is transferred
+once it is empty, by a write that is conditional on the shard's claim.
 """
 
 from __future__ import annotations
@@ -23,15 +23,23 @@
 
 log = logging.getLogger("ashdock.shard")
 
-BOOTS_OF_ARRIVALS = 4  # arrivals are remembered for so many times the longest boot
-EXTRA_ROWS = 16  # rows of busy machines that are kept beyond twice the machines there are
-# In CPUs and GPUs: tasks ask for fractions of them, and sums of those carry rounding errors.
-BEYOND_TOLERANCE = 1e-3
-FILLED_TOLERANCE = 1e-6
+ARRIVAL_WINDOW_BOOTS = 4  # arrivals are kept for this many times the longest boot time
+# Cached entries of busy machines that are allowed beyond twice the number of machines.
+EXTRA_CACHE_ENTRIES = 16
+# In CPUs and GPUs. Tasks may request fractions, whose sums have rounding errors.
+GUARANTEE_EXCEEDED_TOLERANCE = 1e-3
+GUARANTEE_FILLED_TOLERANCE = 1e-6
 
 
-class _BusyRow(NamedTuple):
-    """What is told of a busy machine, computed for a version of what is placed there, and until when it holds."""
+class _CachedBusyMachine(NamedTuple):
+    """What is reported of a busy machine, cached.
+
+    Attributes:
+        machine: The machine.
+        version: Version of the machine's placements for which it was computed.
+        until: Time at which the entry expires.
+        busy: What is reported.
+    """
 
     machine: Machine
     version: int
@@ -40,22 +48,33 @@
 
 
 class _Arrival(NamedTuple):
-    """A job that came lately."""
+    """A recent arrival of a job.
+
+    Attributes:
+        at: Time of the arrival.
+        machines: Number of machines that the job fills.
+        spec: The job's specification.
+    """
 
     at: float
-    machines: int  # that it fills
+    machines: int
     spec: JobSpec
 
 
 class _RebalanceRequest(NamedTuple):
-    """A rebalance of the leader's, with what is left of it, and until when it holds."""
+    """A rebalance that the leader requested.
 
-    order: Rebalance
+    Attributes:
+        remaining: The request; its number of machines is what is left to be transferred.
+        until: Time at which it expires.
+    """
+
+    remaining: Rebalance
     until: float
 
 
 class ReportedShard(Protocol):
-    """What goes into a shard's status, and what the leader's commands may touch."""
+    """The part of a shard that is reported, or that the leader's commands change."""
 
     name: str
     team: Team
@@ -70,30 +89,41 @@
     classes: Classes
 
     def drain(self, machine: Machine, now: float) -> None:
-        """Evict all tasks of a machine gracefully."""
+        """Preempt all tasks of a machine, with time to save their state."""
         ...
 
     def note_machine(self, name: str) -> None:
-        """Have a machine's record written, if need be."""
+        """Mark a machine's record as changed, so that the next transaction may write it."""
         ...
 
 
 class StatusReporter:
-    """Reports a shard's status to the leader and carries the leader's commands out."""
+    """Reports the status of one shard to the leader, and executes the leader's commands.
+
+    Attributes:
+        shard: The shard.
+        rebalances: Requested rebalances, by the team that gets the machines.
+        busy_cache: Cached entries of busy machines, by name.
+        arrivals: Recent arrivals of jobs, the oldest first.
+    """
 
     def __init__(self, shard: ReportedShard) -> None:
-        """Report on a shard."""
+        """Create a reporter without arrivals and rebalances."""
         self.shard = shard
-        self.rebalances: dict[str, _RebalanceRequest] = {}  # by the team that gets the machines
-        self.rows: dict[str, _BusyRow] = {}
+        self.rebalances: dict[str, _RebalanceRequest] = {}
+        self.busy_cache: dict[str, _CachedBusyMachine] = {}
         self.arrivals: deque[_Arrival] = deque()
 
-    # -- arrivals, and the machines kept for them ------------------------------------------------
+    # -- arrivals and headroom ---------------------------------------------------------------------
 
     def record_arrival(self, job: Job, now: float) -> None:
-        """Take in that a job has come or can start, from which is estimated what is to be expected.
+        """Record that a job was submitted or became free to start, to estimate future arrivals.
 
-        Jobs read at a failover are none: they came earlier.
+        Jobs read at a failover are not recorded: they arrived earlier.
+
+        Args:
+            job: The job.
+            now: Time of day, in seconds.
         """
         if job.waits or job.spec.kind == JobKind.SERVICE:
             return
@@ -111,28 +141,33 @@
         )
         machines = -(-job.spec.tasks // max(tasks_per_machine, 1))
         self.arrivals.append(_Arrival(now, machines, job.spec))
-        self._forget_old_arrivals(now)  # where no machine is ever empty, nobody else does
+        # Other callers prune only when some machine is empty, which may never happen.
+        self._prune_arrivals(now)
 
     def headroom(self, now: float) -> int:
-        """How many empty machines to keep for jobs that are not to wait.
+        """Return the number of empty machines to keep for jobs that should start at once.
 
-        It is one standard deviation of the machines that arrivals fill in a boot's time. What ends makes room for the mean
-        of what comes; what exceeds it would have to wait for a boot, or for other work to save itself.
+        It is one standard deviation of the machines that arriving jobs fill within a boot time.
+        Jobs that end make room for the mean of those that arrive. Whatever exceeds the mean would
+        have to wait for a machine to boot, or for other tasks to save their state.
         """
-        self._forget_old_arrivals(now)
+        self._prune_arrivals(now)
         squares = sum(arrival.machines * arrival.machines for arrival in self.arrivals)
-        return round(math.sqrt(squares / BOOTS_OF_ARRIVALS))
+        return round(math.sqrt(squares / ARRIVAL_WINDOW_BOOTS))
 
-    def _forget_old_arrivals(self, now: float) -> None:
+    def _prune_arrivals(self, now: float) -> None:
         boot_s = max(
             (shape.boot_s for shape in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
-        while self.arrivals and now - self.arrivals[0].at > BOOTS_OF_ARRIVALS * boot_s:
+        while self.arrivals and now - self.arrivals[0].at > ARRIVAL_WINDOW_BOOTS * boot_s:
             self.arrivals.popleft()
 
-    def _kept_empty(self, empty: list[Machine], now: float) -> set[str]:
-        """The empty machines to keep, within the guarantee only; those that hold most images first."""
+    def _headroom_machines(self, empty: list[Machine], now: float) -> set[str]:
+        """Return the names of the empty machines to keep, those with the most cached images first.
+
+        Machines are kept only within the team's guarantee.
+        """
         headroom = self.headroom(now) if empty else 0
         kept: set[str] = set()
         if not headroom:
@@ -152,11 +187,12 @@
     # -- status ------------------------------------------------------------------------------------
 
     def shard_status(self, now: float) -> ShardStatus:
-        """The shard's status.
+        """Return the shard's status.
 
-        A machine that was assigned after the last scheduling cycle began is not idle: nobody has looked yet at what it is for.
-        Told as idle, with the resource requests of that cycle, it was assigned back to where it came from, and two shards
-        handed their machines to each other for a minute.
+        A machine that was assigned after the last scheduling cycle began is not reported as idle,
+        because the cycle has not considered it. Reported as idle together with the resource
+        requests of that cycle, it was assigned back to the shard that it came from, and two shards
+        passed their machines back and forth for a minute.
         """
         shard = self.shard
         empty = [
@@ -168,7 +204,7 @@
             and machine.name not in shard.reserved
             and machine.revision <= shard.scheduled_revision
         ]
-        kept = self._kept_empty(empty, now)
+        kept = self._headroom_machines(empty, now)
         idle = [
             (machine.name, now - (machine.idle_since or now))
             for machine in empty
@@ -179,7 +215,7 @@
             for machine in shard.machines.values()
             if machine.live and machine.usable and machine.name not in shard.reserved
         ]
-        self._forget_old_rows()
+        self._prune_busy_cache()
         waiting = sum(job.ready for job in shard.jobs.values() if job.active and not job.waits)
         return ShardStatus(
             shard.name,
@@ -189,11 +225,14 @@
             busy,
             len(shard.machines),
             waiting,
-            self._spare_beyond(busy),
+            self._machines_over_guarantee(busy),
         )
 
     def leaving(self) -> list[tuple[str, str]]:
-        """The machines that are being vacated, and for which team; "": to be unassigned."""
+        """Return the machines that are being vacated, with the team that gets each.
+
+        The team "" means that the machine becomes unassigned.
+        """
         return [
             (machine.name, machine.to)
             for machine in self.shard.machines.values()
@@ -201,102 +240,120 @@
         ]
 
     def counts(self) -> list[tuple[str, int, int]]:
-        """Of each active job: its id, and how many tasks are done and running."""
+        """Return each active job's id and its numbers of done and of running tasks."""
         return [(job.id, job.done, job.running) for job in self.shard.jobs.values() if job.active]
 
-    def _forget_old_rows(self) -> None:
+    def _prune_busy_cache(self) -> None:
         machines = self.shard.machines
-        if len(self.rows) > 2 * len(machines) + EXTRA_ROWS:
-            self.rows = {name: row for name, row in self.rows.items() if name in machines}
+        if len(self.busy_cache) > 2 * len(machines) + EXTRA_CACHE_ENTRIES:
+            self.busy_cache = {
+                name: cached for name, cached in self.busy_cache.items() if name in machines
+            }
 
     def _busy_machine(self, machine: Machine, now: float) -> BusyMachine:
-        """What stopping a machine's work costs, computed anew when other tasks are placed there or a heartbeat's interval is over.
+        """Return what preempting a machine's tasks would cost.
 
-        Computed for each status, it took more time in a large shard than the scheduling cycles.
+        The result is cached until the machine's placements change, for at most a heartbeat
+        interval. Computed for each status, it took more time in a large shard than the scheduling
+        cycles.
         """
-        row = self.rows.get(machine.name)
+        cached = self.busy_cache.get(machine.name)
         if (
-            row is None
-            or row.machine is not machine
-            or row.version != machine.version
-            or now >= row.until
+            cached is None
+            or cached.machine is not machine
+            or cached.version != machine.version
+            or now >= cached.until
         ):
             jobs = self.shard.jobs
             priority = max(jobs[placement.job].priority for placement in machine.live.values())
             busy = BusyMachine(machine.name, priority, machine_preemption_cost(jobs, machine, now))
-            row = self.rows[machine.name] = _BusyRow(
+            cached = self.busy_cache[machine.name] = _CachedBusyMachine(
                 machine, machine.version, now + self.shard.workers.report_s, busy
             )
-        return row.busy
+        return cached.busy
 
-    def _spare_beyond(self, busy: list[BusyMachine]) -> int:
-        """How many machines' work the team runs beyond its guarantee.
+    def _machines_over_guarantee(self, busy: list[BusyMachine]) -> int:
+        """Return the number of busy machines whose work exceeds the team's guarantee.
 
-        Machines that are empty or boot do not count: running work was stopped for those, and machines went round between
-        teams that were all within their guarantees.
+        The machines that are cheapest to preempt count first. Empty and booting machines do not
+        count: when they did, running tasks were preempted in their place, and machines circulated
+        between teams that were all within their guarantees.
         """
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
-        beyond = 0
+        machines_over = 0
         for item in sorted(busy, key=lambda item: item.preemption_cost_s):
             machine = self.shard.machines[item.machine]
             cpus -= machine.shape.cpus - machine.cpus
             gpus -= machine.shape.gpus - machine.gpus
             if guaranteed(
-                self.shard.team, cpus + BEYOND_TOLERANCE, gpus + BEYOND_TOLERANCE
+                self.shard.team,
+                cpus + GUARANTEE_EXCEEDED_TOLERANCE,
+                gpus + GUARANTEE_EXCEEDED_TOLERANCE,
             ) and not self._fills_guarantee(cpus, gpus):
                 break
-            beyond += 1
-        return beyond
+            machines_over += 1
+        return machines_over
 
     def _fills_guarantee(self, cpus: float, gpus: float) -> bool:
         team = self.shard.team
         return not (
-            (team.gpus > 0 and gpus < team.gpus - FILLED_TOLERANCE)
-            or (team.cpus > 0 and cpus < team.cpus - FILLED_TOLERANCE)
+            (team.gpus > 0 and gpus < team.gpus - GUARANTEE_FILLED_TOLERANCE)
+            or (team.cpus > 0 and cpus < team.cpus - GUARANTEE_FILLED_TOLERANCE)
         )
 
-    # -- the leader's commands -----------------------------------------------------------------------
+    # -- the leader's commands ---------------------------------------------------------------------
 
     def transfer_machine(self, name: str, to: str) -> None:
-        """Pass a machine on to another team, or unassign it (""), if it is empty."""
+        """Transfer a machine to another team's shard if it is empty.
+
+        Args:
+            name: Name of the machine.
+            to: The team; "" leaves the machine unassigned.
+        """
         machine = self.shard.machines.get(name)
         if machine is not None and machine.usable and machine.empty and to != self.shard.name:
             machine.to = to
-            machine.leave("moves")
+            machine.leave("transfer")
             self.shard.note_machine(name)
 
-    def reclaim(self, order: Reclaim, now: float) -> None:
+    def reclaim(self, command: Reclaim, now: float) -> None:
         """Vacate machines for a team that lacks its guarantee, or for work of higher priority."""
-        for name in order.machines:
+        for name in command.machines:
             machine = self.shard.machines.get(name)
             if machine and machine.usable and name not in self.shard.reserved:
-                log.info("machine reclaimed: machine=%s for=%s", name, order.to)
-                machine.leave(f"recalled for {order.to}")
-                machine.to = order.to
+                log.info("machine reclaimed: machine=%s for=%s", name, command.to)
+                machine.leave(f"reclaimed for {command.to}")
+                machine.to = command.to
                 self.shard.note_machine(name)
                 self.shard.drain(machine, now)
 
-    def rebalance(self, order: Rebalance, now: float) -> None:
-        """Have machines passed on as they come free, for as long as an agent's lease unless the leader asks again."""
-        self.rebalances[order.to] = _RebalanceRequest(order, now + self.shard.workers.lease_s)
+    def rebalance(self, command: Rebalance, now: float) -> None:
+        """Transfer machines as they become free.
+
+        The request expires after the duration of an agent's lease, unless the leader repeats it.
+        """
+        self.rebalances[command.to] = _RebalanceRequest(command, now + self.shard.workers.lease_s)
 
     def rebalance_free_machines(self, now: float) -> None:
-        """Pass on what has come free, before our own work takes it. Nothing is stopped for a rebalance."""
+        """Transfer free machines as rebalances ask, before the shard's own tasks use them.
+
+        No task is stopped for a rebalance.
+        """
         for machine in self.shard.machines.values():
             if machine.live or machine.orphaned_tasks or not machine.usable:
                 continue
-            for to, (order, until) in list(self.rebalances.items()):
-                if now > until or order.number <= 0:
+            for to, (remaining, until) in list(self.rebalances.items()):
+                if now > until or remaining.number <= 0:
                     del self.rebalances[to]
                 elif (
-                    (not order.types or machine.type in order.types)
-                    and order.zone in ("", machine.zone)
-                    and (order.spot or not machine.spot)
+                    (not remaining.types or machine.type in remaining.types)
+                    and remaining.zone in ("", machine.zone)
+                    and (remaining.spot or not machine.spot)
                 ):
                     machine.to = to
-                    machine.leave(f"passed on to {to}")
+                    machine.leave(f"transfer to {to}")
                     self.shard.note_machine(machine.name)
                     self.rebalances[to] = _RebalanceRequest(
-                        order._replace(number=order.number - 1), until
+                        remaining._replace(number=remaining.number - 1), until
                     )
                     break
