--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -48,7 +48,7 @@
             change when the store's limits do.
         orphaned_tasks: Names of the machines where a job runs without a placement, by job id.
         resource_requests: Capacity that the last scheduling cycle found lacking.
-        lacked_room_before: Whether there were resource requests when it was last decided whether
+        had_resource_requests: Whether there were resource requests when it was last decided whether
             the leader is told of them at once.
         reserved: Names of machines with free capacity that are kept for a gang that lacks more.
         seen_revision: Revision of the latest machine assignment that was applied here.
@@ -101,7 +101,7 @@
         self.dependency_tracker = DependencyTracker(self)
         self.orphaned_tasks: dict[str, set[str]] = {}
         self.resource_requests: list[ResourceRequest] = []
-        self.lacked_room_before = False
+        self.had_resource_requests = False
         self.reserved: set[str] = set()
         self.seen_revision = revision
         self.scheduled_revision = revision
--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -127,9 +127,9 @@
 
     def send_status_if_urgent(self, shard: Shard) -> None:
         """Tell the leader at once that a shard has come to lack room; that it no longer does can wait for a beat."""
-        if shard.resource_requests and not shard.lacked_room_before:
+        if shard.resource_requests and not shard.had_resource_requests:
             self.send_status(shard)
-        shard.lacked_room_before = bool(shard.resource_requests)
+        shard.had_resource_requests = bool(shard.resource_requests)
 
     def send_status(self, shard: Shard) -> None:
         """Tell the leader, unless it is this controller, how a shard stands and what it is vacating."""
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -56,7 +56,7 @@
         status_reporter=reporter,
         dependency_tracker=SimpleNamespace(graph=graph),
         resource_requests=[],
-        lacked_room_before=False,
+        had_resource_requests=False,
     )
 
 
