--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -512,7 +512,7 @@
 
     # -- conflicts ---------------------------------------------------------------------------------
 
-    def take_in_stored(self, path: str, value: Any, revision: int, now: float) -> None:
+    def apply_stored_value(self, path: str, value: Any, revision: int, now: float) -> None:
         """Apply the current value of a key after the condition on it failed.
 
         Only called while the shard is still owned here. Then the change can only come from a
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -492,7 +492,7 @@
                 shard.name,
                 path,
             )
-            shard.writer.take_in_stored(
+            shard.writer.apply_stored_value(
                 path, entry.value if entry else None, revision, self.context.now()
             )
         return True
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -80,5 +80,5 @@
     """Keys of which a condition of ours failed, read again: what the shard then holds."""
     shard = loaded_part(values["store"])
     for path, value, revision in values["changes"]:
-        shard.writer.take_in_stored(path, value, revision, NOW)
+        shard.writer.apply_stored_value(path, value, revision, NOW)
     return {"part": part_to_values(shard)}
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -221,13 +221,13 @@
     withdrawn = shard.jobs["req-000002"].record() | {"cancelled_at": 5.0}
     if first == "users":
         assert shard.writer.next_transaction() is not None  # and its conditions fail
-        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
-        shard.writer.take_in_stored("work/red/req-000002/job", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("work/red/req-000002/job", withdrawn, 50, 6.0)
         assert commit(shard, 60) == {"work/red/req-000002/job": None}
     else:
         assert shard.writer.next_transaction() is not None  # applied, and its answer lost
-        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
-        shard.writer.take_in_stored("work/red/req-000002/job", None, 0, 6.0)
+        shard.writer.apply_stored_value("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("work/red/req-000002/job", None, 0, 6.0)
     assert not shard.jobs and shard.writer.next_transaction() is None
 
 
