--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -395,7 +395,7 @@
         for placement in list(job.live.values()):
             self.stop(placement, "cancelled", 0.0, now)
 
-    def machine_gone(self, name: str, now: float) -> None:
+    def remove_machine(self, name: str, now: float) -> None:
         """Remove a machine whose record was deleted.
 
         A record is deleted only on proof that the machine is gone: the cloud answered its release
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -130,7 +130,7 @@
         """Apply a cancellation that was confirmed at `at`."""
         ...
 
-    def machine_gone(self, name: str, now: float) -> None:
+    def remove_machine(self, name: str, now: float) -> None:
         """Remove a machine whose record was deleted."""
         ...
 
@@ -562,7 +562,7 @@
         self, name: str, record: dict[str, Any] | None, revision: int, now: float
     ) -> None:
         if record is None:
-            self.shard.machine_gone(name, now)
+            self.shard.remove_machine(name, now)
         elif record.get("p") != self.shard.name:
             self.shard.machines.pop(name, None)
         else:
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -81,7 +81,7 @@
         name = path.split("/", 1)[1]
         for owner in list(self.table.values()):
             if value is None:
-                owner.apply(lambda shard: shard.machine_gone(name, self.now()))
+                owner.apply(lambda shard: shard.remove_machine(name, self.now()))
             elif value["p"] == owner.team.name:
                 owner.apply(lambda shard: shard.add_machine(name, value, revision, self.now()))
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -280,7 +280,7 @@
         elif kind == "tick":
             shard.tick(float(a))
         elif kind == "gone":
-            shard.machine_gone("vm-0", 4.0)
+            shard.remove_machine("vm-0", 4.0)
         elif kind == "bump":
             assert "machine/vm-0" in commit(shard, a)
     assert (0 in one.live) is counts and (shard.usage.gpus == 1.0) is counts
