--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -222,7 +222,7 @@
         if machine:
             machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
 
-    def note_machine(self, name: str) -> None:
+    def mark_machine_changed(self, name: str) -> None:
         """Mark a machine's record as changed, so that the next transaction may write it."""
         self.writer.changed_machines[name] = None
 
@@ -428,7 +428,7 @@
         log.info("machine decommissioned: machine=%s reason=%s", machine.name, why)
         machine.decommission(why)
         machine.decommission_generation = 1
-        self.note_machine(machine.name)
+        self.mark_machine_changed(machine.name)
 
     def zone_of(self, machine: str) -> str:
         """Return the zone of a machine; "?" if it is no longer known."""
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -92,7 +92,7 @@
         """Preempt all tasks of a machine, with time to save their state."""
         ...
 
-    def note_machine(self, name: str) -> None:
+    def mark_machine_changed(self, name: str) -> None:
         """Mark a machine's record as changed, so that the next transaction may write it."""
         ...
 
@@ -314,7 +314,7 @@
         if machine is not None and machine.usable and machine.empty and to != self.shard.name:
             machine.to = to
             machine.leave("transfer")
-            self.shard.note_machine(name)
+            self.shard.mark_machine_changed(name)
 
     def reclaim(self, command: Reclaim, now: float) -> None:
         """Vacate machines for a team that lacks its guarantee, or for work of higher priority."""
@@ -324,7 +324,7 @@
                 log.info("machine reclaimed: machine=%s for=%s", name, command.to)
                 machine.leave(f"reclaimed for {command.to}")
                 machine.to = command.to
-                self.shard.note_machine(name)
+                self.shard.mark_machine_changed(name)
                 self.shard.drain(machine, now)
 
     def rebalance(self, command: Rebalance, now: float) -> None:
@@ -352,7 +352,7 @@
                 ):
                     machine.to = to
                     machine.leave(f"transfer to {to}")
-                    self.shard.note_machine(machine.name)
+                    self.shard.mark_machine_changed(machine.name)
                     self.rebalances[to] = _RebalanceRequest(
                         remaining._replace(number=remaining.number - 1), until
                     )
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -30,7 +30,7 @@
         """The fencing token for commands to the machine."""
         ...
 
-    def note_machine(self, name: str) -> None:
+    def mark_machine_changed(self, name: str) -> None:
         """Have a machine's record written, if need be."""
         ...
 
@@ -124,7 +124,7 @@
         """Raise the token, since a run command may still arrive, even minutes late: it is refused then."""
         if any(command.verb == CommandVerb.RUN for command in commands):
             machine.bump = True
-            self.shard.note_machine(machine.name)
+            self.shard.mark_machine_changed(machine.name)
 
     def lapses(self, machine: Machine, now: float) -> bool:
         """Whether the worker's lease must run out.
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -41,7 +41,7 @@
         """Evict all tasks of a machine gracefully."""
         ...
 
-    def note_machine(self, name: str) -> None:
+    def mark_machine_changed(self, name: str) -> None:
         """Have a machine's record written, if need be."""
         ...
 
@@ -139,7 +139,7 @@
             and self._may_quarantine()
         ):
             machine.leave("suspect")
-            self.shard.note_machine(machine.name)
+            self.shard.mark_machine_changed(machine.name)
             log.info(
                 "machine quarantined and drained: machine=%s failed_jobs=%d",
                 machine.name,
