--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -54,7 +54,7 @@
         """Take in that a task is done."""
         ...
 
-    def lost(self, placement: Placement, why: str, now: float) -> None:
+    def on_placement_lost(self, placement: Placement, why: str, now: float) -> None:
         """Take in that a placement is proved gone, by no fault of its task."""
         ...
 
@@ -149,7 +149,7 @@
             ):
                 continue
             if placement.incarnation < heartbeat.incarnation:
-                self.shard.lost(placement, "worker lost its controllers", now)
+                self.shard.on_placement_lost(placement, "worker lost its controllers", now)
 
     def _reconcile_tasks(
         self, machine: Machine, heartbeat: Heartbeat, now: float, absence_proves: bool
@@ -178,7 +178,9 @@
                     and attempt not in machine.outstanding
                     and self._is_absent(placement, heartbeat)
                 ):
-                    self.shard.lost(placement, placement.why or "not on its machine", now)
+                    self.shard.on_placement_lost(
+                        placement, placement.why or "not on its machine", now
+                    )
             elif report.status == TaskStatus.ENDED:
                 ended.add(attempt)
                 self._on_ended(machine, placement, report, now)
@@ -296,7 +298,7 @@
             machine.no_room_until = now + self.shard.workers.report_s
         if cause == TaskCause.ERROR and job.spec.kind == JobKind.GANG:
             job.broke = job.broke or Failure(0, now, f"error on {machine.name}")
-        self.shard.lost(placement, cause, now)
+        self.shard.on_placement_lost(placement, cause, now)
 
     def _on_done(self, machine: Machine, job: Job, placement: Placement, now: float) -> None:
         """Take in a result; a gang's tasks complete together, so one that is done proves them all."""
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -272,7 +272,7 @@
         placement.stop(why, grace_s)
         self.urgent[placement.machine] = None
 
-    def lost(self, placement: Placement, why: str, now: float) -> None:
+    def on_placement_lost(self, placement: Placement, why: str, now: float) -> None:
         """Handle a placement that is proved gone through no fault of its task.
 
         This does not count as a failure of the task. It stops a gang's whole attempt.
@@ -406,7 +406,7 @@
             return
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is placement:
-                self.lost(placement, "machine gone", now)
+                self.on_placement_lost(placement, "machine gone", now)
         for machine_names in self.orphaned_tasks.values():
             machine_names.discard(name)
         self.orphaned_tasks = {
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -125,4 +125,4 @@
     for placement in list(job.live.values()):
         # A machine's record is deleted only once the machine is proved to be gone.
         if placement.machine not in shard.machines:
-            shard.lost(placement, "machine gone", now)
+            shard.on_placement_lost(placement, "machine gone", now)
