--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -29,7 +29,7 @@
     jobs: dict[str, Job]
     estimates: Estimates
     status_reporter: StatusReporter
-    stale: bool
+    needs_scheduling: bool
 
 
 class DependencyTracker:
@@ -82,7 +82,7 @@
             for job_id, since in self.graph.done(need, at):
                 job = self.shard.jobs[job_id]
                 job.released(since)
-                self.shard.stale = True
+                self.shard.needs_scheduling = True
                 log.info("job %s may start: the last that it needs is done (%s)", job_id, need)
                 self.shard.status_reporter.record_arrival(job, now)
         else:
@@ -101,5 +101,5 @@
             if job is not None:
                 job.carried = self.graph.of(job_id)
         if self.graph.changed:
-            self.shard.stale = True
+            self.shard.needs_scheduling = True
             self.graph.changed.clear()
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -41,7 +41,7 @@
     machines: dict[str, Machine]
     workers: Workers
     orphaned_tasks: dict[str, set[str]]
-    stale: bool
+    needs_scheduling: bool
     classes: Classes
     commands: TaskCommands
     failures: FailureHandler
@@ -111,7 +111,7 @@
 
     def _update_machine(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         if machine.phase is MachinePhase.EXPECTED:
-            self.shard.stale = True
+            self.shard.needs_scheduling = True
         machine.came_up(heartbeat.address)
         machine.inherited = False
         machine.last_at = now
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -46,7 +46,7 @@
     reserved: set[str]
     seen_revision: int
     scheduled_revision: int
-    stale: bool
+    needs_scheduling: bool
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None: ...
 
@@ -232,7 +232,7 @@
 
     def schedule(self, now: float) -> None:
         """One pass: place what fits, keep and make room for what does not, and tell what is lacking."""
-        self.shard.stale = False
+        self.shard.needs_scheduling = False
         self.shard.scheduled_revision = self.shard.seen_revision
         short: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -58,7 +58,7 @@
         inherited_machines: Number of machines that were up for the previous owner.
         recovered_at: Time at which the shard had been rebuilt from the store.
         placed: Number of tasks placed since the claim.
-        stale: Whether free capacity or work may have appeared since the last scheduling cycle.
+        needs_scheduling: Whether free capacity or work may have appeared since the last scheduling cycle.
         clock: The time last passed to `tick` or `load`.
     """
 
@@ -111,7 +111,7 @@
         self.inherited_machines = 0
         self.recovered_at = -math.inf
         self.placed = 0
-        self.stale = True
+        self.needs_scheduling = True
         self.clock = -math.inf
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
@@ -157,7 +157,7 @@
         )
         job = Job(spec, record["at"], revision, chunk_tasks, self.chunk_tasks)
         job.listener = self.writer.changed_jobs
-        self.stale = True
+        self.needs_scheduling = True
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
         if record["status"] == JobStatus.WITHDRAWN:
@@ -214,7 +214,7 @@
 
         Call this only on proof that the task is not on the machine and will not start there.
         """
-        self.stale = True
+        self.needs_scheduling = True
         job = self.jobs[placement.job]
         spec = job.spec
         self.usage.give_back(spec)
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -32,7 +32,7 @@
     cancelled_jobs: dict[str, Job]
     inherited_machines: int
     recovered_at: float
-    stale: bool
+    needs_scheduling: bool
     clock: float
 
     def decommission(self, machine: Machine, why: str) -> None:
@@ -67,7 +67,7 @@
         for park in shard.parks.due(now):
             job = shard.jobs.get(park.job)
             if job:
-                shard.stale = True
+                shard.needs_scheduling = True
                 for task in range(park.low, park.high + 1):
                     job.wake(task, park.failure)
         if now - self.checked_at < shard.workers.report_s / CHECKS_PER_HEARTBEAT_INTERVAL:
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -242,7 +242,7 @@
         self.failover_timeline.heartbeat_received(self.context.now())
         # Most heartbeats say nothing new, and call for no iteration.
         if (
-            shard.stale
+            shard.needs_scheduling
             or shard.writer.changed_jobs
             or shard.writer.changed_machines
             or shard.urgent
@@ -283,7 +283,7 @@
     def _idle_s(self, shard: Shard) -> float:
         """How long to wait for changes before the next iteration; less if a scheduling cycle was put off."""
         tick_s = self.context.tick_s
-        if not shard.stale:
+        if not shard.needs_scheduling:
             return tick_s
         return min(
             tick_s, max(self.next_cycle_at - self.context.now(), tick_s / DEFERRED_CYCLE_CHECKS)
@@ -366,7 +366,7 @@
 
     def _cycle_due(self, shard: Shard, now: float) -> bool:
         return now >= self.next_cycle_at and (
-            shard.stale or now - self.last_cycle_at > self.context.tick_s
+            shard.needs_scheduling or now - self.last_cycle_at > self.context.tick_s
         )
 
     async def _read_dependencies(self, shard: Shard) -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -980,9 +980,9 @@
             for chunk in one.chunks.values():
                 chunk.placed = chunk.touch()
                 one.changed()
-        shard.stale = True
+        shard.needs_scheduling = True
         await asyncio.sleep(0.5)
-        shard.stale = True
+        shard.needs_scheduling = True
         await asyncio.sleep(6)
         assert max(b - a for a, b in itertools.pairwise([*passes, service.now()])) < 1.2
         assert await service.until_final([f"req-{n:06d}" for n in range(1, 25)], 240) == []
