--- a/ashdock/command_sender.py
+++ b/ashdock/command_sender.py
@@ -59,7 +59,7 @@
             if machine is None:
                 continue
             if machine.sending:
-                shard.urgent[name] = None
+                shard.urgent_machines[name] = None
                 continue
             commands = shard.commands.direct(machine)
             if commands:
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -53,7 +53,7 @@
         reserved: Names of machines with free capacity that are kept for a gang that lacks more.
         seen_revision: Revision of the latest machine assignment that was applied here.
         scheduled_revision: `seen_revision` when the last scheduling cycle began.
-        urgent: Names of machines with commands that do not wait for the next heartbeat.
+        urgent_machines: Names of machines with commands that do not wait for the next heartbeat.
         cancelled_jobs: Cancelled jobs whose tasks may still run, by id.
         inherited_machines: Number of machines that were up for the previous owner.
         recovered_at: Time at which the shard had been rebuilt from the store.
@@ -105,7 +105,7 @@
         self.reserved: set[str] = set()
         self.seen_revision = revision
         self.scheduled_revision = revision
-        self.urgent: dict[str, None] = {}
+        self.urgent_machines: dict[str, None] = {}
         self.writer = ShardWriter(self)
         self.cancelled_jobs: dict[str, Job] = {}
         self.inherited_machines = 0
@@ -270,7 +270,7 @@
             self.release(placement, now)
             return
         placement.stop(why, grace_s)
-        self.urgent[placement.machine] = None
+        self.urgent_machines[placement.machine] = None
 
     def on_placement_lost(self, placement: Placement, why: str, now: float) -> None:
         """Handle a placement that is proved gone through no fault of its task.
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -116,7 +116,7 @@
     machines: dict[str, Machine]
     parks: Parks
     dependency_tracker: DependencyTracker
-    urgent: dict[str, None]
+    urgent_machines: dict[str, None]
 
     def token(self, machine: Machine) -> int:
         """Return the fencing token for commands to the machine."""
@@ -251,7 +251,7 @@
             if machine.to is not None and machine.ended and not machine.live:
                 # A machine is transferred only after its worker has forgotten all ended attempts,
                 # so the command to forget them does not wait for a heartbeat.
-                self.shard.urgent[machine.name] = None
+                self.shard.urgent_machines[machine.name] = None
 
     def _add_deferred_jobs(self, transaction: Transaction, deferred: list[Job]) -> None:
         for job in deferred:
@@ -476,7 +476,7 @@
                 and placement.gen <= job.chunk_of(placement.task).durable
             ):
                 placement.committed()
-                self.shard.urgent[placement.machine] = None
+                self.shard.urgent_machines[placement.machine] = None
 
     @staticmethod
     def _replaced_chunk_deleted(job: Job, tail: str, _revision: int) -> None:
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -245,7 +245,7 @@
             shard.needs_scheduling
             or shard.writer.changed_jobs
             or shard.writer.changed_machines
-            or shard.urgent
+            or shard.urgent_machines
         ):
             self.wake.set()
         return HeartbeatResponse(shard.token(shard.machines[heartbeat.machine]), commands)
@@ -499,6 +499,6 @@
 
     def _send_urgent(self, shard: Shard) -> None:
         """Send the commands that are not to wait for the next heartbeat."""
-        machine_names, shard.urgent = shard.urgent, {}
+        machine_names, shard.urgent_machines = shard.urgent_machines, {}
         if self.phase is OwnershipPhase.ACTIVE and self._may_renew():
             self.command_sender.send(shard, machine_names)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -173,7 +173,7 @@
         decided_under = owner.shard.token(machine)
         monkeypatch.setattr(owner.shard.commands, "direct", lambda *_: [object()])
         monkeypatch.setattr(owner.shard.commands, "direct_answered", lambda *_: None)
-        owner.shard.urgent[machine.name] = None
+        owner.shard.urgent_machines[machine.name] = None
         owner._send_urgent(owner.shard)
         machine.revision += 1000  # its record was written before the message had left
         await asyncio.sleep(0.01)
