--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -57,7 +57,7 @@
         cancelled_jobs: Cancelled jobs whose tasks may still run, by id.
         inherited_machines: Number of machines that were up for the previous owner.
         recovered_at: Time at which the shard had been rebuilt from the store.
-        placed: Number of tasks placed since the claim.
+        tasks_placed: Number of tasks placed since the claim.
         needs_scheduling: Whether free capacity or work may have appeared since the last scheduling cycle.
         clock: The time last passed to `tick` or `load`.
     """
@@ -110,7 +110,7 @@
         self.cancelled_jobs: dict[str, Job] = {}
         self.inherited_machines = 0
         self.recovered_at = -math.inf
-        self.placed = 0
+        self.tasks_placed = 0
         self.needs_scheduling = True
         self.clock = -math.inf
         self.estimates = Estimates()
@@ -235,7 +235,7 @@
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
         """Place a task; its run command waits until the placement is durable."""
         placement = job.place(task, machine.name, attempt, now)
-        self.placed += 1
+        self.tasks_placed += 1
         self.count(job, placement)
 
     def release(self, placement: Placement, now: float) -> None:
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -357,7 +357,7 @@
     def _run_scheduling_cycle(self, shard: Shard, now: float) -> None:
         self.last_cycle_at = now
         shard.scheduler.schedule(now)
-        self.failover_timeline.cycle_ended(shard.placed > 0, self.context.now())
+        self.failover_timeline.cycle_ended(shard.tasks_placed > 0, self.context.now())
         # Cycles get no more than their share of the processor, however large the shard.
         ended_at = self.context.now()
         self.next_cycle_at = ended_at + pause_s(
@@ -442,7 +442,7 @@
         for callback in transaction.on_commit:
             callback(revision)
         self._update_caches(transaction.writes, revision)
-        if shard.placed:
+        if shard.tasks_placed:
             self.failover_timeline.placement_committed(self.context.now())
         # Run commands go out between transactions, not after the last of them.
         self._send_urgent(shard)
