--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -57,7 +57,7 @@
     """A compare-and-swap that is being built, with callbacks for its commit.
 
     Attributes:
-        when: Conditions: expected revision by path.
+        conditions: Expected revision by path.
         writes: New value by path; None deletes the key.
         on_commit: Callbacks, called in order with the revision at which it was applied.
         max_ops: Maximum number of writes.
@@ -67,7 +67,7 @@
 
     def __init__(self, max_ops: int) -> None:
         """Create an empty transaction."""
-        self.when: dict[str, int] = {}
+        self.conditions: dict[str, int] = {}
         self.writes: dict[str, Any] = {}
         self.on_commit: list[Callable[[int], None]] = []
         self.max_ops = max_ops
@@ -95,7 +95,7 @@
             value: The new value; None deletes the key.
             revision: The expected revision; 0 if the key does not exist.
         """
-        self.when[path] = revision
+        self.conditions[path] = revision
         self.writes[path] = value
 
 
@@ -194,7 +194,7 @@
         self._add_deletions(transaction)
         if not transaction.writes:
             return None
-        transaction.when[f"part/{shard.name}"] = shard.revision
+        transaction.conditions[f"part/{shard.name}"] = shard.revision
         return transaction
 
     def _max_ops(self, writes_per_s: float) -> int:
@@ -316,7 +316,7 @@
             if (not is_gang or announced_apply) and not transaction.room(1, size):
                 return False
             transaction.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
-            transaction.when[job.job_path] = job.revision
+            transaction.conditions[job.job_path] = job.revision
             transaction.bytes += size
             transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.gen))
         return True
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -421,7 +421,7 @@
                 return
             try:
                 revision = await self.context.store.txn(
-                    transaction.when,
+                    transaction.conditions,
                     transaction.writes,
                     priority=RequestPriority.NORMAL
                     if transaction.urgent
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -260,7 +260,7 @@
     """Transactions until all is durable."""
     client = store_client(store)
     while (txn := shard.writer.next_transaction()) is not None:
-        revision = await client.txn(txn.when, txn.writes)
+        revision = await client.txn(txn.conditions, txn.writes)
         for callback in txn.on_commit:
             callback(revision)
         for path in txn.writes:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -86,8 +86,8 @@
 
 def commit(shard: Shard, revision: int) -> dict[str, Any]:
     txn = shard.writer.next_transaction()
-    assert txn is not None and txn.when[f"part/{shard.name}"] == shard.revision
-    assert txn.writes.keys() <= txn.when.keys()  # a late one undoes nothing that is newer
+    assert txn is not None and txn.conditions[f"part/{shard.name}"] == shard.revision
+    assert txn.writes.keys() <= txn.conditions.keys()  # a late one undoes nothing that is newer
     for callback in txn.on_commit:
         callback(revision)
     return txn.writes
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -413,7 +413,7 @@
     assert (
         txn is not None
         and {"work/red/req-000001/0": 0, "job/req-000001": 7, "part/red": 10}.items()
-        <= txn.when.items()
+        <= txn.conditions.items()
     )
     commit(shard, 20)
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -366,7 +366,8 @@
 
     def apply(self, txn: Any) -> bool:
         if any(
-            self.keys.get(path, (None, 0))[1] != revision for path, revision in txn.when.items()
+            self.keys.get(path, (None, 0))[1] != revision
+            for path, revision in txn.conditions.items()
         ):
             return False
         assert len(txn.writes) <= self.ops and all(
