--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -193,7 +193,8 @@
         rents: dict[tuple[str, str, str, bool], int] = {}
         unmet: list[tuple[str, ResourceRequest, int]] = []
         spare = {
-            shard_status.team: shard_status.spare_beyond for shard_status in shard_statuses.values()
+            shard_status.team: shard_status.machines_over_guarantee
+            for shard_status in shard_statuses.values()
         }
         total = len(machine_views) + sum(rent.number for rent in self.scale_outs)
         self.infeasible = InfeasibleCache()
--- a/ashdock/core/shard_status.py
+++ b/ashdock/core/shard_status.py
@@ -111,7 +111,7 @@
         busy: Machines with tasks.
         machines: Number of machines assigned to the shard.
         waiting: Number of tasks that are ready and not placed.
-        spare_beyond: Number of busy machines whose work exceeds the team's guarantee.
+        machines_over_guarantee: Number of busy machines whose work exceeds the team's guarantee.
     """
 
     team: str
@@ -121,4 +121,4 @@
     busy: list[BusyMachine]
     machines: int
     waiting: int
-    spare_beyond: int
+    machines_over_guarantee: int
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -65,7 +65,7 @@
 
 # incarnation, state_age, worker_age, ready, leader, requests, writes
 PEER_HEARTBEAT = struct.Struct("!Qdd??dd")
-# seen, machines, waiting, spare_beyond
+# seen, machines, waiting, machines_over_guarantee
 SHARD_STATUS = struct.Struct("!QIII")
 # cpus, gpus, memory, tasks, priority, spot, together, slack_s, guaranteed, whole, idle, number of types
 RESOURCE_REQUEST = struct.Struct("!dddIB??dBI?H")
@@ -200,7 +200,9 @@
 
 
 def _pack_shard_status(status: ShardStatus) -> bytes:
-    fields = SHARD_STATUS.pack(status.seen, status.machines, status.waiting, status.spare_beyond)
+    fields = SHARD_STATUS.pack(
+        status.seen, status.machines, status.waiting, status.machines_over_guarantee
+    )
     out = [_text(status.team), fields, U32.pack(len(status.resource_requests))]
     out += map(_pack_resource_request, status.resource_requests)
     out.append(U32.pack(len(status.idle)))
@@ -214,11 +216,11 @@
 
 def _unpack_shard_status(reader: _Reader) -> ShardStatus:
     team = reader.text()
-    seen, machines, waiting, spare_beyond = reader.take(SHARD_STATUS)
+    seen, machines, waiting, machines_over_guarantee = reader.take(SHARD_STATUS)
     requests = [_unpack_resource_request(reader) for _ in range(reader.count())]
     idle = [(reader.text(), float(reader.take(F64)[0])) for _ in range(reader.count())]
     busy = [BusyMachine(reader.text(), *reader.take(BUSY_MACHINE)) for _ in range(reader.count())]
-    return ShardStatus(team, seen, requests, idle, busy, machines, waiting, spare_beyond)
+    return ShardStatus(team, seen, requests, idle, busy, machines, waiting, machines_over_guarantee)
 
 
 def _pack_resource_request(request: ResourceRequest) -> bytes:
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -91,7 +91,7 @@
             ("seen", same),
             ("machines", same),
             ("waiting", same),
-            ("spare_beyond", same),
+            ("machines_over_guarantee", same),
             ("resource_requests", resource_requests),
             ("idle", rows),
             ("busy", busy_machines),
