--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -182,7 +182,7 @@
             # Beyond guarantees, a team with less than half its equal part of the machines goes before like work of the rest:
             # behind others' overdue work a guest was never served at all.
             key=lambda item: (
-                item[1].idle,
+                item[1].opportunistic,
                 not item[1].guaranteed,
                 -item[1].priority,
                 not item[1].guaranteed and item[0] not in small,
@@ -205,13 +205,13 @@
                 if team in on_the_way
                 else request.tasks
             )
-            if request.together and left > 0 and (request.whole or not request.zone):
+            if request.one_zone and left > 0 and (request.gang_tasks or not request.zone):
                 scores = self._zones(team, request._replace(zone=""), empty, busy, spare)
                 if scores.get(request.zone, 0.0) < left:
                     # The rest of the gang is not to be had where its owner would have it.
                     zone = max(sorted(scores), key=lambda zone: scores[zone], default="")
                     if zone != request.zone:
-                        left = max(left, request.whole)
+                        left = max(left, request.gang_tasks)
                         request = request._replace(zone=zone, tasks=left)
             # Calling back a machine that has the image is sooner than fetching it on one that stands empty.
             left = self._assign(team, request, left, empty, out, now, cached=True)
@@ -223,7 +223,7 @@
                 offer = self._offer(request, left, rents, now)
                 if (
                     offer is None
-                    and request.idle
+                    and request.opportunistic
                     and not (
                         shard_statuses[team].machines
                         or team in on_the_way
@@ -231,21 +231,25 @@
                     )
                 ):
                     # The cheap kind is not to be had: one of the other, so that such work does not starve.
-                    request = request._replace(idle=False, tasks=1)
+                    request = request._replace(opportunistic=False, tasks=1)
                     left = 1
                     offer = self._offer(request, left, rents, now)
                 most = self.renting.most_machines
                 if offer is None or (most and total >= most):
                     break
                 shape, zone, spot = offer
-                per = max(1, capacity(shape, request.cpus, request.gpus, request.memory))
+                per = max(1, capacity(shape, request.cpus, request.gpus, request.memory_gb))
                 key = (team, shape.label, zone, spot)
                 rents[key] = rents.get(key, 0) + 1
                 total += 1
                 left -= per
                 if left < 0:
                     on_the_way.setdefault(team, PendingCapacity()).add_rest(
-                        shape, zone, spot, (request.cpus, request.gpus, request.memory), per + left
+                        shape,
+                        zone,
+                        spot,
+                        (request.cpus, request.gpus, request.memory_gb),
+                        per + left,
                     )
             if left > 0:
                 unmet.append((team, request, left))
@@ -334,7 +338,7 @@
                 self.rebalance_asked_at[lender, team] = now
                 per = max(
                     (
-                        capacity(shape, request.cpus, request.gpus, request.memory)
+                        capacity(shape, request.cpus, request.gpus, request.memory_gb)
                         for shape in self.catalog.values()
                     ),
                     default=1,
@@ -370,7 +374,7 @@
                 record
                 and shard_status
                 and record.shard == team
-                and shard_status.seen >= record.revision
+                and shard_status.seen_revision >= record.revision
             )
             if seen or now - since > self.settle_s:
                 del self.coming[name]
@@ -398,7 +402,7 @@
             return self._suits(request, label, zone, spot)
 
         return request.tasks - rooms.take(
-            suits, (request.cpus, request.gpus, request.memory), request.tasks
+            suits, (request.cpus, request.gpus, request.memory_gb), request.tasks
         )
 
     @staticmethod
@@ -449,15 +453,17 @@
                     self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
                     for spot in kinds
                 ):
-                    score[zone] = score.get(zone, 0.0) + 0.9 * max(request.tasks, request.whole)
+                    score[zone] = score.get(zone, 0.0) + 0.9 * max(
+                        request.tasks, request.gang_tasks
+                    )
         return score
 
     def _per(self, type_: str, request: ResourceRequest) -> int:
-        key = (type_, request.cpus, request.gpus, request.memory)
+        key = (type_, request.cpus, request.gpus, request.memory_gb)
         per = self.pers.get(key)
         if per is None:
             per = self.pers[key] = capacity(
-                self.catalog[type_], request.cpus, request.gpus, request.memory
+                self.catalog[type_], request.cpus, request.gpus, request.memory_gb
             )
         return per
 
@@ -537,13 +543,13 @@
             request.types,
             request.zone,
             request.spot,
-            request.idle,
+            request.opportunistic,
             request.image if cached else None,
         )
-        need = (request.cpus, request.gpus, request.memory)
+        need = (request.cpus, request.gpus, request.memory_gb)
         if left <= 0 or not empty or self.infeasible.holds(alike, need, 1):
             return left
-        only_cheap = request.idle and self._cheap(request)
+        only_cheap = request.opportunistic and self._cheap(request)
 
         def suits(kind: MachineClass) -> bool:
             if (
@@ -580,7 +586,7 @@
         """The cheapest kind that suits and was not refused of late; a gang's zone stays one."""
         best: tuple[tuple[float, ...], tuple[MachineType, str, bool]] | None = None
         for shape in self.catalog.values():
-            per = capacity(shape, request.cpus, request.gpus, request.memory)
+            per = capacity(shape, request.cpus, request.gpus, request.memory_gb)
             if per <= 0 or (request.types and shape.label not in request.types):
                 continue
             for zone in shape.zones:
@@ -588,7 +594,7 @@
                     continue
                 for spot in (True, False):
                     if (spot and not self._cheap(request)) or (
-                        not spot and request.idle and self._cheap(request)
+                        not spot and request.opportunistic and self._cheap(request)
                     ):
                         continue
                     if self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
@@ -599,7 +605,7 @@
                         for key, count in rents.items()
                         if key[1:] == (shape.label, zone, spot)
                     )
-                    key = (price, float(-asked if request.together else asked), shape.boot_s)
+                    key = (price, float(-asked if request.one_zone else asked), shape.boot_s)
                     if best is None or key < best[0]:
                         best = key, (shape, zone, spot)
         return best[1] if best else None
@@ -614,7 +620,7 @@
         """Parts go from the controller with most work to the one with least, where that evens them out.
         Rarely, since a shard's workers must find its new owner."""
         load = {
-            team: shard_status.waiting + shard_status.machines + 1
+            team: shard_status.waiting_tasks + shard_status.machines + 1
             for team, shard_status in shard_statuses.items()
         }
         held = dict.fromkeys(alive, 0)
@@ -659,7 +665,7 @@
             if kind not in wanted:
                 wanted[kind] = any(
                     self._suits(request, *kind)
-                    and (machine.spot or not (request.idle and self._cheap(request)))
+                    and (machine.spot or not (request.opportunistic and self._cheap(request)))
                     for _, request in resource_requests
                 )
             if not wanted[kind]:
--- a/ashdock/core/shard_status.py
+++ b/ashdock/core/shard_status.py
@@ -16,36 +16,36 @@
     Attributes:
         cpus: CPUs of one task.
         gpus: GPUs of one task.
-        memory: Memory of one task, in GB.
+        memory_gb: Memory of one task.
         types: Machine types that the job allows; empty: any.
         zone: Zone that the tasks have to run in; "": any.
         spot: Whether the tasks may run on spot instances.
-        together: Whether all tasks have to run in one zone.
+        one_zone: Whether all tasks have to run in one zone.
         tasks: Number of tasks.
         priority: Priority of the job; higher ones go first.
         guaranteed: Whether the tasks are within the team's guarantee.
         slack_s: Seconds until the job should be running.
         image: Image of the tasks.
-        whole: Number of all tasks of a gang whose zone the shard's owner chose: the leader may
+        gang_tasks: Number of all tasks of a gang whose zone the shard's owner chose: the leader may
             choose another zone, and then requests capacity for all of them. Else 0.
-        idle: Whether the job has no guarantee, deadline or service-level objective, so that it
-            is served last and from the cheapest machines that it allows.
+        opportunistic: Whether the job has no guarantee, deadline or service-level objective, so
+            that it is served last, and from spot instances if it allows them.
     """
 
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
     types: tuple[str, ...]
     zone: str
     spot: bool
-    together: bool
+    one_zone: bool
     tasks: int
     priority: int
     guaranteed: bool
     slack_s: float
     image: str = ""
-    whole: int = 0
-    idle: bool = False
+    gang_tasks: int = 0
+    opportunistic: bool = False
 
 
 class Reclaim(NamedTuple):
@@ -103,22 +103,22 @@
 
     Attributes:
         team: Team of the shard.
-        seen: Revision of the latest machine assignment that the scheduling cycle behind this
-            status took into account.
+        seen_revision: Revision of the latest machine assignment that the last scheduling cycle
+            took into account.
         resource_requests: Capacity that the shard lacks.
         idle: Names of machines without tasks that the shard can give up, with the seconds that
             they have been idle.
         busy: Machines with tasks.
         machines: Number of machines assigned to the shard.
-        waiting: Number of tasks that are ready and not placed.
+        waiting_tasks: Number of tasks that are ready and not placed.
         machines_over_guarantee: Number of busy machines whose work exceeds the team's guarantee.
     """
 
     team: str
-    seen: int
+    seen_revision: int
     resource_requests: list[ResourceRequest]
     idle: list[tuple[str, float]]
     busy: list[BusyMachine]
     machines: int
-    waiting: int
+    waiting_tasks: int
     machines_over_guarantee: int
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -65,9 +65,10 @@
 
 # incarnation, state_age, worker_age, ready, leader, requests, writes
 PEER_HEARTBEAT = struct.Struct("!Qdd??dd")
-# seen, machines, waiting, machines_over_guarantee
+# seen_revision, machines, waiting_tasks, machines_over_guarantee
 SHARD_STATUS = struct.Struct("!QIII")
-# cpus, gpus, memory, tasks, priority, spot, together, slack_s, guaranteed, whole, idle, number of types
+# cpus, gpus, memory_gb, tasks, priority, spot, one_zone, slack_s, guaranteed, gang_tasks,
+# opportunistic, number of types
 RESOURCE_REQUEST = struct.Struct("!dddIB??dBI?H")
 # priority, preemption_cost_s
 BUSY_MACHINE = struct.Struct("!Bd")
@@ -201,7 +202,7 @@
 
 def _pack_shard_status(status: ShardStatus) -> bytes:
     fields = SHARD_STATUS.pack(
-        status.seen, status.machines, status.waiting, status.machines_over_guarantee
+        status.seen_revision, status.machines, status.waiting_tasks, status.machines_over_guarantee
     )
     out = [_text(status.team), fields, U32.pack(len(status.resource_requests))]
     out += map(_pack_resource_request, status.resource_requests)
@@ -216,26 +217,28 @@
 
 def _unpack_shard_status(reader: _Reader) -> ShardStatus:
     team = reader.text()
-    seen, machines, waiting, machines_over_guarantee = reader.take(SHARD_STATUS)
+    seen_revision, machines, waiting_tasks, machines_over_guarantee = reader.take(SHARD_STATUS)
     requests = [_unpack_resource_request(reader) for _ in range(reader.count())]
     idle = [(reader.text(), float(reader.take(F64)[0])) for _ in range(reader.count())]
     busy = [BusyMachine(reader.text(), *reader.take(BUSY_MACHINE)) for _ in range(reader.count())]
-    return ShardStatus(team, seen, requests, idle, busy, machines, waiting, machines_over_guarantee)
+    return ShardStatus(
+        team, seen_revision, requests, idle, busy, machines, waiting_tasks, machines_over_guarantee
+    )
 
 
 def _pack_resource_request(request: ResourceRequest) -> bytes:
     fields = RESOURCE_REQUEST.pack(
         request.cpus,
         request.gpus,
-        request.memory,
+        request.memory_gb,
         request.tasks,
         request.priority,
         request.spot,
-        request.together,
+        request.one_zone,
         request.slack_s,
         request.guaranteed,
-        request.whole,
-        request.idle,
+        request.gang_tasks,
+        request.opportunistic,
         len(request.types),
     )
     return fields + _texts(request.types) + _text(request.zone) + _text(request.image)
@@ -245,15 +248,15 @@
     (
         cpus,
         gpus,
-        memory,
+        memory_gb,
         tasks,
         priority,
         spot,
-        together,
+        one_zone,
         slack_s,
         guaranteed,
-        whole,
-        idle,
+        gang_tasks,
+        opportunistic,
         type_count,
     ) = reader.take(RESOURCE_REQUEST)
     types = tuple(reader.text() for _ in range(type_count))
@@ -262,18 +265,18 @@
     return ResourceRequest(
         cpus,
         gpus,
-        memory,
+        memory_gb,
         types,
         zone,
         spot,
-        together,
+        one_zone,
         tasks,
         priority,
         bool(guaranteed),
         slack_s,
         image,
-        whole,
-        idle,
+        gang_tasks,
+        opportunistic,
     )
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -365,11 +365,11 @@
     usual: dict[str, Any] = {
         "cpus": 1.0,
         "gpus": 1.0,
-        "memory": 1.0,
+        "memory_gb": 1.0,
         "types": (),
         "zone": "",
         "spot": True,
-        "together": False,
+        "one_zone": False,
         "tasks": 4,
         "priority": 1,
         "guaranteed": True,
@@ -441,13 +441,20 @@
     # What was promised nothing takes cheap machines that stand empty, and leaves the dear ones.
     (
         [machine_view("m1", "", spot=True)],
-        [request(idle=True, guaranteed=False)],
+        [request(opportunistic=True, guaranteed=False)],
         [],
         [],
         0,
         [AssignMachine],
     ),
-    ([machine_view("m1", "")], [request(idle=True, guaranteed=False)], [], [], 0, [ScaleOut]),
+    (
+        [machine_view("m1", "")],
+        [request(opportunistic=True, guaranteed=False)],
+        [],
+        [],
+        0,
+        [ScaleOut],
+    ),
 ]
 
 
@@ -544,7 +551,7 @@
 ) -> None:
     """Scans that could wait were given machines at four times the price, which others then lacked."""
     allocator = Allocator(shared(), Renting(), {"g4": G4})
-    resource_requests = [request(idle=idle, spot=spot, guaranteed=False, tasks=40)]
+    resource_requests = [request(opportunistic=idle, spot=spot, guaranteed=False, tasks=40)]
     shard_statuses = {
         "red": ShardStatus("red", 9, resource_requests, [], [], machines, 0, 0),
         "blue": ShardStatus("blue", 9, [], [], [], 1, 0, 0),
@@ -579,9 +586,9 @@
     shard = shard_with([spec(shares=tasks, expect_s=run_s, due_s=due_s, accelerators=0.0)], "")
     shard.team = shard.policy.team = Team("red")  # a guest: nothing is guaranteed
     shard.scheduler.schedule(1.0)
-    assert shard.resource_requests[0].tasks == asked and shard.resource_requests[0].idle is (
-        due_s is None
-    )
+    assert shard.resource_requests[0].tasks == asked and shard.resource_requests[
+        0
+    ].opportunistic is (due_s is None)
 
 
 def test_among_guests_jobs_what_was_promised_goes_first_and_the_least_work_first() -> None:
@@ -668,12 +675,12 @@
     )
     assert [name for name, _ in shard.status_reporter.shard_status(9.0).idle] == [
         "vm-0"
-    ] and shard.status_reporter.shard_status(9.0).seen < 30
+    ] and shard.status_reporter.shard_status(9.0).seen_revision < 30
     shard.scheduler.schedule(9.1)
     assert [name for name, _ in shard.status_reporter.shard_status(9.1).idle] == [
         "vm-0",
         "vm-1",
-    ] and shard.status_reporter.shard_status(9.1).seen == 30
+    ] and shard.status_reporter.shard_status(9.1).seen_revision == 30
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -168,7 +168,7 @@
         and not last.live
         and shard.usage.gpus == 4
         and not shard.resource_requests
-        and shard.status_reporter.shard_status(4.0).waiting == 0
+        and shard.status_reporter.shard_status(4.0).waiting_tasks == 0
     )
     commit(shard, 20)
     for name in ("vm-0", "vm-1"):
