--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -58,7 +58,8 @@
         inherited_machines: Number of machines that were up for the previous owner.
         recovered_at: Time at which the shard had been rebuilt from the store.
         tasks_placed: Number of tasks placed since the claim.
-        needs_scheduling: Whether free capacity or work may have appeared since the last scheduling cycle.
+        needs_scheduling: Whether free capacity or work may have appeared since the last scheduling
+            cycle.
         clock: The time last passed to `tick` or `load`.
     """
 
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -425,17 +425,17 @@
 
         The record is also rewritten to raise the fencing token above that of an unanswered command.
         """
-        transferred = (
+        is_transfer = (
             machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
         )
         raises_token = machine.bump and any(
             sent >= self.shard.token(machine) for sent in machine.outstanding.values()
         )
-        if not (transferred or raises_token or machine.decommission_generation):
+        if not (is_transfer or raises_token or machine.decommission_generation):
             return
         if not transaction.room(1, MACHINE_BYTES):
             return
-        team = machine.to if transferred and machine.to is not None else self.shard.name
+        team = machine.to if is_transfer and machine.to is not None else self.shard.name
         transaction.put(
             f"machine/{machine.name}",
             trimmed(machine.value(team), self.shard.write_limits.value_bytes),
@@ -530,7 +530,7 @@
             self._apply_stored_job(rest, value, revision, now)
         elif kind == "work":
             _, job_id, tail = rest.split("/", 2)
-            self._apply_stored_chunk(job_id, tail, value, revision)
+            self._apply_stored_work(job_id, tail, value, revision)
         elif kind == "park":
             self.shard.parks.wrote(int(rest.rsplit("/", 1)[1]), value, revision)
             self.shard.parks.dirty = True
@@ -549,7 +549,7 @@
         if record["status"] == JobStatus.DONE and job.phase is JobPhase.OVER:
             self._outcome_durable(job, [])
 
-    def _apply_stored_chunk(self, job_id: str, tail: str, value: Any, revision: int) -> None:
+    def _apply_stored_work(self, job_id: str, tail: str, value: Any, revision: int) -> None:
         job = self.shard.jobs.get(job_id)
         if job is None:
             return
