--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -228,7 +228,7 @@
             self._machines_over_guarantee(busy),
         )
 
-    def leaving(self) -> list[tuple[str, str]]:
+    def leaving_machines(self) -> list[tuple[str, str]]:
         """Return the machines that are being vacated, with the team that gets each.
 
         The team "" means that the machine becomes unassigned.
@@ -239,7 +239,7 @@
             if machine.to is not None and machine.phase is MachinePhase.LEAVING
         ]
 
-    def counts(self) -> list[tuple[str, int, int]]:
+    def task_counts(self) -> list[tuple[str, int, int]]:
         """Return each active job's id and its numbers of done and of running tasks."""
         return [(job.id, job.done, job.running) for job in self.shard.jobs.values() if job.active]
 
--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -137,7 +137,9 @@
         if not leader or leader == self.owners.label:
             return
         self.mesh.send(leader, shard.status_reporter.shard_status(self.now()))
-        leaving = shard.status_reporter.leaving() if self.cluster_version.fences_commands else []
+        leaving = (
+            shard.status_reporter.leaving_machines() if self.cluster_version.fences_commands else []
+        )
         if leaving:
             self.mesh.send(leader, ReclaimsInProgress(shard.name, leaving))
 
@@ -145,7 +147,7 @@
         """Tell the leader how the shards stand, and all peers the priorities and task counts of their jobs."""
         counts: list[tuple[str, int, int]] = []
         for shard in self.owners.active_shards():
-            counts += shard.status_reporter.counts()
+            counts += shard.status_reporter.task_counts()
             self.send_status(shard)
         self._send_inherited_priorities()
         # As many frames as it takes: a peer keeps what it was told of the jobs that are not over.
--- a/ashdock/peer_reports.py
+++ b/ashdock/peer_reports.py
@@ -99,7 +99,7 @@
             for machine in received.reclaims.machines
         ]
         for shard in self.owners.active_shards():
-            leaving += shard.status_reporter.leaving()
+            leaving += shard.status_reporter.leaving_machines()
         return leaving
 
     def task_counts(self, team: str, job_id: str) -> Counts:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -483,7 +483,7 @@
         # The next leader counts the machine that this one reclaimed as on its way.
         other = next(c for c in service.controllers.values() if c is not owner)
         other.frame_dispatcher.dispatch(
-            owner.label, ReclaimsInProgress("red", shard.status_reporter.leaving())
+            owner.label, ReclaimsInProgress("red", shard.status_reporter.leaving_machines())
         )
         leader = service.controllers[await wait_for_leader(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -44,9 +44,9 @@
 
 def shard_of(name: str, jobs: int = 0, rows: list[Any] | None = None) -> Any:
     reporter = SimpleNamespace(
-        counts=lambda: [(f"{name}-{n}", 1, 2) for n in range(jobs)],
+        task_counts=lambda: [(f"{name}-{n}", 1, 2) for n in range(jobs)],
         shard_status=lambda now: f"status of {name}",
-        leaving=lambda: [(f"vm-{name}", "")],
+        leaving_machines=lambda: [(f"vm-{name}", "")],
     )
     graph = SimpleNamespace(abroad=lambda ours: list(rows or []))
     return SimpleNamespace(
