--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -169,7 +169,7 @@
         job.carried = self.dependency_tracker.graph.of(spec.id)
         return job
 
-    def complete(self, job: Job, now: float) -> None:
+    def complete_job(self, job: Job, now: float) -> None:
         """Complete a job, all of whose tasks are done."""
         self.classes.done(job.id, now)
         job.over(now if self.write_limits.announced_apply else None)
@@ -202,7 +202,7 @@
 
     # -- accounting ---------------------------------------------------------------------------
 
-    def count(self, job: Job, placement: Placement) -> None:
+    def count_placement(self, job: Job, placement: Placement) -> None:
         """Count a placement towards the usage of its team and of its machine."""
         spec = job.spec
         self.usage.take(spec)
@@ -210,7 +210,7 @@
         if machine:
             machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
 
-    def drop(self, placement: Placement, now: float) -> None:
+    def drop_placement(self, placement: Placement, now: float) -> None:
         """Stop counting a placement.
 
         Call this only on proof that the task is not on the machine and will not start there.
@@ -237,12 +237,12 @@
         """Place a task; its run command waits until the placement is durable."""
         placement = job.place(task, machine.name, attempt, now)
         self.tasks_placed += 1
-        self.count(job, placement)
+        self.count_placement(job, placement)
 
     def release(self, placement: Placement, now: float) -> None:
         """Remove a placement that is proved gone, and make its task ready again."""
         job = self.jobs[placement.job]
-        self.drop(placement, now)
+        self.drop_placement(placement, now)
         job.release(placement.task)
         if job.spec.kind == JobKind.GANG:
             self._finish_stopped_gang(job, now)
@@ -251,12 +251,12 @@
         """Record that a task is done, whichever of its attempts finished it."""
         placement = job.unplace(task)
         if placement:
-            self.drop(placement, now)
+            self.drop_placement(placement, now)
         if job.states[task] != TaskState.DONE:
             job.finish(task)
         job.changed()
         if job.complete and job.active:
-            self.complete(job, now)
+            self.complete_job(job, now)
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
         """Stop a placement; one whose run command was never sent is released at once.
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -84,7 +84,7 @@
         if job_id in stored.chunks:
             job.started_at = now  # not exact: an earlier owner saw it start
         for placement in job.load_chunks(stored.chunks.pop(job_id, []), now):
-            shard.count(job, placement)
+            shard.count_placement(job, placement)
     # A job with chunks but no record has ended, and its last chunks have not been deleted yet.
     for job_id, entries in stored.chunks.items():
         shard.writer.obsolete_keys += [
@@ -121,7 +121,7 @@
         if len(job.live) < job.spec.tasks or len(attempts) > 1:
             shard.break_gang(job, "incomplete", now)
     if job.complete and job.active:
-        shard.complete(job, now)
+        shard.complete_job(job, now)
     for placement in list(job.live.values()):
         # A machine's record is deleted only once the machine is proved to be gone.
         if placement.machine not in shard.machines:
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -122,7 +122,7 @@
         """Return the fencing token for commands to the machine."""
         ...
 
-    def drop(self, placement: Placement, now: float) -> None:
+    def drop_placement(self, placement: Placement, now: float) -> None:
         """Stop counting a placement that is proved gone."""
         ...
 
@@ -503,7 +503,7 @@
             log.info("job done: job=%s", job.id)
         job.phase = JobPhase.FINAL
         for placement in list(job.live.values()):
-            self.shard.drop(placement, placement.placed_at)
+            self.shard.drop_placement(placement, placement.placed_at)
         self.shard.parks.drop(job.id)
         self.shard.jobs.pop(job.id, None)
         self.shard.dependency_tracker.settled(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1080,7 +1080,7 @@
         assert len(shard.status_reporter.shard_status(now).busy) == 4 and sorted(asked) == anew
     asked.clear()
     gone = shard.machines["vm-2"]
-    shard.drop(next(iter(gone.live.values())), 2.2)
+    shard.drop_placement(next(iter(gone.live.values())), 2.2)
     assert [busy.machine for busy in shard.status_reporter.shard_status(2.2).busy] == [
         "vm-0",
         "vm-1",
