--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -60,7 +60,7 @@
         tasks_placed: Number of tasks placed since the claim.
         needs_scheduling: Whether free capacity or work may have appeared since the last scheduling
             cycle.
-        clock: The time last passed to `tick` or `load`.
+        current_time: The time last passed to `tick` or `load`.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self.recovered_at = -math.inf
         self.tasks_placed = 0
         self.needs_scheduling = True
-        self.clock = -math.inf
+        self.current_time = -math.inf
         self.estimates = Estimates()
         self.classes = Classes(shared.objectives, shared.workers.report_s)
         self.commands = TaskCommands(self)
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -33,7 +33,7 @@
     inherited_machines: int
     recovered_at: float
     needs_scheduling: bool
-    clock: float
+    current_time: float
 
     def decommission(self, machine: Machine, why: str) -> None:
         """Give a machine up durably, so that the leader releases it; the reason is stored."""
@@ -62,7 +62,7 @@
             now: Time of day, in seconds.
         """
         shard = self.shard
-        shard.clock = now
+        shard.current_time = now
         shard.dependency_tracker.look(now)
         for park in shard.parks.due(now):
             job = shard.jobs.get(park.job)
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -49,7 +49,7 @@
         parks: Its stored parks, by path.
         now: Time of day, in seconds.
     """
-    shard.clock = now
+    shard.current_time = now
     for name, value, revision in machines:
         shard.add_machine(name, value, revision, now)
     _load_jobs(shard, _group_by_job(work), now)
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -108,7 +108,7 @@
     name: str
     team: Team
     revision: int
-    clock: float
+    current_time: float
     shared: Shared
     write_limits: WriteLimits
     chunk_tasks: int
@@ -507,7 +507,10 @@
         self.shard.parks.drop(job.id)
         self.shard.jobs.pop(job.id, None)
         self.shard.dependency_tracker.settled(
-            job.id, JobStatus.DONE if done else JobStatus.WITHDRAWN, job.ended_at, self.shard.clock
+            job.id,
+            JobStatus.DONE if done else JobStatus.WITHDRAWN,
+            job.ended_at,
+            self.shard.current_time,
         )
 
     # -- conflicts ---------------------------------------------------------------------------------
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -212,7 +212,7 @@
             if owner.shard is None:
                 continue
             classes = owner.shard.classes
-            for (kind, name), row in classes.attainment.rows(owner.shard.clock).items():
+            for (kind, name), row in classes.attainment.rows(owner.shard.current_time).items():
                 if kind == "class":
                     share.add_metric([team, name], row.share)
                     due.add_metric([team, name], row.due)
