--- a/tests/test_frame_dispatch.py
+++ b/tests/test_frame_dispatch.py
@@ -47,7 +47,7 @@
         self.clock = 100.0
         monkeypatch.setattr(time, "monotonic", lambda: self.clock)
         reporter = SimpleNamespace(
-            shard_status=lambda now: status("blue"), leaving=lambda: [("vm-9", "")]
+            shard_status=lambda now: status("blue"), leaving_machines=lambda: [("vm-9", "")]
         )
         blue = SimpleNamespace(
             name="blue",
