--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -61,7 +61,7 @@
         writes: New value by path; None deletes the key.
         on_commit: Callbacks, called in order with the revision at which it was applied.
         max_ops: Maximum number of writes.
-        bytes: Approximate size.
+        size_bytes: Approximate size.
         urgent: Whether a run command, an outcome or a change of a machine waits for it.
     """
 
@@ -71,24 +71,25 @@
         self.writes: dict[str, Any] = {}
         self.on_commit: list[Callable[[int], None]] = []
         self.max_ops = max_ops
-        self.bytes = TRANSACTION_ENVELOPE_BYTES
+        self.size_bytes = TRANSACTION_ENVELOPE_BYTES
         self.urgent = False
 
-    def room(self, ops: int, size: int) -> bool:
+    def has_room(self, ops: int, size_bytes: int) -> bool:
         """Whether more writes fit.
 
         The first writes always do; otherwise they could never be written.
 
         Args:
             ops: Number of the writes.
-            size: Their total size, in bytes.
+            size_bytes: Their total size.
         """
         return not self.writes or (
-            len(self.writes) + ops <= self.max_ops and self.bytes + size <= MAX_TRANSACTION_BYTES
+            len(self.writes) + ops <= self.max_ops
+            and self.size_bytes + size_bytes <= MAX_TRANSACTION_BYTES
         )
 
     def put(self, path: str, value: Any, revision: int) -> None:
-        """Add a write that is conditional on the key's revision. The caller adds to `bytes`.
+        """Add a write that is conditional on the key's revision. The caller adds to `size_bytes`.
 
         Args:
             path: The key.
@@ -232,10 +233,10 @@
         if not parks.dirty:
             return
         for index, value in parks.writes():
-            if transaction.room(1, size):
+            if transaction.has_room(1, size):
                 revision = parks.revisions[index] if index < len(parks.revisions) else 0
                 transaction.put(parks.path(index), value, revision)
-                transaction.bytes += size
+                transaction.size_bytes += size
                 transaction.on_commit.append(partial(self._parks_durable, index, value))
 
     def _add_machines(self, transaction: Transaction) -> None:
@@ -259,7 +260,7 @@
                 return
 
     def _add_deletions(self, transaction: Transaction) -> None:
-        while self.obsolete_keys and transaction.room(1, KEY_BYTES):
+        while self.obsolete_keys and transaction.has_room(1, KEY_BYTES):
             path, revision = self.obsolete_keys.pop()
             transaction.put(path, None, revision)
 
@@ -309,15 +310,15 @@
             size = sum(len(value) + CHUNK_ENVELOPE_BYTES for _, value in changed)
             if (
                 len(changed) <= transaction.max_ops or not announced_apply
-            ) and not transaction.room(len(changed), size):
+            ) and not transaction.has_room(len(changed), size):
                 return False
         for chunk, value in changed:
             size = len(value) + CHUNK_ENVELOPE_BYTES
-            if (not is_gang or announced_apply) and not transaction.room(1, size):
+            if (not is_gang or announced_apply) and not transaction.has_room(1, size):
                 return False
             transaction.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
             transaction.conditions[job.job_path] = job.revision
-            transaction.bytes += size
+            transaction.size_bytes += size
             transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.gen))
         return True
 
@@ -336,10 +337,10 @@
                 for chunk in job.pieces(wide.low, wide.high)
             ):
                 continue
-            if not transaction.room(1, KEY_BYTES):
+            if not transaction.has_room(1, KEY_BYTES):
                 return False
             transaction.put(job.work_path(tail), None, wide.revision)
-            transaction.bytes += KEY_BYTES
+            transaction.size_bytes += KEY_BYTES
             transaction.on_commit.append(partial(self._replaced_chunk_deleted, job, tail))
         return True
 
@@ -350,11 +351,11 @@
             # The submission alone nearly fills a value: the reason is only in the owner's log.
             job.reason_durable = job.reason_gen
             return True
-        if not transaction.room(JOB_RECORD_OPS, size):
+        if not transaction.has_room(JOB_RECORD_OPS, size):
             return False
         transaction.put(job.job_path, record, job.revision)
         transaction.put(job.head_path, record, job.revision)
-        transaction.bytes += size
+        transaction.size_bytes += size
         transaction.on_commit.append(partial(self._reason_durable, job, job.reason_gen))
         return True
 
@@ -409,14 +410,14 @@
         record = fitting(job.record(), self.shard.write_limits.value_bytes)
         ops = len(deleted_now) + JOB_RECORD_OPS
         size = KEY_BYTES * ops + len(msgspec.json.encode(record))
-        if not transaction.room(ops, size):
+        if not transaction.has_room(ops, size):
             return False
         if job.phase is not JobPhase.CANCELLED:
             transaction.put(job.job_path, record, job.revision)
         transaction.put(job.head_path, None, job.revision)
         for path, revision in deleted_now:
             transaction.put(path, None, revision)
-        transaction.bytes += size
+        transaction.size_bytes += size
         transaction.on_commit.append(partial(self._outcome_committed, job, deleted_later))
         return True
 
@@ -433,7 +434,7 @@
         )
         if not (is_transfer or raises_token or machine.decommission_generation):
             return
-        if not transaction.room(1, MACHINE_BYTES):
+        if not transaction.has_room(1, MACHINE_BYTES):
             return
         team = machine.to if is_transfer and machine.to is not None else self.shard.name
         transaction.put(
@@ -441,7 +442,7 @@
             trimmed(machine.value(team), self.shard.write_limits.value_bytes),
             machine.revision,
         )
-        transaction.bytes += MACHINE_BYTES
+        transaction.size_bytes += MACHINE_BYTES
         transaction.on_commit.append(partial(self._machine_durable, machine, team))
 
     # -- after a commit ----------------------------------------------------------------------------
