--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -30,7 +30,7 @@
     jobs: dict[str, Job]
     estimates: Estimates
     status_reporter: StatusReporter
-    stale: bool
+    needs_scheduling: bool
 
 
 class DependencyTracker:
@@ -106,7 +106,7 @@
             for job_id, ready_since in self.graph.done(dependency, at):
                 job = self.shard.jobs[job_id]
                 job.released(ready_since)
-                self.shard.stale = True
+                self.shard.needs_scheduling = True
                 log.info("all dependencies done: job=%s last=%s", job_id, dependency)
                 self.shard.status_reporter.record_arrival(job, now)
         else:
@@ -134,5 +134,5 @@
             if job is not None:
                 job.inherited = self.graph.urgency_of(job_id)
         if self.graph.changed:
-            self.shard.stale = True
+            self.shard.needs_scheduling = True
             self.graph.changed.clear()
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -50,7 +50,7 @@
     reserved: set[str]
     seen_revision: int
     scheduled_revision: int
-    stale: bool
+    needs_scheduling: bool
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
         """Place an attempt of a task on a machine."""
@@ -304,7 +304,7 @@
         It places tasks, reserves machines for gangs, preempts work of lower priority where it has
         to, and replaces the shard's resource requests by what is still lacking.
         """
-        self.shard.stale = False
+        self.shard.needs_scheduling = False
         self.shard.scheduled_revision = self.shard.seen_revision
         unplaced: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -44,9 +44,9 @@
 
 def shard_of(name: str, jobs: int = 0, rows: list[Any] | None = None) -> Any:
     reporter = SimpleNamespace(
-        counts=lambda: [(f"{name}-{n}", 1, 2) for n in range(jobs)],
+        task_counts=lambda: [(f"{name}-{n}", 1, 2) for n in range(jobs)],
         shard_status=lambda now: f"status of {name}",
-        leaving=lambda: [(f"vm-{name}", "")],
+        leaving_machines=lambda: [(f"vm-{name}", "")],
     )
     graph = SimpleNamespace(inherited_elsewhere=lambda ours: list(rows or []))
     return SimpleNamespace(
@@ -56,7 +56,7 @@
         status_reporter=reporter,
         dependency_tracker=SimpleNamespace(graph=graph),
         resource_requests=[],
-        lacked_room_before=False,
+        had_resource_requests=False,
     )
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -180,7 +180,7 @@
         and not last.live
         and shard.usage.gpus == 4
         and not shard.resource_requests
-        and shard.status_reporter.shard_status(4.0).waiting == 0
+        and shard.status_reporter.shard_status(4.0).waiting_tasks == 0
     )
     commit(shard, 20)
     for name in ("vm-0", "vm-1"):
@@ -233,13 +233,13 @@
     withdrawn = shard.jobs["req-000002"].record() | {"cancelled_at": 5.0}
     if first == "user":
         assert shard.writer.next_transaction() is not None  # is sent, and its conditions fail
-        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
-        shard.writer.take_in_stored("work/red/req-000002/job", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("work/red/req-000002/job", withdrawn, 50, 6.0)
         assert commit(shard, 60) == {"work/red/req-000002/job": None}
     else:
         assert shard.writer.next_transaction() is not None  # is applied, and its answer lost
-        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
-        shard.writer.take_in_stored("work/red/req-000002/job", None, 0, 6.0)
+        shard.writer.apply_stored_value("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("work/red/req-000002/job", None, 0, 6.0)
     assert not shard.jobs and shard.writer.next_transaction() is None
 
 
@@ -390,7 +390,8 @@
     def apply(self, txn: Any) -> bool:
         """Apply a transaction unless a revision differs from the expected one; whether it was."""
         if any(
-            self.keys.get(path, (None, 0))[1] != revision for path, revision in txn.when.items()
+            self.keys.get(path, (None, 0))[1] != revision
+            for path, revision in txn.conditions.items()
         ):
             return False
         assert len(txn.writes) <= self.ops and all(
@@ -1036,9 +1037,9 @@
             for chunk in one.chunks.values():
                 chunk.placed = chunk.touch()
                 one.changed()
-        shard.stale = True
+        shard.needs_scheduling = True
         await asyncio.sleep(0.5)
-        shard.stale = True
+        shard.needs_scheduling = True
         await asyncio.sleep(6)
         assert max(b - a for a, b in itertools.pairwise([*cycles, service.now()])) < 1.2
         assert await service.until_final([f"req-{n:06d}" for n in range(1, 25)], 240) == []
