--- a/ashdock/core/quota.py
+++ b/ashdock/core/quota.py
@@ -16,22 +16,22 @@
         self.cpus = 0.0
         self.gpus = 0.0
 
-    def take(self, spec: JobSpec, tasks: int = 1) -> None:
+    def add(self, spec: JobSpec, tasks: int = 1) -> None:
         self.cpus += spec.cpus * tasks
         self.gpus += spec.gpus * tasks
 
-    def give_back(self, spec: JobSpec, tasks: int = 1) -> None:
+    def subtract(self, spec: JobSpec, tasks: int = 1) -> None:
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
 
-    def room(self, spec: JobSpec) -> int:
+    def tasks_permitted(self, spec: JobSpec) -> int:
         """How many more tasks of this kind the limit permits."""
-        return within(
+        return tasks_within_limit(
             self.team.cpus_max - self.cpus, self.team.gpus_max - self.gpus, self.team, spec
         )
 
 
-def within(cpus: float, gpus: float, team: Team, spec: JobSpec) -> int:
+def tasks_within_limit(cpus: float, gpus: float, team: Team, spec: JobSpec) -> int:
     most = math.inf
     if team.cpus_max > 0 and spec.cpus > 0:
         most = min(most, (cpus + 1e-6) / spec.cpus)
@@ -40,13 +40,13 @@
     return max(0, int(min(most, 1 << 30)))
 
 
-def can_ever(team: Team, spec: JobSpec) -> bool:
+def limit_permits_job(team: Team, spec: JobSpec) -> bool:
     """An array needs room for one task, a gang or a service for all of them."""
     need = 1 if spec.kind == JobKind.ARRAY else spec.tasks
-    return within(team.cpus_max, team.gpus_max, team, spec) >= need
+    return tasks_within_limit(team.cpus_max, team.gpus_max, team, spec) >= need
 
 
-def guaranteed(team: Team, cpus: float, gpus: float) -> bool:
+def within_guarantee(team: Team, cpus: float, gpus: float) -> bool:
     """Whether so much lies within the guarantee; a figure of 0 guarantees none of its kind."""
     if team.cpus <= 0 and team.gpus <= 0:
         return False
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -12,7 +12,7 @@
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.preemption_cost import preemption_cost
-from ashdock.core.quota import Usage, guaranteed
+from ashdock.core.quota import Usage, within_guarantee
 from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.status_reporter import StatusReporter
@@ -272,7 +272,7 @@
     def _try_place(self, job: Job, look: SchedulingCycle, now: float) -> int:
         """Place what fits; the number of tasks that want room and found none."""
         spec = job.spec
-        permitted = min(self.shard.usage.room(spec), job.ready)
+        permitted = min(self.shard.usage.tasks_permitted(spec), job.ready)
         if job.doubtful and spec.kind != JobKind.GANG:
             permitted = min(permitted, 1 - len(job.live))  # one task at a time tells as much as all
         if (spec.kind == JobKind.GANG and permitted < spec.tasks) or permitted <= 0:
@@ -403,7 +403,7 @@
         out: list[ResourceRequest] = []
         for job, missing, zone in short:
             spec = job.spec
-            if not guaranteed(
+            if not within_guarantee(
                 self.shard.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
             ):
                 missing = min(missing, self.shard.policy.pays(job, self.estimates.run_s(spec)))
@@ -428,7 +428,7 @@
                         spec.one_zone and spec.tasks > 1,
                         missing,
                         job.priority,
-                        guaranteed(self.shard.team, cpus, gpus),
+                        within_guarantee(self.shard.team, cpus, gpus),
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -185,7 +185,7 @@
     def count(self, job: Job, placement: Placement) -> None:
         """Count a placement towards its team's usage and its machine's."""
         spec = job.spec
-        self.usage.take(spec)
+        self.usage.add(spec)
         machine = self.machines.get(placement.machine)
         if machine:
             machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
@@ -195,7 +195,7 @@
         self.stale = True
         job = self.jobs[placement.job]
         spec = job.spec
-        self.usage.give_back(spec)
+        self.usage.subtract(spec)
         machine = self.machines.get(placement.machine)
         if machine:
             machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -19,7 +19,7 @@
 from ashdock.core.job import Chunk, Job, JobPhase, fitting
 from ashdock.core.machine import Machine, MachinePhase, trimmed
 from ashdock.core.park import Parks
-from ashdock.core.quota import guaranteed
+from ashdock.core.quota import within_guarantee
 from ashdock.core.task import Phase, Placement
 from ashdock.core.write_limits import WriteLimits
 from ashdock.settings import Shared, Team
@@ -240,7 +240,7 @@
             and spec.kind == JobKind.ARRAY
             and math.isinf(job.due)
             and spec.tasks > self.shard.chunk_tasks
-            and not guaranteed(self.shard.team, spec.cpus, spec.gpus)
+            and not within_guarantee(self.shard.team, spec.cpus, spec.gpus)
         )
 
     @staticmethod
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -15,7 +15,7 @@
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase, capacity
 from ashdock.core.preemption_cost import machine_preemption_cost
-from ashdock.core.quota import Usage, guaranteed
+from ashdock.core.quota import Usage, within_guarantee
 from ashdock.core.shard_status import BusyMachine, Rebalance, Reclaim, ResourceRequest, ShardStatus
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Team, Workers
@@ -140,7 +140,7 @@
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         for machine in sorted(empty, key=lambda machine: (-len(machine.images), machine.name)):
             cpus, gpus = cpus + machine.shape.cpus, gpus + machine.shape.gpus
-            if len(kept) >= headroom or not guaranteed(self.shard.team, cpus, gpus):
+            if len(kept) >= headroom or not within_guarantee(self.shard.team, cpus, gpus):
                 break
             if any(
                 placing.permits(arrival.spec, machine.type, machine.zone, machine.spot)
@@ -241,7 +241,7 @@
             machine = self.shard.machines[item.machine]
             cpus -= machine.shape.cpus - machine.cpus
             gpus -= machine.shape.gpus - machine.gpus
-            if guaranteed(
+            if within_guarantee(
                 self.shard.team, cpus + BEYOND_TOLERANCE, gpus + BEYOND_TOLERANCE
             ) and not self._fills_guarantee(cpus, gpus):
                 break
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -15,7 +15,7 @@
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.core.job import fitting, job_record, spec_of_record
 from ashdock.core.machine import capacity
-from ashdock.core.quota import can_ever
+from ashdock.core.quota import limit_permits_job
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Answer, Request
 from ashdock.net.mesh import Mesh
@@ -306,7 +306,7 @@
             return "a task fits no machine type that the job allows"
         if spec.kind == JobKind.GANG and spec.one_zone and spec.spread and spec.tasks > 1:
             return "all tasks must run at once, in one zone, and at most half of them in any zone"
-        if not can_ever(team, spec):
+        if not limit_permits_job(team, spec):
             return f"the job needs more than the limit of team {spec.team!r}"
         return None
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -16,7 +16,7 @@
 from ashdock.core.job import Job, JobPhase, chunk_size
 from ashdock.core.machine import Machine, trimmed
 from ashdock.core.machine_index import MachineView
-from ashdock.core.quota import Usage, can_ever, guaranteed
+from ashdock.core.quota import Usage, limit_permits_job, within_guarantee
 from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard import Shard
 from ashdock.core.shard_status import (
@@ -186,17 +186,21 @@
     usage = Usage(Team("t", cpus_max=limits[0], gpus_max=limits[1]))
     usage.cpus, usage.gpus = used
     one = spec(cpus=task[0], accelerators=task[1])
-    assert usage.room(one) == room
+    assert usage.tasks_permitted(one) == room
 
 
 def test_what_a_limit_forbids_for_good() -> None:
     team = Team("t", gpus=4, gpus_max=8)
-    assert can_ever(team, spec(shares=9)) and not can_ever(team, spec(shares=9, shape="ensemble"))
-    assert not can_ever(team, spec(shares=9, shape="daemon")) and can_ever(
+    assert limit_permits_job(team, spec(shares=9)) and not limit_permits_job(
+        team, spec(shares=9, shape="ensemble")
+    )
+    assert not limit_permits_job(team, spec(shares=9, shape="daemon")) and limit_permits_job(
         team, spec(shares=8, shape="daemon")
     )
     assert (
-        guaranteed(team, 100, 4) and not guaranteed(team, 0, 5) and not guaranteed(Team("u"), 0, 0)
+        within_guarantee(team, 100, 4)
+        and not within_guarantee(team, 0, 5)
+        and not within_guarantee(Team("u"), 0, 0)
     )
 
 
