--- a/ashdock/core/estimates.py
+++ b/ashdock/core/estimates.py
@@ -13,7 +13,7 @@
             str, tuple[float, int]
         ] = {}  # class: run time by estimate, and from how many tasks
 
-    def learn(self, job: Job, placement: Placement, now: float) -> None:
+    def record_run(self, job: Job, placement: Placement, now: float) -> None:
         """Owners' estimates are often wrong, on some days mostly one way: a class's are corrected by what its tasks took."""
         spec = job.spec
         if (
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -302,7 +302,7 @@
         """Take in a result; a gang's tasks complete together, so one that is done proves them all."""
         machine.failed.clear()
         machine.uses(job.spec.image, job.spec.image_gb)
-        self.estimates.learn(job, placement, now)
+        self.estimates.record_run(job, placement, now)
         for task in range(job.spec.tasks) if job.spec.kind == JobKind.GANG else (placement.task,):
             self.shard.finish(job, task, now)
         job.breaking = job.broke = None
