--- a/ashdock/core/estimates.py
+++ b/ashdock/core/estimates.py
@@ -1,4 +1,4 @@
-"""How long tasks run: what their owners estimate, corrected class by class by what tasks of it took."""
+"""Run-time estimates: those of the jobs' owners, corrected for each job class by measured times."""
 
 from __future__ import annotations
 
@@ -8,13 +8,19 @@
 
 
 class Estimates:
+    """Estimates how long tasks run."""
+
     def __init__(self) -> None:
-        self.learnt: dict[
-            str, tuple[float, int]
-        ] = {}  # class: run time by estimate, and from how many tasks
+        """Start without corrections."""
+        # By job class: weighted mean of measured run time / estimate, and the number of tasks in it.
+        self.corrections: dict[str, tuple[float, int]] = {}
 
     def record_run(self, job: Job, placement: Placement, now: float) -> None:
-        """Owners' estimates are often wrong, on some days mostly one way: a class's are corrected by what its tasks took."""
+        """Update the correction of a job's class with a task that has just completed.
+
+        Owners' estimates are often wrong, on some days mostly in one direction. Later attempts at
+        jobs with checkpoints are ignored: they may have resumed from one, and run for less time.
+        """
         spec = job.spec
         if (
             placement.running_at is None
@@ -23,9 +29,13 @@
         ):
             return
         ratio = min(4.0, max(0.25, (now - placement.running_at) / spec.estimate_s))
-        weight = 1 / min(self.learnt.get(spec.job_class, (1.0, 0))[1] + 2, 20)
-        known, seen = self.learnt.get(spec.job_class, (1.0, 0))
-        self.learnt[spec.job_class] = (known + (ratio - known) * weight, seen + 1)
+        weight = 1 / min(self.corrections.get(spec.job_class, (1.0, 0))[1] + 2, 20)
+        mean_ratio, task_count = self.corrections.get(spec.job_class, (1.0, 0))
+        self.corrections[spec.job_class] = (
+            mean_ratio + (ratio - mean_ratio) * weight,
+            task_count + 1,
+        )
 
     def run_s(self, spec: JobSpec) -> float:
-        return spec.estimate_s * self.learnt.get(spec.job_class, (1.0, 0))[0]
+        """Return how many seconds a task of the job is expected to run."""
+        return spec.estimate_s * self.corrections.get(spec.job_class, (1.0, 0))[0]
