--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -176,7 +176,7 @@
         if spec.kind == JobKind.ARRAY and math.isinf(job.due):
             return (
                 -job.priority,
-                *self.shard.policy.rank(job, self.estimates.run_s(spec), now),
+                *self.shard.policy.array_rank(job, self.estimates.run_s(spec), now),
                 job.since,
             )
         if math.isinf(job.due):
@@ -406,7 +406,9 @@
             if not within_guarantee(
                 self.shard.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
             ):
-                missing = min(missing, self.shard.policy.pays(job, self.estimates.run_s(spec)))
+                missing = min(
+                    missing, self.shard.policy.tasks_to_request(job, self.estimates.run_s(spec))
+                )
             cpus += spec.cpus * missing
             gpus += spec.gpus * missing
 
@@ -432,7 +434,7 @@
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
-                        math.isinf(job.due) and not self.shard.policy.promised(spec),
+                        math.isinf(job.due) and not self.shard.policy.has_service_level(spec),
                     )
                 )
         return out
--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -18,7 +18,7 @@
         self.shared = shared
         self.catalog = catalog
 
-    def promised(self, spec: JobSpec) -> bool:
+    def has_service_level(self, spec: JobSpec) -> bool:
         """Whether anybody was told when it would run. What was promised nothing uses what is cheap or idle."""
         if (
             self.team.cpus > 0
@@ -41,7 +41,7 @@
         ]
         return max([span, *(aim / 2 for aim in aims)])
 
-    def pays(self, job: Job, run_s: float) -> int:
+    def tasks_to_request(self, job: Job, run_s: float) -> int:
         """How many more tasks of it are worth room of their own. Room for each of thousands of short tasks is up only when
         the first of them have long made way: an array of 25,000 tasks of a few seconds each asked for 195 machines."""
         spec = job.spec
@@ -52,11 +52,11 @@
             0, math.ceil((job.ready + len(job.live)) * each / self.span(spec)) - len(job.live)
         )
 
-    def rank(self, job: Job, run_s: float, now: float) -> tuple[float, float]:
+    def array_rank(self, job: Job, run_s: float, now: float) -> tuple[float, float]:
         """Of arrays without a deadline, what was promised something goes first, and the least work first, for the same reason as
         among deadlines. Hundreds of tiny jobs waited for an array of 25,000, and both for idle-time scans of five minutes."""
         spec = job.spec
-        rank = 0.0 if self.promised(spec) else 5.0
+        rank = 0.0 if self.has_service_level(spec) else 5.0
         if now - job.since > 4 * self.span(spec):
             return rank, 0.0  # nothing starves
         return rank, (spec.tasks - job.done) * run_s * (spec.gpus or spec.cpus)
