--- a/ashdock/core/estimates.py
+++ b/ashdock/core/estimates.py
@@ -12,7 +12,7 @@
 
     def __init__(self) -> None:
         """Start without corrections."""
-        # By job class: weighted mean of measured run time / estimate, and the number of tasks in it.
+        # By job class: weighted mean of run time / estimate, and the number of tasks in it.
         self.corrections: dict[str, tuple[float, int]] = {}
 
     def record_run(self, job: Job, placement: Placement, now: float) -> None:
--- a/ashdock/core/quota.py
+++ b/ashdock/core/quota.py
@@ -1,4 +1,4 @@
-"""A team's resource usage, its limit (`cpus_max`, `gpus_max`) and its guarantee (`cpus`, `gpus`)."""
+"""A team's resource usage, its limits (`cpus_max`, `gpus_max`) and guarantee (`cpus`, `gpus`)."""
 
 from __future__ import annotations
 
