--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -30,7 +30,7 @@
     def number(self) -> int:
         return sum(number for _, number in self.teams)
 
-    def allotted(self, names: list[str]) -> list[tuple[str, str]]:
+    def assign_teams(self, names: list[str]) -> list[tuple[str, str]]:
         """Which team each machine is for."""
         teams = [team for team, number in self.teams for _ in range(number)]
         return list(zip(names, teams, strict=False))
@@ -70,12 +70,14 @@
         self.now = 0.0
         self.moved_shard_at = -1e9
         self.alive: list[str] = []
-        self.refused: dict[
+        self.backoffs: dict[
             tuple[str, str, bool], tuple[float, float]
         ] = {}  # until when, and the last pause
-        self.coming: dict[str, tuple[str, float]] = {}  # machine: team it was lent to, and when
+        self.pending_assignments: dict[
+            str, tuple[str, float]
+        ] = {}  # machine: team it was lent to, and when
         self.scale_outs: list[ScaleOut] = []
-        self.reclaiming: dict[
+        self.pending_reclaims: dict[
             str, tuple[str, float]
         ] = {}  # machine asked of its shard: for which team, and when
         self.unassigned_since: dict[str, float] = {}
@@ -98,12 +100,12 @@
 
     def scaled_out(self, rent: ScaleOut, names: list[str], now: float) -> None:
         self.scale_outs.remove(rent)
-        for name, team in rent.allotted(names):
-            self.coming[name] = (team, now)
+        for name, team in rent.assign_teams(names):
+            self.pending_assignments[name] = (team, now)
         if len(names) < rent.number:
             self._refuse(rent, now)
         else:
-            self.refused.pop((rent.type, rent.zone, rent.spot), None)
+            self.backoffs.pop((rent.type, rent.zone, rent.spot), None)
 
     def scale_out_failed(self, rent: ScaleOut, now: float, no_capacity: bool) -> None:
         self.scale_outs.remove(rent)
@@ -112,9 +114,9 @@
 
     def _refuse(self, rent: ScaleOut, now: float) -> None:
         key = (rent.type, rent.zone, rent.spot)
-        _, pause = self.refused.get(key, (0.0, self.settle_s / 2))
+        _, pause = self.backoffs.get(key, (0.0, self.settle_s / 2))
         pause = min(pause * 2, 2 * self.boot_s)
-        self.refused[key] = (now + pause, pause)
+        self.backoffs[key] = (now + pause, pause)
 
     # -- choosing -------------------------------------------------------------------------------
 
@@ -131,7 +133,7 @@
         unassigned_machines = {
             name: m
             for name, m in machine_views.items()
-            if m.shard == "" and name not in self.coming
+            if m.shard == "" and name not in self.pending_assignments
         }
         self.sent_back &= set(machine_views)
         for name in list(self.unassigned_since):
@@ -145,7 +147,7 @@
             for name, idle_s in shard_status.idle
             if name in machine_views
             and machine_views[name].shard == shard_status.team
-            and name not in self.coming
+            and name not in self.pending_assignments
         }
         empty = MachineIndex(
             # The cheap kind first, since it is the one to keep.
@@ -163,7 +165,7 @@
             for item in shard_status.busy
             if item.machine in machine_views
             and machine_views[item.machine].shard == shard_status.team
-            and item.machine not in self.reclaiming
+            and item.machine not in self.pending_reclaims
             and machine_views[item.machine].type in self.catalog
         )
         self.now = now
@@ -270,13 +272,13 @@
     def note_reclaims(self, machines: Iterable[tuple[str, str]], now: float) -> None:
         """What an earlier holder called back and has not come yet: counted as on its way, or as much again was called back for the same wants."""
         for name, to in machines:
-            if to and name not in self.coming:
-                self.reclaiming.setdefault(name, (to, now))
+            if to and name not in self.pending_assignments:
+                self.pending_reclaims.setdefault(name, (to, now))
 
-    def not_assigned(self, machines: Iterable[str]) -> None:
+    def cancel_assignments(self, machines: Iterable[str]) -> None:
         """What was to move and does not, this time."""
         for name in machines:
-            self.coming.pop(name, None)
+            self.pending_assignments.pop(name, None)
 
     @staticmethod
     def _requests(rents: dict[tuple[str, str, str, bool], int]) -> list[ScaleOut]:
@@ -357,12 +359,12 @@
         now: float,
     ) -> None:
         patience = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
-        for name, (team, since) in list(self.reclaiming.items()):
+        for name, (team, since) in list(self.pending_reclaims.items()):
             if name in machine_views and machine_views[name].shard == team:
-                self.coming[name] = (team, now)
-            if name in self.coming or now - since > patience:
-                del self.reclaiming[name]
-        for name, (team, since) in list(self.coming.items()):
+                self.pending_assignments[name] = (team, now)
+            if name in self.pending_assignments or now - since > patience:
+                del self.pending_reclaims[name]
+        for name, (team, since) in list(self.pending_assignments.items()):
             record = machine_views.get(name)
             shard_status = shard_statuses.get(team)
             seen = (
@@ -372,12 +374,12 @@
                 and shard_status.seen >= record.revision
             )
             if seen or now - since > self.settle_s:
-                del self.coming[name]
+                del self.pending_assignments[name]
 
     def _virtual(self, machine_views: dict[str, MachineView]) -> dict[str, PendingCapacity]:
         """Machines lent or asked for that their shard's picture does not hold yet."""
         out: dict[str, PendingCapacity] = {}
-        for name, (team, _) in [*self.coming.items(), *self.reclaiming.items()]:
+        for name, (team, _) in [*self.pending_assignments.items(), *self.pending_reclaims.items()]:
             machine = machine_views.get(name)
             if machine and machine.type in self.catalog:
                 out.setdefault(team, PendingCapacity()).add(
@@ -446,7 +448,7 @@
             for zone in shape.zones:
                 kinds = (True, False) if request.spot else (False,)
                 if any(
-                    self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
+                    self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
                     for spot in kinds
                 ):
                     score[zone] = score.get(zone, 0.0) + 0.9 * max(request.tasks, request.whole)
@@ -512,7 +514,7 @@
             buckets, lambda kind: self._highest_preemption_cost(team, request, kind, spare)
         ):
             out.append(Reclaim(machine.shard, team, [machine.name]))
-            self.reclaiming[machine.name] = (team, self.now)
+            self.pending_reclaims[machine.name] = (team, self.now)
             spare[machine.shard] -= 1
             left -= max(1, self._per(machine.type, request))
             if left <= 0:
@@ -558,7 +560,7 @@
             empty.buckets_for(suits, request.image if cached else None), lambda kind: math.inf
         ):
             out.append(AssignMachine(machine.shard, machine.name, team))
-            self.coming[machine.name] = (team, now)
+            self.pending_assignments[machine.name] = (team, now)
             left -= self._per(machine.type, request)
             if left <= 0:
                 return left
@@ -591,7 +593,7 @@
                         not spot and request.idle and self._cheap(request)
                     ):
                         continue
-                    if self.refused.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
+                    if self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
                         continue
                     price = (shape.spot_price if spot else shape.price) / min(per, left)
                     asked = sum(
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -285,6 +285,6 @@
         What is not written is neither assigned nor on its way: counted as that, a machine stood idle for half a lease.
         """
         limit = self.assignments.limit()
-        self.allocator.not_assigned(list(assignments)[limit:])
+        self.allocator.cancel_assignments(list(assignments)[limit:])
         if limit:
             self._spawn(self.assignments.assign(dict(list(assignments.items())[:limit])))
--- a/ashdock/leader/provisioner.py
+++ b/ashdock/leader/provisioner.py
@@ -220,7 +220,7 @@
                     is_scale_out_time=True,
                 ).to_stored(),
             )
-            for name, team in scale_out.allotted(names)
+            for name, team in scale_out.assign_teams(names)
         }
         for _ in range(RECORD_ATTEMPTS):
             try:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -876,7 +876,7 @@
     ours: ResourceRequest, theirs: list[ResourceRequest], rebalances: list[tuple[str, str, int]]
 ) -> None:
     allocator = Allocator(shared(), Renting(), {"g4": G4})
-    allocator.refused = {
+    allocator.backoffs = {
         ("g4", zone, spot): (99.0, 1.0) for zone in "abc" for spot in (False, True)
     }
     shard_statuses = {
@@ -988,7 +988,7 @@
     assert sorted((rent.zone, rent.number) for rent in rents) == [("a", 12), ("b", 12), ("c", 12)]
     assert {team for rent in rents for team, _ in rent.teams} == {"red", "blue"}
     names = [f"m{n}" for n in range(7)]
-    assert [team for _, team in rents[0].allotted(names)].count(
+    assert [team for _, team in rents[0].assign_teams(names)].count(
         rents[0].teams[0][0]
     ) == 6  # the first has its all
     many = Allocator(shared(), Renting(), {"g4": G4})
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -488,7 +488,7 @@
         leader = service.controllers[await wait_for_leader(service)].leader
         assert leader is not None and (name, "blue") in other.leaving()
         leader.allocator.note_reclaims(other.leaving(), leader.context.now())
-        assert leader.allocator.reclaiming[name][0] == "blue"
+        assert leader.allocator.pending_reclaims[name][0] == "blue"
         assert await service.until_final(["req-000001"], 120) == []
 
     play(monkeypatch, 67, scenario)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -388,7 +388,7 @@
         await asyncio.sleep(3.0)
         assert len(begun) == 1
         assert not (set(names) - assigned) & set(
-            leader.allocator.coming
+            leader.allocator.pending_assignments
         )  # the rest stays to be lent
         leader.heartbeats.unrecorded.clear()
         monkeypatch.setattr(leader.assignments, "_write_assignments", inner)
