--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -1,7 +1,8 @@
-"""The leader's choices: which machines to rent, lend to which shard, call back and return.
+"""The leader's decisions about machines: rent, assign, reclaim and release them, and move shards.
 
-It is told pictures of the shards by their owners and sees the machines' records. Its own writes are
-fenced by the records' revisions, so a leader that is out of date can waste money but break nothing.
+The allocator reads the statuses that the shards' owners report, and the machines' records. The
+leader's writes are fenced by the records' revisions: a leader with outdated data can waste money,
+but breaks nothing.
 """
 
 from __future__ import annotations
@@ -19,25 +20,43 @@
 
 
 class ScaleOut(NamedTuple):
-    """One request to the cloud, for all teams that lack such machines: it takes few requests a second."""
+    """Rent machines with one request to the cloud, which accepts only a few requests per second.
 
-    teams: tuple[tuple[str, int], ...]  # how many for which, the most pressing first
+    Attributes:
+        teams: The teams that the machines are for, each with a number of machines; the team of the
+            most urgent resource request comes first.
+        type: Label of the machine type.
+        zone: The zone.
+        spot: Whether to rent spot instances.
+    """
+
+    teams: tuple[tuple[str, int], ...]
     type: str
     zone: str
     spot: bool
 
     @property
     def number(self) -> int:
+        """Number of machines to rent."""
         return sum(number for _, number in self.teams)
 
     def assign_teams(self, names: list[str]) -> list[tuple[str, str]]:
-        """Which team each machine is for."""
+        """Return pairs of a rented machine and the team that it is for.
+
+        Names beyond `number` are left out. If there are fewer, the last teams get fewer machines.
+        """
         teams = [team for team, number in self.teams for _ in range(number)]
         return list(zip(names, teams, strict=False))
 
 
 class AssignMachine(NamedTuple):
-    """Lend a machine to another shard; `shard` holds it now ("" is the pool)."""
+    """Assign a machine to another shard.
+
+    Attributes:
+        shard: The shard that it is assigned to now; "" if none.
+        machine: Its name.
+        to: The shard that gets it; "" to unassign it.
+    """
 
     shard: str
     machine: str
@@ -45,97 +64,114 @@
 
 
 class MoveShard(NamedTuple):
-    """Hand a shard to another controller."""
+    """Transfer a shard to the controller with the label `to`."""
 
     shard: str
     to: str
 
 
 class ScaleIn(NamedTuple):
+    """Decommission unassigned machines, so that they are released to the cloud."""
+
     machines: list[str]
 
 
-MOST_RENTED = 50  # in one request
-MOST_TEAMS = 10  # that share one request, so that its record stays a small value; the others' turn comes with the next round
-ANY_NEED = (0.0, 0.0, 0.0)  # what is to be recalled does not depend on how much a task takes
+MAX_MACHINES_PER_SCALE_OUT = 50
+# Keeps the record of a scale-out small; further teams are served by later rounds.
+MAX_TEAMS_PER_SCALE_OUT = 10
+# Which machines can be reclaimed does not depend on what a task needs.
+ANY_NEED = (0.0, 0.0, 0.0)
 
 Decision = ScaleOut | AssignMachine | Reclaim | ScaleIn | MoveShard | Rebalance
 
 
 class Allocator:
+    """Decides for one term of a leader.
+
+    It keeps track of its decisions until the records and the shards' statuses show them.
+    """
+
     def __init__(self, shared: Shared, renting: Renting, catalog: dict[str, MachineType]) -> None:
+        """Start without decisions, with the machine types by label."""
         self.shared = shared
         self.renting = renting
         self.catalog = catalog
         self.now = 0.0
-        self.moved_shard_at = -1e9
-        self.alive: list[str] = []
-        self.backoffs: dict[
-            tuple[str, str, bool], tuple[float, float]
-        ] = {}  # until when, and the last pause
-        self.pending_assignments: dict[
-            str, tuple[str, float]
-        ] = {}  # machine: team it was lent to, and when
-        self.scale_outs: list[ScaleOut] = []
-        self.pending_reclaims: dict[
-            str, tuple[str, float]
-        ] = {}  # machine asked of its shard: for which team, and when
+        self.last_change_at = -1e9  # when a shard last moved, or the members last changed
+        self.members: list[str] = []
+        # By type, zone and spot: until when not to ask again after the cloud lacked capacity, and
+        # the delay in seconds.
+        self.backoffs: dict[tuple[str, str, bool], tuple[float, float]] = {}
+        # By machine: the team that it was assigned to, and when.
+        self.pending_assignments: dict[str, tuple[str, float]] = {}
+        self.scale_outs: list[ScaleOut] = []  # not answered yet
+        # By machine: the team that it is reclaimed for, and when its shard was asked.
+        self.pending_reclaims: dict[str, tuple[str, float]] = {}
         self.unassigned_since: dict[str, float] = {}
-        self.sent_back: set[str] = set()  # to the pool, since nobody wanted them
-        self.rebalance_asked_at: dict[
-            tuple[str, str], float
-        ] = {}  # by whom and to whom: when it was last asked for
-        self.infeasible = InfeasibleCache()  # wants for which this round has nothing left
-        self.pers: dict[
-            tuple[str, float, float, float], int
-        ] = {}  # this round's: how many of a need a machine of a type takes
-        boots = [shape.boot_s for shape in catalog.values()]
-        self.boot_s = max(boots, default=shared.workers.lease_s)
+        self.returned_idle: set[str] = set()  # unassigned because no shard had use for them
+        # By the shard that passes machines on and the team that gets them: when it was last asked.
+        self.rebalance_asked_at: dict[tuple[str, str], float] = {}
+        self.infeasible = InfeasibleCache()  # requests for which this round has no machines left
+        # For this round, by type, CPUs, GPUs and memory: how many such tasks a machine holds.
+        self.capacity_cache: dict[tuple[str, float, float, float], int] = {}
+        boot_times_s = [shape.boot_s for shape in catalog.values()]
+        self.boot_s = max(boot_times_s, default=shared.workers.lease_s)
+        # A decision shows in the records and statuses within this time, or is taken to have failed.
         self.settle_s = shared.workers.lease_s / 2
-        self.most_requests = max(
-            2, int(shared.cloud.rps)
-        )  # under way at a time: about a second's worth
+        # As many as the cloud accepts in about a second.
+        self.max_open_scale_outs = max(2, int(shared.cloud.rps))
 
-    # -- what came of earlier choices -----------------------------------------------------------
+    # -- results of earlier decisions ------------------------------------------------------------
 
-    def scaled_out(self, rent: ScaleOut, names: list[str], now: float) -> None:
-        self.scale_outs.remove(rent)
-        for name, team in rent.assign_teams(names):
+    def scaled_out(self, scale_out: ScaleOut, names: list[str], now: float) -> None:
+        """Note that the cloud rented machines; fewer than requested mean that it has no more."""
+        self.scale_outs.remove(scale_out)
+        for name, team in scale_out.assign_teams(names):
             self.pending_assignments[name] = (team, now)
-        if len(names) < rent.number:
-            self._refuse(rent, now)
+        if len(names) < scale_out.number:
+            self._back_off(scale_out, now)
         else:
-            self.backoffs.pop((rent.type, rent.zone, rent.spot), None)
+            self.backoffs.pop((scale_out.type, scale_out.zone, scale_out.spot), None)
 
-    def scale_out_failed(self, rent: ScaleOut, now: float, no_capacity: bool) -> None:
-        self.scale_outs.remove(rent)
+    def scale_out_failed(self, scale_out: ScaleOut, now: float, no_capacity: bool) -> None:
+        """Note that a scale-out rented nothing, either for lack of capacity or with no answer."""
+        self.scale_outs.remove(scale_out)
         if no_capacity:
-            self._refuse(rent, now)
+            self._back_off(scale_out, now)
 
-    def _refuse(self, rent: ScaleOut, now: float) -> None:
-        key = (rent.type, rent.zone, rent.spot)
-        _, pause = self.backoffs.get(key, (0.0, self.settle_s / 2))
-        pause = min(pause * 2, 2 * self.boot_s)
-        self.backoffs[key] = (now + pause, pause)
+    def _back_off(self, scale_out: ScaleOut, now: float) -> None:
+        key = (scale_out.type, scale_out.zone, scale_out.spot)
+        _, delay_s = self.backoffs.get(key, (0.0, self.settle_s / 2))
+        delay_s = min(delay_s * 2, 2 * self.boot_s)
+        self.backoffs[key] = (now + delay_s, delay_s)
 
-    # -- choosing -------------------------------------------------------------------------------
+    # -- decisions -------------------------------------------------------------------------------
 
     def decide(
         self, machines: Iterable[MachineView], shard_statuses: dict[str, ShardStatus], now: float
     ) -> list[Decision]:
+        """Run one round: match resource requests to machines, and release what nobody needs.
+
+        Args:
+            machines: All machines' records.
+            shard_statuses: The last status of each shard that has been heard of, by team. Nothing
+                is decided while one is missing.
+            now: The time of day in seconds.
+        """
         machine_views = {
             machine.name: machine for machine in machines if not machine.decommissioned
         }
         if any(team.name not in shard_statuses for team in self.shared.teams):
-            # An owner unheard of may want all that stands empty: neither lend, rent nor return before it is heard.
+            # A shard without a status may need all empty machines: none of them is assigned or
+            # released, and nothing is rented, until it has reported.
             return []
         self._forget_settled(machine_views, shard_statuses, now)
         unassigned_machines = {
-            name: m
-            for name, m in machine_views.items()
-            if m.shard == "" and name not in self.pending_assignments
+            name: machine
+            for name, machine in machine_views.items()
+            if machine.shard == "" and name not in self.pending_assignments
         }
-        self.sent_back &= set(machine_views)
+        self.returned_idle &= set(machine_views)
         for name in list(self.unassigned_since):
             if name not in unassigned_machines:
                 del self.unassigned_since[name]
@@ -150,7 +186,7 @@
             and name not in self.pending_assignments
         }
         empty = MachineIndex(
-            # The cheap kind first, since it is the one to keep.
+            # Spot instances first: they are cheaper to keep. Unassigned machines before idle ones.
             ((float(not machine.spot), rank), 0, machine)
             for rank, machines in (
                 (0.0, unassigned_machines.values()),
@@ -169,8 +205,8 @@
             and machine_views[item.machine].type in self.catalog
         )
         self.now = now
-        out: list[Decision] = []
-        small = {
+        decisions: list[Decision] = []
+        small_teams = {
             team
             for team, shard_status in shard_statuses.items()
             if shard_status.machines * 2 * len(shard_statuses) < len(machine_views)
@@ -181,114 +217,138 @@
                 for shard_status in shard_statuses.values()
                 for request in shard_status.resource_requests
             ),
-            # Beyond guarantees, a team with less than half its equal part of the machines goes before like work of the rest:
-            # behind others' overdue work a guest was never served at all.
+            # Beyond guarantees, a team with less than half of an equal share of the machines
+            # precedes others' requests of the same priority: behind their overdue work, a team
+            # without a guarantee was never served.
             key=lambda item: (
                 item[1].idle,
                 not item[1].guaranteed,
                 -item[1].priority,
-                not item[1].guaranteed and item[0] not in small,
+                not item[1].guaranteed and item[0] not in small_teams,
                 item[1].slack_s,
             ),
         )
-        on_the_way = self._virtual(machine_views)
-        rents: dict[tuple[str, str, str, bool], int] = {}
+        pending = self._pending_capacity(machine_views)
+        rentals: dict[tuple[str, str, str, bool], int] = {}
         unmet: list[tuple[str, ResourceRequest, int]] = []
-        spare = {
+        spare_beyond = {
             shard_status.team: shard_status.spare_beyond for shard_status in shard_statuses.values()
         }
-        total = len(machine_views) + sum(rent.number for rent in self.scale_outs)
+        machine_count = len(machine_views) + sum(scale_out.number for scale_out in self.scale_outs)
         self.infeasible = InfeasibleCache()
-        self.pers.clear()
+        self.capacity_cache.clear()
         for team, request in resource_requests:
-            left = (
-                self._use_virtual(on_the_way[team], request)
-                if team in on_the_way
+            missing = (
+                self._use_pending_capacity(pending[team], request)
+                if team in pending
                 else request.tasks
             )
-            if request.together and left > 0 and (request.whole or not request.zone):
-                scores = self._zones(team, request._replace(zone=""), empty, busy, spare)
-                if scores.get(request.zone, 0.0) < left:
-                    # The rest of the gang is not to be had where its owner would have it.
-                    zone = max(sorted(scores), key=lambda zone: scores[zone], default="")
-                    if zone != request.zone:
-                        left = max(left, request.whole)
-                        request = request._replace(zone=zone, tasks=left)
-            # Calling back a machine that has the image is sooner than fetching it on one that stands empty.
-            left = self._assign(team, request, left, empty, out, now, cached=True)
-            left = self._reclaim(team, request, left, busy, spare, out, cached=True)
-            left = self._assign(team, request, left, empty, out, now)
-            left = self._reclaim(team, request, left, busy, spare, out)
-            # With enough requests on their way, the rest is asked for together once those are answered.
-            while left > 0 and len(self.scale_outs) < self.most_requests:
-                offer = self._offer(request, left, rents, now)
+            if request.together and missing > 0 and (request.whole or not request.zone):
+                scores = self._zone_scores(
+                    team, request._replace(zone=""), empty, busy, spare_beyond
+                )
+                if scores.get(request.zone, 0.0) < missing:
+                    # The zone that the shard's owner chose lacks capacity for the rest of the gang.
+                    best_zone = max(sorted(scores), key=lambda zone: scores[zone], default="")
+                    if best_zone != request.zone:
+                        missing = max(missing, request.whole)
+                        request = request._replace(zone=best_zone, tasks=missing)
+            # Reclaiming a machine that has the image is faster than fetching it on an empty one.
+            missing = self._assign(team, request, missing, empty, decisions, now, cached=True)
+            missing = self._reclaim(
+                team, request, missing, busy, spare_beyond, decisions, cached=True
+            )
+            missing = self._assign(team, request, missing, empty, decisions, now)
+            missing = self._reclaim(team, request, missing, busy, spare_beyond, decisions)
+            # Once enough scale-outs are open, the rest waits and is requested together after those.
+            while missing > 0 and len(self.scale_outs) < self.max_open_scale_outs:
+                offer = self._cheapest_offer(request, missing, rentals, now)
                 if (
                     offer is None
                     and request.idle
                     and not (
                         shard_statuses[team].machines
-                        or team in on_the_way
-                        or any(key[0] == team for key in rents)
+                        or team in pending
+                        or any(key[0] == team for key in rentals)
                     )
                 ):
-                    # The cheap kind is not to be had: one of the other, so that such work does not starve.
+                    # No spot instance is available: rent one on-demand machine, so that work
+                    # without a service level does not starve.
                     request = request._replace(idle=False, tasks=1)
-                    left = 1
-                    offer = self._offer(request, left, rents, now)
-                most = self.renting.most_machines
-                if offer is None or (most and total >= most):
+                    missing = 1
+                    offer = self._cheapest_offer(request, missing, rentals, now)
+                max_machines = self.renting.most_machines
+                if offer is None or (max_machines and machine_count >= max_machines):
                     break
                 shape, zone, spot = offer
-                per = max(1, capacity(shape, request.cpus, request.gpus, request.memory))
+                tasks_per_machine = max(
+                    1, capacity(shape, request.cpus, request.gpus, request.memory)
+                )
                 key = (team, shape.label, zone, spot)
-                rents[key] = rents.get(key, 0) + 1
-                total += 1
-                left -= per
-                if left < 0:
-                    on_the_way.setdefault(team, PendingCapacity()).add_rest(
-                        shape, zone, spot, (request.cpus, request.gpus, request.memory), per + left
+                rentals[key] = rentals.get(key, 0) + 1
+                machine_count += 1
+                missing -= tasks_per_machine
+                if missing < 0:
+                    pending.setdefault(team, PendingCapacity()).add_rest(
+                        shape,
+                        zone,
+                        spot,
+                        (request.cpus, request.gpus, request.memory),
+                        tasks_per_machine + missing,
                     )
-            if left > 0:
-                unmet.append((team, request, left))
-        out += self._rebalance(
+            if missing > 0:
+                unmet.append((team, request, missing))
+        decisions += self._rebalance(
             unmet,
             {
                 team: shard_status
                 for team, shard_status in shard_statuses.items()
-                if team not in small
+                if team not in small_teams
             },
             machine_views,
             now,
         )
-        asked = self._requests(rents)
-        out += asked
-        self.scale_outs += asked
+        new_scale_outs = self._scale_outs(rentals)
+        decisions += new_scale_outs
+        self.scale_outs += new_scale_outs
         for name in empty.taken:
             unassigned_machines.pop(name, None)
             idle.pop(name, None)
-        out += self._returns(unassigned_machines, idle, resource_requests, now)
-        return out
+        decisions += self._release_surplus(unassigned_machines, idle, resource_requests, now)
+        return decisions
 
     def note_reclaims(self, machines: Iterable[tuple[str, str]], now: float) -> None:
-        """What an earlier holder called back and has not come yet: counted as on its way, or as much again was called back for the same wants."""
+        """Take in the reclaims of an earlier term, as pairs of a machine and the team that gets it.
+
+        They count as pending capacity; when they did not, as much again was reclaimed for the same
+        requests.
+        """
         for name, to in machines:
             if to and name not in self.pending_assignments:
                 self.pending_reclaims.setdefault(name, (to, now))
 
     def cancel_assignments(self, machines: Iterable[str]) -> None:
-        """What was to move and does not, this time."""
+        """Forget assignments of this round that were not written."""
         for name in machines:
             self.pending_assignments.pop(name, None)
 
     @staticmethod
-    def _requests(rents: dict[tuple[str, str, str, bool], int]) -> list[ScaleOut]:
-        """One request for each type, zone and kind, whatever teams it is for."""
-        alike: dict[tuple[str, str, bool], list[tuple[str, int]]] = {}
-        for (team, kind, zone, spot), number in rents.items():
-            room = MOST_RENTED - sum(count for _, count in alike.get((kind, zone, spot), ()))
-            if room > 0 and len(alike.get((kind, zone, spot), ())) < MOST_TEAMS:
-                alike.setdefault((kind, zone, spot), []).append((team, min(number, room)))
-        return [ScaleOut(tuple(teams), *key) for key, teams in alike.items()]
+    def _scale_outs(rentals: dict[tuple[str, str, str, bool], int]) -> list[ScaleOut]:
+        """Combine rentals by team, type, zone and spot into one scale-out for all teams."""
+        teams_by_offering: dict[tuple[str, str, bool], list[tuple[str, int]]] = {}
+        for (team, machine_type, zone, spot), number in rentals.items():
+            remaining = MAX_MACHINES_PER_SCALE_OUT - sum(
+                count for _, count in teams_by_offering.get((machine_type, zone, spot), ())
+            )
+            if (
+                remaining > 0
+                and len(teams_by_offering.get((machine_type, zone, spot), ()))
+                < MAX_TEAMS_PER_SCALE_OUT
+            ):
+                teams_by_offering.setdefault((machine_type, zone, spot), []).append(
+                    (team, min(number, remaining))
+                )
+        return [ScaleOut(tuple(teams), *key) for key, teams in teams_by_offering.items()]
 
     def _rebalance(
         self,
@@ -297,60 +357,67 @@
         machine_views: dict[str, MachineView],
         now: float,
     ) -> list[Decision]:
-        """Where no more is to be had, like work is served in the order of its waiting, whatever its team: a shard
-        whose own work has waited less passes on what comes free. Without this, the machines stayed where they
-        were when the cloud ran out, and one team's gangs waited a minute while another's waited seconds."""
-        out: list[Decision] = []
-        kinds: dict[str, set[tuple[str, str, bool]]] = {}
+        """Serve requests of one priority in order of their slack when the cloud has no capacity.
+
+        A shard whose own requests can wait longer passes machines on as they come free. Without
+        this, machines stayed where they were when the cloud ran out of them, and one team's gangs
+        waited a minute while another's waited seconds.
+        """
+        decisions: list[Decision] = []
+        offerings: dict[str, set[tuple[str, str, bool]]] = {}
         for machine in machine_views.values() if unmet else ():
             if machine.type in self.catalog:
-                kinds.setdefault(machine.shard, set()).add(
+                offerings.setdefault(machine.shard, set()).add(
                     (machine.type, machine.zone, machine.spot)
                 )
-        for team, request, left in unmet:
-            lender, most_slack = "", request.slack_s + self.boot_s / 2
+        for team, request, missing in unmet:
+            source, most_slack = "", request.slack_s + self.boot_s / 2
             for shard, shard_status in shard_statuses.items():
                 if (
                     shard == team
                     or now - self.rebalance_asked_at.get((shard, team), -1e9) < self.settle_s
                 ):
                     continue
-                # Nor does higher work give way to lower: gangs passed machines on to overdue arrays, and had to recall them.
-                like = [
+                # Work of higher priority does not give way to lower: gangs passed machines on to
+                # overdue arrays, and had to reclaim them.
+                comparable = [
                     other
                     for other in shard_status.resource_requests
                     if other.priority >= request.priority
                 ]
-                if any(other.priority > request.priority for other in like):
+                if any(other.priority > request.priority for other in comparable):
                     continue
-                # A shard with no such work waiting has its empty machines lent as it is, but for those kept at hand.
-                if not like or any(other.guaranteed and not request.guaranteed for other in like):
+                # The idle machines of a shard without comparable requests are assigned directly,
+                # except those it keeps as headroom.
+                if not comparable or any(
+                    other.guaranteed and not request.guaranteed for other in comparable
+                ):
                     continue
-                slack = min(other.slack_s for other in like)
+                slack = min(other.slack_s for other in comparable)
                 if slack > most_slack and any(
-                    self._suits(request, *kind) for kind in kinds.get(shard, ())
+                    self._suits(request, *offering) for offering in offerings.get(shard, ())
                 ):
-                    lender, most_slack = shard, slack
-            if lender:
-                self.rebalance_asked_at[lender, team] = now
-                per = max(
+                    source, most_slack = shard, slack
+            if source:
+                self.rebalance_asked_at[source, team] = now
+                tasks_per_machine = max(
                     (
                         capacity(shape, request.cpus, request.gpus, request.memory)
                         for shape in self.catalog.values()
                     ),
                     default=1,
                 )
-                out.append(
+                decisions.append(
                     Rebalance(
-                        lender,
+                        source,
                         team,
-                        -(-left // max(per, 1)),
+                        -(-missing // max(tasks_per_machine, 1)),
                         request.types,
                         request.zone,
                         request.spot,
                     )
                 )
-        return out
+        return decisions
 
     def _forget_settled(
         self,
@@ -358,143 +425,166 @@
         shard_statuses: dict[str, ShardStatus],
         now: float,
     ) -> None:
-        patience = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
+        reclaim_timeout_s = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
         for name, (team, since) in list(self.pending_reclaims.items()):
             if name in machine_views and machine_views[name].shard == team:
                 self.pending_assignments[name] = (team, now)
-            if name in self.pending_assignments or now - since > patience:
+            if name in self.pending_assignments or now - since > reclaim_timeout_s:
                 del self.pending_reclaims[name]
         for name, (team, since) in list(self.pending_assignments.items()):
             record = machine_views.get(name)
             shard_status = shard_statuses.get(team)
-            seen = (
+            is_reported = (
                 record
                 and shard_status
                 and record.shard == team
                 and shard_status.seen >= record.revision
             )
-            if seen or now - since > self.settle_s:
+            if is_reported or now - since > self.settle_s:
                 del self.pending_assignments[name]
 
-    def _virtual(self, machine_views: dict[str, MachineView]) -> dict[str, PendingCapacity]:
-        """Machines lent or asked for that their shard's picture does not hold yet."""
-        out: dict[str, PendingCapacity] = {}
+    def _pending_capacity(
+        self, machine_views: dict[str, MachineView]
+    ) -> dict[str, PendingCapacity]:
+        """Return by team the machines that its shard is about to get and does not report yet."""
+        pending: dict[str, PendingCapacity] = {}
         for name, (team, _) in [*self.pending_assignments.items(), *self.pending_reclaims.items()]:
             machine = machine_views.get(name)
             if machine and machine.type in self.catalog:
-                out.setdefault(team, PendingCapacity()).add(
+                pending.setdefault(team, PendingCapacity()).add(
                     self.catalog[machine.type], machine.zone, machine.spot
                 )
-        for rent in self.scale_outs:
-            for team, number in rent.teams:
-                out.setdefault(team, PendingCapacity()).add(
-                    self.catalog[rent.type], rent.zone, rent.spot, number
+        for scale_out in self.scale_outs:
+            for team, number in scale_out.teams:
+                pending.setdefault(team, PendingCapacity()).add(
+                    self.catalog[scale_out.type], scale_out.zone, scale_out.spot, number
                 )
-        return out
+        return pending
 
-    def _use_virtual(self, rooms: PendingCapacity, request: ResourceRequest) -> int:
-        """The tasks for which there is nothing on its way."""
+    def _use_pending_capacity(self, pending: PendingCapacity, request: ResourceRequest) -> int:
+        """Allot pending capacity to a request, and return the number of tasks left without."""
 
-        def suits(label: str, zone: str, spot: bool) -> bool:
-            return self._suits(request, label, zone, spot)
+        def suits(machine_type: str, zone: str, spot: bool) -> bool:
+            return self._suits(request, machine_type, zone, spot)
 
-        return request.tasks - rooms.take(
+        return request.tasks - pending.take(
             suits, (request.cpus, request.gpus, request.memory), request.tasks
         )
 
     @staticmethod
-    def _suits(request: ResourceRequest, kind: str, zone: str, spot: bool) -> bool:
-        if request.types and kind not in request.types:
+    def _suits(request: ResourceRequest, machine_type: str, zone: str, spot: bool) -> bool:
+        if request.types and machine_type not in request.types:
             return False
         if request.zone and zone != request.zone:
             return False
         return request.spot or not spot
 
-    def _zones(
+    def _zone_scores(
         self,
         team: str,
         request: ResourceRequest,
         empty: MachineIndex,
         busy: MachineIndex,
-        spare: dict[str, int],
+        spare_beyond: dict[str, int],
     ) -> dict[str, float]:
-        """How many more of a gang's tasks each zone would take: on what stands empty, can be recalled, or rented."""
-        score: dict[str, float] = {}
+        """Return by zone how many more tasks of a gang it could hold.
+
+        Machines that are empty, can be reclaimed or can be rented are counted.
+        The weights 1, 0.99 and 0.9 make empty machines count most, and rented ones least.
+        """
+        scores: dict[str, float] = {}
 
-        def add(kind: MachineClass, number: int, weight: float) -> None:
+        def add(machine_class: MachineClass, number: int, weight: float) -> None:
             if number:
-                score[kind.zone] = score.get(kind.zone, 0.0) + number * weight * self._per(
-                    kind.type, request
-                )
+                scores[machine_class.zone] = scores.get(
+                    machine_class.zone, 0.0
+                ) + number * weight * self._tasks_per_machine(machine_class.type, request)
 
         for bucket in empty.buckets_for(
-            lambda kind: (
-                kind.shard != team and self._suits(request, kind.type, kind.zone, kind.spot)
+            lambda machine_class: (
+                machine_class.shard != team
+                and self._suits(request, machine_class.type, machine_class.zone, machine_class.spot)
             )
         ):
             add(bucket.machine_class, empty.count(bucket, math.inf), 1.0)
         for bucket in busy.buckets_for(
-            lambda kind: self._suits(request, kind.type, kind.zone, kind.spot)
+            lambda machine_class: self._suits(
+                request, machine_class.type, machine_class.zone, machine_class.spot
+            )
         ):
             add(
                 bucket.machine_class,
                 busy.count(
                     bucket,
-                    self._highest_preemption_cost(team, request, bucket.machine_class, spare),
+                    self._highest_preemption_cost(
+                        team, request, bucket.machine_class, spare_beyond
+                    ),
                 ),
                 0.99,
             )
         for shape in self.catalog.values():
             for zone in shape.zones:
-                kinds = (True, False) if request.spot else (False,)
+                spot_choices = (True, False) if request.spot else (False,)
                 if any(
                     self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
-                    for spot in kinds
+                    for spot in spot_choices
                 ):
-                    score[zone] = score.get(zone, 0.0) + 0.9 * max(request.tasks, request.whole)
-        return score
-
-    def _per(self, type_: str, request: ResourceRequest) -> int:
-        key = (type_, request.cpus, request.gpus, request.memory)
-        per = self.pers.get(key)
-        if per is None:
-            per = self.pers[key] = capacity(
-                self.catalog[type_], request.cpus, request.gpus, request.memory
+                    scores[zone] = scores.get(zone, 0.0) + 0.9 * max(request.tasks, request.whole)
+        return scores
+
+    def _tasks_per_machine(self, machine_type: str, request: ResourceRequest) -> int:
+        key = (machine_type, request.cpus, request.gpus, request.memory)
+        tasks_per_machine = self.capacity_cache.get(key)
+        if tasks_per_machine is None:
+            tasks_per_machine = self.capacity_cache[key] = capacity(
+                self.catalog[machine_type], request.cpus, request.gpus, request.memory
             )
-        return per
+        return tasks_per_machine
 
     def _highest_preemption_cost(
-        self, team: str, request: ResourceRequest, kind: MachineClass, spare: dict[str, int]
+        self,
+        team: str,
+        request: ResourceRequest,
+        machine_class: MachineClass,
+        spare_beyond: dict[str, int],
     ) -> float:
-        """Up to what loss a machine of that class may be recalled; -1: not at all. A guarantee is regained from teams beyond theirs,
-        as far as they are beyond it, and work of higher priority takes the place of lower where less is lost by it than a boot's
-        wait would cost. But nobody's work beyond his own guarantee takes the place of what another runs within his: a hot team's
-        urgent work stopped all of the others' lesser work, however much of it they had been guaranteed."""
-        if kind.shard == team:
+        """Return the highest preemption cost at which to reclaim machines of a class; -1 for never.
+
+        For a request within its team's guarantee, machines are reclaimed at any cost from shards
+        beyond theirs, as far as they are beyond it. Otherwise work of higher priority preempts
+        lower if that loses less than waiting for a boot would cost. But a request beyond its team's
+        guarantee never preempts work within another's: urgent work of a hot team stopped all work
+        of lower priority of the other teams, however much of it was guaranteed.
+        """
+        if machine_class.shard == team:
             return -1.0
-        beyond = spare[kind.shard] > 0
-        if request.guaranteed and beyond:
+        is_beyond = spare_beyond[machine_class.shard] > 0
+        if request.guaranteed and is_beyond:
             return math.inf
-        if not (request.guaranteed or beyond):
+        if not (request.guaranteed or is_beyond):
             return -1.0
-        boot_s = self.catalog[kind.type].boot_s
-        steps = request.priority - kind.priority
-        return boot_s * steps if steps > 0 and request.slack_s < boot_s else -1.0
+        boot_s = self.catalog[machine_class.type].boot_s
+        priority_gap = request.priority - machine_class.priority
+        return boot_s * priority_gap if priority_gap > 0 and request.slack_s < boot_s else -1.0
 
     def _reclaim(
         self,
         team: str,
         request: ResourceRequest,
-        left: int,
+        missing: int,
         busy: MachineIndex,
-        spare: dict[str, int],
-        out: list[Decision],
+        spare_beyond: dict[str, int],
+        decisions: list[Decision],
         cached: bool = False,
     ) -> int:
-        """Sooner than a machine boots."""
-        # What can be recalled only grows less within a round: wants alike in all that counts need not look again.
-        alike = (
-            "recall",
+        """Reclaim machines from other shards, which is faster than booting new ones.
+
+        Returns the number of tasks that are still without capacity.
+        """
+        # Reclaimable machines only become fewer within a round, so requests that agree in all
+        # conditions need not search again.
+        conditions = (
+            "reclaim",
             team,
             request.types,
             request.zone,
@@ -504,37 +594,45 @@
             request.slack_s < self.boot_s,
             request.image if cached else None,
         )
-        if left <= 0 or not busy or self.infeasible.holds(alike, ANY_NEED, 1):
-            return left
+        if missing <= 0 or not busy or self.infeasible.holds(conditions, ANY_NEED, 1):
+            return missing
         buckets = busy.buckets_for(
-            lambda kind: self._suits(request, kind.type, kind.zone, kind.spot),
+            lambda machine_class: self._suits(
+                request, machine_class.type, machine_class.zone, machine_class.spot
+            ),
             request.image if cached else None,
         )
         for machine in busy.take(
-            buckets, lambda kind: self._highest_preemption_cost(team, request, kind, spare)
+            buckets,
+            lambda machine_class: self._highest_preemption_cost(
+                team, request, machine_class, spare_beyond
+            ),
         ):
-            out.append(Reclaim(machine.shard, team, [machine.name]))
+            decisions.append(Reclaim(machine.shard, team, [machine.name]))
             self.pending_reclaims[machine.name] = (team, self.now)
-            spare[machine.shard] -= 1
-            left -= max(1, self._per(machine.type, request))
-            if left <= 0:
-                return left
-        self.infeasible.note(alike, ANY_NEED, 1)
-        return left
+            spare_beyond[machine.shard] -= 1
+            missing -= max(1, self._tasks_per_machine(machine.type, request))
+            if missing <= 0:
+                return missing
+        self.infeasible.note(conditions, ANY_NEED, 1)
+        return missing
 
     def _assign(
         self,
         team: str,
         request: ResourceRequest,
-        left: int,
+        missing: int,
         empty: MachineIndex,
-        out: list[Decision],
+        decisions: list[Decision],
         now: float,
         cached: bool = False,
     ) -> int:
-        """Machines that stand empty need no boot."""
-        alike = (
-            "lend",
+        """Assign empty machines, which need no boot.
+
+        Returns the number of tasks that are still without capacity.
+        """
+        conditions = (
+            "assign",
             team,
             request.types,
             request.zone,
@@ -543,65 +641,81 @@
             request.image if cached else None,
         )
         need = (request.cpus, request.gpus, request.memory)
-        if left <= 0 or not empty or self.infeasible.holds(alike, need, 1):
-            return left
-        only_cheap = request.idle and self._cheap(request)
+        if missing <= 0 or not empty or self.infeasible.holds(conditions, need, 1):
+            return missing
+        spot_only = request.idle and self._may_use_spot(request)
 
-        def suits(kind: MachineClass) -> bool:
+        def suits(machine_class: MachineClass) -> bool:
             if (
-                kind.shard == team
-                or (only_cheap and not kind.spot)
-                or not self._suits(request, kind.type, kind.zone, kind.spot)
+                machine_class.shard == team
+                or (spot_only and not machine_class.spot)
+                or not self._suits(
+                    request, machine_class.type, machine_class.zone, machine_class.spot
+                )
             ):
                 return False
-            return self._per(kind.type, request) > 0
+            return self._tasks_per_machine(machine_class.type, request) > 0
 
         for machine in empty.take(
-            empty.buckets_for(suits, request.image if cached else None), lambda kind: math.inf
+            empty.buckets_for(suits, request.image if cached else None),
+            lambda machine_class: math.inf,
         ):
-            out.append(AssignMachine(machine.shard, machine.name, team))
+            decisions.append(AssignMachine(machine.shard, machine.name, team))
             self.pending_assignments[machine.name] = (team, now)
-            left -= self._per(machine.type, request)
-            if left <= 0:
-                return left
-        self.infeasible.note(alike, need, 1)
-        return left
-
-    def _cheap(self, request: ResourceRequest) -> bool:
-        """Whether it may use the cheap kind. What was promised nothing then uses no other: machines that cost four times as
-        much were rented for idle-time scans, and kept from work that had been promised them."""
+            missing -= self._tasks_per_machine(machine.type, request)
+            if missing <= 0:
+                return missing
+        self.infeasible.note(conditions, need, 1)
+        return missing
+
+    def _may_use_spot(self, request: ResourceRequest) -> bool:
+        """Return whether a request may use spot instances.
+
+        Work without a service level then uses nothing else: on-demand machines at four times the
+        price were rented for it, and kept from work that has one.
+        """
         return request.spot and self.renting.spot
 
-    def _offer(
+    def _cheapest_offer(
         self,
         request: ResourceRequest,
-        left: int,
-        rents: dict[tuple[str, str, str, bool], int],
+        missing: int,
+        rentals: dict[tuple[str, str, str, bool], int],
         now: float,
     ) -> tuple[MachineType, str, bool] | None:
-        """The cheapest kind that suits and was not refused of late; a gang's zone stays one."""
+        """Return the type, zone and spot flag with the lowest price per task, unless in backoff.
+
+        At equal prices, tasks that have to run in one zone go where most machines are rented in
+        this round, others where the fewest are.
+        """
         best: tuple[tuple[float, ...], tuple[MachineType, str, bool]] | None = None
         for shape in self.catalog.values():
-            per = capacity(shape, request.cpus, request.gpus, request.memory)
-            if per <= 0 or (request.types and shape.label not in request.types):
+            tasks_per_machine = capacity(shape, request.cpus, request.gpus, request.memory)
+            if tasks_per_machine <= 0 or (request.types and shape.label not in request.types):
                 continue
             for zone in shape.zones:
                 if request.zone and zone != request.zone:
                     continue
                 for spot in (True, False):
-                    if (spot and not self._cheap(request)) or (
-                        not spot and request.idle and self._cheap(request)
+                    if (spot and not self._may_use_spot(request)) or (
+                        not spot and request.idle and self._may_use_spot(request)
                     ):
                         continue
                     if self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
                         continue
-                    price = (shape.spot_price if spot else shape.price) / min(per, left)
-                    asked = sum(
+                    price = (shape.spot_price if spot else shape.price) / min(
+                        tasks_per_machine, missing
+                    )
+                    already_rented = sum(
                         count
-                        for key, count in rents.items()
+                        for key, count in rentals.items()
                         if key[1:] == (shape.label, zone, spot)
                     )
-                    key = (price, float(-asked if request.together else asked), shape.boot_s)
+                    key = (
+                        price,
+                        float(-already_rented if request.together else already_rented),
+                        shape.boot_s,
+                    )
                     if best is None or key < best[0]:
                         best = key, (shape, zone, spot)
         return best[1] if best else None
@@ -609,70 +723,81 @@
     def balance(
         self,
         owners: dict[str, str],
-        alive: list[str],
+        members: list[str],
         shard_statuses: dict[str, ShardStatus],
         now: float,
     ) -> list[Decision]:
-        """Parts go from the controller with most work to the one with least, where that evens them out.
-        Rarely, since a shard's workers must find its new owner."""
+        """Move a shard from the most to the least loaded controller if that evens them out.
+
+        Moves are rare, since a shard's workers have to find its new owner.
+
+        Args:
+            owners: Label of the controller that owns each team's shard; "" if none.
+            members: Labels of the controllers that may own shards.
+            shard_statuses: The last status of each shard, by team.
+            now: The time of day in seconds.
+        """
         load = {
             team: shard_status.waiting + shard_status.machines + 1
             for team, shard_status in shard_statuses.items()
         }
-        held = dict.fromkeys(alive, 0)
+        load_by_owner = dict.fromkeys(members, 0)
         for team, label in owners.items():
-            if label not in held or team not in load:
-                return []  # somebody is ended or cut off: takeovers come first
-            held[label] += load[team]
-        if alive != self.alive:
-            self.alive, self.moved_shard_at = alive, now  # somebody came or went: let that settle
-        if now - self.moved_shard_at < 2 * self.shared.workers.lease_s or len(held) < 2:
+            if label not in load_by_owner or team not in load:
+                return []  # a shard has no live owner or no status: failover comes first
+            load_by_owner[label] += load[team]
+        if members != self.members:  # let the change settle
+            self.members, self.last_change_at = members, now
+        if now - self.last_change_at < 2 * self.shared.workers.lease_s or len(load_by_owner) < 2:
             return []
-        most = max(sorted(held), key=lambda label: held[label])
-        least = min(sorted(held), key=lambda label: held[label])
-        gap = held[most] - held[least]
-        movable = [team for team, label in owners.items() if label == most and load[team] < gap]
-        if sum(label == most for label in owners.values()) < 2 or not movable:
+        most_loaded = max(sorted(load_by_owner), key=lambda label: load_by_owner[label])
+        least_loaded = min(sorted(load_by_owner), key=lambda label: load_by_owner[label])
+        gap = load_by_owner[most_loaded] - load_by_owner[least_loaded]
+        movable = [
+            team for team, label in owners.items() if label == most_loaded and load[team] < gap
+        ]
+        if sum(label == most_loaded for label in owners.values()) < 2 or not movable:
             return []
-        # The shard that leaves the two most alike.
+        # Choose the shard whose move leaves the smallest difference in load.
         team = min(sorted(movable), key=lambda team: abs(gap - 2 * load[team]))
         if abs(gap - 2 * load[team]) > 0.7 * gap:
             return []
-        self.moved_shard_at = now
-        return [MoveShard(team, least)]
+        self.last_change_at = now
+        return [MoveShard(team, least_loaded)]
 
-    def _returns(
+    def _release_surplus(
         self,
         unassigned_machines: dict[str, MachineView],
         idle: dict[str, tuple[MachineView, float]],
         resource_requests: list[tuple[str, ResourceRequest]],
         now: float,
     ) -> list[Decision]:
-        out: list[Decision] = []
-        wanted: dict[tuple[str, str, bool], bool] = {}
+        """Unassign machines that have been idle too long, and release unassigned ones."""
+        decisions: list[Decision] = []
+        is_wanted: dict[tuple[str, str, bool], bool] = {}
         for machine, idle_s in idle.values():
             shape = self.catalog[machine.type]
-            # Kept as long as the next job would save by it: a boot's time, less the dearer it stands idle.
-            share = 1.5 if machine.spot else 0.5 + shape.spot_price / (2 * shape.price)
-            keep_s = self.renting.idle_boots * shape.boot_s * share
+            # Kept for about the boot time that it may save the next job; less if idling costs more.
+            boot_factor = 1.5 if machine.spot else 0.5 + shape.spot_price / (2 * shape.price)
+            keep_s = self.renting.idle_boots * shape.boot_s * boot_factor
             if idle_s <= keep_s:
                 continue
-            kind = (machine.type, machine.zone, machine.spot)
-            if kind not in wanted:
-                wanted[kind] = any(
-                    self._suits(request, *kind)
-                    and (machine.spot or not (request.idle and self._cheap(request)))
+            offering = (machine.type, machine.zone, machine.spot)
+            if offering not in is_wanted:
+                is_wanted[offering] = any(
+                    self._suits(request, *offering)
+                    and (machine.spot or not (request.idle and self._may_use_spot(request)))
                     for _, request in resource_requests
                 )
-            if not wanted[kind]:
-                out.append(AssignMachine(machine.shard, machine.name, ""))
-                self.sent_back.add(machine.name)
-        gone = [
+            if not is_wanted[offering]:
+                decisions.append(AssignMachine(machine.shard, machine.name, ""))
+                self.returned_idle.add(machine.name)
+        to_release = [
             name
             for name in unassigned_machines
             if now - self.unassigned_since.get(name, now)
-            > (self.settle_s / 8 if name in self.sent_back else self.settle_s)
+            > (self.settle_s / 8 if name in self.returned_idle else self.settle_s)
         ]
-        if gone:
-            out.append(ScaleIn(gone[:100]))
-        return out
+        if to_release:
+            decisions.append(ScaleIn(to_release[:100]))
+        return decisions
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1046,7 +1046,7 @@
 
 
 def test_a_rental_for_many_teams_is_a_small_record() -> None:
-    rents = Allocator._requests({(f"team-{n}", "g4", "a", False): 1 for n in range(30)})
+    rents = Allocator._scale_outs({(f"team-{n}", "g4", "a", False): 1 for n in range(30)})
     assert [len(rent.teams) for rent in rents] == [10] and rents[0].number == 10
 
 
