--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -49,7 +49,7 @@
     return job_spec_of(decode_submission(encode(run_of(number, **more))))
 
 
-def queued(one: Any, at: float) -> dict[str, Any]:
+def queued_record(one: Any, at: float) -> dict[str, Any]:
     """Its record, as accepted at that time."""
     return {"spec": msgspec.to_builtins(one), "at": at, "status": "queued"}
 
@@ -69,19 +69,21 @@
         0.0,
     )
     for one in jobs:
-        shard.add_job(queued(one, 0.0), 7)
+        shard.add_job(queued_record(one, 0.0), 7)
     return shard
 
 
-def report(
+def heartbeat(
     machine: str,
-    tally: int,
+    sequence: int,
     tasks: Sequence[tuple[str, int, str, str | None]] = (),
-    warrant: int = 10,
-    tenure: int = 1,
+    fencing_token: int = 10,
+    incarnation: int = 1,
 ) -> Heartbeat:
-    held = [TaskReport(share, attempt, status, cause) for share, attempt, status, cause in tasks]
-    return Heartbeat(machine, "10.1.0.1:9000", "g4", "a", tenure, tally, warrant, tasks=held)
+    reports = [TaskReport(task, attempt, status, cause) for task, attempt, status, cause in tasks]
+    return Heartbeat(
+        machine, "10.1.0.1:9000", "g4", "a", incarnation, sequence, fencing_token, tasks=reports
+    )
 
 
 def commit(shard: Shard, revision: int) -> dict[str, Any]:
@@ -224,25 +226,25 @@
 def test_placement(more: dict[str, Any], zones: str, placed: int, most_zones: int) -> None:
     shard = shard_with([spec(**more)], zones)
     for n in range(len(zones)):
-        shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
+        shard.reconciler.on_heartbeat(heartbeat(f"vm-{n}", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
     live = shard.jobs["req-000001"].live.values()
     assert len(live) == placed and len({shard.machines[p.machine].zone for p in live}) <= most_zones
 
 
-def started(shard: Shard) -> None:
+def start_one_task(shard: Shard) -> None:
     """One task of the job placed on vm-0, committed, and its start sent in the answer to report 2."""
-    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(heartbeat("vm-0", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
     assert not [
         o
-        for o in shard.reconciler.on_heartbeat(report("vm-0", 2), 1.5, True) or []
+        for o in shard.reconciler.on_heartbeat(heartbeat("vm-0", 2), 1.5, True) or []
         if o.verb == "run"
     ], "sent before it was durable"
     commit(shard, 20)
-    assert [o.verb for o in shard.reconciler.on_heartbeat(report("vm-0", 3), 2.0, True) or []] == [
-        "run"
-    ]
+    assert [
+        o.verb for o in shard.reconciler.on_heartbeat(heartbeat("vm-0", 3), 2.0, True) or []
+    ] == ["run"]
 
 
 PROOFS = [  # what comes next, the task being told to stop -> does the placement still count?
@@ -269,7 +271,7 @@
 @pytest.mark.parametrize(("events", "counts"), [p[1:] for p in PROOFS], ids=[p[0] for p in PROOFS])
 def test_only_proof_ends_a_placement(events: list[tuple[str, int, int, int]], counts: bool) -> None:
     shard = shard_with([spec(shares=1)], "a")
-    started(shard)
+    start_one_task(shard)
     machine = shard.machines["vm-0"]
     if events[0][0] == "unanswered":
         orders = shard.commands.direct(machine)
@@ -279,7 +281,7 @@
     for kind, a, b, c in events:
         if kind in ("report", "direct"):
             shard.reconciler.on_heartbeat(
-                report("vm-0", a, warrant=b, tenure=c), 4.0, kind == "report"
+                heartbeat("vm-0", a, fencing_token=b, incarnation=c), 4.0, kind == "report"
             )
         elif kind == "tick":
             shard.tick(float(a))
@@ -307,10 +309,10 @@
     shard = shard_with([spec(shares=2)], "a")
     shard.jobs["req-000001"].states[1] = 3  # the other one is done
     shard.jobs["req-000001"].done, shard.jobs["req-000001"].ready = 1, 1
-    started(shard)
+    start_one_task(shard)
     one = shard.jobs["req-000001"]
     orders = shard.reconciler.on_heartbeat(
-        report("vm-0", 4, [("req-000001/0", 1, "ended", cause)]), 3.0, True
+        heartbeat("vm-0", 4, [("req-000001/0", 1, "ended", cause)]), 3.0, True
     )
     assert "forget" not in [o.verb for o in orders or []], (
         "forgotten before the outcome was durable"
@@ -324,32 +326,32 @@
             and writes["work/red/req-000001/job"] is None
         )
     orders = shard.reconciler.on_heartbeat(
-        report("vm-0", 5, [("req-000001/0", 1, "ended", cause)]), 4.0, True
+        heartbeat("vm-0", 5, [("req-000001/0", 1, "ended", cause)]), 4.0, True
     )
     assert "forget" in [o.verb for o in orders or []]
 
 
 def test_a_stale_owner_gives_no_answer() -> None:
     shard = shard_with([spec()], "a")
-    assert shard.reconciler.on_heartbeat(report("vm-0", 1, warrant=11), 1.0, True) is None
+    assert shard.reconciler.on_heartbeat(heartbeat("vm-0", 1, fencing_token=11), 1.0, True) is None
 
 
 def test_a_new_owner_counts_what_it_inherits() -> None:
     shard = shard_with([spec(shares=1)], "a")
-    started(shard)
+    start_one_task(shard)
     chunk = shard.jobs["req-000001"].chunk_value(0)
     heir = shard_with([], "a", revision=50)
-    record = queued(spec(shares=1), 0.0)
+    record = queued_record(spec(shares=1), 0.0)
     heir.load(
         [], [("work/red/req-000001/job", record, 7), ("work/red/req-000001/0", chunk, 20)], [], 5.0
     )
     assert heir.usage.gpus == 1.0 and 0 in heir.jobs["req-000001"].live
     heir.preempt(heir.jobs["req-000001"], [0], "test", 5.0)
     heir.reconciler.on_heartbeat(
-        report("vm-0", 9, warrant=10), 5.0, True
+        heartbeat("vm-0", 9, fencing_token=10), 5.0, True
     )  # lacks it, but under the old token: its start may be under way
     assert 0 in heir.jobs["req-000001"].live
-    heir.reconciler.on_heartbeat(report("vm-0", 10, warrant=50), 6.0, True)
+    heir.reconciler.on_heartbeat(heartbeat("vm-0", 10, fencing_token=50), 6.0, True)
     assert 0 not in heir.jobs["req-000001"].live
 
 
@@ -512,12 +514,12 @@
 
 def test_estimates_are_corrected_by_what_tasks_took() -> None:
     shard = shard_with([spec(shares=1, expect_s=10.0)], "a")
-    started(shard)
+    start_one_task(shard)
     shard.reconciler.on_heartbeat(
-        report("vm-0", 4, [("req-000001/0", 1, "running", None)]), 10.0, True
+        heartbeat("vm-0", 4, [("req-000001/0", 1, "running", None)]), 10.0, True
     )
     shard.reconciler.on_heartbeat(
-        report("vm-0", 5, [("req-000001/0", 1, "ended", "done")]), 30.0, True
+        heartbeat("vm-0", 5, [("req-000001/0", 1, "ended", "done")]), 30.0, True
     )
     assert 10.0 < shard.estimates.run_s(spec(expect_s=10.0)) <= 20.0
 
@@ -607,7 +609,7 @@
 
 def fails(shard: Shard, name: str, tally: int, tasks: list[tuple[str, int]], now: float) -> None:
     shard.reconciler.on_heartbeat(
-        report(name, tally, [(task, attempt, "ended", "error") for task, attempt in tasks]),
+        heartbeat(name, tally, [(task, attempt, "ended", "error") for task, attempt in tasks]),
         now,
         True,
     )
@@ -619,7 +621,7 @@
     shard = shard_with([spec(shares=6, urgency="high")], "ab")
     one = shard.jobs["req-000001"]
     for name in ("vm-0", "vm-1"):
-        shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 0.5, True)
     shard.scheduler.schedule(1.0)
     assert len(one.live) == 6
     revision = 20
@@ -629,9 +631,9 @@
             tasks = [
                 (f"req-000001/{p.task}", p.attempt) for p in one.live.values() if p.machine == name
             ]
-            shard.reconciler.on_heartbeat(report(name, 3 * tally), float(tally), True)
+            shard.reconciler.on_heartbeat(heartbeat(name, 3 * tally), float(tally), True)
             shard.reconciler.on_heartbeat(
-                report(name, 3 * tally + 1, [(task, n, "running", None) for task, n in tasks]),
+                heartbeat(name, 3 * tally + 1, [(task, n, "running", None) for task, n in tasks]),
                 float(tally),
                 True,
             )
@@ -644,8 +646,8 @@
     assert one.doubtful and not any(machine.failed for machine in shard.machines.values())
     commit(shard, 90)
     for name in ("vm-0", "vm-1"):
-        shard.reconciler.on_heartbeat(report(name, 90), 39.0, True)
-    shard.add_job(queued(spec(2, shares=16, expect_s=50.0), 0.0), 8)
+        shard.reconciler.on_heartbeat(heartbeat(name, 90), 39.0, True)
+    shard.add_job(queued_record(spec(2, shares=16, expect_s=50.0), 0.0), 8)
     for now in (40.0, 41.0, 42.0):
         shard.tick(now)
         shard.scheduler.schedule(now)
@@ -664,7 +666,7 @@
 def test_a_machine_that_came_after_the_last_pass_is_not_idle() -> None:
     """Lent, told as idle before its shard had looked at it, and lent back: two parts' machines went round for a minute."""
     shard = shard_with([], "a")
-    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(heartbeat("vm-0", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
     assert [name for name, _ in shard.status_reporter.shard_status(9.0).idle] == ["vm-0"]
     shard.add_machine(
@@ -725,7 +727,7 @@
     """A late report of the session before, or the session noted when the machine was lent, must not make a task
     that an earlier owner started in this session look gone."""
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.1:9000", "n": 1}
-    one = queued(spec(shares=1), 0.0)
+    one = queued_record(spec(shares=1), 0.0)
     heir = shard_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", one, 7),
@@ -738,7 +740,7 @@
             [("req-000001/0", 1, "running", None)] if listed else []
         )
         heir.reconciler.on_heartbeat(
-            report("vm-0", tally, tasks, warrant=token, tenure=tenure), 6.0, True
+            heartbeat("vm-0", tally, tasks, fencing_token=token, incarnation=tenure), 6.0, True
         )
     assert (0 in heir.jobs["req-000001"].live) is counts
 
@@ -764,7 +766,7 @@
     record = {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.1:9000", "n": 1}
     heir = shard_with([], "", revision=50)
     work = [
-        ("work/red/req-000001/job", queued(spec(shares=1), 0.0), 7),
+        ("work/red/req-000001/job", queued_record(spec(shares=1), 0.0), 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
     ]
     heir.load([("vm-0", record, 5)], work, [], 5.0)
@@ -773,14 +775,16 @@
     tasks: list[tuple[str, int, str, str | None]] = [("req-000001/0", 1, "running", None)]
     if late is not None:
         heir.reconciler.on_heartbeat(
-            report("vm-0", late[1], tasks, warrant=20, tenure=late[0]), 5.5, True
+            heartbeat("vm-0", late[1], tasks, fencing_token=20, incarnation=late[0]), 5.5, True
         )
     heir.reconciler.on_heartbeat(
-        report("vm-0", 40, tasks if there else [], warrant=20, tenure=2), 6.0, True
+        heartbeat("vm-0", 40, tasks if there else [], fencing_token=20, incarnation=2), 6.0, True
     )
     assert 0 in heir.jobs["req-000001"].live and not machine.orphaned_tasks
     # Under our token, and lacking it, a report is proof of what we have seen there; what we have not is started in that session.
-    orders = heir.reconciler.on_heartbeat(report("vm-0", 41, [], warrant=50, tenure=2), 7.0, True)
+    orders = heir.reconciler.on_heartbeat(
+        heartbeat("vm-0", 41, [], fencing_token=50, incarnation=2), 7.0, True
+    )
     assert (0 not in heir.jobs["req-000001"].live) or (orders and orders[0].verb == CommandVerb.RUN)
 
 
@@ -805,7 +809,7 @@
     costs = []
     for batch in (1, 2, 3):
         for n in range(30):
-            shard.add_job(queued(spec(batch * 100 + n, shares=1, cpus=40.0), 0.0), 7)
+            shard.add_job(queued_record(spec(batch * 100 + n, shares=1, cpus=40.0), 0.0), 7)
         calls[0] = 0
         shard.scheduler.schedule(2.0 + batch)
         costs.append(calls[0])
@@ -815,7 +819,7 @@
 def test_a_transaction_looks_only_at_jobs_that_changed(monkeypatch: pytest.MonkeyPatch) -> None:
     shard = shard_with([spec(n, shares=1) for n in range(1, 200)], "a")
     shard.tick(1.0)
-    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(heartbeat("vm-0", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
     commit(shard, 20)
     seen: list[str] = []
@@ -828,7 +832,7 @@
     monkeypatch.setattr(shard.writer, "_has_unwritten", unwritten)
     assert shard.writer.next_transaction() is None
     shard.reconciler.on_heartbeat(
-        report("vm-0", 2, [("req-000001/0", 1, "ended", "done")]), 2.0, True
+        heartbeat("vm-0", 2, [("req-000001/0", 1, "ended", "done")]), 2.0, True
     )
     seen.clear()
     assert shard.writer.next_transaction() is not None
@@ -890,7 +894,7 @@
 def test_what_comes_free_is_passed_on_before_own_work_takes_it() -> None:
     shard = shard_with([spec(1, shares=1), spec(2, shares=8)], "ab")
     for tally, machine in enumerate(("vm-0", "vm-1"), 1):
-        shard.reconciler.on_heartbeat(report(machine, tally), 1.0, True)
+        shard.reconciler.on_heartbeat(heartbeat(machine, tally), 1.0, True)
     shard.status_reporter.rebalance(Rebalance("red", "blue", 1, (), "b", True), 1.0)
     shard.scheduler.schedule(1.0)
     assert (
@@ -916,16 +920,16 @@
     """An empty machine within a guarantee was lent or returned at once, and the next gang waited for a boot."""
     shard = shard_with([], "abcabc")
     for n in range(6):
-        shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
+        shard.reconciler.on_heartbeat(heartbeat(f"vm-{n}", 1), 1.0, True)
     for n, size in enumerate(sizes, 1):
         gang = shard.add_job(
-            queued(spec(n, shape="ensemble", shares=size, accelerators=4.0), 1.0), 7
+            queued_record(spec(n, shape="ensemble", shares=size, accelerators=4.0), 1.0), 7
         )
         shard.status_reporter.record_arrival(gang, 1.0)
     assert shard.status_reporter.headroom(2.0) == kept
     within = min(kept, 2)  # red's guarantee is two machines
     assert len(shard.status_reporter.shard_status(2.0).idle) == 6 - within
-    late = shard.add_job(queued(spec(99, shares=1), 99.0), 7)
+    late = shard.add_job(queued_record(spec(99, shares=1), 99.0), 7)
     shard.status_reporter.record_arrival(late, 99.0)
     assert (
         len(shard.status_reporter.arrivals) == 1
@@ -973,7 +977,7 @@
     shard.scheduler.aims["w"] = [10.0, 60.0]
     for n, (tasks, at) in enumerate(gangs):
         one = spec(n, shape="ensemble", shares=tasks, accelerators=2.0)
-        shard.add_job(queued(one, at), 7)
+        shard.add_job(queued_record(one, at), 7)
     assert [job.id for job in shard.scheduler.waiting(100.0)] == [f"req-{n:06d}" for n in order]
 
 
@@ -1003,7 +1007,7 @@
     shard = shard_with([spec(1, shares=400)], "ab" * 50)
     shard.usage.team = Team("red", gpus=8, gpus_max=1000)
     for n in range(100):
-        shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
+        shard.reconciler.on_heartbeat(heartbeat(f"vm-{n}", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
     assert len(shard.jobs["req-000001"].live) == 400
     writes = [commit(shard, 20)]
@@ -1018,7 +1022,7 @@
         shard.commands.direct_answered(
             shard.machines[machine], shard.commands.orders(shard.machines[machine], None)
         )
-        shard.reconciler.on_heartbeat(report(machine, 2, tasks), 5.0, True)
+        shard.reconciler.on_heartbeat(heartbeat(machine, 2, tasks), 5.0, True)
     ends: list[dict[str, Any]] = []
     while shard.jobs:
         ends.append(commit(shard, 30 + len(ends)))
@@ -1096,10 +1100,10 @@
     """A hot shard's own starts filled every transaction, and the machines that it was to pass on stood empty behind them."""
     shard = shard_with([spec(n, shares=1) for n in range(1, 31)], "abc" * 6)
     for name in ("vm-9", "vm-10", "vm-11", "vm-12"):
-        shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 0.5, True)
         shard.status_reporter.transfer_machine(name, "blue")
     for name in sorted(set(shard.machines) - {"vm-9", "vm-10", "vm-11", "vm-12"}):
-        shard.reconciler.on_heartbeat(report(name, 1), 0.5, True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 0.5, True)
     shard.scheduler.schedule(1.0)
     writes = []
     while (txn := shard.writer.next_transaction(writes_per_s=9.0)) is not None:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -22,7 +22,7 @@
 from ashdock.status_reader import StatusReader
 from ashdock.wire import messages
 from tests import cost, scale
-from tests.test_core import commit, report, shard_with, spec
+from tests.test_core import commit, heartbeat, shard_with, spec
 from tests.test_heads import served
 
 
@@ -47,7 +47,7 @@
         [spec(number, shares=4) for number in range(1, jobs + 1)], "abc"[:1] * machines
     )
     for n in range(machines):
-        shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
+        shard.reconciler.on_heartbeat(heartbeat(f"vm-{n}", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
     while shard.writer.next_transaction() is not None:
         commit(shard, 20)
@@ -64,10 +64,11 @@
     def reports() -> None:
         for _ in range(100):
             assert (
-                shard.reconciler.on_heartbeat(report("vm-0", next(tally), tasks), 2.0, True) == []
+                shard.reconciler.on_heartbeat(heartbeat("vm-0", next(tally), tasks), 2.0, True)
+                == []
             )
 
-    made = calls(lambda: [report("vm-0", 1, tasks) for _ in range(100)])
+    made = calls(lambda: [heartbeat("vm-0", 1, tasks) for _ in range(100)])
     assert (calls(reports) - made) / 100 <= 82  # 75
     assert shard.writer.next_transaction() is None
 
@@ -123,7 +124,7 @@
     def idle() -> None:
         shard = shard_with([spec(number, shares=4) for number in range(1, 31)], "a" * 20)
         for n in range(20):
-            shard.reconciler.on_heartbeat(report(f"vm-{n}", 1), 1.0, True)
+            shard.reconciler.on_heartbeat(heartbeat(f"vm-{n}", 1), 1.0, True)
 
     assert (calls(start) - calls(idle)) / 24 <= 197  # 179
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,7 +12,7 @@
 from tests import meetings
 from tests.meetings import Met
 from tests.simtime import spawn
-from tests.test_core import commit, queued, report, shard_with, spec, started
+from tests.test_core import commit, heartbeat, queued_record, shard_with, spec, start_one_task
 from tests.test_restarts import owned
 from tests.test_whole import play
 from tests.whole import Service, job
@@ -336,10 +336,10 @@
 def test_an_old_report_takes_nothing_back() -> None:
     """A copy of one from before, of this session or an earlier one: neither what it holds nor what it lacks says anything."""
     shard = shard_with([spec(shares=1)], "a")
-    started(shard)
+    start_one_task(shard)
     machine = shard.machines["vm-0"]
     task = ("req-000001/0", 1, "running", None)
-    shard.reconciler.on_heartbeat(report("vm-0", 9, [task]), 4.0, True)
+    shard.reconciler.on_heartbeat(heartbeat("vm-0", 9, [task]), 4.0, True)
     for tally, tenure, tasks in (
         (3, 1, []),
         (90, 0, []),
@@ -347,7 +347,9 @@
         (9, 1, [("req-000001/0", 1, "ended", "stopped")]),
     ):
         assert (
-            shard.reconciler.on_heartbeat(report("vm-0", tally, tasks, tenure=tenure), 5.0, True)
+            shard.reconciler.on_heartbeat(
+                heartbeat("vm-0", tally, tasks, incarnation=tenure), 5.0, True
+            )
             == []
         )
     live = shard.jobs["req-000001"].live[0]
@@ -390,7 +392,7 @@
     """Nothing is there to compare it with: of an earlier session, attempt or token, kept back until now, it proves an attempt's end at most."""
     heir = shard_with([], "", revision=50)
     work = [
-        ("work/red/req-000001/job", queued(spec(shares=1), 0.0), 7),
+        ("work/red/req-000001/job", queued_record(spec(shares=1), 0.0), 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
     ]
     heir.load(
@@ -400,14 +402,16 @@
         5.0,
     )
     heir.preempt(heir.jobs["req-000001"], [0], "test", 5.0)
-    heir.reconciler.on_heartbeat(report("vm-0", 9, tasks, warrant=token, tenure=tenure), 6.0, True)
+    heir.reconciler.on_heartbeat(
+        heartbeat("vm-0", 9, tasks, fencing_token=token, incarnation=tenure), 6.0, True
+    )
     assert (0 in heir.jobs["req-000001"].live) is counts
 
 
 def test_a_start_is_committed_under_the_jobs_stamp_and_the_claim() -> None:
     """Whoever does not hear of a cancellation can't commit a start after it."""
     shard = shard_with([spec(shares=2)], "a")
-    shard.reconciler.on_heartbeat(report("vm-0", 1), 1.0, True)
+    shard.reconciler.on_heartbeat(heartbeat("vm-0", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
     txn = shard.writer.next_transaction()
     assert (
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -34,7 +34,7 @@
 )
 from tests import simtime, test_whole
 from tests.simtime import spawn
-from tests.test_core import G4, commit, queued, report, shard_with, spec
+from tests.test_core import G4, commit, heartbeat, queued_record, shard_with, spec
 from tests.test_whole import crash_all, quiet, roll, state_down
 from tests.whole import Service, job, shared
 
@@ -172,13 +172,13 @@
     )
     commit(shard, 20)
     for name in ("vm-0", "vm-1"):
-        shard.reconciler.on_heartbeat(report(name, 1), 5.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 5.0, checkin=True)
         ended = [
             (f"{p.job}/{p.task}", p.attempt, "ended", "done")
             for p in first.live.values()
             if p.machine == name
         ]
-        shard.reconciler.on_heartbeat(report(name, 2, ended), 6.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 2, ended), 6.0, checkin=True)
     shard.scheduler.schedule(6.5)
     assert first.phase is JobPhase.OVER and not last.live  # done in memory only
     commit(shard, 21)
@@ -207,7 +207,7 @@
         )
     assert list(shard.jobs) == ["req-000004"]
     # One that comes later and names them: by the word of whoever read how they stand.
-    shard.add_job(queued(spec(5, awaits=["req-000003"]), 6.0), 40)
+    shard.add_job(queued_record(spec(5, awaits=["req-000003"]), 6.0), 40)
     shard.tick(7.0)
     assert list(shard.dependency_tracker.unread) == ["req-000003"]
     shard.dependency_tracker.settled("req-000003", "withdrawn", None, 7.0)
@@ -573,7 +573,9 @@
         [],
         0.0,
     )
-    shard.add_job(queued(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7)
+    shard.add_job(
+        queued_record(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7
+    )
     job = shard.jobs["req-000001"]
     job.narrow(8)
     shard.scheduler.schedule(1.0)
@@ -582,7 +584,7 @@
     store.keys |= {
         "part/red": ({}, 10),
         "job/req-000001": ({}, 7),
-        "work/red/req-000001/job": (queued(job.spec, 0.0), 7),
+        "work/red/req-000001/job": (queued_record(job.spec, 0.0), 7),
     }
     steps = 0
     while (txn := shard.writer.next_transaction()) is not None:
@@ -636,7 +638,7 @@
     assert bounds.value_bytes == 512
     shard = new_part()
     long = spec(1, hulls=["g4", *(f"type-{n:03d}" for n in range(100))])
-    shard.add_job(queued(long, 0.0), 7)
+    shard.add_job(queued_record(long, 0.0), 7)
     assert len(encode(shard.jobs["req-000001"].record())) > 1000
     shard.cancel("req-000001", 1.0, 8, 1.0)
     short = fitting(shard.jobs["req-000001"].record(), 512)
@@ -1013,21 +1015,21 @@
     shard.scheduler.schedule(0.5)
     commit(shard, 20)
     for name in shard.machines:
-        shard.reconciler.on_heartbeat(report(name, 1), 1.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 1.0, checkin=True)
         its = [
             (f"{p.job}/{p.task}", p.attempt, "running", None)
             for p in shard.jobs["req-000001"].live.values()
             if p.machine == name
         ]
-        shard.reconciler.on_heartbeat(report(name, 2, its), 2.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 2, its), 2.0, checkin=True)
     shard.add_job(
-        queued(
+        queued_record(
             spec(2, shares=2, cpus=16.0, accelerators=0.0, urgency="best_effort", expect_s=8.0), 0.0
         ),
         30,
     )
     shard.add_job(
-        queued(
+        queued_record(
             spec(3, shares=1, awaits=["req-000002"], urgency="high", expect_s=8.0, due_s=150.0), 0.0
         ),
         31,
@@ -1043,7 +1045,9 @@
 ) -> None:
     shard = new_part(value_kb=0.3, ops=48)
     shard.shared.state.write_rps = shard.write_limits.write_rps = 54.0
-    shard.add_job(queued(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7)
+    shard.add_job(
+        queued_record(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7
+    )
     job = shard.jobs["req-000001"]
     for task in range(400):
         job.finish(task) if task < 399 else None
