--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -115,7 +115,7 @@
         # For this round, by type, CPUs, GPUs and memory: how many such tasks a machine holds.
         self.capacity_cache: dict[tuple[str, float, float, float], int] = {}
         boot_times_s = [shape.boot_s for shape in catalog.values()]
-        self.boot_s = max(boot_times_s, default=shared.workers.lease_s)
+        self.boot_s = max(boot_times_s, default=shared.workers.lease_s)  # the longest boot time
         # A decision shows in the records and statuses within this time, or is taken to have failed.
         self.settle_s = shared.workers.lease_s / 2
         # As many as the cloud accepts in about a second.
@@ -357,7 +357,7 @@
         machine_views: dict[str, MachineView],
         now: float,
     ) -> list[Decision]:
-        """Serve requests of one priority in order of their slack when the cloud has no capacity.
+        """Serve requests of one priority in order of their slack when no more machines can be rented.
 
         A shard whose own requests can wait longer passes machines on as they come free. Without
         this, machines stayed where they were when the cloud ran out of them, and one team's gangs
@@ -772,7 +772,10 @@
         resource_requests: list[tuple[str, ResourceRequest]],
         now: float,
     ) -> list[Decision]:
-        """Unassign machines that have been idle too long, and release unassigned ones."""
+        """Unassign machines that have been idle too long, and release unassigned ones.
+
+        Those that were unassigned for being idle are released sooner than others.
+        """
         decisions: list[Decision] = []
         is_wanted: dict[tuple[str, str, bool], bool] = {}
         for machine, idle_s in idle.values():
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -43,14 +43,15 @@
     encode,
     job_spec_of,
 )
-from tests.whole import job as run_of
+from tests.whole import job as submission
 from tests.whole import shared
 
 G4 = MachineType("g4", 32, 4, 192, 80, 2.0, 10.0, 2.5, 6.0, ["a", "b", "c"])
 
 
 def spec(number: int = 1, **more: Any) -> JobSpec:
-    return job_spec_of(decode_submission(encode(run_of(number, **more))))
+    """The spec of a submitted job; `more` are fields of the submission."""
+    return job_spec_of(decode_submission(encode(submission(number, **more))))
 
 
 def queued_record(job_spec: Any, at: float) -> dict[str, Any]:
@@ -61,6 +62,7 @@
 def shard_with(
     jobs: list[Any], machines: str = "ab", team: str = "red", revision: int = 10
 ) -> Shard:
+    """A loaded shard with queued jobs, and one machine `vm-<n>` for each zone in `machines`."""
     teams = {t.name: t for t in shared().teams}
     shard = Shard(teams[team], revision, shared(), Operators(), {"g4": G4}, random.Random(1))
     shard.load(
@@ -84,6 +86,7 @@
     fencing_token: int = 10,
     incarnation: int = 1,
 ) -> Heartbeat:
+    """A heartbeat of a machine with (task, attempt, status, cause) of each task."""
     reports = [TaskReport(task, attempt, status, cause) for task, attempt, status, cause in tasks]
     return Heartbeat(
         machine, "10.1.0.1:9000", "g4", "a", incarnation, sequence, fencing_token, tasks=reports
@@ -91,6 +94,7 @@
 
 
 def commit(shard: Shard, revision: int) -> dict[str, Any]:
+    """Commit the shard's next transaction at a revision, and return its writes."""
     txn = shard.writer.next_transaction()
     assert txn is not None and txn.when[f"part/{shard.name}"] == shard.revision
     assert txn.writes.keys() <= txn.when.keys()  # a delayed transaction overwrites no newer value
