--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -357,7 +357,7 @@
         machine_views: dict[str, MachineView],
         now: float,
     ) -> list[Decision]:
-        """Serve requests of one priority in order of their slack when no more machines can be rented.
+        """Serve requests of one priority in order of their slack when no more can be rented.
 
         A shard whose own requests can wait longer passes machines on as they come free. Without
         this, machines stayed where they were when the cloud ran out of them, and one team's gangs
@@ -658,7 +658,7 @@
 
         for machine in empty.take(
             empty.buckets_for(suits, request.image if cached else None),
-            lambda machine_class: math.inf,
+            lambda _machine_class: math.inf,
         ):
             decisions.append(AssignMachine(machine.shard, machine.name, team))
             self.pending_assignments[machine.name] = (team, now)
