--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -1,6 +1,6 @@
 """Decides which jobs have a service level, how arrays are ranked, and how much capacity they get.
 
-It governs the work of teams without a guarantee; the rules are explained in docs/design.md.
+It matters most for teams without a guarantee; the rules are explained in docs/design.md.
 """
 
 from __future__ import annotations
