--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -15,7 +15,7 @@
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.preemption_cost import preemption_cost
-from ashdock.core.quota import Usage, guaranteed
+from ashdock.core.quota import Usage, within_guarantee
 from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.status_reporter import StatusReporter
@@ -237,7 +237,7 @@
         if spec.kind == JobKind.ARRAY and math.isinf(job.due):
             return (
                 -job.priority,
-                *self.shard.policy.rank(job, self.estimates.run_s(spec), now),
+                *self.shard.policy.array_rank(job, self.estimates.run_s(spec), now),
                 job.since,
             )
         if math.isinf(job.due):
@@ -350,7 +350,7 @@
         counts as none.
         """
         spec = job.spec
-        permitted = min(self.shard.usage.room(spec), job.ready)
+        permitted = min(self.shard.usage.tasks_permitted(spec), job.ready)
         if job.doubtful and spec.kind != JobKind.GANG:
             permitted = min(permitted, 1 - len(job.live))  # one task shows whether the job works
         if (spec.kind == JobKind.GANG and permitted < spec.tasks) or permitted <= 0:
@@ -500,10 +500,12 @@
         requests: list[ResourceRequest] = []
         for job, missing, zone in unplaced:
             spec = job.spec
-            if not guaranteed(
+            if not within_guarantee(
                 self.shard.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
             ):
-                missing = min(missing, self.shard.policy.pays(job, self.estimates.run_s(spec)))
+                missing = min(
+                    missing, self.shard.policy.tasks_to_request(job, self.estimates.run_s(spec))
+                )
             cpus += spec.cpus * missing
             gpus += spec.gpus * missing
 
@@ -527,11 +529,11 @@
                         spec.one_zone and spec.tasks > 1,
                         missing,
                         job.priority,
-                        guaranteed(self.shard.team, cpus, gpus),
+                        within_guarantee(self.shard.team, cpus, gpus),
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
-                        math.isinf(job.due) and not self.shard.policy.promised(spec),
+                        math.isinf(job.due) and not self.shard.policy.has_service_level(spec),
                     )
                 )
         return requests
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -205,7 +205,7 @@
     def count_placement(self, job: Job, placement: Placement) -> None:
         """Count a placement towards the usage of its team and of its machine."""
         spec = job.spec
-        self.usage.take(spec)
+        self.usage.add(spec)
         machine = self.machines.get(placement.machine)
         if machine:
             machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
@@ -218,7 +218,7 @@
         self.needs_scheduling = True
         job = self.jobs[placement.job]
         spec = job.spec
-        self.usage.give_back(spec)
+        self.usage.subtract(spec)
         machine = self.machines.get(placement.machine)
         if machine:
             machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -296,6 +296,6 @@
         shard, they would stay idle for half an agent lease.
         """
         max_count = self.assignments.max_new_assignments()
-        self.allocator.not_assigned(list(assignments)[max_count:])
+        self.allocator.cancel_assignments(list(assignments)[max_count:])
         if max_count:
             self._spawn(self.assignments.assign(dict(list(assignments.items())[:max_count])))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -34,7 +34,7 @@
 )
 from tests import simtime, test_whole
 from tests.simtime import spawn
-from tests.test_core import G4, commit, queued, report, shard_with, spec
+from tests.test_core import G4, commit, heartbeat, queued_record, shard_with, spec
 from tests.test_whole import crash_all, quiet, roll, state_down
 from tests.whole import Service, job, shared
 
@@ -184,13 +184,13 @@
     )
     commit(shard, 20)
     for name in ("vm-0", "vm-1"):
-        shard.reconciler.on_heartbeat(report(name, 1), 5.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 5.0, checkin=True)
         ended = [
             (f"{p.job}/{p.task}", p.attempt, "ended", "done")
             for p in first.live.values()
             if p.machine == name
         ]
-        shard.reconciler.on_heartbeat(report(name, 2, ended), 6.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 2, ended), 6.0, checkin=True)
     shard.scheduler.schedule(6.5)
     assert first.phase is JobPhase.OVER and not last.live  # its dependency is done in memory only
     commit(shard, 21)
@@ -219,7 +219,7 @@
         )
     assert list(shard.jobs) == ["req-000004"]
     # A job that is submitted later and needs one of them is cancelled once their record was read.
-    shard.add_job(queued(spec(5, awaits=["req-000003"]), 6.0), 40)
+    shard.add_job(queued_record(spec(5, awaits=["req-000003"]), 6.0), 40)
     shard.tick(7.0)
     assert list(shard.dependency_tracker.unread) == ["req-000003"]
     shard.dependency_tracker.settled("req-000003", "withdrawn", None, 7.0)
@@ -607,7 +607,9 @@
         [],
         0.0,
     )
-    shard.add_job(queued(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7)
+    shard.add_job(
+        queued_record(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7
+    )
     job = shard.jobs["req-000001"]
     job.narrow(8)
     shard.scheduler.schedule(1.0)
@@ -616,7 +618,7 @@
     store.keys |= {
         "part/red": ({}, 10),
         "job/req-000001": ({}, 7),
-        "work/red/req-000001/job": (queued(job.spec, 0.0), 7),
+        "work/red/req-000001/job": (queued_record(job.spec, 0.0), 7),
     }
     steps = 0
     while (txn := shard.writer.next_transaction()) is not None:
@@ -673,7 +675,7 @@
     assert write_limits.value_bytes == 512
     shard = upgraded_shard()
     large_spec = spec(1, hulls=["g4", *(f"type-{n:03d}" for n in range(100))])
-    shard.add_job(queued(large_spec, 0.0), 7)
+    shard.add_job(queued_record(large_spec, 0.0), 7)
     assert len(encode(shard.jobs["req-000001"].record())) > 1000
     shard.cancel("req-000001", 1.0, 8, 1.0)
     trimmed = fitting(shard.jobs["req-000001"].record(), 512)
@@ -1070,21 +1072,21 @@
     shard.scheduler.schedule(0.5)
     commit(shard, 20)
     for name in shard.machines:
-        shard.reconciler.on_heartbeat(report(name, 1), 1.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 1.0, checkin=True)
         running = [
             (f"{p.job}/{p.task}", p.attempt, "running", None)
             for p in shard.jobs["req-000001"].live.values()
             if p.machine == name
         ]
-        shard.reconciler.on_heartbeat(report(name, 2, running), 2.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 2, running), 2.0, checkin=True)
     shard.add_job(
-        queued(
+        queued_record(
             spec(2, shares=2, cpus=16.0, accelerators=0.0, urgency="best_effort", expect_s=8.0), 0.0
         ),
         30,
     )
     shard.add_job(
-        queued(
+        queued_record(
             spec(3, shares=1, awaits=["req-000002"], urgency="high", expect_s=8.0, due_s=150.0), 0.0
         ),
         31,
@@ -1100,7 +1102,9 @@
 ) -> None:
     shard = upgraded_shard(value_kb=0.3, ops=48)
     shard.shared.state.write_rps = shard.write_limits.write_rps = 54.0
-    shard.add_job(queued(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7)
+    shard.add_job(
+        queued_record(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7
+    )
     job = shard.jobs["req-000001"]
     for task in range(400):
         job.finish(task) if task < 399 else None
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -462,7 +462,7 @@
         many = [(f"req-{n:06d}", 1, 2) for n in range(9000)]
         shard = owner.owners["red"].shard
         assert shard is not None
-        monkeypatch.setattr(shard.status_reporter, "counts", lambda: many)
+        monkeypatch.setattr(shard.status_reporter, "task_counts", lambda: many)
         await asyncio.sleep(2)
         assert all(
             other.peer_reports.counts_by_peer[owner.label][name] == (1, 2) for name, _, _ in many
