--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -30,22 +30,30 @@
 class Chunk:
     """A run of tasks that share one value `work/<team>/<id>/<n>`."""
 
-    __slots__ = ("attempts", "durable", "gen", "live", "n", "placed", "revision")
+    __slots__ = (
+        "durable_generation",
+        "generation",
+        "index",
+        "live",
+        "max_attempt",
+        "placed_generation",
+        "revision",
+    )
 
     def __init__(self, n: int) -> None:
-        self.n = n
+        self.index = n
         self.revision = 0
-        self.gen = 0
-        self.durable = 0
-        self.attempts = 0  # the highest attempt number used
-        self.placed = 0  # the latest change that starts wait for
+        self.generation = 0
+        self.durable_generation = 0
+        self.max_attempt = 0  # the highest attempt number used
+        self.placed_generation = 0  # the latest change that starts wait for
         self.live: dict[
             int, Placement
         ] = {}  # the part of the job's: writing a chunk must not look at all of them
 
-    def touch(self) -> int:
-        self.gen += 1
-        return self.gen
+    def mark_changed(self) -> int:
+        self.generation += 1
+        return self.generation
 
 
 class Wider(NamedTuple):
@@ -83,8 +91,8 @@
         self.fails: dict[int, Failure] = {}
         self.chunks: dict[int, Chunk] = {}
         self.reason: str | None = None
-        self.reason_gen = 0
-        self.reason_durable = 0
+        self.reason_generation = 0
+        self.durable_reason_generation = 0
         self.cancelled_at: float | None = None
         self.breaking: str | None = None  # gang: why its attempt is being taken down
         self.broke: Failure | None = None  # gang: a failure of its own seen in this attempt
@@ -109,7 +117,7 @@
     def _set(self, task: int, state: TaskState) -> int:
         was = self.states[task]
         if was == TaskState.DONE:
-            return self.chunk_of(task).gen
+            return self.chunk_of(task).generation
         self.changed()
         if was == TaskState.READY:
             self.ready -= 1
@@ -119,13 +127,13 @@
         if state == TaskState.DONE:
             self.done += 1
         self.states[task] = state
-        return self.chunk_of(task).touch()
+        return self.chunk_of(task).mark_changed()
 
     def place(self, task: int, machine: str, attempt: int, now: float) -> Placement:
         chunk = self.chunk_of(task)
-        chunk.attempts = max(chunk.attempts, attempt)
-        gen = chunk.placed = self._set(task, TaskState.LIVE)
-        placement = Placement(self.id, task, attempt, machine, gen, now)
+        chunk.max_attempt = max(chunk.max_attempt, attempt)
+        generation = chunk.placed_generation = self._set(task, TaskState.LIVE)
+        placement = Placement(self.id, task, attempt, machine, generation, now)
         self.live[task] = chunk.live[task] = placement
         return placement
 
@@ -139,7 +147,7 @@
         if self.states[task] == TaskState.LIVE:
             self._set(task, TaskState.READY)
         else:
-            self.chunk_of(task).touch()
+            self.chunk_of(task).mark_changed()
         self.changed()
 
     def finish(self, task: int) -> None:
@@ -162,7 +170,7 @@
 
     def set_failure(self, task: int, failure: Failure) -> None:
         self._failed(task, failure)
-        self.chunk_of(task).touch()
+        self.chunk_of(task).mark_changed()
         self.changed()
 
     @property
@@ -202,7 +210,7 @@
     def set_reason(self, reason: str) -> None:
         if reason != self.reason:
             self.reason = reason
-            self.reason_gen += 1
+            self.reason_generation += 1
             self.changed()
 
     # -- picture ---------------------------------------------------------------------------
@@ -233,14 +241,14 @@
 
     def attempt_for(self, task: int) -> int:
         if self.spec.kind == JobKind.GANG:
-            return max((chunk.attempts for chunk in self.chunks.values()), default=0) + 1
-        return self.chunk_of(task).attempts + 1
+            return max((chunk.max_attempt for chunk in self.chunks.values()), default=0) + 1
+        return self.chunk_of(task).max_attempt + 1
 
     @property
     def pressing(self) -> bool:
         """Whether starts or an outcome wait for it to be written; other changes may wait for their turn."""
         return self.phase is not JobPhase.ACTIVE or any(
-            chunk.placed > chunk.durable for chunk in self.chunks.values()
+            chunk.placed_generation > chunk.durable_generation for chunk in self.chunks.values()
         )
 
     @property
@@ -312,16 +320,16 @@
         self.chunks = {}
         self.chunk_tasks = width
         for n, chunk in before.items():
-            if not chunk.revision and not chunk.gen:
+            if not chunk.revision and not chunk.generation:
                 continue
             for piece in self.pieces(n * old, min((n + 1) * old, self.spec.tasks)):
-                piece.attempts = max(piece.attempts, chunk.attempts)
-                piece.touch()
+                piece.max_attempt = max(piece.max_attempt, chunk.max_attempt)
+                piece.mark_changed()
         for task, placement in self.live.items():
             chunk = self.chunk_of(task)
             chunk.live[task] = placement
             if placement.phase is Phase.INTENDED:
-                placement.gen = chunk.placed = chunk.gen
+                placement.generation = chunk.placed_generation = chunk.generation
         self.changed()
 
     def pieces(self, low: int, high: int) -> list[Chunk]:
@@ -342,7 +350,7 @@
     def chunk_value(self, n: int) -> dict[str, Any]:
         low = n * self.chunk_tasks
         high = min(low + self.chunk_tasks, self.spec.tasks)
-        value: dict[str, Any] = {"a": self.chunk(n).attempts}
+        value: dict[str, Any] = {"a": self.chunk(n).max_attempt}
         done = [task for task in range(low, high) if self.states[task] == TaskState.DONE]
         if done:
             value["d"] = ranges_of(done)
@@ -379,14 +387,14 @@
             if width == self.chunk_tasks:
                 chunk = self.chunk(n)
                 chunk.revision = revision
-                chunk.attempts = max(chunk.attempts, value.get("a", 0))
-                chunk.durable = chunk.gen
+                chunk.max_attempt = max(chunk.max_attempt, value.get("a", 0))
+                chunk.durable_generation = chunk.generation
                 continue
             self.wider[tail] = Wider(revision, low, high)
             for chunk in self.pieces(low, high):
                 if not chunk.revision:
-                    chunk.attempts = max(chunk.attempts, value.get("a", 0))
-                    chunk.touch()
+                    chunk.max_attempt = max(chunk.max_attempt, value.get("a", 0))
+                    chunk.mark_changed()
         return out
 
     def _load(self, value: dict[str, Any], taken: bytearray, now: float) -> list[Placement]:
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -55,7 +55,7 @@
     for job in shard.jobs.values():
         for chunk in job.chunks.values():
             if chunk.revision or not job.wider:  # what a wider one still holds is to be written
-                chunk.durable = chunk.gen
+                chunk.durable_generation = chunk.generation
         _settle(shard, job, now)
     shard.dependency_tracker.look(now)
 
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -247,8 +247,8 @@
     def _has_unwritten(job: Job) -> bool:
         if job.settled or job.wider:
             return True
-        return job.reason_gen > job.reason_durable or any(
-            chunk.gen > chunk.durable for chunk in job.chunks.values()
+        return job.reason_generation > job.durable_reason_generation or any(
+            chunk.generation > chunk.durable_generation for chunk in job.chunks.values()
         )
 
     def _write_job(self, job: Job, transaction: Transaction) -> bool:
@@ -259,7 +259,7 @@
             return False
         if job.wider and not self._delete_replaced_chunks(job, transaction):
             return False
-        if job.reason_gen > job.reason_durable and job.active:
+        if job.reason_generation > job.durable_reason_generation and job.active:
             return self._write_reason(job, transaction)
         return True
 
@@ -279,17 +279,18 @@
             size = len(value) + CHUNK_ENVELOPE_BYTES
             if (not is_gang or agreed) and not transaction.room(1, size):
                 return False
-            transaction.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
+            transaction.put(job.path(chunk.index), msgspec.Raw(value), chunk.revision)
             transaction.when[job.job_path] = job.revision
             transaction.bytes += size
-            transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.gen))
+            transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.generation))
         return True
 
     def _delete_replaced_chunks(self, job: Job, transaction: Transaction) -> bool:
         """Delete each chunk whose tasks narrower ones hold that are durable, or become so with this transaction."""
         for tail, wide in list(job.wider.items()):
             if not all(
-                chunk.gen <= chunk.durable or job.path(chunk.n) in transaction.writes
+                chunk.generation <= chunk.durable_generation
+                or job.path(chunk.index) in transaction.writes
                 for chunk in job.pieces(wide.low, wide.high)
             ):
                 continue
@@ -305,14 +306,14 @@
         size = OPS_OF_JOB_RECORD * len(msgspec.json.encode(record))
         if size > OPS_OF_JOB_RECORD * self.shard.write_limits.value_bytes:
             # The submission alone fills a value: its reason stays in its owner's log.
-            job.reason_durable = job.reason_gen
+            job.durable_reason_generation = job.reason_generation
             return True
         if not transaction.room(OPS_OF_JOB_RECORD, size):
             return False
         transaction.put(job.job_path, record, job.revision)
         transaction.put(job.head_path, record, job.revision)
         transaction.bytes += size
-        transaction.on_commit.append(partial(self._reason_durable, job, job.reason_gen))
+        transaction.on_commit.append(partial(self._reason_durable, job, job.reason_generation))
         return True
 
     def _changed_chunks(self, job: Job, max_chunks: int) -> list[tuple[Chunk, bytes]]:
@@ -321,9 +322,13 @@
         Of a gang that is all of them, of an array at most `max_chunks`.
         """
         while True:
-            changed = (chunk for chunk in job.chunks.values() if chunk.gen > chunk.durable)
+            changed = (
+                chunk
+                for chunk in job.chunks.values()
+                if chunk.generation > chunk.durable_generation
+            )
             encoded = [
-                (chunk, msgspec.json.encode(job.chunk_value(chunk.n)))
+                (chunk, msgspec.json.encode(job.chunk_value(chunk.index)))
                 for chunk in (
                     changed if job.spec.kind == JobKind.GANG else islice(changed, max_chunks)
                 )
@@ -348,7 +353,7 @@
     def _write_outcome(self, job: Job, transaction: Transaction) -> bool:
         """Write how a job ended and delete its chunks; those that one transaction does not take are deleted later."""
         stored = [
-            StoredKey(job.path(chunk.n), chunk.revision)
+            StoredKey(job.path(chunk.index), chunk.revision)
             for chunk in job.chunks.values()
             if chunk.revision
         ]
@@ -412,14 +417,16 @@
     def _chunk_durable(self, job: Job, chunk: Chunk, generation: int, revision: int) -> None:
         """Let the starts out that waited for the chunk; those of a gang only with its last chunk."""
         chunk.revision = revision
-        chunk.durable = max(chunk.durable, generation)
+        chunk.durable_generation = max(chunk.durable_generation, generation)
         is_gang = job.spec.kind == JobKind.GANG
-        if is_gang and any(other.placed > other.durable for other in job.chunks.values()):
+        if is_gang and any(
+            other.placed_generation > other.durable_generation for other in job.chunks.values()
+        ):
             return
         for placement in (job if is_gang else chunk).live.values():
             if (
                 placement.phase is Phase.INTENDED
-                and placement.gen <= job.chunk_of(placement.task).durable
+                and placement.generation <= job.chunk_of(placement.task).durable_generation
             ):
                 placement.committed()
                 self.shard.urgent[placement.machine] = None
@@ -430,7 +437,7 @@
 
     @staticmethod
     def _reason_durable(job: Job, generation: int, revision: int) -> None:
-        job.reason_durable = generation
+        job.durable_reason_generation = generation
         job.revision = revision
 
     def _outcome_committed(self, job: Job, later: list[StoredKey], _revision: int) -> None:
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -55,7 +55,7 @@
         task: The task's number within its job.
         attempt: Number of the attempt.
         machine: The machine's name.
-        gen: Generation of the task's chunk that has to be durable before a run command is sent.
+        generation: Generation of the task's chunk that has to be durable before a run command is sent.
         placed_at: Time at which it was placed, in seconds.
         phase: Where it stands.
         start_answered: Incarnation and sequence of the heartbeat whose answer carried the run command.
@@ -75,7 +75,7 @@
     __slots__ = (
         "attempt",
         "from_earlier_owner",
-        "gen",
+        "generation",
         "grace_s",
         "image_ready_at",
         "incarnation",
@@ -93,14 +93,14 @@
     )
 
     def __init__(
-        self, job: str, task: int, attempt: int, machine: str, gen: int, now: float
+        self, job: str, task: int, attempt: int, machine: str, generation: int, now: float
     ) -> None:
         """A new placement, which is not durable yet."""
         self.job = job
         self.task = task
         self.attempt = attempt
         self.machine = machine
-        self.gen = gen
+        self.generation = generation
         self.placed_at = now
         self.phase = Phase.INTENDED
         self.start_answered: tuple[int, int] | None = None
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -99,7 +99,7 @@
         if placement is not None and placement.attempt == attempt:
             return False
         chunk = job.chunk_of(task)
-        return job.phase is not JobPhase.OVER and chunk.durable >= chunk.gen
+        return job.phase is not JobPhase.OVER and chunk.durable_generation >= chunk.generation
 
     def direct(self, machine: Machine) -> list[TaskCommand]:
         """Choose what to send directly; its run commands are outstanding until answered."""
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -29,7 +29,7 @@
             "at": job.submitted,
             "reason": job.reason,
             "cancelled_at": job.cancelled_at,
-            "chunks": {job.path(chunk.n): chunk.revision for chunk in job.chunks.values()},
+            "chunks": {job.path(chunk.index): chunk.revision for chunk in job.chunks.values()},
             "wider": plain(job.wider),
         }
         for name, job in shard.jobs.items()
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -173,7 +173,12 @@
     job.load_chunks([(tail, msgspec.json.decode(to_bytes(values["value"])), REVISION)], NOW)
     number, width = job.of_tail(tail)
     chunk = job.chunk(number)
-    head = {"chunk": number, "width": width, "attempts": chunk.attempts, "revision": chunk.revision}
+    head = {
+        "chunk": number,
+        "width": width,
+        "attempts": chunk.max_attempt,
+        "revision": chunk.revision,
+    }
     return head | job_tasks_to_values(job)
 
 
@@ -190,8 +195,8 @@
         failure = Failure(item["times"], item["first"], item["why"], item["past"])
         job.set_failure(item["task"], failure)
     chunk = job.chunk(tasks["chunk"])
-    chunk.attempts = max(chunk.attempts, tasks["attempts"])
-    return {"key": job.path(chunk.n), "value": encoded(job.chunk_value(chunk.n))}
+    chunk.max_attempt = max(chunk.max_attempt, tasks["attempts"])
+    return {"key": job.path(chunk.index), "value": encoded(job.chunk_value(chunk.index))}
 
 
 def read_layouts(values: Plain) -> Plain:
@@ -203,9 +208,9 @@
     ]
     job.load_chunks(found, NOW)
     writes = {
-        job.path(chunk.n): encoded(job.chunk_value(chunk.n))
+        job.path(chunk.index): encoded(job.chunk_value(chunk.index))
         for chunk in job.chunks.values()
-        if chunk.gen > chunk.durable
+        if chunk.generation > chunk.durable_generation
     }
     wider = {job.work_path(tail): plain(wide) for tail, wide in job.wider.items()}
     return {"width": job.chunk_tasks, "writes": writes, "wider": wider} | job_tasks_to_values(job)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -978,7 +978,7 @@
         monkeypatch.setattr(shard.scheduler, "schedule", noted)
         for one in shard.jobs.values():
             for chunk in one.chunks.values():
-                chunk.placed = chunk.touch()
+                chunk.placed_generation = chunk.mark_changed()
                 one.changed()
         shard.stale = True
         await asyncio.sleep(0.5)
