--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -84,9 +84,9 @@
         self.wider: dict[str, Wider] = {}  # by the end of their key
         self.ended_at: float | None = None  # when its last task was known to be done
         self.states = bytearray(spec.tasks)
-        self.done = 0
-        self.hint = 0  # no task below is ready
-        self.ready = spec.tasks
+        self.done_count = 0
+        self.lowest_ready_hint = 0  # no task below is ready
+        self.ready_count = spec.tasks
         self.live: dict[int, Placement] = {}
         self.fails: dict[int, Failure] = {}
         self.chunks: dict[int, Chunk] = {}
@@ -105,12 +105,12 @@
         self.started_at: float | None = (
             None  # when a task of it was first seen running, by this owner
         )
-        self.listener: dict[
+        self.changed_jobs: dict[
             str, Job
         ] = {}  # its shard's jobs with something to write: it enters itself there
 
-    def changed(self) -> None:
-        self.listener[self.id] = self
+    def mark_changed(self) -> None:
+        self.changed_jobs[self.id] = self
 
     # -- states of tasks -------------------------------------------------------------------
 
@@ -118,14 +118,14 @@
         was = self.states[task]
         if was == TaskState.DONE:
             return self.chunk_of(task).generation
-        self.changed()
+        self.mark_changed()
         if was == TaskState.READY:
-            self.ready -= 1
+            self.ready_count -= 1
         if state == TaskState.READY:
-            self.ready += 1
-            self.hint = min(self.hint, task)
+            self.ready_count += 1
+            self.lowest_ready_hint = min(self.lowest_ready_hint, task)
         if state == TaskState.DONE:
-            self.done += 1
+            self.done_count += 1
         self.states[task] = state
         return self.chunk_of(task).mark_changed()
 
@@ -148,7 +148,7 @@
             self._set(task, TaskState.READY)
         else:
             self.chunk_of(task).mark_changed()
-        self.changed()
+        self.mark_changed()
 
     def finish(self, task: int) -> None:
         self.fails.pop(task, None)
@@ -171,7 +171,7 @@
     def set_failure(self, task: int, failure: Failure) -> None:
         self._failed(task, failure)
         self.chunk_of(task).mark_changed()
-        self.changed()
+        self.mark_changed()
 
     @property
     def job_class(self) -> str:
@@ -181,18 +181,18 @@
     def doubtful(self) -> bool:
         """Whether it looks as if submitted with a mistake: none of its tasks has ended well, it has used up its retry in
         place, and not on one machine only (after a takeover it is not known on which)."""
-        return self.failed >= 2 and not self.done and len(self.avoid) != 1
+        return self.failed >= 2 and not self.done_count and len(self.avoid) != 1
 
     def cancel(self, at: float) -> None:
         self.phase = JobPhase.CANCELLED
         self.cancelled_at = at
-        self.changed()
+        self.mark_changed()
 
     def over(self, at: float | None = None) -> None:
         """Its last task is done: the outcome is to be written."""
         self.phase = JobPhase.OVER
         self.ended_at = at
-        self.changed()
+        self.mark_changed()
 
     def orphan(self, by: str, at: float) -> None:
         """A job that it needs is cancelled, so it can never run: that outcome is to be written."""
@@ -200,7 +200,7 @@
         self.waits = False
         self.cancelled_at = at
         self.reason = f"it needs {by}, which was cancelled"
-        self.changed()
+        self.mark_changed()
 
     def released(self, since: float) -> None:
         """All that it needs is done."""
@@ -211,7 +211,7 @@
         if reason != self.reason:
             self.reason = reason
             self.reason_generation += 1
-            self.changed()
+            self.mark_changed()
 
     # -- picture ---------------------------------------------------------------------------
 
@@ -226,10 +226,10 @@
 
     def next_ready(self) -> int:
         """The lowest ready task, or -1."""
-        if not self.ready:
+        if not self.ready_count:
             return -1
-        self.hint = max(self.states.find(TaskState.READY, self.hint), 0)
-        return self.states.find(TaskState.READY, self.hint)
+        self.lowest_ready_hint = max(self.states.find(TaskState.READY, self.lowest_ready_hint), 0)
+        return self.states.find(TaskState.READY, self.lowest_ready_hint)
 
     def ready_tasks(self, most: int) -> list[int]:
         out: list[int] = []
@@ -245,22 +245,22 @@
         return self.chunk_of(task).max_attempt + 1
 
     @property
-    def pressing(self) -> bool:
+    def is_urgent(self) -> bool:
         """Whether starts or an outcome wait for it to be written; other changes may wait for their turn."""
         return self.phase is not JobPhase.ACTIVE or any(
             chunk.placed_generation > chunk.durable_generation for chunk in self.chunks.values()
         )
 
     @property
-    def complete(self) -> bool:
-        return self.done == self.spec.tasks
+    def all_done(self) -> bool:
+        return self.done_count == self.spec.tasks
 
     @property
     def active(self) -> bool:
         return self.phase is JobPhase.ACTIVE
 
     @property
-    def settled(self) -> bool:
+    def outcome_ready(self) -> bool:
         """Whether its outcome can be written: nothing of it is left anywhere."""
         return self.phase is JobPhase.OVER or (
             self.phase in (JobPhase.CANCELLED, JobPhase.ORPHANED) and not self.live
@@ -306,7 +306,7 @@
             self.wider[tail] = Wider(revision, n * width, min((n + 1) * width, self.spec.tasks))
         else:
             self.wider.pop(tail, None)
-        self.changed()
+        self.mark_changed()
 
     def narrow(self, width: int) -> None:
         """Go over to narrower chunks: a value would be larger than the state service takes. What is written stays, and counts
@@ -330,7 +330,7 @@
             chunk.live[task] = placement
             if placement.phase is Phase.INTENDED:
                 placement.generation = chunk.placed_generation = chunk.generation
-        self.changed()
+        self.mark_changed()
 
     def pieces(self, low: int, high: int) -> list[Chunk]:
         """The chunks of the present layout that hold any of these tasks."""
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -114,11 +114,11 @@
             job
             for job in self.shard.jobs.values()
             if job.active
-            and job.ready
+            and job.ready_count
             and not job.waits
             and not job.breaking
             and job.id not in self.shard.orphaned_tasks
-            and (job.spec.kind != JobKind.GANG or job.ready == job.spec.tasks)
+            and (job.spec.kind != JobKind.GANG or job.ready_count == job.spec.tasks)
         ]
         out.sort(key=lambda job: self._rank(job, now, look))
         lifted = self.shard.classes.lifted(out, self._can_run(out), now)
@@ -202,7 +202,7 @@
         return (
             -job.priority,
             rank,
-            (spec.tasks - job.done) * self.estimates.run_s(spec) * max(spec.gpus, 1.0),
+            (spec.tasks - job.done_count) * self.estimates.run_s(spec) * max(spec.gpus, 1.0),
         )
 
     def _turn(self, job: Job, now: float) -> tuple[float, float]:
@@ -272,7 +272,7 @@
     def _try_place(self, job: Job, look: SchedulingCycle, now: float) -> int:
         """Place what fits; the number of tasks that want room and found none."""
         spec = job.spec
-        permitted = min(self.shard.usage.room(spec), job.ready)
+        permitted = min(self.shard.usage.room(spec), job.ready_count)
         if job.doubtful and spec.kind != JobKind.GANG:
             permitted = min(permitted, 1 - len(job.live))  # one task at a time tells as much as all
         if (spec.kind == JobKind.GANG and permitted < spec.tasks) or permitted <= 0:
--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -46,10 +46,10 @@
         the first of them have long made way: an array of 25,000 tasks of a few seconds each asked for 195 machines."""
         spec = job.spec
         if spec.kind != JobKind.ARRAY or not math.isinf(job.due):
-            return job.ready
+            return job.ready_count
         each = run_s + 2 * self.shared.workers.report_s  # until the next one runs in its place
         return max(
-            0, math.ceil((job.ready + len(job.live)) * each / self.span(spec)) - len(job.live)
+            0, math.ceil((job.ready_count + len(job.live)) * each / self.span(spec)) - len(job.live)
         )
 
     def rank(self, job: Job, run_s: float, now: float) -> tuple[float, float]:
@@ -59,4 +59,4 @@
         rank = 0.0 if self.promised(spec) else 5.0
         if now - job.since > 4 * self.span(spec):
             return rank, 0.0  # nothing starves
-        return rank, (spec.tasks - job.done) * run_s * (spec.gpus or spec.cpus)
+        return rank, (spec.tasks - job.done_count) * run_s * (spec.gpus or spec.cpus)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -147,7 +147,7 @@
             else self.chunk_tasks
         )
         job = Job(spec, record["at"], revision, width, self.chunk_tasks)
-        job.listener = self.writer.changed_jobs
+        job.changed_jobs = self.writer.changed_jobs
         self.stale = True
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
@@ -231,8 +231,8 @@
             self.drop(placement, now)
         if job.states[task] != TaskState.DONE:
             job.finish(task)
-        job.changed()
-        if job.complete and job.active:
+        job.mark_changed()
+        if job.all_done and job.active:
             self.complete(job, now)
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
@@ -337,7 +337,7 @@
         job.revision = max(job.revision, revision)
         job.breaking = None
         self.dependency_tracker.cancelled(job, now)
-        if not job.done:
+        if not job.done_count:
             # Most that fail until they are cancelled were submitted with a mistake.
             self.failures.exonerate(job)
         self.ending[job_id] = job
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -102,7 +102,7 @@
     if not job.active:
         for placement in list(job.live.values()):
             shard.stop(placement, "cancelled", 0.0, now)
-    elif job.spec.kind == JobKind.GANG and job.done:
+    elif job.spec.kind == JobKind.GANG and job.done_count:
         # Gang tasks complete together, so one that is done proves them all.
         for task in range(job.spec.tasks):
             shard.finish(job, task, now)
@@ -111,7 +111,7 @@
         attempts = {placement.attempt for placement in job.live.values()}
         if len(job.live) < job.spec.tasks or len(attempts) > 1:
             shard.break_gang(job, "incomplete", now)
-    if job.complete and job.active:
+    if job.all_done and job.active:
         shard.complete(job, now)
     for placement in list(job.live.values()):
         # A machine's record is deleted only on proof that it is gone.
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -189,7 +189,7 @@
         for job in list(self.changed_jobs.values()):
             if job.id not in self.shard.jobs or not self._has_unwritten(job):
                 del self.changed_jobs[job.id]
-            elif job.pressing and not self._is_bulk(job):
+            elif job.is_urgent and not self._is_bulk(job):
                 transaction.urgent = True
                 if not self._write_job(job, transaction):
                     break
@@ -245,7 +245,7 @@
 
     @staticmethod
     def _has_unwritten(job: Job) -> bool:
-        if job.settled or job.wider:
+        if job.outcome_ready or job.wider:
             return True
         return job.reason_generation > job.durable_reason_generation or any(
             chunk.generation > chunk.durable_generation for chunk in job.chunks.values()
@@ -253,7 +253,7 @@
 
     def _write_job(self, job: Job, transaction: Transaction) -> bool:
         """Add what of a job is not durable. Returns whether all of it found room."""
-        if job.settled:
+        if job.outcome_ready:
             return self._write_outcome(job, transaction)
         if not self._write_chunks(job, transaction):
             return False
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -180,7 +180,9 @@
             if machine.live and machine.usable and machine.name not in shard.reserved
         ]
         self._forget_old_rows()
-        waiting = sum(job.ready for job in shard.jobs.values() if job.active and not job.waits)
+        waiting = sum(
+            job.ready_count for job in shard.jobs.values() if job.active and not job.waits
+        )
         return ShardStatus(
             shard.name,
             shard.scheduled_revision,
@@ -202,7 +204,9 @@
 
     def counts(self) -> list[tuple[str, int, int]]:
         """Of each active job: its id, and how many tasks are done and running."""
-        return [(job.id, job.done, job.running) for job in self.shard.jobs.values() if job.active]
+        return [
+            (job.id, job.done_count, job.running) for job in self.shard.jobs.values() if job.active
+        ]
 
     def _forget_old_rows(self) -> None:
         machines = self.shard.machines
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -127,7 +127,7 @@
         submitted with a mistake fail on dozens at once, and two such jobs made sound machines suspect.
         """
         job.avoid[machine.name] = now + self.shard.retry.cap_s
-        if job.done or len(job.avoid) == 1:
+        if job.done_count or len(job.avoid) == 1:
             machine.failed[job.id] = now
         else:
             self.exonerate(job)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -302,7 +302,7 @@
 def test_only_its_own_failures_spend_the_count(cause: str, after: str, failures: int) -> None:
     shard = shard_with([spec(shares=2)], "a")
     shard.jobs["req-000001"].states[1] = 3  # the other one is done
-    shard.jobs["req-000001"].done, shard.jobs["req-000001"].ready = 1, 1
+    shard.jobs["req-000001"].done_count, shard.jobs["req-000001"].ready_count = 1, 1
     started(shard)
     one = shard.jobs["req-000001"]
     orders = shard.reconciler.on_heartbeat(
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -979,7 +979,7 @@
         for one in shard.jobs.values():
             for chunk in one.chunks.values():
                 chunk.placed_generation = chunk.mark_changed()
-                one.changed()
+                one.mark_changed()
         shard.stale = True
         await asyncio.sleep(0.5)
         shard.stale = True
@@ -1047,7 +1047,7 @@
     job = shard.jobs["req-000001"]
     for task in range(400):
         job.finish(task) if task < 399 else None
-    assert len(job.chunks) > 20 and not job.pressing
+    assert len(job.chunks) > 20 and not job.is_urgent
     shard.add_machine("vm-1", {"t": "g4", "z": "a", "s": False, "p": "red"}, 5, 0.0)
     shard.decommission(shard.machines["vm-1"], "silent")  # this cannot wait
     txn = shard.writer.next_transaction(short)
