--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -295,7 +295,7 @@
         if cause == TaskCause.NO_ROOM:
             machine.no_room_until = now + self.shard.workers.report_s
         if cause == TaskCause.ERROR and job.spec.kind == JobKind.GANG:
-            job.broke = job.broke or Failure(0, now, f"error on {machine.name}")
+            job.gang_failure = job.gang_failure or Failure(0, now, f"error on {machine.name}")
         self.shard.lost(placement, cause, now)
 
     def _on_done(self, machine: Machine, job: Job, placement: Placement, now: float) -> None:
@@ -305,4 +305,4 @@
         self.estimates.learn(job, placement, now)
         for task in range(job.spec.tasks) if job.spec.kind == JobKind.GANG else (placement.task,):
             self.shard.finish(job, task, now)
-        job.breaking = job.broke = None
+        job.gang_stop_reason = job.gang_failure = None
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -88,20 +88,20 @@
         self.lowest_ready_hint = 0  # no task below is ready
         self.ready_count = spec.tasks
         self.live: dict[int, Placement] = {}
-        self.fails: dict[int, Failure] = {}
+        self.failures: dict[int, Failure] = {}
         self.chunks: dict[int, Chunk] = {}
         self.reason: str | None = None
         self.reason_generation = 0
         self.durable_reason_generation = 0
         self.cancelled_at: float | None = None
-        self.breaking: str | None = None  # gang: why its attempt is being taken down
-        self.broke: Failure | None = None  # gang: a failure of its own seen in this attempt
-        self.avoid: dict[
+        self.gang_stop_reason: str | None = None  # gang: why its attempt is being taken down
+        self.gang_failure: Failure | None = None  # gang: a failure of its own seen in this attempt
+        self.avoided_machines: dict[
             str, float
         ] = {}  # machine where it failed: until when this job had better not go there
-        self.failed = 0  # the most failures of its own that any of its tasks carries
-        self.preempted_at = -math.inf  # when work of its team was last stopped for it
-        self.cleared = 0  # and on how many machines
+        self.max_failures = 0  # the most failures of its own that any of its tasks carries
+        self.last_preemption_at = -math.inf  # when work of its team was last stopped for it
+        self.preempted_machines = 0  # and on how many machines
         self.started_at: float | None = (
             None  # when a task of it was first seen running, by this owner
         )
@@ -151,17 +151,17 @@
         self.mark_changed()
 
     def finish(self, task: int) -> None:
-        self.fails.pop(task, None)
+        self.failures.pop(task, None)
         self._set(task, TaskState.DONE)
 
     def park(self, task: int, failure: Failure) -> None:
         self._failed(task, failure)
-        self.fails.pop(task, None)  # the park carries the count
+        self.failures.pop(task, None)  # the park carries the count
         self._set(task, TaskState.PARKED)
 
     def _failed(self, task: int, failure: Failure) -> None:
-        self.fails[task] = failure
-        self.failed = max(self.failed, failure.times)
+        self.failures[task] = failure
+        self.max_failures = max(self.max_failures, failure.times)
 
     def wake(self, task: int, failure: Failure) -> None:
         if self.states[task] == TaskState.PARKED:
@@ -181,7 +181,7 @@
     def doubtful(self) -> bool:
         """Whether it looks as if submitted with a mistake: none of its tasks has ended well, it has used up its retry in
         place, and not on one machine only (after a takeover it is not known on which)."""
-        return self.failed >= 2 and not self.done_count and len(self.avoid) != 1
+        return self.max_failures >= 2 and not self.done_count and len(self.avoided_machines) != 1
 
     def cancel(self, at: float) -> None:
         self.phase = JobPhase.CANCELLED
@@ -358,7 +358,7 @@
         if placed:
             value["p"] = placed
         failed: list[list[Any]] = []
-        for task, failure in sorted(self.fails.items()):
+        for task, failure in sorted(self.failures.items()):
             if low <= task < high:
                 if failed and failed[-1][1] == task - 1 and failed[-1][2:] == list(failure):
                     failed[-1][1] = task
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -61,7 +61,7 @@
         if room <= 0:
             continue
         price = cost(spec, machine)
-        if job.avoid.get(machine.name, 0.0) > now:
+        if job.avoided_machines.get(machine.name, 0.0) > now:
             price += 1000.0  # only where nothing else is
         out.append(Candidate(price, machine, room))
     out.sort(key=lambda choice: (choice.cost, choice.machine.name))
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -116,7 +116,7 @@
             if job.active
             and job.ready_count
             and not job.waits
-            and not job.breaking
+            and not job.gang_stop_reason
             and job.id not in self.shard.orphaned_tasks
             and (job.spec.kind != JobKind.GANG or job.ready_count == job.spec.tasks)
         ]
@@ -247,8 +247,8 @@
             if missing and job.spec.kind == JobKind.GANG and job.spec.tasks > 1:
                 zone, kept = self._keep_for_gang(job, look)
                 missing -= kept
-            if now - job.preempted_at < self.shard.workers.lease_s / 2:
-                missing -= job.cleared  # room is being made already
+            if now - job.last_preemption_at < self.shard.workers.lease_s / 2:
+                missing -= job.preempted_machines  # room is being made already
             if missing > 0:
                 short.append((job, missing, zone))
         lowest = min((self.shard.jobs[p.job].priority for p in self._some_live()), default=0)
@@ -257,7 +257,7 @@
             # Nothing of lower priority runs, mostly: then there is nothing to look at.
             if (
                 job.priority > lowest
-                and now - job.preempted_at >= self.shard.workers.lease_s
+                and now - job.last_preemption_at >= self.shard.workers.lease_s
                 and self.pressed(job, now)
             ):
                 if job.priority not in lower:
@@ -354,9 +354,9 @@
             best = max(sorted(set(by_zone)), key=by_zone.count, default="")
             victims = [victim for victim in victims if victim[1].zone == best]
         victims.sort(key=lambda victim: (victim[0], victim[1].name))
-        job.cleared = len(victims[:missing])
+        job.preempted_machines = len(victims[:missing])
         for _, machine in victims[:missing]:
-            job.preempted_at = now
+            job.last_preemption_at = now
             log.info("job %s takes the place of lower work on %s", job.id, machine.name)
             for placement in list(machine.live.values()):
                 other = self.shard.jobs.get(placement.job)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -254,14 +254,14 @@
                 placement.machine,
                 why,
             )
-        if job.spec.kind == JobKind.GANG and job.active and not job.breaking:
+        if job.spec.kind == JobKind.GANG and job.active and not job.gang_stop_reason:
             self.break_gang(job, why, now)
         if job.live.get(placement.task) is placement:
             self.release(placement, now)
 
     def break_gang(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
         """Stop a gang's attempt as a whole."""
-        job.breaking = why
+        job.gang_stop_reason = why
         for placement in list(job.live.values()):
             if job.live.get(placement.task) is placement:
                 self.stop(placement, why, grace_s, now)
@@ -269,10 +269,10 @@
 
     def _gang_settled(self, job: Job, now: float) -> None:
         """Once all tasks of a gang's attempt are proved gone, have it wait or parked as a whole."""
-        if job.live or not job.breaking:
+        if job.live or not job.gang_stop_reason:
             return
-        job.breaking = None
-        failure, job.broke = job.broke, None
+        job.gang_stop_reason = None
+        failure, job.gang_failure = job.gang_failure, None
         if failure and job.active:
             self.failures.retry(job, list(range(job.spec.tasks)), failure, now)
 
@@ -286,7 +286,7 @@
         """Stop tasks with time to save; a gang as a whole."""
         grace_s = self.grace_s(job.spec)
         if job.spec.kind == JobKind.GANG:
-            if not job.breaking:
+            if not job.gang_stop_reason:
                 self.break_gang(job, why, now, grace_s)
             return
         for task in tasks:
@@ -335,7 +335,7 @@
         job.cancel(at)
         self.classes.attainment.withdrawn(job_id)
         job.revision = max(job.revision, revision)
-        job.breaking = None
+        job.gang_stop_reason = None
         self.dependency_tracker.cancelled(job, now)
         if not job.done_count:
             # Most that fail until they are cancelled were submitted with a mistake.
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -70,8 +70,8 @@
             self.shard.release(placement, now)
             self.retry(job, [placement.task], failure, now)
             return
-        job.broke = job.broke or failure
-        if not job.breaking:
+        job.gang_failure = job.gang_failure or failure
+        if not job.gang_stop_reason:
             self.shard.break_gang(job, "a task failed", now)
         if job.live.get(placement.task) is placement:
             self.shard.release(placement, now)
@@ -86,7 +86,7 @@
             now: the time.
         """
         decision = after_failure(
-            self.shard.retry, job.fails.get(tasks[0]), failure.why, now, self.shard.rng
+            self.shard.retry, job.failures.get(tasks[0]), failure.why, now, self.shard.rng
         )
         what = "the gang" if job.spec.kind == JobKind.GANG else f"task {tasks[0]}"
         if job.reason is None:
@@ -116,7 +116,7 @@
 
     def exonerate(self, job: Job) -> None:
         """Count a job's failures no longer against the machines where it failed."""
-        for name in job.avoid:
+        for name in job.avoided_machines:
             if name in self.shard.machines:
                 self.shard.machines[name].failed.pop(job.id, None)
 
@@ -126,8 +126,8 @@
         A job that fails on one machine after another, and nowhere ends well, says nothing about any of them: arrays
         submitted with a mistake fail on dozens at once, and two such jobs made sound machines suspect.
         """
-        job.avoid[machine.name] = now + self.shard.retry.cap_s
-        if job.done_count or len(job.avoid) == 1:
+        job.avoided_machines[machine.name] = now + self.shard.retry.cap_s
+        if job.done_count or len(job.avoided_machines) == 1:
             machine.failed[job.id] = now
         else:
             self.exonerate(job)
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -161,7 +161,7 @@
     placed = [[task, found.machine, found.attempt] for task, found in sorted(job.live.items())]
     failed = [
         {"task": task, "times": f.times, "first": f.first, "why": f.why, "past": f.past}
-        for task, f in sorted(job.fails.items())
+        for task, f in sorted(job.failures.items())
     ]
     return {"done": task_ranges(done), "placed": placed, "failed": failed}
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -311,7 +311,7 @@
     assert "forget" not in [o.verb for o in orders or []], (
         "forgotten before the outcome was durable"
     )
-    assert 0 not in one.live and one.fails.get(0, Failure(0, 0, "")).times == failures
+    assert 0 not in one.live and one.failures.get(0, Failure(0, 0, "")).times == failures
     assert (one.phase is JobPhase.OVER) is (after == "done")
     writes = commit(shard, 30)
     if after == "done":
@@ -355,7 +355,7 @@
         shard.tick(float(now))
         shard.scheduler.schedule(float(now))
     assert (
-        shard.jobs["req-000001"].fails == {}
+        shard.jobs["req-000001"].failures == {}
         and shard.parks.items == []
         and shard.resource_requests[0].tasks == 2
     )
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -403,7 +403,7 @@
         job.id: (
             bytes(job.states),
             sorted((p.task, p.machine, p.attempt) for p in job.live.values()),
-            sorted(job.fails.items()),
+            sorted(job.failures.items()),
             job.phase,
         )
         for job in shard.jobs.values()
@@ -427,7 +427,7 @@
         TaskState.PARKED,
         TaskState.READY,
     ]
-    assert one.fails[11].times == 1 and one.live[3].attempt == 2 and one.reason and not one.waits
+    assert one.failures[11].times == 1 and one.live[3].attempt == 2 and one.reason and not one.waits
     assert all(p.phase is Phase.STOPPING for p in (*gang.live.values(), *gone.live.values()))
     assert new.usage.gpus == 2.0 and new.machines["vm-000001"].incarnation == 2
     # What is written for as long as no mark is there is what production would have written.
