--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -42,7 +42,7 @@
 
     def add(self, job: Job) -> None:
         """It may not start before all that it needs is durably done."""
-        job.waits = True
+        job.awaits_dependencies = True
         own = Carried(job.spec.priority, job.due)
         self.graph.add(
             job.id, job.spec.dependencies or (), own, self._takes(job.spec), job.submitted
@@ -51,7 +51,7 @@
 
     def cancelled(self, job: Job, now: float) -> None:
         """Durably; so are all that need it."""
-        job.waits = False
+        job.awaits_dependencies = False
         self.graph.drop(job.id)
         self.settled(job.id, JobStatus.WITHDRAWN, None, now)
         self._carry()
@@ -81,7 +81,7 @@
         if status == JobStatus.DONE:
             for job_id, since in self.graph.done(need, at):
                 job = self.shard.jobs[job_id]
-                job.released(since)
+                job.dependencies_done(since)
                 self.shard.stale = True
                 log.info("job %s may start: the last that it needs is done (%s)", job_id, need)
                 self.shard.status_reporter.record_arrival(job, now)
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -56,7 +56,7 @@
         return self.generation
 
 
-class Wider(NamedTuple):
+class ReplacedChunk(NamedTuple):
     """A chunk of an earlier, wider layout. For each of its tasks the narrower chunk that is there has the word."""
 
     revision: int
@@ -72,7 +72,7 @@
         self.id = spec.id
         self.submitted = submitted
         self.since = submitted  # when it could first have started: what it needs was done
-        self.waits = False  # for other jobs: none of its tasks may be placed
+        self.awaits_dependencies = False  # for other jobs: none of its tasks may be placed
         self.carried: Carried = NOTHING  # from the jobs that need it
         self.revision = (
             revision  # of job/<id>, and of the copy beside the work: they are only written together
@@ -80,8 +80,8 @@
         self.phase = JobPhase.ACTIVE
         self.chunk_tasks = chunk_tasks
         # Chunks of this width are written as versions before did, which could not say how wide theirs were.
-        self.plain_tasks = plain_tasks or chunk_tasks
-        self.wider: dict[str, Wider] = {}  # by the end of their key
+        self.unmarked_chunk_tasks = plain_tasks or chunk_tasks
+        self.replaced_chunks: dict[str, ReplacedChunk] = {}  # by the end of their key
         self.ended_at: float | None = None  # when its last task was known to be done
         self.states = bytearray(spec.tasks)
         self.done_count = 0
@@ -188,7 +188,7 @@
         self.cancelled_at = at
         self.mark_changed()
 
-    def over(self, at: float | None = None) -> None:
+    def mark_over(self, at: float | None = None) -> None:
         """Its last task is done: the outcome is to be written."""
         self.phase = JobPhase.OVER
         self.ended_at = at
@@ -197,14 +197,14 @@
     def orphan(self, by: str, at: float) -> None:
         """A job that it needs is cancelled, so it can never run: that outcome is to be written."""
         self.phase = JobPhase.ORPHANED
-        self.waits = False
+        self.awaits_dependencies = False
         self.cancelled_at = at
         self.reason = f"it needs {by}, which was cancelled"
         self.mark_changed()
 
-    def released(self, since: float) -> None:
+    def dependencies_done(self, since: float) -> None:
         """All that it needs is done."""
-        self.waits = False
+        self.awaits_dependencies = False
         self.since = max(self.submitted, since)
 
     def set_reason(self, reason: str) -> None:
@@ -283,37 +283,43 @@
 
     # -- the state service's form ----------------------------------------------------------
 
-    def path(self, n: int) -> str:
-        return self.work_path(self.tail(n))
+    def chunk_path(self, n: int) -> str:
+        return self.work_path(self.chunk_suffix(n))
 
     def work_path(self, tail: str) -> str:
         return f"work/{self.spec.team}/{self.id}/{tail}"
 
-    def tail(self, n: int) -> str:
-        return f"{n}" if self.chunk_tasks == self.plain_tasks else f"{n}w{self.chunk_tasks}"
+    def chunk_suffix(self, n: int) -> str:
+        return (
+            f"{n}" if self.chunk_tasks == self.unmarked_chunk_tasks else f"{n}w{self.chunk_tasks}"
+        )
 
-    def of_tail(self, tail: str) -> tuple[int, int]:
+    def parse_chunk_suffix(self, tail: str) -> tuple[int, int]:
         """Which chunk of what width a key names."""
         n, _, width = tail.partition("w")
-        return int(n), int(width) if width else self.plain_tasks
+        return int(n), int(width) if width else self.unmarked_chunk_tasks
 
-    def chunk_wrote(self, tail: str, revision: int) -> None:
+    def set_chunk_revision(self, tail: str, revision: int) -> None:
         """What the key holds now (0: nothing), whether of this layout or of one before."""
-        n, width = self.of_tail(tail)
+        n, width = self.parse_chunk_suffix(tail)
         if width == self.chunk_tasks:
             self.chunk(n).revision = revision
         elif revision:
-            self.wider[tail] = Wider(revision, n * width, min((n + 1) * width, self.spec.tasks))
+            self.replaced_chunks[tail] = ReplacedChunk(
+                revision, n * width, min((n + 1) * width, self.spec.tasks)
+            )
         else:
-            self.wider.pop(tail, None)
+            self.replaced_chunks.pop(tail, None)
         self.mark_changed()
 
-    def narrow(self, width: int) -> None:
+    def narrow_chunks(self, width: int) -> None:
         """Go over to narrower chunks: a value would be larger than the state service takes. What is written stays, and counts
         for each task until the narrower chunk that takes it over is durable; only then is it deleted."""
         before, old = self.chunks, self.chunk_tasks
-        self.wider |= {
-            self.tail(n): Wider(chunk.revision, n * old, min((n + 1) * old, self.spec.tasks))
+        self.replaced_chunks |= {
+            self.chunk_suffix(n): ReplacedChunk(
+                chunk.revision, n * old, min((n + 1) * old, self.spec.tasks)
+            )
             for n, chunk in before.items()
             if chunk.revision
         }
@@ -322,7 +328,7 @@
         for n, chunk in before.items():
             if not chunk.revision and not chunk.generation:
                 continue
-            for piece in self.pieces(n * old, min((n + 1) * old, self.spec.tasks)):
+            for piece in self.chunks_covering(n * old, min((n + 1) * old, self.spec.tasks)):
                 piece.max_attempt = max(piece.max_attempt, chunk.max_attempt)
                 piece.mark_changed()
         for task, placement in self.live.items():
@@ -332,7 +338,7 @@
                 placement.generation = chunk.placed_generation = chunk.generation
         self.mark_changed()
 
-    def pieces(self, low: int, high: int) -> list[Chunk]:
+    def chunks_covering(self, low: int, high: int) -> list[Chunk]:
         """The chunks of the present layout that hold any of these tasks."""
         return [
             self.chunk(n)
@@ -340,7 +346,7 @@
         ]
 
     @property
-    def head_path(self) -> str:
+    def job_copy_path(self) -> str:
         return f"work/{self.spec.team}/{self.id}/job"
 
     @property
@@ -372,7 +378,7 @@
         """Take its chunks in, by the end of their keys. Where the job was going over to narrower ones both are there: for each
         task the narrowest has the word, and the rest of the way is gone from here."""
         rows = sorted(
-            (*reversed(self.of_tail(tail)), tail, value, revision)
+            (*reversed(self.parse_chunk_suffix(tail)), tail, value, revision)
             for tail, value, revision in found
         )
         if not rows:
@@ -390,8 +396,8 @@
                 chunk.max_attempt = max(chunk.max_attempt, value.get("a", 0))
                 chunk.durable_generation = chunk.generation
                 continue
-            self.wider[tail] = Wider(revision, low, high)
-            for chunk in self.pieces(low, high):
+            self.replaced_chunks[tail] = ReplacedChunk(revision, low, high)
+            for chunk in self.chunks_covering(low, high):
                 if not chunk.revision:
                     chunk.max_attempt = max(chunk.max_attempt, value.get("a", 0))
                     chunk.mark_changed()
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -115,7 +115,7 @@
             for job in self.shard.jobs.values()
             if job.active
             and job.ready_count
-            and not job.waits
+            and not job.awaits_dependencies
             and not job.gang_stop_reason
             and job.id not in self.shard.orphaned_tasks
             and (job.spec.kind != JobKind.GANG or job.ready_count == job.spec.tasks)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -162,7 +162,7 @@
     def complete(self, job: Job, now: float) -> None:
         """Take in that all tasks of a job are done."""
         self.classes.done(job.id, now)
-        job.over(now if self.write_limits.announced_apply else None)
+        job.mark_over(now if self.write_limits.announced_apply else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
         """Take in the record of a machine that is assigned here; of a known one, what the leader may have changed."""
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -54,7 +54,8 @@
     shard.recovered_at = now
     for job in shard.jobs.values():
         for chunk in job.chunks.values():
-            if chunk.revision or not job.wider:  # what a wider one still holds is to be written
+            # What a wider one still holds is to be written.
+            if chunk.revision or not job.replaced_chunks:
                 chunk.durable_generation = chunk.generation
         _settle(shard, job, now)
     shard.dependency_tracker.look(now)
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -245,7 +245,7 @@
 
     @staticmethod
     def _has_unwritten(job: Job) -> bool:
-        if job.outcome_ready or job.wider:
+        if job.outcome_ready or job.replaced_chunks:
             return True
         return job.reason_generation > job.durable_reason_generation or any(
             chunk.generation > chunk.durable_generation for chunk in job.chunks.values()
@@ -257,7 +257,7 @@
             return self._write_outcome(job, transaction)
         if not self._write_chunks(job, transaction):
             return False
-        if job.wider and not self._delete_replaced_chunks(job, transaction):
+        if job.replaced_chunks and not self._delete_replaced_chunks(job, transaction):
             return False
         if job.reason_generation > job.durable_reason_generation and job.active:
             return self._write_reason(job, transaction)
@@ -279,7 +279,7 @@
             size = len(value) + CHUNK_ENVELOPE_BYTES
             if (not is_gang or agreed) and not transaction.room(1, size):
                 return False
-            transaction.put(job.path(chunk.index), msgspec.Raw(value), chunk.revision)
+            transaction.put(job.chunk_path(chunk.index), msgspec.Raw(value), chunk.revision)
             transaction.when[job.job_path] = job.revision
             transaction.bytes += size
             transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.generation))
@@ -287,11 +287,11 @@
 
     def _delete_replaced_chunks(self, job: Job, transaction: Transaction) -> bool:
         """Delete each chunk whose tasks narrower ones hold that are durable, or become so with this transaction."""
-        for tail, wide in list(job.wider.items()):
+        for tail, wide in list(job.replaced_chunks.items()):
             if not all(
                 chunk.generation <= chunk.durable_generation
-                or job.path(chunk.index) in transaction.writes
-                for chunk in job.pieces(wide.low, wide.high)
+                or job.chunk_path(chunk.index) in transaction.writes
+                for chunk in job.chunks_covering(wide.low, wide.high)
             ):
                 continue
             if not transaction.room(1, KEY_BYTES):
@@ -311,7 +311,7 @@
         if not transaction.room(OPS_OF_JOB_RECORD, size):
             return False
         transaction.put(job.job_path, record, job.revision)
-        transaction.put(job.head_path, record, job.revision)
+        transaction.put(job.job_copy_path, record, job.revision)
         transaction.bytes += size
         transaction.on_commit.append(partial(self._reason_durable, job, job.reason_generation))
         return True
@@ -342,7 +342,7 @@
                 return encoded
             # In proportion to its excess, and by a quarter at least, so that this ends soon.
             fitting_tasks = job.chunk_tasks * self.shard.write_limits.value_bytes // largest
-            job.narrow(max(1, min(fitting_tasks, job.chunk_tasks * 3 // 4)))
+            job.narrow_chunks(max(1, min(fitting_tasks, job.chunk_tasks * 3 // 4)))
             log.info(
                 "chunk too large, narrowed: job=%s bytes=%d chunk_tasks=%d",
                 job.id,
@@ -353,12 +353,13 @@
     def _write_outcome(self, job: Job, transaction: Transaction) -> bool:
         """Write how a job ended and delete its chunks; those that one transaction does not take are deleted later."""
         stored = [
-            StoredKey(job.path(chunk.index), chunk.revision)
+            StoredKey(job.chunk_path(chunk.index), chunk.revision)
             for chunk in job.chunks.values()
             if chunk.revision
         ]
         stored += [
-            StoredKey(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()
+            StoredKey(job.work_path(tail), wide.revision)
+            for tail, wide in job.replaced_chunks.items()
         ]
         most = transaction.max_ops - OPS_BESIDE_CHUNKS
         together, later = stored[:most], stored[most:]
@@ -369,7 +370,7 @@
             return False
         if job.phase is not JobPhase.CANCELLED:
             transaction.put(job.job_path, record, job.revision)
-        transaction.put(job.head_path, None, job.revision)
+        transaction.put(job.job_copy_path, None, job.revision)
         for path, revision in together:
             transaction.put(path, None, revision)
         transaction.bytes += size
@@ -433,7 +434,7 @@
 
     @staticmethod
     def _replaced_chunk_deleted(job: Job, tail: str, _revision: int) -> None:
-        job.chunk_wrote(tail, 0)
+        job.set_chunk_revision(tail, 0)
 
     @staticmethod
     def _reason_durable(job: Job, generation: int, revision: int) -> None:
@@ -506,7 +507,7 @@
         if job is None:
             return
         if tail != "job":
-            job.chunk_wrote(tail, revision)
+            job.set_chunk_revision(tail, revision)
         elif value is None and job.phase is JobPhase.CANCELLED:
             self._outcome_durable(job, [])
 
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -95,7 +95,7 @@
 
         Jobs read at a failover are none: they came earlier.
         """
-        if job.waits or job.spec.kind == JobKind.SERVICE:
+        if job.awaits_dependencies or job.spec.kind == JobKind.SERVICE:
             return
         self.shard.classes.came(
             job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
@@ -181,7 +181,9 @@
         ]
         self._forget_old_rows()
         waiting = sum(
-            job.ready_count for job in shard.jobs.values() if job.active and not job.waits
+            job.ready_count
+            for job in shard.jobs.values()
+            if job.active and not job.awaits_dependencies
         )
         return ShardStatus(
             shard.name,
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -133,11 +133,19 @@
             tasks.add_metric([team, "placed"], sum(len(job.live) for job in shard.jobs.values()))
             tasks.add_metric(
                 [team, "ready"],
-                sum(job.ready_count for job in shard.jobs.values() if job.active and not job.waits),
+                sum(
+                    job.ready_count
+                    for job in shard.jobs.values()
+                    if job.active and not job.awaits_dependencies
+                ),
             )
             tasks.add_metric(
                 [team, "waiting"],
-                sum(job.ready_count for job in shard.jobs.values() if job.active and job.waits),
+                sum(
+                    job.ready_count
+                    for job in shard.jobs.values()
+                    if job.active and job.awaits_dependencies
+                ),
             )
             tasks.add_metric(
                 [team, "parked"], sum(park.high - park.low + 1 for park in shard.parks.items)
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -29,8 +29,10 @@
             "at": job.submitted,
             "reason": job.reason,
             "cancelled_at": job.cancelled_at,
-            "chunks": {job.path(chunk.index): chunk.revision for chunk in job.chunks.values()},
-            "wider": plain(job.wider),
+            "chunks": {
+                job.chunk_path(chunk.index): chunk.revision for chunk in job.chunks.values()
+            },
+            "wider": plain(job.replaced_chunks),
         }
         for name, job in shard.jobs.items()
     }
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -171,7 +171,7 @@
     job = make_job(values)
     tail = values["key"].rsplit("/", 1)[1]
     job.load_chunks([(tail, msgspec.json.decode(to_bytes(values["value"])), REVISION)], NOW)
-    number, width = job.of_tail(tail)
+    number, width = job.parse_chunk_suffix(tail)
     chunk = job.chunk(number)
     head = {
         "chunk": number,
@@ -196,7 +196,7 @@
         job.set_failure(item["task"], failure)
     chunk = job.chunk(tasks["chunk"])
     chunk.max_attempt = max(chunk.max_attempt, tasks["attempts"])
-    return {"key": job.path(chunk.index), "value": encoded(job.chunk_value(chunk.index))}
+    return {"key": job.chunk_path(chunk.index), "value": encoded(job.chunk_value(chunk.index))}
 
 
 def read_layouts(values: Plain) -> Plain:
@@ -208,11 +208,11 @@
     ]
     job.load_chunks(found, NOW)
     writes = {
-        job.path(chunk.index): encoded(job.chunk_value(chunk.index))
+        job.chunk_path(chunk.index): encoded(job.chunk_value(chunk.index))
         for chunk in job.chunks.values()
         if chunk.generation > chunk.durable_generation
     }
-    wider = {job.work_path(tail): plain(wide) for tail, wide in job.wider.items()}
+    wider = {job.work_path(tail): plain(wide) for tail, wide in job.replaced_chunks.items()}
     return {"width": job.chunk_tasks, "writes": writes, "wider": wider} | job_tasks_to_values(job)
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -160,7 +160,11 @@
     shard.tick(1.0)
     assert list(shard.dependency_tracker.unread) == ["req-000009"]
     first, last = shard.jobs["req-000001"], shard.jobs["req-000002"]
-    assert last.waits and first.priority == last.spec.priority and first.due < last.due == 60.0
+    assert (
+        last.awaits_dependencies
+        and first.priority == last.spec.priority
+        and first.due < last.due == 60.0
+    )
     shard.dependency_tracker.settled("req-000009", "done", 3.0, 3.5)
     shard.scheduler.schedule(4.0)
     assert (
@@ -183,7 +187,7 @@
     assert first.phase is JobPhase.OVER and not last.live  # done in memory only
     commit(shard, 21)
     shard.scheduler.schedule(7.0)
-    assert not last.waits and len(last.live) == 8 and last.since >= 3.0
+    assert not last.awaits_dependencies and len(last.live) == 8 and last.since >= 3.0
 
 
 def test_a_cancelled_job_takes_those_after_it_along() -> None:
@@ -427,7 +431,12 @@
         TaskState.PARKED,
         TaskState.READY,
     ]
-    assert one.failures[11].times == 1 and one.live[3].attempt == 2 and one.reason and not one.waits
+    assert (
+        one.failures[11].times == 1
+        and one.live[3].attempt == 2
+        and one.reason
+        and not one.awaits_dependencies
+    )
     assert all(p.phase is Phase.STOPPING for p in (*gang.live.values(), *gone.live.values()))
     assert new.usage.gpus == 2.0 and new.machines["vm-000001"].incarnation == 2
     # What is written for as long as no mark is there is what production would have written.
@@ -437,7 +446,7 @@
     ]
     assert (
         json.loads(encode(one.record())) == WAS["work/red/req-000001/job"]
-        and one.path(2) == "work/red/req-000001/2"
+        and one.chunk_path(2) == "work/red/req-000001/2"
     )
     machine = old.machines["vm-000001"]
     assert machine.value("red") == WAS["machine/vm-000001"] | {"i": [["img", 2.0], ["old", 0.0]]}
@@ -553,7 +562,7 @@
     late = shard.writer.next_transaction()
     assert late is not None and any(path.endswith("/1") for path in late.writes)
     meant = states(shard)
-    shard.jobs["req-000001"].narrow(20)
+    shard.jobs["req-000001"].narrow_chunks(20)
     while store.commit(shard):
         pass
     assert (
@@ -575,7 +584,7 @@
     )
     shard.add_job(queued(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7)
     job = shard.jobs["req-000001"]
-    job.narrow(8)
+    job.narrow_chunks(8)
     shard.scheduler.schedule(1.0)
     assert len(job.live) == 120
     store = Store({}, bytes_=512, ops=4)
