--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -43,7 +43,7 @@
     def add(self, job: Job) -> None:
         """It may not start before all that it needs is durably done."""
         job.awaits_dependencies = True
-        own = Carried(job.spec.priority, job.due)
+        own = Carried(job.spec.priority, job.deadline_at)
         self.graph.add(
             job.id, job.spec.dependencies or (), own, self._takes(job.spec), job.submitted
         )
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -237,9 +237,9 @@
                 "job running: job=%s class=%s after_s=%.1f since=%s placing_s=%.1f starting_s=%.1f",
                 job.id,
                 job.spec.job_class,
-                now - job.since,
+                now - job.eligible_at,
                 "dependencies_done" if job.spec.dependencies else "submission",
-                placement.placed_at - job.since,
+                placement.placed_at - job.eligible_at,
                 now - placement.placed_at,
             )
 
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -71,7 +71,7 @@
         self.spec = spec
         self.id = spec.id
         self.submitted = submitted
-        self.since = submitted  # when it could first have started: what it needs was done
+        self.eligible_at = submitted  # when it could first have started: what it needs was done
         self.awaits_dependencies = False  # for other jobs: none of its tasks may be placed
         self.carried: Carried = NOTHING  # from the jobs that need it
         self.revision = (
@@ -178,7 +178,7 @@
         return self.spec.job_class
 
     @property
-    def doubtful(self) -> bool:
+    def likely_faulty(self) -> bool:
         """Whether it looks as if submitted with a mistake: none of its tasks has ended well, it has used up its retry in
         place, and not on one machine only (after a takeover it is not known on which)."""
         return self.max_failures >= 2 and not self.done_count and len(self.avoided_machines) != 1
@@ -205,7 +205,7 @@
     def dependencies_done(self, since: float) -> None:
         """All that it needs is done."""
         self.awaits_dependencies = False
-        self.since = max(self.submitted, since)
+        self.eligible_at = max(self.submitted, since)
 
     def set_reason(self, reason: str) -> None:
         if reason != self.reason:
@@ -272,7 +272,7 @@
         return max(self.spec.priority, self.carried.priority)
 
     @property
-    def due(self) -> float:
+    def deadline_at(self) -> float:
         """When it had better be done: by its own deadline, and for what needs it to be in time."""
         own = math.inf if self.spec.deadline_s is None else self.submitted + self.spec.deadline_s
         return min(own, self.carried.finish_by)
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -140,9 +140,9 @@
     def slack(self, job: Job, now: float) -> float:
         """Seconds until the job had better be running."""
         spec = job.spec
-        if math.isinf(job.due):
-            return job.since + self.aim_s(spec) - now
-        return job.due - self.estimates.run_s(spec) - now
+        if math.isinf(job.deadline_at):
+            return job.eligible_at + self.aim_s(spec) - now
+        return job.deadline_at - self.estimates.run_s(spec) - now
 
     def pressed(self, job: Job, now: float) -> bool:
         """Whether lower work is to be stopped for it. Not for a priority that is only carried back to it, as long as it can
@@ -154,7 +154,7 @@
             (shape.boot_s for shape in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
-        return (job.submitted - job.due) / 2 < self.slack(job, now) < boot_s
+        return (job.submitted - job.deadline_at) / 2 < self.slack(job, now) < boot_s
 
     def aim_s(self, spec: JobSpec) -> float:
         aims = [
@@ -171,15 +171,15 @@
         long overdue comes first again, so that nothing starves. What would find its image on the machines that are
         free goes ahead of what has waited a few fetches longer: where machines are short, fetching wastes them."""
         spec = job.spec
-        if job.doubtful:
-            return (-job.priority, 9.0, job.since)
-        if spec.kind == JobKind.ARRAY and math.isinf(job.due):
+        if job.likely_faulty:
+            return (-job.priority, 9.0, job.eligible_at)
+        if spec.kind == JobKind.ARRAY and math.isinf(job.deadline_at):
             return (
                 -job.priority,
                 *self.shard.policy.rank(job, self.estimates.run_s(spec), now),
-                job.since,
+                job.eligible_at,
             )
-        if math.isinf(job.due):
+        if math.isinf(job.deadline_at):
             ahead = 0.0
             if look is not None and look.holders(
                 spec, spec.tasks if spec.kind == JobKind.GANG else 1
@@ -188,8 +188,8 @@
                     spec, next(iter(self.shard.catalog.values()))
                 )
             turn, size = self._turn(job, now)
-            return (-job.priority, turn, size, job.since - now - ahead)
-        deadline_s = max(job.due - job.submitted, 1e-3)
+            return (-job.priority, turn, size, job.eligible_at - now - ahead)
+        deadline_s = max(job.deadline_at - job.submitted, 1e-3)
         late = now + self.estimates.run_s(spec) * (1 - self.grace) - job.submitted
         times = sorted(
             o.times
@@ -211,7 +211,7 @@
         aims = self._wait_aims(job.spec.job_class)
         if not aims:
             return 0.0, 0.0
-        first, last, age = aims[0], aims[-1], now - job.since
+        first, last, age = aims[0], aims[-1], now - job.eligible_at
         if last * 0.6 < age <= last or age > 3 * last:
             return 0.0, 0.0
         if age <= first:
@@ -241,7 +241,7 @@
         look = SchedulingCycle(self.shard.machines.values(), now)
         for job in self.waiting(now, look):
             missing = self._try_place(job, look, now)
-            if job.doubtful:
+            if job.likely_faulty:
                 continue  # tried where there is room: nothing is stopped, kept or rented for it alone
             zone = ""
             if missing and job.spec.kind == JobKind.GANG and job.spec.tasks > 1:
@@ -273,7 +273,7 @@
         """Place what fits; the number of tasks that want room and found none."""
         spec = job.spec
         permitted = min(self.shard.usage.room(spec), job.ready_count)
-        if job.doubtful and spec.kind != JobKind.GANG:
+        if job.likely_faulty and spec.kind != JobKind.GANG:
             permitted = min(permitted, 1 - len(job.live))  # one task at a time tells as much as all
         if (spec.kind == JobKind.GANG and permitted < spec.tasks) or permitted <= 0:
             return 0
@@ -432,7 +432,7 @@
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
-                        math.isinf(job.due) and not self.shard.policy.promised(spec),
+                        math.isinf(job.deadline_at) and not self.shard.policy.promised(spec),
                     )
                 )
         return out
--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -45,7 +45,7 @@
         """How many more tasks of it are worth room of their own. Room for each of thousands of short tasks is up only when
         the first of them have long made way: an array of 25,000 tasks of a few seconds each asked for 195 machines."""
         spec = job.spec
-        if spec.kind != JobKind.ARRAY or not math.isinf(job.due):
+        if spec.kind != JobKind.ARRAY or not math.isinf(job.deadline_at):
             return job.ready_count
         each = run_s + 2 * self.shared.workers.report_s  # until the next one runs in its place
         return max(
@@ -57,6 +57,6 @@
         among deadlines. Hundreds of tiny jobs waited for an array of 25,000, and both for idle-time scans of five minutes."""
         spec = job.spec
         rank = 0.0 if self.promised(spec) else 5.0
-        if now - job.since > 4 * self.span(spec):
+        if now - job.eligible_at > 4 * self.span(spec):
             return rank, 0.0  # nothing starves
         return rank, (spec.tasks - job.done_count) * run_s * (spec.gpus or spec.cpus)
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -238,7 +238,7 @@
         return (
             job.active
             and spec.kind == JobKind.ARRAY
-            and math.isinf(job.due)
+            and math.isinf(job.deadline_at)
             and spec.tasks > self.shard.chunk_tasks
             and not guaranteed(self.shard.team, spec.cpus, spec.gpus)
         )
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -98,7 +98,7 @@
         if job.awaits_dependencies or job.spec.kind == JobKind.SERVICE:
             return
         self.shard.classes.came(
-            job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
+            job.id, job.job_class, self.shard.name, job.spec.tasks, job.eligible_at, job.deadline_at
         )
         if job.spec.deadline_s is not None:
             return
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -37,10 +37,10 @@
     def priority(self) -> int: ...
 
     @property
-    def since(self) -> float: ...
+    def eligible_at(self) -> float: ...
 
     @property
-    def doubtful(self) -> bool: ...
+    def likely_faulty(self) -> bool: ...
 
 
 class Classes:
@@ -120,12 +120,12 @@
         able = set(can_run)
         first: dict[tuple[int, str], Ready] = {}
         for job in waiting:
-            if job.job_class not in self.rising or job.doubtful or job.id not in able:
+            if job.job_class not in self.rising or job.likely_faulty or job.id not in able:
                 continue
             others = [shares.get(name, 1.0) for name in like[job.priority] if name != job.job_class]
             key = job.priority, job.job_class
             if max(others, default=0.0) >= shares[job.job_class] + BETTER and (
-                key not in first or job.since < first[key].since
+                key not in first or job.eligible_at < first[key].eligible_at
             ):
                 first[key] = job
         return {job.id for job in first.values()}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -597,7 +597,7 @@
         Team("red"), msgspec.structs.replace(shard.shared, objectives=aims), shard.catalog
     )
     assert [job.id[-1] for job in shard.scheduler.waiting(9.0)] == ["3", "2", "1"]
-    shard.jobs["req-000002"].since = -2000.0  # long overdue: nothing starves
+    shard.jobs["req-000002"].eligible_at = -2000.0  # long overdue: nothing starves
     assert [job.id[-1] for job in shard.scheduler.waiting(9.0)] == ["2", "3", "1"]
 
 
@@ -633,11 +633,11 @@
             )
             fails(shard, name, 3 * tally + 2, tasks, tally + 0.5)
         assert one.reason and "error on vm-" in one.reason, "told from the first failure on"
-        if one.doubtful:
+        if one.likely_faulty:
             break
         shard.scheduler.schedule(tally + 0.6)
         revision += 1
-    assert one.doubtful and not any(machine.failed for machine in shard.machines.values())
+    assert one.likely_faulty and not any(machine.failed for machine in shard.machines.values())
     commit(shard, 90)
     for name in ("vm-0", "vm-1"):
         shard.reconciler.on_heartbeat(report(name, 90), 39.0, True)
@@ -652,9 +652,9 @@
     )
     heir = Job(one.spec, 0.0, 7, one.chunk_tasks)
     heir.set_failure(0, Failure(3, 0.0, "error"))
-    assert heir.doubtful, "a new owner knows it by the count that is carried"
+    assert heir.likely_faulty, "a new owner knows it by the count that is carried"
     heir.finish(1)
-    assert not heir.doubtful
+    assert not heir.likely_faulty
 
 
 def test_a_machine_that_came_after_the_last_pass_is_not_idle() -> None:
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -254,7 +254,7 @@
             job.job_class,
             "red",
             1,
-            job.since,
+            job.eligible_at,
             math.inf if job.job_class != "array" else 99.0,
         )
     every = {job.id for job in jobs}
@@ -268,7 +268,7 @@
         classes.lifted(jobs, every - {"g0"}, 30.5) == {"g1"}
         and classes.lifted(jobs, set(), 30.6) == set()
     )
-    jobs[0].doubtful = True
+    jobs[0].likely_faulty = True
     assert classes.lifted(jobs, every, 30.7) == {"g1"}
     assert classes.lifted([job for job in jobs if job.job_class == "gang"], every, 30.8) == set(), (
         "nobody of its priority is served better"
@@ -281,7 +281,12 @@
 
 
 class ReadyJob:
-    doubtful = False
+    likely_faulty = False
 
     def __init__(self, job_id: str, job_class: str, priority: int, since: float) -> None:
-        self.id, self.job_class, self.priority, self.since = job_id, job_class, priority, since
+        self.id, self.job_class, self.priority, self.eligible_at = (
+            job_id,
+            job_class,
+            priority,
+            since,
+        )
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -163,7 +163,7 @@
     assert (
         last.awaits_dependencies
         and first.priority == last.spec.priority
-        and first.due < last.due == 60.0
+        and first.deadline_at < last.deadline_at == 60.0
     )
     shard.dependency_tracker.settled("req-000009", "done", 3.0, 3.5)
     shard.scheduler.schedule(4.0)
@@ -187,7 +187,7 @@
     assert first.phase is JobPhase.OVER and not last.live  # done in memory only
     commit(shard, 21)
     shard.scheduler.schedule(7.0)
-    assert not last.awaits_dependencies and len(last.live) == 8 and last.since >= 3.0
+    assert not last.awaits_dependencies and len(last.live) == 8 and last.eligible_at >= 3.0
 
 
 def test_a_cancelled_job_takes_those_after_it_along() -> None:
