--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -455,7 +455,7 @@
     return spec if isinstance(spec, JobSpec) else msgspec.convert(spec, JobSpec)
 
 
-def fitting(record: dict[str, Any], most: int) -> dict[str, Any]:
+def fit_job_record(record: dict[str, Any], most: int) -> dict[str, Any]:
     """The record of a job that is over, without what nobody asks for any more if it is too large as it stands."""
     if len(msgspec.json.encode(record)) <= most:
         return record
@@ -469,6 +469,6 @@
     return {**record, "spec": spec}
 
 
-def chunk_size(value_kb: float) -> int:
+def tasks_per_chunk(value_kb: float) -> int:
     """Tasks to a chunk, so that the fullest one still fits a value."""
     return max(1, int(value_kb * 1024 * 0.9) // TASK_BYTES)
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -99,7 +99,7 @@
         self.fencing_token = 0
         self.idle_since: float | None = now
         self.images: dict[str, float] = {}
-        for image, size in reversed(images_of(value)):
+        for image, size in reversed(stored_images(value)):
             self.images[image] = size
         self.ended: set[tuple[str, int, int]] = set()
         self.orphaned_tasks: dict[tuple[str, int], int] = {}
@@ -226,7 +226,7 @@
         return now - (self.last_at if self.last_at is not None else self.since)
 
 
-def trimmed(value: dict[str, Any], most: int) -> dict[str, Any]:
+def fit_machine_record(value: dict[str, Any], most: int) -> dict[str, Any]:
     """A machine's record, without the least recently used images that would make it longer than `most` bytes."""
     images = list(value.get("i", ()))
     while images and len(msgspec.json.encode({**value, "i": images})) > most:
@@ -234,7 +234,7 @@
     return {**value, "i": images} if len(images) < len(value.get("i", ())) else value
 
 
-def images_of(value: dict[str, Any]) -> list[tuple[str, float]]:
+def stored_images(value: dict[str, Any]) -> list[tuple[str, float]]:
     """Images and their sizes in GB from a machine's record, the last used first; 0 where an earlier version wrote only the names."""
     return [
         (item, 0.0) if isinstance(item, str) else (item[0], item[1]) for item in value.get("i", ())
@@ -254,7 +254,7 @@
     return count
 
 
-def less(free: Sequence[float], need: Sequence[float], times: int) -> list[float]:
+def remaining(free: Sequence[float], need: Sequence[float], times: int) -> list[float]:
     """What is left of the free CPUs, GPUs and memory after so many times the need."""
     return [free[0] - need[0] * times, free[1] - need[1] * times, free[2] - need[2] * times]
 
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from ashdock.core.job import Job
-from ashdock.core.machine import Machine, capacity, fits, less
+from ashdock.core.machine import Machine, capacity, fits, remaining
 from ashdock.wire.messages import JobKind, JobSpec, MachineType
 
 
@@ -155,7 +155,7 @@
 
     def add_rest(self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int) -> None:
         """What is left of a machine once it has so many tasks."""
-        free = less((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
+        free = remaining((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
         if all(amount > 1e-6 for amount in free[::2]):  # CPUs and memory: nothing runs without
             self.rests.append((shape.label, zone, spot, free))
 
@@ -175,7 +175,7 @@
                 break
             if suits(label, zone, spot) and (taken := min(left, fits(free, need))):
                 left -= taken
-                free[:] = less(free, need, taken)
+                free[:] = remaining(free, need, taken)
         for (label, zone, spot), (shape, number) in list(self.whole.items()):
             if left <= 0:
                 break
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -16,7 +16,7 @@
 from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.estimates import Estimates
 from ashdock.core.heartbeat_reconciler import HeartbeatReconciler
-from ashdock.core.job import Job, JobPhase, chunk_size, spec_of_record
+from ashdock.core.job import Job, JobPhase, spec_of_record, tasks_per_chunk
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.park import Parks
 from ashdock.core.quota import Usage
@@ -92,7 +92,7 @@
         self.policy = SchedulingPolicy(team, shared, catalog)
         self.write_limits = write_limits or WriteLimits(shared.state)
         self.parks = Parks(team.name, self.write_limits.value_bytes)
-        self.chunk_tasks = chunk_size(shared.state.value_kb)
+        self.chunk_tasks = tasks_per_chunk(shared.state.value_kb)
         self.dependency_tracker = DependencyTracker(self)
         self.orphaned_tasks: dict[str, set[str]] = {}
         self.resource_requests: list[ResourceRequest] = []
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from ashdock.core.dependency_tracker import DependencyTracker
-from ashdock.core.job import Chunk, Job, JobPhase, fitting
-from ashdock.core.machine import Machine, MachinePhase, trimmed
+from ashdock.core.job import Chunk, Job, JobPhase, fit_job_record
+from ashdock.core.machine import Machine, MachinePhase, fit_machine_record
 from ashdock.core.park import Parks
 from ashdock.core.quota import guaranteed
 from ashdock.core.task import Phase, Placement
@@ -363,7 +363,7 @@
         ]
         most = transaction.max_ops - OPS_BESIDE_CHUNKS
         together, later = stored[:most], stored[most:]
-        record = fitting(job.record(), self.shard.write_limits.value_bytes)
+        record = fit_job_record(job.record(), self.shard.write_limits.value_bytes)
         ops = len(together) + OPS_OF_JOB_RECORD
         size = KEY_BYTES * ops + len(msgspec.json.encode(record))
         if not transaction.room(ops, size):
@@ -390,7 +390,7 @@
         team = machine.to if moves and machine.to is not None else self.shard.name
         transaction.put(
             f"machine/{machine.name}",
-            trimmed(machine.value(team), self.shard.write_limits.value_bytes),
+            fit_machine_record(machine.value(team), self.shard.write_limits.value_bytes),
             machine.revision,
         )
         transaction.bytes += MACHINE_BYTES
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -13,7 +13,7 @@
 from ashdock.admission.control import Admission, Refusal
 from ashdock.admission.shares import Use
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
-from ashdock.core.job import fitting, job_record, spec_of_record
+from ashdock.core.job import fit_job_record, job_record, spec_of_record
 from ashdock.core.machine import capacity
 from ashdock.core.quota import can_ever
 from ashdock.core.write_limits import WriteLimits
@@ -359,7 +359,7 @@
                     "status": JobStatus.WITHDRAWN,
                     "cancelled_at": round(context.now(), 3),
                 }
-                record = fitting(record, context.write_limits.value_bytes)
+                record = fit_job_record(record, context.write_limits.value_bytes)
                 path = entry.path
                 team = spec_of_record(record).team
                 head = f"work/{team}/{job_id}/job"
--- a/ashdock/leader/machine_records.py
+++ b/ashdock/leader/machine_records.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Any, NamedTuple
 
-from ashdock.core.machine import images_of, trimmed
+from ashdock.core.machine import fit_machine_record, stored_images
 from ashdock.core.machine_index import MachineView
 from ashdock.core.write_limits import WriteLimits
 from ashdock.leader.leadership import Leadership
@@ -98,7 +98,7 @@
         value[SPOT],
         entry.revision,
         value.get(DECOMMISSIONED, ""),
-        frozenset(image for image, _ in images_of(value)),
+        frozenset(image for image, _ in stored_images(value)),
     )
 
 
@@ -182,7 +182,9 @@
         """Write records in one transaction, leaving out those that have changed meanwhile."""
         max_bytes = self.write_limits.value_bytes
         remaining = {
-            name: RecordWrite(write.revision, write.value and trimmed(write.value, max_bytes))
+            name: RecordWrite(
+                write.revision, write.value and fit_machine_record(write.value, max_bytes)
+            )
             for name, write in writes.items()
         }
         while remaining:
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from ashdock.cluster_state import ClusterState
-from ashdock.core.job import Job, fitting, job_record, spec_of_record
-from ashdock.core.machine import Machine, MachinePhase, images_of, trimmed
+from ashdock.core.job import Job, fit_job_record, job_record, spec_of_record
+from ashdock.core.machine import Machine, MachinePhase, fit_machine_record, stored_images
 from ashdock.core.park import Park, Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, TaskState
@@ -81,7 +81,7 @@
 def write_fitting_job_record(values: Plain) -> Plain:
     """The record of a job that is over, made to fit a value of `limit` bytes."""
     record = msgspec.json.decode(to_bytes(values["record"]))
-    return encoded(fitting(record, values["limit"]))
+    return encoded(fit_job_record(record, values["limit"]))
 
 
 class RecordReader:
@@ -262,7 +262,7 @@
         "phase": MACHINE_PHASES[machine.phase],
         "reason": machine.why,
         "session": machine.incarnation,
-        "images": plain(images_of(record)),
+        "images": plain(stored_images(record)),
         "as_leader": plain(tuple(as_leader)),
     }
 
@@ -276,7 +276,9 @@
 
 def trim_machine(values: Plain) -> Plain:
     """A machine's record with no more images than fit a value of `limit` bytes."""
-    return encoded(trimmed(msgspec.json.decode(to_bytes(values["value"])), values["limit"]))
+    return encoded(
+        fit_machine_record(msgspec.json.decode(to_bytes(values["value"])), values["limit"])
+    )
 
 
 def write_leader_machine(values: Plain) -> Plain:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,8 +13,8 @@
 from ashdock.core import placement as placing
 from ashdock.core import preemption_cost, status_reporter
 from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
-from ashdock.core.job import Job, JobPhase, chunk_size
-from ashdock.core.machine import Machine, trimmed
+from ashdock.core.job import Job, JobPhase, tasks_per_chunk
+from ashdock.core.machine import Machine, fit_machine_record
 from ashdock.core.machine_index import MachineView
 from ashdock.core.quota import Usage, can_ever, guaranteed
 from ashdock.core.scheduling_policy import SchedulingPolicy
@@ -102,7 +102,7 @@
 
 
 def test_a_full_chunk_fits_a_value_and_reads_back() -> None:
-    size = chunk_size(8.0)
+    size = tasks_per_chunk(8.0)
     job = Job(spec(shares=size * 3), 0.0, 7, size)
     for task in range(size, 2 * size):
         job.place(task, f"vm-{task:06d}", 100_000 + task, 0.0)
@@ -1032,13 +1032,15 @@
         "at": 1.0,
         "i": [[f"{n}" + "i" * 190, 2.0] for n in range(12)],
     }
-    short = trimmed(value, 1024)
+    short = fit_machine_record(value, 1024)
     assert (
         len(encode(short)) <= 1024
         and 2 < len(short["i"]) < 12
         and short["i"] == value["i"][: len(short["i"])]
     )
-    assert trimmed(value, 4096) is value and trimmed({"t": "g4"}, 10) == {"t": "g4"}
+    assert fit_machine_record(value, 4096) is value and fit_machine_record({"t": "g4"}, 10) == {
+        "t": "g4"
+    }
 
 
 def test_a_rental_for_many_teams_is_a_small_record() -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -15,7 +15,7 @@
 
 from ashdock.cluster_version import SUPPORTED_VERSION
 from ashdock.core.dependency_graph import NOTHING, Carried, DependencyGraph
-from ashdock.core.job import JobPhase, fitting
+from ashdock.core.job import JobPhase, fit_job_record
 from ashdock.core.park import Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, Phase, TaskState
@@ -648,7 +648,7 @@
     shard.add_job(queued(long, 0.0), 7)
     assert len(encode(shard.jobs["req-000001"].record())) > 1000
     shard.cancel("req-000001", 1.0, 8, 1.0)
-    short = fitting(shard.jobs["req-000001"].record(), 512)
+    short = fit_job_record(shard.jobs["req-000001"].record(), 512)
     assert len(encode(short)) <= 512 and short["status"] == "withdrawn" and short["spec"].tasks == 4
 
 
