--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -112,7 +112,7 @@
     def _update_machine(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         if machine.phase is MachinePhase.EXPECTED:
             self.shard.stale = True
-        machine.came_up(heartbeat.address)
+        machine.mark_up(heartbeat.address)
         machine.inherited = False
         machine.last_at = now
         machine.fencing_token = heartbeat.fencing_token
@@ -188,9 +188,9 @@
                     self._on_running(placement, now)
                 spec = self.shard.jobs[placement.job].spec
                 if report.status == TaskStatus.PULLING:
-                    machine.lacks(spec.image)
+                    machine.image_missing(spec.image)
                 else:
-                    machine.uses(spec.image, spec.image_gb)
+                    machine.image_used(spec.image, spec.image_gb)
         if reported or machine.orphaned_tasks:
             self._take_in_unplaced(machine, reported, ended, now)
         machine.ended = ended
@@ -301,7 +301,7 @@
     def _on_done(self, machine: Machine, job: Job, placement: Placement, now: float) -> None:
         """Take in a result; a gang's tasks complete together, so one that is done proves them all."""
         machine.failed.clear()
-        machine.uses(job.spec.image, job.spec.image_gb)
+        machine.image_used(job.spec.image, job.spec.image_gb)
         self.estimates.learn(job, placement, now)
         for task in range(job.spec.tasks) if job.spec.kind == JobKind.GANG else (placement.task,):
             self.shard.finish(job, task, now)
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -141,13 +141,13 @@
 
     # -- changes of state --------------------------------------------------------------------
 
-    def came_up(self, address: str) -> None:
+    def mark_up(self, address: str) -> None:
         """A heartbeat came, from an agent at that address."""
         self.address = address
         if self.phase is MachinePhase.EXPECTED:
             self.phase = MachinePhase.UP
 
-    def leave(self, why: str) -> None:
+    def cordon(self, why: str) -> None:
         """It takes no new tasks from here on."""
         if self.phase in (MachinePhase.UP, MachinePhase.EXPECTED):
             self.phase = MachinePhase.LEAVING
@@ -159,7 +159,7 @@
             self.phase = MachinePhase.DECOMMISSIONED
             self.why = why
 
-    def uses(self, image: str, size: float) -> None:
+    def image_used(self, image: str, size: float) -> None:
         """A task here has its image, of that size in GB.
 
         The least recently used images are taken to be gone once the cache is full: otherwise gangs would be
@@ -174,13 +174,13 @@
                     break
                 over -= self.images.pop(other)
 
-    def lacks(self, image: str) -> None:
+    def image_missing(self, image: str) -> None:
         """The image is being fetched, so it was not there."""
         self.images.pop(image, None)
 
     # -- room --------------------------------------------------------------------------------
 
-    def take(self, placement: Placement, cpus: float, gpus: float, memory: float) -> None:
+    def allocate(self, placement: Placement, cpus: float, gpus: float, memory: float) -> None:
         """Place a task that needs so much."""
         self.live[placement.key] = placement
         self.version += 1
@@ -189,7 +189,7 @@
         self.memory -= memory
         self.idle_since = None
 
-    def give_back(
+    def deallocate(
         self, placement: Placement, cpus: float, gpus: float, memory: float, now: float
     ) -> None:
         """Remove a placement, and free what it took."""
@@ -210,7 +210,7 @@
         """Whether tasks may be placed here."""
         return self.phase is MachinePhase.UP and self.reclaim_at is None
 
-    def coming(self, now: float) -> bool:
+    def is_booting(self, now: float) -> bool:
         """Whether work may wait for it to boot; not if it is far later than usual."""
         boot_s = self.shape.boot_s
         started_at = max(self.rented_at, self.since - boot_s)
@@ -221,7 +221,7 @@
         """No placement counts here, and no report of a task is left to be settled."""
         return not self.live and not self.orphaned_tasks and not self.ended and self.reported == 0
 
-    def silent_for(self, now: float) -> float:
+    def silence_s(self, now: float) -> float:
         """Seconds since its last heartbeat, or since this owner learnt of it."""
         return now - (self.last_at if self.last_at is not None else self.since)
 
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -75,7 +75,7 @@
                     for image in machine.images:
                         zones = self.images.setdefault(image, {})
                         zones[machine.zone] = zones.get(machine.zone, 0) + 1
-            elif machine.coming(now):
+            elif machine.is_booting(now):
                 self.coming.add(machine.shape, machine.zone, machine.spot)
 
     def roomy(self, spec: JobSpec, reserved: set[str]) -> list[Machine]:
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -188,7 +188,7 @@
         self.usage.take(spec)
         machine = self.machines.get(placement.machine)
         if machine:
-            machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
+            machine.allocate(placement, spec.cpus, spec.gpus, spec.memory_gb)
 
     def drop(self, placement: Placement, now: float) -> None:
         """Stop counting a placement; only on proof that its task is not, and will not be, on the machine."""
@@ -198,7 +198,7 @@
         self.usage.give_back(spec)
         machine = self.machines.get(placement.machine)
         if machine:
-            machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
+            machine.deallocate(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
 
     def note_machine(self, name: str) -> None:
         """Have a machine's record looked at by the next transaction, since it may have to be written."""
@@ -314,7 +314,7 @@
                 notice_s,
             )
         machine.reclaim_at = now + notice_s
-        machine.leave("recalled")
+        machine.cordon("recalled")
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement or placement.reclaim_handled:
                 continue
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -94,12 +94,12 @@
             elif (
                 machine.reclaim_at is not None
                 and now > machine.reclaim_at
-                and machine.silent_for(now) > REPORTS_MISSED * shard.workers.report_s
+                and machine.silence_s(now) > REPORTS_MISSED * shard.workers.report_s
             ):
                 shard.decommission(machine, "taken back")
             elif machine.why == "suspect" and not machine.live:
                 shard.decommission(machine, "suspect")
-            elif machine.last_at is not None and machine.silent_for(now) > silence_limit_s:
+            elif machine.last_at is not None and machine.silence_s(now) > silence_limit_s:
                 # Silence is no proof that its tasks stopped. Releasing it makes one.
                 shard.decommission(machine, "silent")
 
@@ -111,7 +111,7 @@
         """
         heard = [machine for machine in self.shard.machines.values() if machine.last_at is not None]
         silent_s = self.silent_s
-        silent = sum(1 for machine in heard if machine.silent_for(now) > silent_s)
+        silent = sum(1 for machine in heard if machine.silence_s(now) > silent_s)
         return silent_s if silent * 2 <= len(heard) else 2 * silent_s
 
     def _inherited_limit_s(self, now: float) -> float:
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -268,7 +268,7 @@
         machine = self.shard.machines.get(name)
         if machine is not None and machine.usable and machine.empty and to != self.shard.name:
             machine.to = to
-            machine.leave("moves")
+            machine.cordon("moves")
             self.shard.note_machine(name)
 
     def reclaim(self, order: Reclaim, now: float) -> None:
@@ -277,7 +277,7 @@
             machine = self.shard.machines.get(name)
             if machine and machine.usable and name not in self.shard.reserved:
                 log.info("machine reclaimed: machine=%s for=%s", name, order.to)
-                machine.leave(f"recalled for {order.to}")
+                machine.cordon(f"recalled for {order.to}")
                 machine.to = order.to
                 self.shard.note_machine(name)
                 self.shard.drain(machine, now)
@@ -300,7 +300,7 @@
                     and (order.spot or not machine.spot)
                 ):
                     machine.to = to
-                    machine.leave(f"passed on to {to}")
+                    machine.cordon(f"passed on to {to}")
                     self.shard.note_machine(machine.name)
                     self.rebalances[to] = _RebalanceRequest(
                         order._replace(number=order.number - 1), until
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -138,7 +138,7 @@
             and machine.phase is MachinePhase.UP
             and self._may_quarantine()
         ):
-            machine.leave("suspect")
+            machine.cordon("suspect")
             self.shard.note_machine(machine.name)
             log.info(
                 "machine quarantined and drained: machine=%s failed_jobs=%d",
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -698,7 +698,7 @@
     heir = shard_with([spec(shares=2)], "", revision=50)
     heir.load([("vm-9", record, 5)], [], [], 14.0)
     heir.scheduler.schedule(14.0)
-    assert heir.machines["vm-9"].coming(14.0) is True
+    assert heir.machines["vm-9"].is_booting(14.0) is True
     heir.tick(16.0)
     assert heir.machines["vm-9"].why == ""  # it may be up: silence since the takeover has to show
     heir.tick(14.0 + heir.maintenance.silent_s + 1)
@@ -796,7 +796,7 @@
     shard = shard_with([spec(1, shares=8)], "ab" * 40)
     shard.scheduler.schedule(1.0)
     for machine in shard.machines.values():
-        machine.came_up("10.1.0.1:9000")
+        machine.mark_up("10.1.0.1:9000")
     shard.scheduler.schedule(1.0)
     costs = []
     for batch in (1, 2, 3):
@@ -943,12 +943,12 @@
     """All images ever seen on a machine were taken to be there still, and gangs waited for what it had to fetch again."""
     machine = shard_with([], "a").machines["vm-0"]
     for image, size in used:
-        machine.uses(image, size)
+        machine.image_used(image, size)
     assert "".join(machine.images) == held
     again = shard_with([], "", revision=50)
     again.add_machine("vm-0", machine.value("red"), 9, 0.0)
     assert "".join(again.machines["vm-0"].images) == held
-    machine.lacks(held[-1])
+    machine.image_missing(held[-1])
     assert "".join(machine.images) == held[:-1]
 
 
@@ -1054,7 +1054,7 @@
     """Several a second were made of every machine: of a large shard they cost more than its passes."""
     shard = shard_with([spec(1, shares=4, accelerators=4.0, snapshot_s=0.0)], machines="abab")
     for machine in shard.machines.values():
-        machine.came_up("10.1.0.1:9000")
+        machine.mark_up("10.1.0.1:9000")
     shard.scheduler.schedule(1.0)
     asked: list[str] = []
     whole = preemption_cost.machine_preemption_cost
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -155,8 +155,8 @@
             spec(2, awaits=["req-000001", "req-000009"], shares=8, urgency="high", due_s=60.0),
         ]
     )
-    shard.machines["vm-0"].came_up("x")
-    shard.machines["vm-1"].came_up("x")
+    shard.machines["vm-0"].mark_up("x")
+    shard.machines["vm-1"].mark_up("x")
     shard.tick(1.0)
     assert list(shard.dependency_tracker.unread) == ["req-000009"]
     first, last = shard.jobs["req-000001"], shard.jobs["req-000002"]
@@ -538,7 +538,7 @@
     keys = only("req-000001")
     store = Store(keys)
     old = store.shard(shard_with([], "", revision=9))
-    old.machines["vm-000001"].came_up("x")
+    old.machines["vm-000001"].mark_up("x")
     old.scheduler.schedule(20.0)
     late = old.writer.next_transaction()
     assert late is not None and any(path.endswith("/0") for path in late.writes)
@@ -557,7 +557,7 @@
         }
     store = Store(keys)
     shard = store.shard(new_part(value_kb=8.0))
-    shard.machines["vm-000001"].came_up("x")
+    shard.machines["vm-000001"].mark_up("x")
     shard.scheduler.schedule(21.0)
     late = shard.writer.next_transaction()
     assert late is not None and any(path.endswith("/1") for path in late.writes)
@@ -1018,7 +1018,7 @@
         "ab",
     )
     for name in shard.machines:
-        shard.machines[name].came_up("x")
+        shard.machines[name].mark_up("x")
     shard.scheduler.schedule(0.5)
     commit(shard, 20)
     for name in shard.machines:
