--- a/ashdock/command_sender.py
+++ b/ashdock/command_sender.py
@@ -58,12 +58,12 @@
             machine = shard.machines.get(name)
             if machine is None:
                 continue
-            if machine.sending:
+            if machine.sending_commands:
                 shard.urgent[name] = None
                 continue
             commands = shard.commands.direct(machine)
             if commands:
-                machine.sending = True
+                machine.sending_commands = True
                 task = asyncio.create_task(
                     self._exchange(shard, machine, commands, shard.token(machine))
                 )
@@ -96,7 +96,7 @@
                 shard.commands.direct_answered(machine, commands)
             log.debug("direct commands not answered: machine=%s error=%s", machine.name, error)
         finally:
-            machine.sending = False
+            machine.sending_commands = False
             self.wake.set()
 
     def _take_in(self, shard: Shard, machine: Machine, heartbeat: Heartbeat | None) -> None:
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -114,14 +114,14 @@
             self.shard.stale = True
         machine.mark_up(heartbeat.address)
         machine.inherited = False
-        machine.last_at = now
+        machine.last_heartbeat_at = now
         machine.fencing_token = heartbeat.fencing_token
         if machine.incarnation and heartbeat.incarnation > machine.incarnation:
             self._incarnation_ended(machine, heartbeat, now)
         machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
-        machine.outstanding = {
+        machine.outstanding_runs = {
             key: token
-            for key, token in machine.outstanding.items()
+            for key, token in machine.outstanding_runs.items()
             if token >= heartbeat.fencing_token
         }
 
@@ -139,8 +139,8 @@
             machine.name,
             heartbeat.incarnation,
         )
-        machine.ended.clear()
-        machine.outstanding.clear()  # they name the old incarnation
+        machine.ended_attempts.clear()
+        machine.outstanding_runs.clear()  # they name the old incarnation
         for placement in list(machine.live.values()):
             if (
                 placement.from_earlier_owner
@@ -165,7 +165,7 @@
         reported: dict[AttemptKey, TaskReport] = {
             (*split_task(report.task), report.attempt): report for report in heartbeat.tasks
         }
-        machine.reported = len(reported)
+        machine.reported_count = len(reported)
         ended: set[AttemptKey] = set()
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement:
@@ -175,7 +175,7 @@
             if report is None:
                 if (
                     absence_proves
-                    and attempt not in machine.outstanding
+                    and attempt not in machine.outstanding_runs
                     and self._is_absent(placement, heartbeat)
                 ):
                     self.shard.lost(placement, placement.why or "not on its machine", now)
@@ -193,7 +193,7 @@
                     machine.image_used(spec.image, spec.image_gb)
         if reported or machine.orphaned_tasks:
             self._take_in_unplaced(machine, reported, ended, now)
-        machine.ended = ended
+        machine.ended_attempts = ended
 
     def _take_in_unplaced(
         self,
@@ -300,7 +300,7 @@
 
     def _on_done(self, machine: Machine, job: Job, placement: Placement, now: float) -> None:
         """Take in a result; a gang's tasks complete together, so one that is done proves them all."""
-        machine.failed.clear()
+        machine.failed_jobs.clear()
         machine.image_used(job.spec.image, job.spec.image_gb)
         self.estimates.learn(job, placement, now)
         for task in range(job.spec.tasks) if job.spec.kind == JobKind.GANG else (placement.task,):
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -38,7 +38,7 @@
         spot: Whether it is a spot instance.
         address: Its agent's address; "" if not known yet.
         rented_at: When it was scaled out, or found.
-        dated: Whether `rented_at` is when it was scaled out.
+        rented_at_known: Whether `rented_at` is when it was scaled out.
         revision: Revision of its record.
         shape: Its machine type.
         phase: Where it stands.
@@ -48,27 +48,27 @@
         version: Rises with every change of `live`.
         cpus: Free cores.
         gpus: Free accelerators.
-        memory: Free memory, in GB.
-        since: When this owner learnt of it.
-        last_at: Time of its last heartbeat.
+        memory_gb: Free memory, in GB.
+        known_since: When this owner learnt of it.
+        last_heartbeat_at: Time of its last heartbeat.
         incarnation: Its agent's incarnation.
         sequence: Sequence of its last heartbeat.
         fencing_token: The token that its agent last reported.
         idle_since: Since when nothing is placed here.
         images: Size in GB of what its image cache holds, as far as is known, the last used last.
-        ended: Attempts that were reported as ended and are not forgotten yet.
+        ended_attempts: Attempts that were reported as ended and are not forgotten yet.
         orphaned_tasks: Tasks that run here without a placement, with their attempt.
-        reported: Number of tasks in the last heartbeat.
+        reported_count: Number of tasks in the last heartbeat.
         reclaim_at: When the cloud takes the spot instance back.
         no_room_until: Until when nothing is placed here, because it had less room than expected.
-        failed: Jobs with the time when they last failed here.
-        sending: Whether direct commands are on their way.
-        outstanding: Run commands that were sent directly and not answered, with the fencing token. They may
+        failed_jobs: Jobs with the time when they last failed here.
+        sending_commands: Whether direct commands are on their way.
+        outstanding_runs: Run commands that were sent directly and not answered, with the fencing token. They may
             arrive minutes late, and are harmless only once the worker has a higher token or is of another
             incarnation.
-        bump: Whether its fencing token has to rise, because a direct run command was not answered.
+        raise_token: Whether its fencing token has to rise, because a direct run command was not answered.
         inherited: Whether it was up for the owner before, and no heartbeat has reached this one.
-        to: The shard that gets it once it is empty; "" leaves it unassigned.
+        target_shard: The shard that gets it once it is empty; "" leaves it unassigned.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self.spot = bool(value["s"])
         self.address: str = value.get("a", "")
         self.rented_at: float = value.get("at", now)
-        self.dated = bool(value.get("r"))
+        self.rented_at_known = bool(value.get("r"))
         self.revision = revision
         self.shape = shape
         self.phase = MachinePhase.DECOMMISSIONED if value.get("x") else MachinePhase.EXPECTED
@@ -91,9 +91,9 @@
         self.version = 0
         self.cpus = shape.cpus
         self.gpus = shape.gpus
-        self.memory = shape.memory_gb
-        self.since = now
-        self.last_at: float | None = None
+        self.memory_gb = shape.memory_gb
+        self.known_since = now
+        self.last_heartbeat_at: float | None = None
         self.incarnation = 0
         self.sequence = 0
         self.fencing_token = 0
@@ -101,22 +101,22 @@
         self.images: dict[str, float] = {}
         for image, size in reversed(stored_images(value)):
             self.images[image] = size
-        self.ended: set[tuple[str, int, int]] = set()
+        self.ended_attempts: set[tuple[str, int, int]] = set()
         self.orphaned_tasks: dict[tuple[str, int], int] = {}
-        self.reported = 0
+        self.reported_count = 0
         self.reclaim_at: float | None = None
         self.no_room_until = 0.0
-        self.failed: dict[str, float] = {}
-        self.sending = False
-        self.outstanding: dict[tuple[str, int, int], int] = {}
-        self.bump = False
+        self.failed_jobs: dict[str, float] = {}
+        self.sending_commands = False
+        self.outstanding_runs: dict[tuple[str, int, int], int] = {}
+        self.raise_token = False
         if value.get("n") and value.get("a") and self.phase is MachinePhase.EXPECTED:
             # It was up when it was assigned. If it is not any more, its silence shows it.
             self.phase = MachinePhase.UP
             self.incarnation = value["n"]
-            self.last_at = now
+            self.last_heartbeat_at = now
         self.inherited = False
-        self.to: str | None = None
+        self.target_shard: str | None = None
 
     def value(self, shard: str) -> dict[str, Any]:
         """Its record, assigned to `shard`."""
@@ -128,7 +128,7 @@
             "p": shard,
         }
         value["at"] = round(self.rented_at, 3)
-        if self.dated:
+        if self.rented_at_known:
             value["r"] = 1
         images = list(reversed(self.images))[:IMAGES_STORED]
         value["i"] = [[image, self.images[image]] for image in images]
@@ -186,7 +186,7 @@
         self.version += 1
         self.cpus -= cpus
         self.gpus -= gpus
-        self.memory -= memory
+        self.memory_gb -= memory
         self.idle_since = None
 
     def deallocate(
@@ -197,13 +197,13 @@
             self.version += 1
             self.cpus += cpus
             self.gpus += gpus
-            self.memory += memory
+            self.memory_gb += memory
         if not self.live:
             self.idle_since = now
 
     def fits(self, cpus: float, gpus: float, memory: float) -> int:
         """How many such tasks the free capacity takes."""
-        return fits((self.cpus, self.gpus, self.memory), (cpus, gpus, memory))
+        return fits((self.cpus, self.gpus, self.memory_gb), (cpus, gpus, memory))
 
     @property
     def usable(self) -> bool:
@@ -213,17 +213,24 @@
     def is_booting(self, now: float) -> bool:
         """Whether work may wait for it to boot; not if it is far later than usual."""
         boot_s = self.shape.boot_s
-        started_at = max(self.rented_at, self.since - boot_s)
+        started_at = max(self.rented_at, self.known_since - boot_s)
         return self.phase is MachinePhase.EXPECTED and now - started_at < BOOT_PATIENCE * boot_s
 
     @property
     def empty(self) -> bool:
         """No placement counts here, and no report of a task is left to be settled."""
-        return not self.live and not self.orphaned_tasks and not self.ended and self.reported == 0
+        return (
+            not self.live
+            and not self.orphaned_tasks
+            and not self.ended_attempts
+            and self.reported_count == 0
+        )
 
     def silence_s(self, now: float) -> float:
         """Seconds since its last heartbeat, or since this owner learnt of it."""
-        return now - (self.last_at if self.last_at is not None else self.since)
+        return now - (
+            self.last_heartbeat_at if self.last_heartbeat_at is not None else self.known_since
+        )
 
 
 def fit_machine_record(value: dict[str, Any], most: int) -> dict[str, Any]:
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -70,7 +70,7 @@
         ] = {}  # by image and zone: machines with room that hold it
         for machine in machines:
             if machine.phase is MachinePhase.UP:
-                if machine.cpus > 1e-6 and machine.memory > 1e-6 and machine.usable:
+                if machine.cpus > 1e-6 and machine.memory_gb > 1e-6 and machine.usable:
                     self.open.append(machine)
                     for image in machine.images:
                         zones = self.images.setdefault(image, {})
@@ -340,7 +340,7 @@
                 continue
             cpus = machine.cpus + sum(self.shard.jobs[p.job].spec.cpus for p in lower)
             gpus = machine.gpus + sum(self.shard.jobs[p.job].spec.gpus for p in lower)
-            memory = machine.memory + sum(self.shard.jobs[p.job].spec.memory_gb for p in lower)
+            memory = machine.memory_gb + sum(self.shard.jobs[p.job].spec.memory_gb for p in lower)
             if cpus + 1e-6 < spec.cpus or gpus + 1e-6 < spec.gpus or memory + 1e-6 < spec.memory_gb:
                 continue
             # While one of its machines fetches, all of a gang's wait.
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -81,14 +81,14 @@
             if machine.phase is MachinePhase.DECOMMISSIONED:
                 continue
             if machine.inherited:
-                if now - machine.since > inherited_limit_s:
+                if now - machine.known_since > inherited_limit_s:
                     shard.decommission(machine, "not heard since the part was taken over")
             elif machine.phase is MachinePhase.EXPECTED:
                 # Some machines never come up, and are charged all the same. Their time counts from the rental: counted
                 # from when we came to know of it, each failover kept such a machine for as long again.
                 if (
                     now - machine.rented_at > BOOTS_UNTIL_UP * machine.shape.boot_s
-                    and now - machine.since > silent_s
+                    and now - machine.known_since > silent_s
                 ):
                     shard.decommission(machine, "never came up")
             elif (
@@ -99,7 +99,7 @@
                 shard.decommission(machine, "taken back")
             elif machine.why == "suspect" and not machine.live:
                 shard.decommission(machine, "suspect")
-            elif machine.last_at is not None and machine.silence_s(now) > silence_limit_s:
+            elif machine.last_heartbeat_at is not None and machine.silence_s(now) > silence_limit_s:
                 # Silence is no proof that its tasks stopped. Releasing it makes one.
                 shard.decommission(machine, "silent")
 
@@ -109,7 +109,11 @@
         Where most fall silent at once, the fault may be on our side: the shard may yet move to a controller that hears
         them. But not for ever, or two dead machines of two would hold their tasks for good.
         """
-        heard = [machine for machine in self.shard.machines.values() if machine.last_at is not None]
+        heard = [
+            machine
+            for machine in self.shard.machines.values()
+            if machine.last_heartbeat_at is not None
+        ]
         silent_s = self.silent_s
         silent = sum(1 for machine in heard if machine.silence_s(now) > silent_s)
         return silent_s if silent * 2 <= len(heard) else 2 * silent_s
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -212,13 +212,15 @@
         for name in list(self.changed_machines):
             machine = self.shard.machines.get(name)
             if machine is None or (
-                machine.to is None and not machine.bump and not machine.decommission_generation
+                machine.target_shard is None
+                and not machine.raise_token
+                and not machine.decommission_generation
             ):
                 del self.changed_machines[name]
                 continue
             transaction.urgent = True
             self._write_machine(machine, transaction)
-            if machine.to is not None and machine.ended and not machine.live:
+            if machine.target_shard is not None and machine.ended_attempts and not machine.live:
                 # The sooner its worker forgets what has ended, the sooner it can go.
                 self.shard.urgent[machine.name] = None
 
@@ -379,15 +381,21 @@
 
     def _write_machine(self, machine: Machine, transaction: Transaction) -> None:
         """Write a machine's record if it passes to another team, needs a higher token, or is decommissioned."""
-        moves = machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
-        raises_token = machine.bump and any(
-            sent >= self.shard.token(machine) for sent in machine.outstanding.values()
+        moves = (
+            machine.target_shard is not None
+            and machine.empty
+            and machine.phase is MachinePhase.LEAVING
+        )
+        raises_token = machine.raise_token and any(
+            sent >= self.shard.token(machine) for sent in machine.outstanding_runs.values()
         )
         if not (moves or raises_token or machine.decommission_generation):
             return
         if not transaction.room(1, MACHINE_BYTES):
             return
-        team = machine.to if moves and machine.to is not None else self.shard.name
+        team = (
+            machine.target_shard if moves and machine.target_shard is not None else self.shard.name
+        )
         transaction.put(
             f"machine/{machine.name}",
             fit_machine_record(machine.value(team), self.shard.write_limits.value_bytes),
@@ -405,7 +413,7 @@
     def _machine_durable(self, machine: Machine, team: str, revision: int) -> None:
         machine.revision = revision
         machine.decommission_generation = 0
-        machine.bump = False
+        machine.raise_token = False
         if team != self.shard.name:
             log.info(
                 "machine passed on: machine=%s from=%s to=%s",
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -199,9 +199,9 @@
     def leaving(self) -> list[tuple[str, str]]:
         """The machines that are being vacated, and for which team; "": to be unassigned."""
         return [
-            (machine.name, machine.to)
+            (machine.name, machine.target_shard)
             for machine in self.shard.machines.values()
-            if machine.to is not None and machine.phase is MachinePhase.LEAVING
+            if machine.target_shard is not None and machine.phase is MachinePhase.LEAVING
         ]
 
     def counts(self) -> list[tuple[str, int, int]]:
@@ -267,7 +267,7 @@
         """Pass a machine on to another team, or unassign it (""), if it is empty."""
         machine = self.shard.machines.get(name)
         if machine is not None and machine.usable and machine.empty and to != self.shard.name:
-            machine.to = to
+            machine.target_shard = to
             machine.cordon("moves")
             self.shard.note_machine(name)
 
@@ -278,7 +278,7 @@
             if machine and machine.usable and name not in self.shard.reserved:
                 log.info("machine reclaimed: machine=%s for=%s", name, order.to)
                 machine.cordon(f"recalled for {order.to}")
-                machine.to = order.to
+                machine.target_shard = order.to
                 self.shard.note_machine(name)
                 self.shard.drain(machine, now)
 
@@ -299,7 +299,7 @@
                     and order.zone in ("", machine.zone)
                     and (order.spot or not machine.spot)
                 ):
-                    machine.to = to
+                    machine.target_shard = to
                     machine.cordon(f"passed on to {to}")
                     self.shard.note_machine(machine.name)
                     self.rebalances[to] = _RebalanceRequest(
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -78,9 +78,9 @@
                     grace_s=0.0,
                 )
             )
-        if heartbeat or machine.to is not None:
-            for job_id, task, attempt in sorted(machine.ended):
-                if (job_id, task, attempt) not in machine.outstanding and self._forgettable(
+        if heartbeat or machine.target_shard is not None:
+            for job_id, task, attempt in sorted(machine.ended_attempts):
+                if (job_id, task, attempt) not in machine.outstanding_runs and self._forgettable(
                     job_id, task, attempt
                 ):
                     commands.append(
@@ -103,7 +103,7 @@
 
     def direct(self, machine: Machine) -> list[TaskCommand]:
         """Choose what to send directly; its run commands are outstanding until answered."""
-        if machine.sending or not machine.address or not machine.incarnation:
+        if machine.sending_commands or not machine.address or not machine.incarnation:
             return []
         commands = self.orders(machine, None)
         token = self.shard.token(machine)
@@ -111,19 +111,19 @@
             placement = machine.live.get(split_task(command.task))
             if command.verb == CommandVerb.RUN and placement:
                 placement.sent_directly(machine.incarnation)
-                machine.outstanding[(*placement.key, placement.attempt)] = token
+                machine.outstanding_runs[(*placement.key, placement.attempt)] = token
         return commands
 
     @staticmethod
     def direct_answered(machine: Machine, commands: list[TaskCommand]) -> None:
         """Take in that direct commands cannot arrive any more."""
         for command in commands:
-            machine.outstanding.pop((*split_task(command.task), command.attempt), None)
+            machine.outstanding_runs.pop((*split_task(command.task), command.attempt), None)
 
     def direct_unanswered(self, machine: Machine, commands: list[TaskCommand]) -> None:
         """Raise the token, since a run command may still arrive, even minutes late: it is refused then."""
         if any(command.verb == CommandVerb.RUN for command in commands):
-            machine.bump = True
+            machine.raise_token = True
             self.shard.note_machine(machine.name)
 
     def lapses(self, machine: Machine, now: float) -> bool:
@@ -137,7 +137,7 @@
         limit = now - (
             workers.cancel_s - workers.lease_s - 2 * self.shard.shared.skew_ms / 1000
         )  # twice: the worker's clock and ours
-        for job_id, _, _ in machine.outstanding:
+        for job_id, _, _ in machine.outstanding_runs:
             job = self.shard.jobs.get(job_id)
             if job is not None and job.cancelled_at is not None and job.cancelled_at < limit:
                 return True
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -118,7 +118,7 @@
         """Count a job's failures no longer against the machines where it failed."""
         for name in job.avoided_machines:
             if name in self.shard.machines:
-                self.shard.machines[name].failed.pop(job.id, None)
+                self.shard.machines[name].failed_jobs.pop(job.id, None)
 
     def _blame(self, job: Job, machine: Machine, now: float) -> None:
         """Count a failure against its machine, which goes into quarantine if different jobs failed there lately.
@@ -128,11 +128,11 @@
         """
         job.avoided_machines[machine.name] = now + self.shard.retry.cap_s
         if job.done_count or len(job.avoided_machines) == 1:
-            machine.failed[job.id] = now
+            machine.failed_jobs[job.id] = now
         else:
             self.exonerate(job)
         lately_s = self.shard.retry.horizon_s / LATELY_SHARE
-        recent = [at for at in machine.failed.values() if now - at < lately_s]
+        recent = [at for at in machine.failed_jobs.values() if now - at < lately_s]
         if (
             len(recent) >= FAILED_JOBS_OF_SUSPECT
             and machine.phase is MachinePhase.UP
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -393,7 +393,7 @@
         """Name the next owner in the shard's key, between two of our own transactions. It claims on seeing that."""
         self.transfer_to = None
         if to not in self.context.fit_members() or any(
-            machine.sending for machine in shard.machines.values()
+            machine.sending_commands for machine in shard.machines.values()
         ):
             return
         path = f"part/{shard.name}"
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -258,7 +258,7 @@
         "spot": machine.spot,
         "address": machine.address,
         "rented_at": machine.rented_at,
-        "rental_time_known": machine.dated,
+        "rental_time_known": machine.rented_at_known,
         "phase": MACHINE_PHASES[machine.phase],
         "reason": machine.why,
         "session": machine.incarnation,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -637,7 +637,7 @@
             break
         shard.scheduler.schedule(tally + 0.6)
         revision += 1
-    assert one.likely_faulty and not any(machine.failed for machine in shard.machines.values())
+    assert one.likely_faulty and not any(machine.failed_jobs for machine in shard.machines.values())
     commit(shard, 90)
     for name in ("vm-0", "vm-1"):
         shard.reconciler.on_heartbeat(report(name, 90), 39.0, True)
@@ -890,12 +890,12 @@
     shard.status_reporter.rebalance(Rebalance("red", "blue", 1, (), "b", True), 1.0)
     shard.scheduler.schedule(1.0)
     assert (
-        shard.machines["vm-1"].to == "blue"
+        shard.machines["vm-1"].target_shard == "blue"
         and not shard.machines["vm-1"].live
         and shard.machines["vm-0"].live
     )
     shard.scheduler.schedule(1.5)
-    assert shard.machines["vm-0"].to is None  # one was asked for
+    assert shard.machines["vm-0"].target_shard is None  # one was asked for
 
 
 HEADROOM = [  # sizes of gangs (in machines) that came in the last four boots -> empty machines to keep
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -354,7 +354,7 @@
     assert (
         live.status == "running"
         and (machine.incarnation, machine.sequence) == (1, 9)
-        and machine.last_at == 4.0
+        and machine.last_heartbeat_at == 4.0
     )
 
 
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -409,7 +409,7 @@
         service.world.held_orders = (1.0, delay_s, delay_s)
         await service.submit(job(2, shape="daemon", shares=1))
         while not any(
-            machine.outstanding
+            machine.outstanding_runs
             for owner in service.controllers[n].owners.values()
             if owner.shard
             for machine in owner.shard.machines.values()
