--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -183,7 +183,7 @@
                 ended.add(attempt)
                 self._on_ended(machine, placement, report, now)
             else:
-                placement.reported(report.status, heartbeat.incarnation, now)
+                placement.record_report(report.status, heartbeat.incarnation, now)
                 if placement.running_at == now:
                     self._on_running(placement, now)
                 spec = self.shard.jobs[placement.job].spec
@@ -258,7 +258,7 @@
         ):
             return False
         return placement.phase is Phase.STOPPING or (
-            placement.seen and placement.phase >= Phase.START_SENT
+            placement.worker_reported and placement.phase >= Phase.START_SENT
         )
 
     def _on_done_unplaced(self, job: Job, task: int, now: float) -> None:
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -416,7 +416,7 @@
         for task, machine, attempt in value.get("p", []):
             if not taken[task]:
                 out.append(self.place(task, machine, attempt, now))
-                out[-1].read_back()
+                out[-1].mark_recovered()
         return out
 
     def record(self) -> dict[str, Any]:
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -437,7 +437,7 @@
                 placement.phase is Phase.INTENDED
                 and placement.generation <= job.chunk_of(placement.task).durable_generation
             ):
-                placement.committed()
+                placement.mark_committed()
                 self.shard.urgent[placement.machine] = None
 
     @staticmethod
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -59,7 +59,7 @@
         placed_at: Time at which it was placed, in seconds.
         phase: Where it stands.
         start_answered: Incarnation and sequence of the heartbeat whose answer carried the run command.
-        seen: Whether its worker has reported it.
+        worker_reported: Whether its worker has reported it.
         from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may have
             sent its run command in an incarnation that this owner does not know of.
         incarnation: The worker's incarnation in which this owner last commanded or saw it.
@@ -85,11 +85,11 @@
         "placed_at",
         "reclaim_handled",
         "running_at",
-        "seen",
         "start_answered",
         "status",
         "task",
         "why",
+        "worker_reported",
     )
 
     def __init__(
@@ -104,7 +104,7 @@
         self.placed_at = now
         self.phase = Phase.INTENDED
         self.start_answered: tuple[int, int] | None = None
-        self.seen = False
+        self.worker_reported = False
         self.from_earlier_owner = False
         self.incarnation: int | None = None
         self.status = ""
@@ -119,33 +119,33 @@
         """Job and number of the task."""
         return self.job, self.task
 
-    def committed(self) -> None:
+    def mark_committed(self) -> None:
         """It is durable."""
         if self.phase is Phase.INTENDED:
             self.phase = Phase.COMMITTED
 
-    def read_back(self) -> None:
+    def mark_recovered(self) -> None:
         """It was read from the store: an earlier owner may have sent its run command."""
         self.phase = Phase.START_SENT
         self.from_earlier_owner = True
 
-    def answered_with_start(self, incarnation: int, sequence: int) -> None:
+    def start_sent_in_answer(self, incarnation: int, sequence: int) -> None:
         """The answer to that heartbeat carries its run command."""
         if self.phase is Phase.COMMITTED:
             self.phase = Phase.START_SENT
         self.start_answered = (incarnation, sequence)
         self.incarnation = incarnation
 
-    def sent_directly(self, incarnation: int) -> None:
+    def start_sent_directly(self, incarnation: int) -> None:
         """Its run command goes straight to that incarnation of its worker."""
         self.incarnation = incarnation
         if self.phase is Phase.COMMITTED:
             self.phase = Phase.START_SENT
 
-    def reported(self, status: str, incarnation: int, now: float) -> None:
+    def record_report(self, status: str, incarnation: int, now: float) -> None:
         """A heartbeat of that incarnation has it."""
         self.incarnation = incarnation
-        self.seen = True
+        self.worker_reported = True
         self.status = status
         if status != TaskStatus.PULLING and self.image_ready_at is None:
             self.image_ready_at = now
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -62,13 +62,13 @@
                     )
                 )
             elif placement.phase is Phase.COMMITTED or (
-                placement.phase is Phase.START_SENT and not placement.seen
+                placement.phase is Phase.START_SENT and not placement.worker_reported
             ):
                 commands.append(
                     TaskCommand(verb=CommandVerb.RUN, task=name, attempt=placement.attempt)
                 )
                 if heartbeat:
-                    placement.answered_with_start(heartbeat.incarnation, heartbeat.sequence)
+                    placement.start_sent_in_answer(heartbeat.incarnation, heartbeat.sequence)
         for (job_id, task), attempt in machine.orphaned_tasks.items():
             commands.append(
                 TaskCommand(
@@ -110,7 +110,7 @@
         for command in commands:
             placement = machine.live.get(split_task(command.task))
             if command.verb == CommandVerb.RUN and placement:
-                placement.sent_directly(machine.incarnation)
+                placement.start_sent_directly(machine.incarnation)
                 machine.outstanding_runs[(*placement.key, placement.attempt)] = token
         return commands
 
