--- a/ashdock/command_sender.py
+++ b/ashdock/command_sender.py
@@ -61,7 +61,7 @@
             if machine.sending_commands:
                 shard.urgent[name] = None
                 continue
-            commands = shard.commands.direct(machine)
+            commands = shard.commands.direct_commands(machine)
             if commands:
                 machine.sending_commands = True
                 task = asyncio.create_task(
@@ -83,17 +83,17 @@
                 machine.address, token, machine.incarnation, commands
             )
             if status in STATUSES_OF_WORKER:
-                shard.commands.direct_answered(machine, commands)
+                shard.commands.on_direct_answered(machine, commands)
             else:
-                shard.commands.direct_unanswered(machine, commands)
+                shard.commands.on_direct_unanswered(machine, commands)
             self._take_in(shard, machine, heartbeat)
             if status != HTTPStatus.OK:
                 log.debug("direct commands refused: machine=%s status=%d", machine.name, status)
         except NoAnswer as error:
             if error.sent:
-                shard.commands.direct_unanswered(machine, commands)
+                shard.commands.on_direct_unanswered(machine, commands)
             else:
-                shard.commands.direct_answered(machine, commands)
+                shard.commands.on_direct_answered(machine, commands)
             log.debug("direct commands not answered: machine=%s error=%s", machine.name, error)
         finally:
             machine.sending_commands = False
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -105,9 +105,9 @@
         if heartbeat.reclaim_in_s is not None:
             self.shard.on_spot_reclaim(machine, heartbeat.reclaim_in_s, now)
         self._reconcile_tasks(machine, heartbeat, now, checkin and heartbeat.fencing_token >= token)
-        if checkin and self.shard.commands.lapses(machine, now):
+        if checkin and self.shard.commands.lease_must_expire(machine, now):
             return None
-        return self.shard.commands.orders(machine, heartbeat if checkin else None)
+        return self.shard.commands.commands_for(machine, heartbeat if checkin else None)
 
     def _update_machine(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         if machine.phase is MachinePhase.EXPECTED:
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -42,7 +42,7 @@
         """Command for a shard."""
         self.shard = shard
 
-    def orders(self, machine: Machine, heartbeat: Heartbeat | None) -> list[TaskCommand]:
+    def commands_for(self, machine: Machine, heartbeat: Heartbeat | None) -> list[TaskCommand]:
         """Choose what a machine is to do.
 
         Args:
@@ -101,11 +101,11 @@
         chunk = job.chunk_of(task)
         return job.phase is not JobPhase.OVER and chunk.durable_generation >= chunk.generation
 
-    def direct(self, machine: Machine) -> list[TaskCommand]:
+    def direct_commands(self, machine: Machine) -> list[TaskCommand]:
         """Choose what to send directly; its run commands are outstanding until answered."""
         if machine.sending_commands or not machine.address or not machine.incarnation:
             return []
-        commands = self.orders(machine, None)
+        commands = self.commands_for(machine, None)
         token = self.shard.token(machine)
         for command in commands:
             placement = machine.live.get(split_task(command.task))
@@ -115,18 +115,18 @@
         return commands
 
     @staticmethod
-    def direct_answered(machine: Machine, commands: list[TaskCommand]) -> None:
+    def on_direct_answered(machine: Machine, commands: list[TaskCommand]) -> None:
         """Take in that direct commands cannot arrive any more."""
         for command in commands:
             machine.outstanding_runs.pop((*split_task(command.task), command.attempt), None)
 
-    def direct_unanswered(self, machine: Machine, commands: list[TaskCommand]) -> None:
+    def on_direct_unanswered(self, machine: Machine, commands: list[TaskCommand]) -> None:
         """Raise the token, since a run command may still arrive, even minutes late: it is refused then."""
         if any(command.verb == CommandVerb.RUN for command in commands):
             machine.raise_token = True
             self.shard.note_machine(machine.name)
 
-    def lapses(self, machine: Machine, now: float) -> bool:
+    def lease_must_expire(self, machine: Machine, now: float) -> bool:
         """Whether the worker's lease must run out.
 
         So it is if a run command that was not answered may still arrive, its job was cancelled, and the token that would
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -171,8 +171,8 @@
 
         monkeypatch.setattr(controller.worker_client, "send_commands", send_commands)
         decided_under = owner.shard.token(machine)
-        monkeypatch.setattr(owner.shard.commands, "direct", lambda *_: [object()])
-        monkeypatch.setattr(owner.shard.commands, "direct_answered", lambda *_: None)
+        monkeypatch.setattr(owner.shard.commands, "direct_commands", lambda *_: [object()])
+        monkeypatch.setattr(owner.shard.commands, "on_direct_answered", lambda *_: None)
         owner.shard.urgent[machine.name] = None
         owner._send_urgent(owner.shard)
         machine.revision += 1000  # its record was written before the message had left
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -268,8 +268,8 @@
     started(shard)
     machine = shard.machines["vm-0"]
     if events[0][0] == "unanswered":
-        orders = shard.commands.direct(machine)
-        shard.commands.direct_unanswered(machine, orders)
+        orders = shard.commands.direct_commands(machine)
+        shard.commands.on_direct_unanswered(machine, orders)
     one = shard.jobs["req-000001"]
     shard.preempt(one, [0], "test", 3.0)
     for kind, a, b, c in events:
@@ -765,7 +765,7 @@
     ]
     heir.load([("vm-0", record, 5)], work, [], 5.0)
     machine = heir.machines["vm-0"]
-    assert [order.verb for order in heir.commands.direct(machine)] == [CommandVerb.RUN]
+    assert [order.verb for order in heir.commands.direct_commands(machine)] == [CommandVerb.RUN]
     tasks: list[tuple[str, int, str, str | None]] = [("req-000001/0", 1, "running", None)]
     if late is not None:
         heir.reconciler.on_heartbeat(
@@ -1010,9 +1010,9 @@
             (f"req-000001/{task}", placement.attempt, "ended", "done")
         )
     for machine, tasks in where.items():
-        shard.commands.direct(shard.machines[machine])
-        shard.commands.direct_answered(
-            shard.machines[machine], shard.commands.orders(shard.machines[machine], None)
+        shard.commands.direct_commands(shard.machines[machine])
+        shard.commands.on_direct_answered(
+            shard.machines[machine], shard.commands.commands_for(shard.machines[machine], None)
         )
         shard.reconciler.on_heartbeat(report(machine, 2, tasks), 5.0, True)
     ends: list[dict[str, Any]] = []
