--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -161,7 +161,7 @@
 
     def _failed(self, task: int, failure: Failure) -> None:
         self.failures[task] = failure
-        self.max_failures = max(self.max_failures, failure.times)
+        self.max_failures = max(self.max_failures, failure.failure_count)
 
     def wake(self, task: int, failure: Failure) -> None:
         if self.states[task] == TaskState.PARKED:
--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -44,7 +44,9 @@
 
     IN_PLACE = "in_place"  # at once
     PARK = "park"  # after a delay
-    PAST = "past"  # the episode is beyond its bounds: after the longest delay, again and again
+    PAST_LIMITS = (
+        "past"  # the episode is beyond its bounds: after the longest delay, again and again
+    )
 
 
 class RetryDecision(NamedTuple):
@@ -61,7 +63,7 @@
     failure: Failure
 
 
-def after_failure(
+def decide_retry(
     retry: Retry, before: Failure | None, why: str, now: float, rng: random.Random
 ) -> RetryDecision:
     """Decide the next step of a task's retry episode.
@@ -83,9 +85,9 @@
     delay = min(retry.cap_s, retry.first_delay_s * retry.factor**doublings)
     delay *= 1 + rng.random() / 2
     if past:
-        return RetryDecision(RetryStep.PAST, retry.cap_s * (1 + rng.random()), failure)
+        return RetryDecision(RetryStep.PAST_LIMITS, retry.cap_s * (1 + rng.random()), failure)
     if now - first >= retry.horizon_s or parks > retry.most_parks:
-        return RetryDecision(RetryStep.IN_PLACE, 0.0, failure._replace(past=1))
+        return RetryDecision(RetryStep.IN_PLACE, 0.0, failure._replace(past_limits=1))
     if parks == 0 and retry.first_delay_s < retry.park_at_once_s:
         return RetryDecision(RetryStep.IN_PLACE, 0.0, failure)
     return RetryDecision(RetryStep.PARK, delay, failure)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -339,7 +339,7 @@
         self.dependency_tracker.cancelled(job, now)
         if not job.done_count:
             # Most that fail until they are cancelled were submitted with a mistake.
-            self.failures.exonerate(job)
+            self.failures.clear_machine_failures(job)
         self.ending[job_id] = job
         self.parks.drop(job_id)
         for placement in list(job.live.values()):
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -35,16 +35,16 @@
     """A task's own failures in its retry episode.
 
     Attributes:
-        times: Number of failures.
-        first: Time of day of the first, in seconds.
-        why: Reason of the last.
+        failure_count: Number of failures.
+        first_at: Time of day of the first, in seconds.
+        reason: Reason of the last.
         past: 1 once the episode is beyond its bounds, else 0.
     """
 
-    times: int
-    first: float
-    why: str
-    past: int = 0
+    failure_count: int
+    first_at: float
+    reason: str
+    past_limits: int = 0
 
 
 class Placement:
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -8,7 +8,7 @@
 
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase
-from ashdock.core.park import Parks, after_failure
+from ashdock.core.park import Parks, decide_retry
 from ashdock.core.task import Failure, Placement, ranges_of
 from ashdock.settings import Retry
 from ashdock.wire.messages import JobKind
@@ -85,13 +85,13 @@
             failure: this failure.
             now: the time.
         """
-        decision = after_failure(
-            self.shard.retry, job.failures.get(tasks[0]), failure.why, now, self.shard.rng
+        decision = decide_retry(
+            self.shard.retry, job.failures.get(tasks[0]), failure.reason, now, self.shard.rng
         )
         what = "the gang" if job.spec.kind == JobKind.GANG else f"task {tasks[0]}"
         if job.reason is None:
             # From the first failure on: who submitted it with a mistake is not to wait for the second.
-            job.set_reason(f"{what} failed: {failure.why}; tried again")
+            job.set_reason(f"{what} failed: {failure.reason}; tried again")
         if decision.step == "in_place":
             for task in tasks:
                 job.set_failure(task, decision.failure)
@@ -99,10 +99,10 @@
         for task in tasks:
             job.park(task, decision.failure)
         self.shard.parks.add(job.id, ranges_of(tasks), now + decision.delay, decision.failure)
-        times = decision.failure.times
+        times = decision.failure.failure_count
         if decision.step == "past":
             job.set_reason(
-                f"{what} failed {times} times, last: {failure.why}; still tried now and then"
+                f"{what} failed {times} times, last: {failure.reason}; still tried now and then"
             )
             log.info("retry episode past its bounds: job=%s reason=%s", job.id, job.reason)
             return
@@ -114,7 +114,7 @@
             times,
         )
 
-    def exonerate(self, job: Job) -> None:
+    def clear_machine_failures(self, job: Job) -> None:
         """Count a job's failures no longer against the machines where it failed."""
         for name in job.avoided_machines:
             if name in self.shard.machines:
@@ -130,7 +130,7 @@
         if job.done_count or len(job.avoided_machines) == 1:
             machine.failed_jobs[job.id] = now
         else:
-            self.exonerate(job)
+            self.clear_machine_failures(job)
         lately_s = self.shard.retry.horizon_s / LATELY_SHARE
         recent = [at for at in machine.failed_jobs.values() if now - at < lately_s]
         if (
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -160,7 +160,13 @@
     done = [task for task, state in enumerate(job.states) if state == TaskState.DONE]
     placed = [[task, found.machine, found.attempt] for task, found in sorted(job.live.items())]
     failed = [
-        {"task": task, "times": f.times, "first": f.first, "why": f.why, "past": f.past}
+        {
+            "task": task,
+            "times": f.failure_count,
+            "first": f.first_at,
+            "why": f.reason,
+            "past": f.past_limits,
+        }
         for task, f in sorted(job.failures.items())
     ]
     return {"done": task_ranges(done), "placed": placed, "failed": failed}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -133,14 +133,14 @@
 def test_the_bounded_episode(
     before: Failure | None, now: float, step: str, times: int, past: int
 ) -> None:
-    got = parking.after_failure(Retry(), before, "error", now, random.Random(1))
-    assert (got.step, got.failure.times, got.failure.past) == (step, times, past)
-    assert got.failure.first == (now if before is None else before.first)
+    got = parking.decide_retry(Retry(), before, "error", now, random.Random(1))
+    assert (got.step, got.failure.failure_count, got.failure.past_limits) == (step, times, past)
+    assert got.failure.first_at == (now if before is None else before.first_at)
 
 
 def test_a_wait_of_ten_seconds_parks_at_once() -> None:
     assert (
-        parking.after_failure(Retry(first_delay_s=10), None, "error", 0, random.Random(1)).step
+        parking.decide_retry(Retry(first_delay_s=10), None, "error", 0, random.Random(1)).step
         == "park"
     )
 
@@ -148,7 +148,7 @@
 def test_delays_double_to_the_cap_and_differ() -> None:
     rng = random.Random(1)
     delays = [
-        parking.after_failure(Retry(), Failure(n, 0, ""), "e", 1, rng).delay for n in range(1, 12)
+        parking.decide_retry(Retry(), Failure(n, 0, ""), "e", 1, rng).delay for n in range(1, 12)
     ]
     for base, delay in zip([2, 4, 8, 16, 32, 60, 60, 60], delays, strict=False):
         assert base <= delay <= base * 1.5
@@ -311,7 +311,7 @@
     assert "forget" not in [o.verb for o in orders or []], (
         "forgotten before the outcome was durable"
     )
-    assert 0 not in one.live and one.failures.get(0, Failure(0, 0, "")).times == failures
+    assert 0 not in one.live and one.failures.get(0, Failure(0, 0, "")).failure_count == failures
     assert (one.phase is JobPhase.OVER) is (after == "done")
     writes = commit(shard, 30)
     if after == "done":
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -432,7 +432,7 @@
         TaskState.READY,
     ]
     assert (
-        one.failures[11].times == 1
+        one.failures[11].failure_count == 1
         and one.live[3].attempt == 2
         and one.reason
         and not one.awaits_dependencies
