--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -14,7 +14,7 @@
 from ashdock.wire.messages import JobKind, JobSpec, JobStatus, TaskStatus
 
 # The widest a task can be in a chunk: a placement and a failure with its reason, in bytes.
-TASK_BYTES = 112
+MAX_TASK_BYTES = 112
 
 
 class JobPhase(Enum):
@@ -114,7 +114,7 @@
 
     # -- states of tasks -------------------------------------------------------------------
 
-    def _set(self, task: int, state: TaskState) -> int:
+    def _set_state(self, task: int, state: TaskState) -> int:
         was = self.states[task]
         if was == TaskState.DONE:
             return self.chunk_of(task).generation
@@ -132,7 +132,7 @@
     def place(self, task: int, machine: str, attempt: int, now: float) -> Placement:
         chunk = self.chunk_of(task)
         chunk.max_attempt = max(chunk.max_attempt, attempt)
-        generation = chunk.placed_generation = self._set(task, TaskState.LIVE)
+        generation = chunk.placed_generation = self._set_state(task, TaskState.LIVE)
         placement = Placement(self.id, task, attempt, machine, generation, now)
         self.live[task] = chunk.live[task] = placement
         return placement
@@ -145,31 +145,31 @@
         """Its stop is confirmed, or its start was never sent: back among the ready."""
         self.unplace(task)
         if self.states[task] == TaskState.LIVE:
-            self._set(task, TaskState.READY)
+            self._set_state(task, TaskState.READY)
         else:
             self.chunk_of(task).mark_changed()
         self.mark_changed()
 
     def finish(self, task: int) -> None:
         self.failures.pop(task, None)
-        self._set(task, TaskState.DONE)
+        self._set_state(task, TaskState.DONE)
 
     def park(self, task: int, failure: Failure) -> None:
-        self._failed(task, failure)
+        self._record_failure(task, failure)
         self.failures.pop(task, None)  # the park carries the count
-        self._set(task, TaskState.PARKED)
+        self._set_state(task, TaskState.PARKED)
 
-    def _failed(self, task: int, failure: Failure) -> None:
+    def _record_failure(self, task: int, failure: Failure) -> None:
         self.failures[task] = failure
         self.max_failures = max(self.max_failures, failure.failure_count)
 
-    def wake(self, task: int, failure: Failure) -> None:
+    def unpark(self, task: int, failure: Failure) -> None:
         if self.states[task] == TaskState.PARKED:
-            self._failed(task, failure)
-            self._set(task, TaskState.READY)
+            self._record_failure(task, failure)
+            self._set_state(task, TaskState.READY)
 
     def set_failure(self, task: int, failure: Failure) -> None:
-        self._failed(task, failure)
+        self._record_failure(task, failure)
         self.chunk_of(task).mark_changed()
         self.mark_changed()
 
@@ -388,7 +388,7 @@
         out: list[Placement] = []
         for width, n, tail, value, revision in rows:
             low, high = n * width, min((n + 1) * width, self.spec.tasks)
-            out += self._load(value, taken, now)
+            out += self._load_chunk(value, taken, now)
             taken[low:high] = b"\1" * (high - low)
             if width == self.chunk_tasks:
                 chunk = self.chunk(n)
@@ -403,15 +403,15 @@
                     chunk.mark_changed()
         return out
 
-    def _load(self, value: dict[str, Any], taken: bytearray, now: float) -> list[Placement]:
+    def _load_chunk(self, value: dict[str, Any], taken: bytearray, now: float) -> list[Placement]:
         for low, high in value.get("d", []):
             for task in range(low, high + 1):
                 if not taken[task]:
-                    self._set(task, TaskState.DONE)
+                    self._set_state(task, TaskState.DONE)
         for low, high, *failure in value.get("f", []):
             for task in range(low, high + 1):
                 if not taken[task]:
-                    self._failed(task, Failure(*failure))
+                    self._record_failure(task, Failure(*failure))
         out = []
         for task, machine, attempt in value.get("p", []):
             if not taken[task]:
@@ -471,4 +471,4 @@
 
 def tasks_per_chunk(value_kb: float) -> int:
     """Tasks to a chunk, so that the fullest one still fits a value."""
-    return max(1, int(value_kb * 1024 * 0.9) // TASK_BYTES)
+    return max(1, int(value_kb * 1024 * 0.9) // MAX_TASK_BYTES)
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -61,7 +61,7 @@
             if job:
                 shard.stale = True
                 for task in range(park.low, park.high + 1):
-                    job.wake(task, park.failure)
+                    job.unpark(task, park.failure)
         if now - self.checked_at < shard.workers.report_s / CHECKS_PER_REPORT:
             return
         self.checked_at = now
