--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -1,4 +1,4 @@
-"""A job in its shard's memory, and its form in the state service."""
+"""A job in the memory of its shard's owner, and its encoding in the state service."""
 
 from __future__ import annotations
 
@@ -13,22 +13,35 @@
 from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
 from ashdock.wire.messages import JobKind, JobSpec, JobStatus, TaskStatus
 
-# The widest a task can be in a chunk: a placement and a failure with its reason, in bytes.
+# Largest encoding of one task in a chunk: a placement, and a failure with its reason.
 MAX_TASK_BYTES = 112
 
 
 class JobPhase(Enum):
+    """The lifecycle of a job in its shard's memory."""
+
     ACTIVE = "active"
-    CANCELLED = "cancelled"  # durably; its tasks are still to be confirmed gone
-    OVER = "over"  # its last task is done; the outcome is being written
-    ORPHANED = (
-        "orphaned"  # a job that it needs is cancelled, durably; that it is too is being written
-    )
+    CANCELLED = "cancelled"  # the cancellation is durable; not all tasks are confirmed stopped
+    OVER = "over"  # all tasks are done; the outcome is being written
+    # A dependency is durably cancelled; that this job is cancelled too is being written.
+    ORPHANED = "orphaned"
     FINAL = "final"  # the outcome is durable
 
 
 class Chunk:
-    """A run of tasks that share one value `work/<team>/<id>/<n>`."""
+    """A range of consecutive tasks that are stored in one value, `work/<team>/<id>/<suffix>`.
+
+    Attributes:
+        index: Number of the chunk within the job.
+        revision: Revision of its key; 0 if the key does not exist.
+        generation: Number of changes so far.
+        durable_generation: Generation that was last stored.
+        max_attempt: Highest attempt number of its tasks.
+        placed_generation: Generation of the latest placement; it has to be durable before the run
+            command is sent.
+        live: Its part of the job's `live`, so that encoding a chunk need not go through all
+            placements of the job.
+    """
 
     __slots__ = (
         "durable_generation",
@@ -40,52 +53,113 @@
         "revision",
     )
 
-    def __init__(self, n: int) -> None:
-        self.index = n
+    def __init__(self, index: int) -> None:
+        """Create a chunk that is not stored yet."""
+        self.index = index
         self.revision = 0
         self.generation = 0
         self.durable_generation = 0
-        self.max_attempt = 0  # the highest attempt number used
-        self.placed_generation = 0  # the latest change that starts wait for
-        self.live: dict[
-            int, Placement
-        ] = {}  # the part of the job's: writing a chunk must not look at all of them
+        self.max_attempt = 0
+        self.placed_generation = 0
+        self.live: dict[int, Placement] = {}
 
     def mark_changed(self) -> int:
+        """Start a new generation, which is to be stored, and return it."""
         self.generation += 1
         return self.generation
 
 
 class ReplacedChunk(NamedTuple):
-    """A chunk of an earlier, wider layout. For each of its tasks the narrower chunk that is there has the word."""
+    """A stored chunk of an earlier, wider layout, deleted once narrower chunks are durable.
+
+    A narrower chunk that is stored takes precedence for the tasks that it holds.
+
+    Attributes:
+        revision: Revision of its key.
+        low: Its first task.
+        high: One past its last task.
+    """
 
     revision: int
     low: int
-    high: int  # beyond its last task
+    high: int
 
 
 class Job:
+    """A job, the states of its tasks, and the chunks in which they are stored.
+
+    Times are times of day in seconds.
+
+    Attributes:
+        spec: The submission.
+        id: The job's id.
+        submitted: Time of the submission.
+        eligible_at: Time since which it may start: its submission, or when the last of its
+            dependencies was done, whichever is later.
+        awaits_dependencies: Whether a dependency is not done; no task may be placed until it is.
+        carried: Priority and deadline that it inherits from the jobs that depend on it.
+        revision: Revision of `job/<id>` and of its copy under `work/`, which are always written in
+            the same transaction.
+        phase: Its phase.
+        chunk_tasks: Number of tasks in a chunk.
+        unmarked_chunk_tasks: Number of tasks in a chunk whose key does not name that number, as in
+            versions that had only one.
+        replaced_chunks: Stored chunks of earlier layouts, by the suffix of their key.
+        ended_at: When all of its tasks were known to be done, if that is to be stored.
+        states: The `TaskState` of each task.
+        done_count: Number of tasks that are done.
+        lowest_ready_hint: No task below this one is ready.
+        ready_count: Number of ready tasks.
+        live: The placements that count, by task.
+        failures: Failures of tasks that are not parked, by task.
+        chunks: The chunks of the present layout, by index; created when first used.
+        reason: What users are told about its state.
+        reason_generation: Number of changes of `reason`.
+        durable_reason_generation: The `reason_generation` that was last stored.
+        cancelled_at: Time of its cancellation, or when that of a dependency was taken in.
+        gang_stop_reason: Why the present attempt of a gang is being stopped; None if it is not.
+        gang_failure: A task's own failure in the present attempt of a gang.
+        avoided_machines: By machine where it failed, the time until which it is placed elsewhere if
+            possible.
+        max_failures: Highest failure count that any of its tasks has had.
+        last_preemption_at: When lower-priority work was last stopped for it.
+        preempted_machines: Number of machines on which that was.
+        started_at: When this owner first saw one of its tasks running.
+        changed_jobs: The shard's jobs with something to write; the job adds itself.
+    """
+
     def __init__(
-        self, spec: JobSpec, submitted: float, revision: int, chunk_tasks: int, plain_tasks: int = 0
+        self,
+        spec: JobSpec,
+        submitted: float,
+        revision: int,
+        chunk_tasks: int,
+        unmarked_chunk_tasks: int = 0,
     ) -> None:
+        """Create an active job whose tasks are all ready.
+
+        Args:
+            spec: The submission.
+            submitted: Time of the submission.
+            revision: Revision of `job/<id>`.
+            chunk_tasks: Number of tasks in a chunk.
+            unmarked_chunk_tasks: See the class; 0 for `chunk_tasks`.
+        """
         self.spec = spec
         self.id = spec.id
         self.submitted = submitted
-        self.eligible_at = submitted  # when it could first have started: what it needs was done
-        self.awaits_dependencies = False  # for other jobs: none of its tasks may be placed
-        self.carried: Carried = NOTHING  # from the jobs that need it
-        self.revision = (
-            revision  # of job/<id>, and of the copy beside the work: they are only written together
-        )
+        self.eligible_at = submitted
+        self.awaits_dependencies = False
+        self.carried: Carried = NOTHING
+        self.revision = revision
         self.phase = JobPhase.ACTIVE
         self.chunk_tasks = chunk_tasks
-        # Chunks of this width are written as versions before did, which could not say how wide theirs were.
-        self.unmarked_chunk_tasks = plain_tasks or chunk_tasks
-        self.replaced_chunks: dict[str, ReplacedChunk] = {}  # by the end of their key
-        self.ended_at: float | None = None  # when its last task was known to be done
+        self.unmarked_chunk_tasks = unmarked_chunk_tasks or chunk_tasks
+        self.replaced_chunks: dict[str, ReplacedChunk] = {}
+        self.ended_at: float | None = None
         self.states = bytearray(spec.tasks)
         self.done_count = 0
-        self.lowest_ready_hint = 0  # no task below is ready
+        self.lowest_ready_hint = 0
         self.ready_count = spec.tasks
         self.live: dict[int, Placement] = {}
         self.failures: dict[int, Failure] = {}
@@ -94,32 +168,28 @@
         self.reason_generation = 0
         self.durable_reason_generation = 0
         self.cancelled_at: float | None = None
-        self.gang_stop_reason: str | None = None  # gang: why its attempt is being taken down
-        self.gang_failure: Failure | None = None  # gang: a failure of its own seen in this attempt
-        self.avoided_machines: dict[
-            str, float
-        ] = {}  # machine where it failed: until when this job had better not go there
-        self.max_failures = 0  # the most failures of its own that any of its tasks carries
-        self.last_preemption_at = -math.inf  # when work of its team was last stopped for it
-        self.preempted_machines = 0  # and on how many machines
-        self.started_at: float | None = (
-            None  # when a task of it was first seen running, by this owner
-        )
-        self.changed_jobs: dict[
-            str, Job
-        ] = {}  # its shard's jobs with something to write: it enters itself there
+        self.gang_stop_reason: str | None = None
+        self.gang_failure: Failure | None = None
+        self.avoided_machines: dict[str, float] = {}
+        self.max_failures = 0
+        self.last_preemption_at = -math.inf
+        self.preempted_machines = 0
+        self.started_at: float | None = None
+        self.changed_jobs: dict[str, Job] = {}
 
     def mark_changed(self) -> None:
+        """Register the job with its shard as having something to write."""
         self.changed_jobs[self.id] = self
 
-    # -- states of tasks -------------------------------------------------------------------
+    # -- task states -----------------------------------------------------------------------
 
     def _set_state(self, task: int, state: TaskState) -> int:
-        was = self.states[task]
-        if was == TaskState.DONE:
+        """Change a task's state, unless it is done; returns the generation of its chunk."""
+        previous = self.states[task]
+        if previous == TaskState.DONE:
             return self.chunk_of(task).generation
         self.mark_changed()
-        if was == TaskState.READY:
+        if previous == TaskState.READY:
             self.ready_count -= 1
         if state == TaskState.READY:
             self.ready_count += 1
@@ -130,6 +200,10 @@
         return self.chunk_of(task).mark_changed()
 
     def place(self, task: int, machine: str, attempt: int, now: float) -> Placement:
+        """Place a task on a machine.
+
+        Its run command may be sent once its chunk is durable, or all changed chunks of a gang.
+        """
         chunk = self.chunk_of(task)
         chunk.max_attempt = max(chunk.max_attempt, attempt)
         generation = chunk.placed_generation = self._set_state(task, TaskState.LIVE)
@@ -138,11 +212,15 @@
         return placement
 
     def unplace(self, task: int) -> Placement | None:
+        """Remove and return a task's placement, if it has one; its state stays as it is."""
         self.chunk_of(task).live.pop(task, None)
         return self.live.pop(task, None)
 
     def release(self, task: int) -> None:
-        """Its stop is confirmed, or its start was never sent: back among the ready."""
+        """Make a placed task ready again.
+
+        It is proved stopped, or its run command was never sent.
+        """
         self.unplace(task)
         if self.states[task] == TaskState.LIVE:
             self._set_state(task, TaskState.READY)
@@ -151,12 +229,14 @@
         self.mark_changed()
 
     def finish(self, task: int) -> None:
+        """Mark a task as done, and forget its failures."""
         self.failures.pop(task, None)
         self._set_state(task, TaskState.DONE)
 
     def park(self, task: int, failure: Failure) -> None:
+        """Park a task until its retry time."""
         self._record_failure(task, failure)
-        self.failures.pop(task, None)  # the park carries the count
+        self.failures.pop(task, None)  # stored with the park instead
         self._set_state(task, TaskState.PARKED)
 
     def _record_failure(self, task: int, failure: Failure) -> None:
@@ -164,173 +244,210 @@
         self.max_failures = max(self.max_failures, failure.failure_count)
 
     def unpark(self, task: int, failure: Failure) -> None:
+        """Make a parked task ready, with the failures that were stored with its park."""
         if self.states[task] == TaskState.PARKED:
             self._record_failure(task, failure)
             self._set_state(task, TaskState.READY)
 
     def set_failure(self, task: int, failure: Failure) -> None:
+        """Record the failures of a task that is retried without being parked."""
         self._record_failure(task, failure)
         self.chunk_of(task).mark_changed()
         self.mark_changed()
 
     @property
     def job_class(self) -> str:
+        """The job class of the submission."""
         return self.spec.job_class
 
     @property
     def likely_faulty(self) -> bool:
-        """Whether it looks as if submitted with a mistake: none of its tasks has ended well, it has used up its retry in
-        place, and not on one machine only (after a takeover it is not known on which)."""
+        """Whether the submission itself is probably wrong.
+
+        That is assumed if none of its tasks is done, some task has failed at least twice, so that
+        the retry in place is used up, and the failures were not all on one machine. After a
+        failover the machines are not known, and only the first two conditions count.
+        """
         return self.max_failures >= 2 and not self.done_count and len(self.avoided_machines) != 1
 
     def cancel(self, at: float) -> None:
+        """Record that the job was durably cancelled at that time."""
         self.phase = JobPhase.CANCELLED
         self.cancelled_at = at
         self.mark_changed()
 
     def mark_over(self, at: float | None = None) -> None:
-        """Its last task is done: the outcome is to be written."""
+        """Record that all tasks are done, so that the outcome is written.
+
+        The time is stored with it, unless it is None.
+        """
         self.phase = JobPhase.OVER
         self.ended_at = at
         self.mark_changed()
 
-    def orphan(self, by: str, at: float) -> None:
-        """A job that it needs is cancelled, so it can never run: that outcome is to be written."""
+    def orphan(self, dependency: str, at: float) -> None:
+        """Cancel the job because a dependency is cancelled, so that this outcome is written."""
         self.phase = JobPhase.ORPHANED
         self.awaits_dependencies = False
         self.cancelled_at = at
-        self.reason = f"it needs {by}, which was cancelled"
+        self.reason = f"it needs {dependency}, which was cancelled"
         self.mark_changed()
 
     def dependencies_done(self, since: float) -> None:
-        """All that it needs is done."""
+        """Let the job start: the last of its dependencies was done at `since`."""
         self.awaits_dependencies = False
         self.eligible_at = max(self.submitted, since)
 
     def set_reason(self, reason: str) -> None:
+        """Set what users are told about the job's state; it is written if it changed."""
         if reason != self.reason:
             self.reason = reason
             self.reason_generation += 1
             self.mark_changed()
 
-    # -- picture ---------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------
 
     def chunk_of(self, task: int) -> Chunk:
+        """Return the chunk of the present layout that holds a task."""
         return self.chunk(task // self.chunk_tasks)
 
-    def chunk(self, n: int) -> Chunk:
-        chunk = self.chunks.get(n)
+    def chunk(self, index: int) -> Chunk:
+        """Return a chunk of the present layout; it is created when first asked for."""
+        chunk = self.chunks.get(index)
         if chunk is None:
-            chunk = self.chunks[n] = Chunk(n)
+            chunk = self.chunks[index] = Chunk(index)
         return chunk
 
     def next_ready(self) -> int:
-        """The lowest ready task, or -1."""
+        """Return the lowest ready task; -1 if there is none."""
         if not self.ready_count:
             return -1
         self.lowest_ready_hint = max(self.states.find(TaskState.READY, self.lowest_ready_hint), 0)
         return self.states.find(TaskState.READY, self.lowest_ready_hint)
 
-    def ready_tasks(self, most: int) -> list[int]:
-        out: list[int] = []
-        at = self.next_ready()
-        while at >= 0 and len(out) < most:
-            out.append(at)
-            at = self.states.find(TaskState.READY, at + 1)
-        return out
+    def ready_tasks(self, max_tasks: int) -> list[int]:
+        """Return the lowest ready tasks, ascending."""
+        tasks: list[int] = []
+        task = self.next_ready()
+        while task >= 0 and len(tasks) < max_tasks:
+            tasks.append(task)
+            task = self.states.find(TaskState.READY, task + 1)
+        return tasks
 
     def attempt_for(self, task: int) -> int:
+        """Return a task's next attempt number; a gang's tasks share one."""
         if self.spec.kind == JobKind.GANG:
             return max((chunk.max_attempt for chunk in self.chunks.values()), default=0) + 1
         return self.chunk_of(task).max_attempt + 1
 
     @property
     def is_urgent(self) -> bool:
-        """Whether starts or an outcome wait for it to be written; other changes may wait for their turn."""
+        """Whether run commands or an outcome wait for its next write; the rest can be deferred."""
         return self.phase is not JobPhase.ACTIVE or any(
             chunk.placed_generation > chunk.durable_generation for chunk in self.chunks.values()
         )
 
     @property
     def all_done(self) -> bool:
+        """Whether all tasks are done."""
         return self.done_count == self.spec.tasks
 
     @property
     def active(self) -> bool:
+        """Whether the job is neither over nor cancelled, directly or through a dependency."""
         return self.phase is JobPhase.ACTIVE
 
     @property
     def outcome_ready(self) -> bool:
-        """Whether its outcome can be written: nothing of it is left anywhere."""
+        """Whether its outcome can be written.
+
+        Its tasks are all done, or it is cancelled and none of its placements counts any more.
+        """
         return self.phase is JobPhase.OVER or (
             self.phase in (JobPhase.CANCELLED, JobPhase.ORPHANED) and not self.live
         )
 
     @property
     def priority(self) -> int:
-        """At least that of any job that needs it."""
+        """Its own priority, raised to that of any job that depends on it."""
         return max(self.spec.priority, self.carried.priority)
 
     @property
     def deadline_at(self) -> float:
-        """When it had better be done: by its own deadline, and for what needs it to be in time."""
+        """Time by which it should be done; infinite if there is none.
+
+        It is the earlier of its own deadline and of what the jobs that depend on it need.
+        """
         own = math.inf if self.spec.deadline_s is None else self.submitted + self.spec.deadline_s
         return min(own, self.carried.finish_by)
 
     @property
     def running(self) -> int:
+        """Number of tasks that their worker last reported as running."""
         return sum(1 for placement in self.live.values() if placement.status == TaskStatus.RUNNING)
 
-    # -- the state service's form ----------------------------------------------------------
+    # -- encoding in the state service -----------------------------------------------------
 
-    def chunk_path(self, n: int) -> str:
-        return self.work_path(self.chunk_suffix(n))
+    def chunk_path(self, index: int) -> str:
+        """Return the key of a chunk of the present layout."""
+        return self.work_path(self.chunk_suffix(index))
 
-    def work_path(self, tail: str) -> str:
-        return f"work/{self.spec.team}/{self.id}/{tail}"
+    def work_path(self, suffix: str) -> str:
+        """Return the key of a chunk of any layout, from its suffix."""
+        return f"work/{self.spec.team}/{self.id}/{suffix}"
 
-    def chunk_suffix(self, n: int) -> str:
+    def chunk_suffix(self, index: int) -> str:
+        """Return the last part of a chunk's key, `<index>` or `<index>w<chunk_tasks>`."""
         return (
-            f"{n}" if self.chunk_tasks == self.unmarked_chunk_tasks else f"{n}w{self.chunk_tasks}"
+            f"{index}"
+            if self.chunk_tasks == self.unmarked_chunk_tasks
+            else f"{index}w{self.chunk_tasks}"
         )
 
-    def parse_chunk_suffix(self, tail: str) -> tuple[int, int]:
-        """Which chunk of what width a key names."""
-        n, _, width = tail.partition("w")
-        return int(n), int(width) if width else self.unmarked_chunk_tasks
+    def parse_chunk_suffix(self, suffix: str) -> tuple[int, int]:
+        """Return the index and the number of tasks of the chunk that a key's suffix names."""
+        index, _, width = suffix.partition("w")
+        return int(index), int(width) if width else self.unmarked_chunk_tasks
 
-    def set_chunk_revision(self, tail: str, revision: int) -> None:
-        """What the key holds now (0: nothing), whether of this layout or of one before."""
-        n, width = self.parse_chunk_suffix(tail)
+    def set_chunk_revision(self, suffix: str, revision: int) -> None:
+        """Take in the present revision of a chunk of any layout; 0: its key does not exist."""
+        index, width = self.parse_chunk_suffix(suffix)
         if width == self.chunk_tasks:
-            self.chunk(n).revision = revision
+            self.chunk(index).revision = revision
         elif revision:
-            self.replaced_chunks[tail] = ReplacedChunk(
-                revision, n * width, min((n + 1) * width, self.spec.tasks)
+            self.replaced_chunks[suffix] = ReplacedChunk(
+                revision, index * width, min((index + 1) * width, self.spec.tasks)
             )
         else:
-            self.replaced_chunks.pop(tail, None)
+            self.replaced_chunks.pop(suffix, None)
         self.mark_changed()
 
     def narrow_chunks(self, width: int) -> None:
-        """Go over to narrower chunks: a value would be larger than the state service takes. What is written stays, and counts
-        for each task until the narrower chunk that takes it over is durable; only then is it deleted."""
-        before, old = self.chunks, self.chunk_tasks
+        """Change to chunks of fewer tasks, because a value would exceed the state service's limit.
+
+        A stored chunk of the previous layout remains valid for a task until the narrower chunk that
+        holds the task is durable. It is deleted once that is so for all of its tasks.
+        """
+        previous, previous_width = self.chunks, self.chunk_tasks
         self.replaced_chunks |= {
-            self.chunk_suffix(n): ReplacedChunk(
-                chunk.revision, n * old, min((n + 1) * old, self.spec.tasks)
+            self.chunk_suffix(index): ReplacedChunk(
+                chunk.revision,
+                index * previous_width,
+                min((index + 1) * previous_width, self.spec.tasks),
             )
-            for n, chunk in before.items()
+            for index, chunk in previous.items()
             if chunk.revision
         }
         self.chunks = {}
         self.chunk_tasks = width
-        for n, chunk in before.items():
+        for index, chunk in previous.items():
             if not chunk.revision and not chunk.generation:
                 continue
-            for piece in self.chunks_covering(n * old, min((n + 1) * old, self.spec.tasks)):
-                piece.max_attempt = max(piece.max_attempt, chunk.max_attempt)
-                piece.mark_changed()
+            for narrower in self.chunks_covering(
+                index * previous_width, min((index + 1) * previous_width, self.spec.tasks)
+            ):
+                narrower.max_attempt = max(narrower.max_attempt, chunk.max_attempt)
+                narrower.mark_changed()
         for task, placement in self.live.items():
             chunk = self.chunk_of(task)
             chunk.live[task] = placement
@@ -339,28 +456,39 @@
         self.mark_changed()
 
     def chunks_covering(self, low: int, high: int) -> list[Chunk]:
-        """The chunks of the present layout that hold any of these tasks."""
+        """Return the chunks of the present layout that hold tasks from `low` to before `high`."""
         return [
-            self.chunk(n)
-            for n in range(low // self.chunk_tasks, (high - 1) // self.chunk_tasks + 1)
+            self.chunk(index)
+            for index in range(low // self.chunk_tasks, (high - 1) // self.chunk_tasks + 1)
         ]
 
     @property
     def job_copy_path(self) -> str:
+        """The key of the copy of the job's record beside its chunks."""
         return f"work/{self.spec.team}/{self.id}/job"
 
     @property
     def job_path(self) -> str:
+        """The key of the job's record."""
         return f"job/{self.id}"
 
-    def chunk_value(self, n: int) -> dict[str, Any]:
-        low = n * self.chunk_tasks
+    def chunk_value(self, index: int) -> dict[str, Any]:
+        """Return the value to be stored for a chunk.
+
+        `a` is the highest attempt number, `d` the ranges of done tasks, `p` the placements and `f`
+        the ranges of tasks with equal failures. Tasks in neither `d` nor `p` are ready or
+        parked.
+        """
+        low = index * self.chunk_tasks
         high = min(low + self.chunk_tasks, self.spec.tasks)
-        value: dict[str, Any] = {"a": self.chunk(n).max_attempt}
+        value: dict[str, Any] = {"a": self.chunk(index).max_attempt}
         done = [task for task in range(low, high) if self.states[task] == TaskState.DONE]
         if done:
             value["d"] = ranges_of(done)
-        placed = [[task, p.machine, p.attempt] for task, p in sorted(self.chunk(n).live.items())]
+        placed = [
+            [task, placement.machine, placement.attempt]
+            for task, placement in sorted(self.chunk(index).live.items())
+        ]
         if placed:
             value["p"] = placed
         failed: list[list[Any]] = []
@@ -374,53 +502,64 @@
             value["f"] = failed
         return value
 
-    def load_chunks(self, found: Iterable[tuple[str, Any, int]], now: float) -> list[Placement]:
-        """Take its chunks in, by the end of their keys. Where the job was going over to narrower ones both are there: for each
-        task the narrowest has the word, and the rest of the way is gone from here."""
+    def load_chunks(self, stored: Iterable[tuple[str, Any, int]], now: float) -> list[Placement]:
+        """Load the stored chunks of a job that is new in memory, and return its placements.
+
+        If an earlier owner was changing to narrower chunks, some tasks are in chunks of several
+        layouts. The narrowest chunk that holds a task decides, and this owner completes the change.
+
+        Args:
+            stored: Suffix of the key, value and revision of each chunk.
+            now: The time.
+        """
         rows = sorted(
-            (*reversed(self.parse_chunk_suffix(tail)), tail, value, revision)
-            for tail, value, revision in found
+            (*reversed(self.parse_chunk_suffix(suffix)), suffix, value, revision)
+            for suffix, value, revision in stored
         )
         if not rows:
             return []
         self.chunk_tasks = rows[0][0]
-        taken = bytearray(self.spec.tasks)
-        out: list[Placement] = []
-        for width, n, tail, value, revision in rows:
-            low, high = n * width, min((n + 1) * width, self.spec.tasks)
-            out += self._load_chunk(value, taken, now)
-            taken[low:high] = b"\1" * (high - low)
+        loaded = bytearray(self.spec.tasks)
+        placements: list[Placement] = []
+        for width, index, suffix, value, revision in rows:
+            low, high = index * width, min((index + 1) * width, self.spec.tasks)
+            placements += self._load_chunk(value, loaded, now)
+            loaded[low:high] = b"\1" * (high - low)
             if width == self.chunk_tasks:
-                chunk = self.chunk(n)
+                chunk = self.chunk(index)
                 chunk.revision = revision
                 chunk.max_attempt = max(chunk.max_attempt, value.get("a", 0))
                 chunk.durable_generation = chunk.generation
                 continue
-            self.replaced_chunks[tail] = ReplacedChunk(revision, low, high)
+            self.replaced_chunks[suffix] = ReplacedChunk(revision, low, high)
             for chunk in self.chunks_covering(low, high):
                 if not chunk.revision:
                     chunk.max_attempt = max(chunk.max_attempt, value.get("a", 0))
                     chunk.mark_changed()
-        return out
+        return placements
 
-    def _load_chunk(self, value: dict[str, Any], taken: bytearray, now: float) -> list[Placement]:
+    def _load_chunk(self, value: dict[str, Any], loaded: bytearray, now: float) -> list[Placement]:
+        """Load a chunk's tasks, except those that are marked in `loaded`."""
         for low, high in value.get("d", []):
             for task in range(low, high + 1):
-                if not taken[task]:
+                if not loaded[task]:
                     self._set_state(task, TaskState.DONE)
         for low, high, *failure in value.get("f", []):
             for task in range(low, high + 1):
-                if not taken[task]:
+                if not loaded[task]:
                     self._record_failure(task, Failure(*failure))
-        out = []
+        placements = []
         for task, machine, attempt in value.get("p", []):
-            if not taken[task]:
-                out.append(self.place(task, machine, attempt, now))
-                out[-1].mark_recovered()
-        return out
+            if not loaded[task]:
+                placements.append(self.place(task, machine, attempt, now))
+                placements[-1].mark_recovered()
+        return placements
 
     def record(self) -> dict[str, Any]:
-        """`job/<id>`: all that is ever answered about the job, kept forever."""
+        """Return the value of `job/<id>`.
+
+        It is never deleted: queries about a job that has ended are answered from it.
+        """
         status = (
             JobStatus.DONE if self.phase in (JobPhase.OVER, JobPhase.FINAL) else JobStatus.QUEUED
         )
@@ -439,6 +578,7 @@
     cancelled_at: float | None = None,
     done_at: float | None = None,
 ) -> dict[str, Any]:
+    """Return a job's record, the value of `job/<id>`; times are times of day in seconds."""
     record: dict[str, Any] = {"spec": spec, "at": submitted, "status": status}
     if reason:
         record["reason"] = reason
@@ -450,14 +590,17 @@
 
 
 def spec_of_record(record: dict[str, Any]) -> JobSpec:
-    """As read from the state service, or as we wrote it a moment ago."""
+    """Return the submission of a record that was read from the state service or just built."""
     spec = record["spec"]
     return spec if isinstance(spec, JobSpec) else msgspec.convert(spec, JobSpec)
 
 
-def fit_job_record(record: dict[str, Any], most: int) -> dict[str, Any]:
-    """The record of a job that is over, without what nobody asks for any more if it is too large as it stands."""
-    if len(msgspec.json.encode(record)) <= most:
+def fit_job_record(record: dict[str, Any], max_bytes: int) -> dict[str, Any]:
+    """Return the record of an ended job, shortened if it is longer than `max_bytes`.
+
+    What is left out is not asked for after the job has ended. The result may still be too long.
+    """
+    if len(msgspec.json.encode(record)) <= max_bytes:
         return record
     spec = msgspec.structs.replace(
         spec_of_record(record),
@@ -470,5 +613,5 @@
 
 
 def tasks_per_chunk(value_kb: float) -> int:
-    """Tasks to a chunk, so that the fullest one still fits a value."""
+    """Return the number of tasks in a chunk such that its largest value takes 90 % of the limit."""
     return max(1, int(value_kb * 1024 * 0.9) // MAX_TASK_BYTES)
