--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -12,7 +12,7 @@
 from ashdock.core.estimates import Estimates
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase
-from ashdock.core.task import Failure, Phase, Placement
+from ashdock.core.task import Failure, Placement, PlacementPhase
 from ashdock.core.task_commands import TaskCommands
 from ashdock.core.task_failures import FailureHandler
 from ashdock.fairness.classes import Classes
@@ -257,8 +257,8 @@
             and (heartbeat.incarnation, heartbeat.sequence) <= placement.start_answered
         ):
             return False
-        return placement.phase is Phase.STOPPING or (
-            placement.worker_reported and placement.phase >= Phase.START_SENT
+        return placement.phase is PlacementPhase.STOPPING or (
+            placement.worker_reported and placement.phase >= PlacementPhase.START_SENT
         )
 
     def _on_done_unplaced(self, job: Job, task: int, now: float) -> None:
@@ -289,7 +289,11 @@
         if cause == TaskCause.DONE and job.spec.kind != JobKind.SERVICE and job.active:
             self._on_done(machine, job, placement, now)
             return
-        if cause in ("error", "no_such") and placement.phase is not Phase.STOPPING and job.active:
+        if (
+            cause in ("error", "no_such")
+            and placement.phase is not PlacementPhase.STOPPING
+            and job.active
+        ):
             self.shard.failures.on_failure(machine, placement, cause, now)
             return
         if cause == TaskCause.NO_ROOM:
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -1,4 +1,4 @@
-"""A job in the memory of its shard's owner, and its encoding in the state service."""
+"""A job in the memory of its shard's owner, and its encoding in the store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgspec
 
 from ashdock.core.dependency_graph import NOTHING, Carried
-from ashdock.core.task import Failure, Phase, Placement, TaskState, ranges_of
+from ashdock.core.task import Failure, Placement, PlacementPhase, TaskState, ranges_of
 from ashdock.wire.messages import JobKind, JobSpec, JobStatus, TaskStatus
 
 # Largest encoding of one task in a chunk: a placement, and a failure with its reason.
@@ -386,7 +386,7 @@
         """Number of tasks that their worker last reported as running."""
         return sum(1 for placement in self.live.values() if placement.status == TaskStatus.RUNNING)
 
-    # -- encoding in the state service -----------------------------------------------------
+    # -- encoding in the store -----------------------------------------------------
 
     def chunk_path(self, index: int) -> str:
         """Return the key of a chunk of the present layout."""
@@ -423,7 +423,7 @@
         self.mark_changed()
 
     def narrow_chunks(self, width: int) -> None:
-        """Change to chunks of fewer tasks, because a value would exceed the state service's limit.
+        """Change to chunks of fewer tasks, because a value would exceed the limit of the store.
 
         A stored chunk of the previous layout remains valid for a task until the narrower chunk that
         holds the task is durable. It is deleted once that is so for all of its tasks.
@@ -451,7 +451,7 @@
         for task, placement in self.live.items():
             chunk = self.chunk_of(task)
             chunk.live[task] = placement
-            if placement.phase is Phase.INTENDED:
+            if placement.phase is PlacementPhase.INTENDED:
                 placement.generation = chunk.placed_generation = chunk.generation
         self.mark_changed()
 
@@ -590,7 +590,7 @@
 
 
 def spec_of_record(record: dict[str, Any]) -> JobSpec:
-    """Return the submission of a record that was read from the state service or just built."""
+    """Return the submission of a record that was read from the store or just built."""
     spec = record["spec"]
     return spec if isinstance(spec, JobSpec) else msgspec.convert(spec, JobSpec)
 
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -16,7 +16,7 @@
 from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.status_reporter import StatusReporter
-from ashdock.core.task import Phase, Placement
+from ashdock.core.task import Placement, PlacementPhase
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Shared, Team, Workers
 from ashdock.wire.messages import JobKind, JobSpec, MachineType
@@ -316,7 +316,7 @@
             if not machine.usable or not machine.live or machine.name in self.shard.reserved:
                 continue
             lower = [p for p in machine.live.values() if self.shard.jobs[p.job].priority < priority]
-            if lower and not any(p.phase is Phase.STOPPING for p in machine.live.values()):
+            if lower and not any(p.phase is PlacementPhase.STOPPING for p in machine.live.values()):
                 out.append((machine, lower))
         return out
 
@@ -335,7 +335,7 @@
             if not placing.permits(spec, machine.type, machine.zone, machine.spot):
                 continue
             if (spec.one_zone and zone and machine.zone != zone) or any(
-                p.phase is Phase.STOPPING for p in lower
+                p.phase is PlacementPhase.STOPPING for p in lower
             ):
                 continue
             cpus = machine.cpus + sum(self.shard.jobs[p.job].spec.cpus for p in lower)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -27,7 +27,7 @@
 from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import StatusReporter
-from ashdock.core.task import Phase, Placement, TaskState
+from ashdock.core.task import Placement, PlacementPhase, TaskState
 from ashdock.core.task_commands import TaskCommands
 from ashdock.core.task_failures import FailureHandler
 from ashdock.core.write_limits import WriteLimits
@@ -246,7 +246,7 @@
     def lost(self, placement: Placement, why: str, now: float) -> None:
         """Take in that a placement is proved gone by no fault of its task; that does not count as a failure of its own."""
         job = self.jobs[placement.job]
-        if placement.phase is not Phase.STOPPING:
+        if placement.phase is not PlacementPhase.STOPPING:
             log.info(
                 "task lost: job=%s task=%d machine=%s reason=%s",
                 job.id,
@@ -291,14 +291,14 @@
             return
         for task in tasks:
             placement = job.live.get(task)
-            if placement and placement.phase is not Phase.STOPPING:
+            if placement and placement.phase is not PlacementPhase.STOPPING:
                 self.stop(placement, why, grace_s, now)
 
     def drain(self, machine: Machine, now: float) -> None:
         """Evict all tasks of a machine gracefully."""
         for placement in list(machine.live.values()):
             if (
-                placement.phase is not Phase.STOPPING
+                placement.phase is not PlacementPhase.STOPPING
                 and machine.live.get(placement.key) is placement
             ):
                 self.preempt(
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -20,7 +20,7 @@
 from ashdock.core.machine import Machine, MachinePhase, fit_machine_record
 from ashdock.core.park import Parks
 from ashdock.core.quota import guaranteed
-from ashdock.core.task import Phase, Placement
+from ashdock.core.task import Placement, PlacementPhase
 from ashdock.core.write_limits import WriteLimits
 from ashdock.settings import Shared, Team
 from ashdock.wire.messages import JobKind, JobStatus
@@ -434,7 +434,7 @@
             return
         for placement in (job if is_gang else chunk).live.values():
             if (
-                placement.phase is Phase.INTENDED
+                placement.phase is PlacementPhase.INTENDED
                 and placement.generation <= job.chunk_of(placement.task).durable_generation
             ):
                 placement.mark_committed()
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -17,7 +17,7 @@
     DONE = 3
 
 
-class Phase(IntEnum):
+class PlacementPhase(IntEnum):
     """Where a placement stands.
 
     In every phase it counts towards quotas and the machine's capacity, until the shard drops it on proof
@@ -102,7 +102,7 @@
         self.machine = machine
         self.generation = generation
         self.placed_at = now
-        self.phase = Phase.INTENDED
+        self.phase = PlacementPhase.INTENDED
         self.start_answered: tuple[int, int] | None = None
         self.worker_reported = False
         self.from_earlier_owner = False
@@ -121,26 +121,26 @@
 
     def mark_committed(self) -> None:
         """It is durable."""
-        if self.phase is Phase.INTENDED:
-            self.phase = Phase.COMMITTED
+        if self.phase is PlacementPhase.INTENDED:
+            self.phase = PlacementPhase.COMMITTED
 
     def mark_recovered(self) -> None:
         """It was read from the store: an earlier owner may have sent its run command."""
-        self.phase = Phase.START_SENT
+        self.phase = PlacementPhase.START_SENT
         self.from_earlier_owner = True
 
     def start_sent_in_answer(self, incarnation: int, sequence: int) -> None:
         """The answer to that heartbeat carries its run command."""
-        if self.phase is Phase.COMMITTED:
-            self.phase = Phase.START_SENT
+        if self.phase is PlacementPhase.COMMITTED:
+            self.phase = PlacementPhase.START_SENT
         self.start_answered = (incarnation, sequence)
         self.incarnation = incarnation
 
     def start_sent_directly(self, incarnation: int) -> None:
         """Its run command goes straight to that incarnation of its worker."""
         self.incarnation = incarnation
-        if self.phase is Phase.COMMITTED:
-            self.phase = Phase.START_SENT
+        if self.phase is PlacementPhase.COMMITTED:
+            self.phase = PlacementPhase.START_SENT
 
     def record_report(self, status: str, incarnation: int, now: float) -> None:
         """A heartbeat of that incarnation has it."""
@@ -151,23 +151,23 @@
             self.image_ready_at = now
         if status == TaskStatus.RUNNING and self.running_at is None:
             self.running_at = now
-        if self.phase is not Phase.STOPPING:
-            self.phase = Phase.REPORTED
+        if self.phase is not PlacementPhase.STOPPING:
+            self.phase = PlacementPhase.REPORTED
 
     def stop(self, why: str, grace_s: float) -> None:
         """It is to be stopped; a second call can only shorten the grace."""
-        if self.phase is Phase.STOPPING:
+        if self.phase is PlacementPhase.STOPPING:
             if grace_s < self.grace_s:
                 self.grace_s = grace_s
             return
-        self.phase = Phase.STOPPING
+        self.phase = PlacementPhase.STOPPING
         self.why = why
         self.grace_s = grace_s
 
     @property
     def never_sent(self) -> bool:
         """Only this process could have sent the run command, and it has not."""
-        return self.phase <= Phase.COMMITTED
+        return self.phase <= PlacementPhase.COMMITTED
 
 
 def ranges_of(numbers: list[int]) -> list[list[int]]:
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -6,7 +6,7 @@
 
 from ashdock.core.job import Job, JobPhase
 from ashdock.core.machine import Machine
-from ashdock.core.task import Phase
+from ashdock.core.task import PlacementPhase
 from ashdock.settings import Shared, Workers
 from ashdock.wire.messages import (
     CommandVerb,
@@ -52,7 +52,7 @@
         commands: list[TaskCommand] = []
         for placement in machine.live.values():
             name = task_name(placement.job, placement.task)
-            if placement.phase is Phase.STOPPING:
+            if placement.phase is PlacementPhase.STOPPING:
                 commands.append(
                     TaskCommand(
                         verb=CommandVerb.KILL,
@@ -61,8 +61,8 @@
                         grace_s=placement.grace_s,
                     )
                 )
-            elif placement.phase is Phase.COMMITTED or (
-                placement.phase is Phase.START_SENT and not placement.worker_reported
+            elif placement.phase is PlacementPhase.COMMITTED or (
+                placement.phase is PlacementPhase.START_SENT and not placement.worker_reported
             ):
                 commands.append(
                     TaskCommand(verb=CommandVerb.RUN, task=name, attempt=placement.attempt)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,7 +26,7 @@
     ResourceRequest,
     ShardStatus,
 )
-from ashdock.core.task import Failure, Phase, ranges_of
+from ashdock.core.task import Failure, PlacementPhase, ranges_of
 from ashdock.leader.inventory import list_lag, missing_machines
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
 from ashdock.wire.messages import (
@@ -114,7 +114,7 @@
     assert (
         len(placed) == size
         and again.chunk_value(1) == value
-        and all(p.phase is Phase.START_SENT for p in placed)
+        and all(p.phase is PlacementPhase.START_SENT for p in placed)
     )
 
 
@@ -647,7 +647,7 @@
         shard.scheduler.schedule(now)
     sound = shard.jobs["req-000002"]
     assert len(one.live) <= 1 and sound.live
-    assert not any(p.phase is Phase.STOPPING for p in sound.live.values()) and all(
+    assert not any(p.phase is PlacementPhase.STOPPING for p in sound.live.values()) and all(
         w.priority == 1 for w in shard.resource_requests
     )
     heir = Job(one.spec, 0.0, 7, one.chunk_tasks)
@@ -1107,7 +1107,7 @@
     moved = [sum(path.startswith("machine/") for path in each) for each in writes]
     assert moved[:2] == [3, 1] and sum(moved) == 4 and max(map(len, writes)) <= 9
     assert all(
-        placement.phase is Phase.COMMITTED
+        placement.phase is PlacementPhase.COMMITTED
         for job in shard.jobs.values()
         for placement in job.live.values()
     )
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -18,7 +18,7 @@
 from ashdock.core.job import JobPhase, fit_job_record
 from ashdock.core.park import Parks
 from ashdock.core.shard import Shard
-from ashdock.core.task import Failure, Phase, TaskState
+from ashdock.core.task import Failure, PlacementPhase, TaskState
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Client
 from ashdock.settings import NextLimits, Operators, StateLimits
@@ -437,7 +437,9 @@
         and one.reason
         and not one.awaits_dependencies
     )
-    assert all(p.phase is Phase.STOPPING for p in (*gang.live.values(), *gone.live.values()))
+    assert all(
+        p.phase is PlacementPhase.STOPPING for p in (*gang.live.values(), *gone.live.values())
+    )
     assert new.usage.gpus == 2.0 and new.machines["vm-000001"].incarnation == 2
     # What is written for as long as no mark is there is what production would have written.
     one = old.jobs["req-000001"]
@@ -595,15 +597,19 @@
     }
     steps = 0
     while (txn := shard.writer.next_transaction()) is not None:
-        assert store.apply(txn) and not any(p.phase is Phase.COMMITTED for p in job.live.values())
+        assert store.apply(txn) and not any(
+            p.phase is PlacementPhase.COMMITTED for p in job.live.values()
+        )
         for callback in txn.on_commit:
             callback(store.ledger)
         steps += 1
         heir = store.shard(new_part(ops=4))
         if heir.jobs["req-000001"].live:
-            stopped = all(p.phase is Phase.STOPPING for p in heir.jobs["req-000001"].live.values())
+            stopped = all(
+                p.phase is PlacementPhase.STOPPING for p in heir.jobs["req-000001"].live.values()
+            )
             assert stopped == (len(heir.jobs["req-000001"].live) < 120)
-    assert steps == 4 and all(p.phase is Phase.COMMITTED for p in job.live.values())
+    assert steps == 4 and all(p.phase is PlacementPhase.COMMITTED for p in job.live.values())
     # Attempts of two kinds, of which one is of before: not a whole gang.
     value, revision = store.keys["work/red/req-000001/3w8"]
     store.keys["work/red/req-000001/3w8"] = (
@@ -611,7 +617,8 @@
         revision,
     )
     assert all(
-        p.phase is Phase.STOPPING for p in store.shard(new_part()).jobs["req-000001"].live.values()
+        p.phase is PlacementPhase.STOPPING
+        for p in store.shard(new_part()).jobs["req-000001"].live.values()
     )
 
 
@@ -1043,7 +1050,10 @@
     )
     assert shard.jobs["req-000002"].priority == 2
     shard.scheduler.schedule(now)
-    assert sum(p.phase is Phase.STOPPING for p in shard.jobs["req-000001"].live.values()) == stopped
+    assert (
+        sum(p.phase is PlacementPhase.STOPPING for p in shard.jobs["req-000001"].live.values())
+        == stopped
+    )
 
 
 @pytest.mark.parametrize(("short", "most"), [(False, 18), (True, 6)])
