--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -118,7 +118,7 @@
         self.inherited = False
         self.target_shard: str | None = None
 
-    def value(self, shard: str) -> dict[str, Any]:
+    def record(self, shard: str) -> dict[str, Any]:
         """Its record, assigned to `shard`."""
         value: dict[str, Any] = {
             "t": self.type,
--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -28,14 +28,14 @@
         job: The job's id.
         low: The first task.
         high: The last task.
-        at: The retry time: time of day, in seconds.
+        retry_at: The retry time: time of day, in seconds.
         failure: Their failures so far.
     """
 
     job: str
     low: int
     high: int
-    at: float
+    retry_at: float
     failure: Failure
 
 
@@ -122,27 +122,32 @@
         """Park ranges of a job's tasks until `at`; a range that continues the last park extends it."""
         for low, high in tasks:
             last = self.items[-1] if self.items else None
-            if last and (last.job, last.high, last.at, last.failure) == (job, low - 1, at, failure):
+            if last and (last.job, last.high, last.retry_at, last.failure) == (
+                job,
+                low - 1,
+                at,
+                failure,
+            ):
                 self.items[-1] = last._replace(high=high)
             else:
                 self.items.append(Park(job, low, high, at, failure))
         self.dirty = True
 
-    def due(self, now: float) -> list[Park]:
+    def pop_due(self, now: float) -> list[Park]:
         """Remove and return the parks whose retry time has come."""
-        due = [park for park in self.items if park.at <= now]
+        due = [park for park in self.items if park.retry_at <= now]
         if due:
-            self.items = [park for park in self.items if park.at > now]
+            self.items = [park for park in self.items if park.retry_at > now]
             self.dirty = True
         return due
 
-    def fit(self, value_bytes: int) -> None:
+    def set_value_bytes(self, value_bytes: int) -> None:
         """From now on the store takes values of at most so many bytes."""
         if value_bytes != self.value_bytes:
             self.value_bytes = value_bytes
             self.dirty = True
 
-    def drop(self, job: str) -> None:
+    def remove_job(self, job: str) -> None:
         """Remove the parks of a job."""
         kept = [park for park in self.items if park.job != job]
         self.dirty = self.dirty or len(kept) != len(self.items)
@@ -152,8 +157,8 @@
         """The parks as rows, in as many values as they need, by retry time."""
         values: list[list[Any]] = [[]]
         size = EMPTY_VALUE_BYTES
-        for park in sorted(self.items, key=lambda item: (item.at, item.job, item.low)):
-            row = [park.job, park.low, park.high, round(park.at, 3), *park.failure]
+        for park in sorted(self.items, key=lambda item: (item.retry_at, item.job, item.low)):
+            row = [park.job, park.low, park.high, round(park.retry_at, 3), *park.failure]
             length = len(msgspec.json.encode(row)) + SEPARATOR_BYTES
             if size + length > self.value_bytes and values[-1]:
                 values.append([])
@@ -162,7 +167,7 @@
             size += length
         return values
 
-    def writes(self) -> list[tuple[int, list[Any] | None]]:
+    def pending_writes(self) -> list[tuple[int, list[Any] | None]]:
         """The values that differ from what is written, with their numbers; None: to be deleted.
 
         Where they become more, the last comes first: if they don't fit into one transaction, a park that
@@ -182,7 +187,7 @@
                 writes.append((n, values[n]))
         return writes
 
-    def wrote(self, n: int, value: list[Any] | None, revision: int) -> None:
+    def set_written(self, n: int, value: list[Any] | None, revision: int) -> None:
         """A value is durable under that revision; None: it was deleted."""
         while len(self.revisions) <= n:
             self.revisions.append(0)
@@ -195,7 +200,7 @@
 
         A park may be in two values, if an earlier owner was moving it from one to the other.
         """
-        self.wrote(n, value, revision)
+        self.set_written(n, value, revision)
         known = set(self.items)
         loaded = [
             Park(job, low, high, at, Failure(*failure)) for job, low, high, at, *failure in value
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -341,7 +341,7 @@
             # Most that fail until they are cancelled were submitted with a mistake.
             self.failures.clear_machine_failures(job)
         self.ending[job_id] = job
-        self.parks.drop(job_id)
+        self.parks.remove_job(job_id)
         for placement in list(job.live.values()):
             self.stop(placement, "cancelled", 0.0, now)
 
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -56,7 +56,7 @@
         shard = self.shard
         shard.clock = now
         shard.dependency_tracker.look(now)
-        for park in shard.parks.due(now):
+        for park in shard.parks.pop_due(now):
             job = shard.jobs.get(park.job)
             if job:
                 shard.stale = True
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -154,7 +154,7 @@
         shard = self.shard
         max_ops = self._max_ops(writes_per_s)
         transaction = Transaction(max_ops)
-        shard.parks.fit(shard.write_limits.value_bytes)
+        shard.parks.set_value_bytes(shard.write_limits.value_bytes)
         if self.changed_machines:
             # Without this, the starts of a team with many jobs filled each transaction, and the machines that it was to
             # pass on stood empty, thirty at a time.
@@ -201,7 +201,7 @@
         parks, size = self.shard.parks, self.shard.write_limits.value_bytes
         if not parks.dirty:
             return
-        for n, value in parks.writes():
+        for n, value in parks.pending_writes():
             if transaction.room(1, size):
                 revision = parks.revisions[n] if n < len(parks.revisions) else 0
                 transaction.put(parks.path(n), value, revision)
@@ -398,7 +398,7 @@
         )
         transaction.put(
             f"machine/{machine.name}",
-            fit_machine_record(machine.value(team), self.shard.write_limits.value_bytes),
+            fit_machine_record(machine.record(team), self.shard.write_limits.value_bytes),
             machine.revision,
         )
         transaction.bytes += MACHINE_BYTES
@@ -407,8 +407,8 @@
     # -- once it is durable ------------------------------------------------------------------------
 
     def _parks_durable(self, n: int, value: list[Any] | None, revision: int) -> None:
-        self.shard.parks.wrote(n, value, revision)
-        self.shard.parks.dirty = bool(self.shard.parks.writes())
+        self.shard.parks.set_written(n, value, revision)
+        self.shard.parks.dirty = bool(self.shard.parks.pending_writes())
 
     def _machine_durable(self, machine: Machine, team: str, revision: int) -> None:
         machine.revision = revision
@@ -466,7 +466,7 @@
         job.phase = JobPhase.FINAL
         for placement in list(job.live.values()):
             self.shard.drop(placement, placement.placed_at)
-        self.shard.parks.drop(job.id)
+        self.shard.parks.remove_job(job.id)
         self.shard.jobs.pop(job.id, None)
         self.shard.dependency_tracker.settled(
             job.id, JobStatus.DONE if done else JobStatus.WITHDRAWN, job.ended_at, self.shard.clock
@@ -493,7 +493,7 @@
             _, job_id, tail = rest.split("/", 2)
             self._take_in_work(job_id, tail, value, revision)
         elif kind == "park":
-            self.shard.parks.wrote(int(rest.rsplit("/", 1)[1]), value, revision)
+            self.shard.parks.set_written(int(rest.rsplit("/", 1)[1]), value, revision)
             self.shard.parks.dirty = True
         elif kind == "machine":
             self._take_in_machine(rest, value, revision, now)
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -231,7 +231,8 @@
     number = int(values["key"].rsplit("/", 1)[1])
     rows_read = parks.load(number, msgspec.json.decode(to_bytes(values["value"])), REVISION)
     return [
-        dict(zip(PARK, (p.job, p.low, p.high, p.at, *p.failure), strict=True)) for p in rows_read
+        dict(zip(PARK, (p.job, p.low, p.high, p.retry_at, *p.failure), strict=True))
+        for p in rows_read
     ]
 
 
@@ -241,7 +242,7 @@
     for row in values["parks"]:
         failure = Failure(row["times"], row["first"], row["why"], row["past"])
         parks.items.append(Park(row["job"], row["low"], row["high"], row["at"], failure))
-    return [[parks.path(number), encoded(value)] for number, value in parks.writes()]
+    return [[parks.path(number), encoded(value)] for number, value in parks.pending_writes()]
 
 
 MACHINE_PHASES = {
@@ -277,7 +278,7 @@
     """A machine's record, read by an owner and written again for a shard."""
     record = msgspec.json.decode(to_bytes(values["value"]))
     machine = Machine("vm-1", record, REVISION, machine_type("g4"), NOW)
-    return encoded(machine.value(values["part"]))
+    return encoded(machine.record(values["part"]))
 
 
 def trim_machine(values: Plain) -> Plain:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -159,16 +159,16 @@
     parks = parking.Parks("red", 400)
     for n in range(20):
         parks.add(f"req-{n:06d}", [[0, 3], [7, 9]], 100.0 + n, Failure(2, 50.0, "error on vm-1"))
-    writes = parks.writes()
+    writes = parks.pending_writes()
     assert len(writes) > 3 and all(len(encode(value)) <= 400 for _, value in writes)
     again = parking.Parks("red", 400)
     for n, value in writes:
         assert value is not None
         again.load(n, value, 9)
-    assert sorted(again.items) == sorted(parks.items) and again.writes() == []
-    due = again.due(109.5)
-    assert len(due) == 20 and min(park.at for park in again.items) == 110.0
-    assert any(value is None for _, value in again.writes())
+    assert sorted(again.items) == sorted(parks.items) and again.pending_writes() == []
+    due = again.pop_due(109.5)
+    assert len(due) == 20 and min(park.retry_at for park in again.items) == 110.0
+    assert any(value is None for _, value in again.pending_writes())
 
 
 QUOTA = [  # limits (cpus, gpus), used, task (cpus, gpus) -> room
@@ -946,7 +946,7 @@
         machine.image_used(image, size)
     assert "".join(machine.images) == held
     again = shard_with([], "", revision=50)
-    again.add_machine("vm-0", machine.value("red"), 9, 0.0)
+    again.add_machine("vm-0", machine.record("red"), 9, 0.0)
     assert "".join(again.machines["vm-0"].images) == held
     machine.image_missing(held[-1])
     assert "".join(machine.images) == held[:-1]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -451,7 +451,7 @@
         and one.chunk_path(2) == "work/red/req-000001/2"
     )
     machine = old.machines["vm-000001"]
-    assert machine.value("red") == WAS["machine/vm-000001"] | {"i": [["img", 2.0], ["old", 0.0]]}
+    assert machine.record("red") == WAS["machine/vm-000001"] | {"i": [["img", 2.0], ["old", 0.0]]}
 
 
 HEX = [  # frames as production packed them
@@ -626,11 +626,11 @@
     parks = Parks("red", 4000)
     for n in range(30):
         parks.add(f"req-{n:06d}", [[0, 3]], 100.0 + n, Failure(2, 50.0, "error on vm-1"))
-    (first,) = parks.writes()
+    (first,) = parks.pending_writes()
     stored = dict([first])
-    parks.wrote(*first, 5)
-    parks.fit(400)
-    writes = parks.writes()
+    parks.set_written(*first, 5)
+    parks.set_value_bytes(400)
+    writes = parks.pending_writes()
     assert all(len(encode(value)) <= 400 for _, value in writes) and len(writes) > 3
     for n, value in writes:  # one transaction each, at worst
         stored[n] = value
