--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -1,4 +1,7 @@
-"""The states of a task, and its placement on a machine; each change of state is a method of its own."""
+"""Task states, and the placement of a task on a machine.
+
+Each transition of a placement is a method of its own.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,10 @@
 
 
 class TaskState(IntEnum):
-    """Where a task stands. Kept in one byte a task: an array of 100,000 tasks takes 100 kB."""
+    """State of a task.
+
+    A job keeps one byte for each task, so that an array of 100,000 tasks takes 100 kB.
+    """
 
     READY = 0
     LIVE = 1  # has a placement that counts
@@ -18,17 +24,17 @@
 
 
 class PlacementPhase(IntEnum):
-    """Where a placement stands.
+    """Phase of a placement.
 
-    In every phase it counts towards quotas and the machine's capacity, until the shard drops it on proof
-    that the task does not run.
+    In every phase the placement counts towards quotas and the machine's capacity, until the shard
+    drops it on proof that the task is not, and will not be, on the machine.
     """
 
-    INTENDED = 0  # in memory only: nothing may be sent
-    COMMITTED = 1  # durable: a run command may be sent
-    START_SENT = 2  # a run command was, or may have been, sent
+    INTENDED = 0  # in memory only: its run command must not be sent
+    COMMITTED = 1  # durable: its run command may be sent
+    START_SENT = 2  # its run command was, or may have been, sent
     REPORTED = 3  # its worker reported it
-    STOPPING = 4  # to be stopped; not confirmed yet
+    STOPPING = 4  # to be stopped; its end is not proved yet
 
 
 class Failure(NamedTuple):
@@ -38,7 +44,7 @@
         failure_count: Number of failures.
         first_at: Time of day of the first, in seconds.
         reason: Reason of the last.
-        past: 1 once the episode is beyond its bounds, else 0.
+        past_limits: 1 once the episode has exceeded its time or its number of parks, else 0.
     """
 
     failure_count: int
@@ -48,27 +54,30 @@
 
 
 class Placement:
-    """One attempt of a task on one machine, with what is known of it.
+    """One attempt of a task on one machine.
 
     Attributes:
         job: The job's id.
         task: The task's number within its job.
         attempt: Number of the attempt.
         machine: The machine's name.
-        generation: Generation of the task's chunk that has to be durable before a run command is sent.
-        placed_at: Time at which it was placed, in seconds.
-        phase: Where it stands.
-        start_answered: Incarnation and sequence of the heartbeat whose answer carried the run command.
+        generation: Generation of the task's chunk that has to be durable before the run command is
+            sent.
+        placed_at: When it was placed, in seconds.
+        phase: Its phase.
+        start_answered: Incarnation and sequence number of the heartbeat whose answer carried the
+            run command.
         worker_reported: Whether its worker has reported it.
-        from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may have
-            sent its run command in an incarnation that this owner does not know of.
-        incarnation: The worker's incarnation in which this owner last commanded or saw it.
+        from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may
+            have sent its run command in an incarnation that this owner does not know of.
+        incarnation: The worker's incarnation in which this owner last sent its run command or had
+            a report of it.
         status: Status in the last heartbeat; "" before the first.
-        image_ready_at: Time of the first heartbeat that showed its image fetched.
-        running_at: Time of the first heartbeat that showed it running.
-        grace_s: How long it may save when it is stopped, in seconds.
+        image_ready_at: When a heartbeat first showed its image as fetched.
+        running_at: When a heartbeat first showed it as running.
+        grace_s: Seconds that it has to save its state when it is stopped.
         why: Why it is being stopped.
-        reclaim_handled: Whether it was already decided what becomes of it on a spot instance that the
+        reclaim_handled: Whether it was already decided how it ends on a spot instance that the
             cloud takes back.
     """
 
@@ -95,7 +104,7 @@
     def __init__(
         self, job: str, task: int, attempt: int, machine: str, generation: int, now: float
     ) -> None:
-        """A new placement, which is not durable yet."""
+        """Create a placement that is not durable yet."""
         self.job = job
         self.task = task
         self.attempt = attempt
@@ -120,30 +129,30 @@
         return self.job, self.task
 
     def mark_committed(self) -> None:
-        """It is durable."""
+        """Record that the placement is durable."""
         if self.phase is PlacementPhase.INTENDED:
             self.phase = PlacementPhase.COMMITTED
 
     def mark_recovered(self) -> None:
-        """It was read from the store: an earlier owner may have sent its run command."""
+        """Record that it was read from the store; its run command may have been sent before."""
         self.phase = PlacementPhase.START_SENT
         self.from_earlier_owner = True
 
     def start_sent_in_answer(self, incarnation: int, sequence: int) -> None:
-        """The answer to that heartbeat carries its run command."""
+        """Record that the answer to that heartbeat carries its run command."""
         if self.phase is PlacementPhase.COMMITTED:
             self.phase = PlacementPhase.START_SENT
         self.start_answered = (incarnation, sequence)
         self.incarnation = incarnation
 
     def start_sent_directly(self, incarnation: int) -> None:
-        """Its run command goes straight to that incarnation of its worker."""
+        """Record that its run command is sent to its worker directly, not in an answer."""
         self.incarnation = incarnation
         if self.phase is PlacementPhase.COMMITTED:
             self.phase = PlacementPhase.START_SENT
 
     def record_report(self, status: str, incarnation: int, now: float) -> None:
-        """A heartbeat of that incarnation has it."""
+        """Record a heartbeat of that incarnation that reports it as not ended."""
         self.incarnation = incarnation
         self.worker_reported = True
         self.status = status
@@ -155,7 +164,7 @@
             self.phase = PlacementPhase.REPORTED
 
     def stop(self, why: str, grace_s: float) -> None:
-        """It is to be stopped; a second call can only shorten the grace."""
+        """Mark it as to be stopped; a second call can only shorten the grace period."""
         if self.phase is PlacementPhase.STOPPING:
             if grace_s < self.grace_s:
                 self.grace_s = grace_s
@@ -166,12 +175,12 @@
 
     @property
     def never_sent(self) -> bool:
-        """Only this process could have sent the run command, and it has not."""
+        """Whether its run command was not sent, and only this owner could have sent it."""
         return self.phase <= PlacementPhase.COMMITTED
 
 
 def ranges_of(numbers: list[int]) -> list[list[int]]:
-    """Ascending numbers as ascending ranges, each of its first and its last number."""
+    """Return ascending numbers as ranges `[first, last]`, both ends included."""
     ranges: list[list[int]] = []
     for number in numbers:
         if ranges and ranges[-1][1] == number - 1:
