--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -1,7 +1,7 @@
-"""Parks: tasks that wait for a retry time after failures of their own, kept durably with their failure count.
+"""Parks: tasks that wait for a retry time after failures of their own, kept durably.
 
-The delays and bounds are those of the paper that the retries follow (2 s, doubled, at most 60 s; 15 minutes or
-30 parks); `Retry` has them as settings.
+A task is retried with exponential backoff. The defaults follow a published retry scheme: delays of
+2 s, doubled up to 60 s, for 15 minutes or 30 parks. `Retry` has them as settings.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from ashdock.core.task import Failure
 from ashdock.settings import Retry
 
-WHY_BYTES = 24  # of a failure's reason: bounds the size of the stored rows
-MAX_DOUBLINGS = 64  # far beyond any cap on the delay; a larger exponent could overflow
+MAX_REASON_CHARS = 24  # of a failure's reason, which bounds the size of a stored row
+MAX_DOUBLINGS = 64  # exceeds any limit of the delay; a larger exponent could overflow
 EMPTY_VALUE_BYTES = 2  # the brackets around the rows of a value
 SEPARATOR_BYTES = 1  # the comma after a row
 
@@ -28,7 +28,7 @@
         job: The job's id.
         low: The first task.
         high: The last task.
-        retry_at: The retry time: time of day, in seconds.
+        retry_at: Time of day of the retry, in seconds.
         failure: Their failures so far.
     """
 
@@ -40,22 +40,20 @@
 
 
 class RetryStep(StrEnum):
-    """How a task is retried."""
+    """How a task is retried after a failure of its own."""
 
     IN_PLACE = "in_place"  # at once
-    PARK = "park"  # after a delay
-    PAST_LIMITS = (
-        "past"  # the episode is beyond its bounds: after the longest delay, again and again
-    )
+    PARK = "park"  # after the backoff delay
+    PAST_LIMITS = "past"  # the episode exceeded its limits: always after the longest delay
 
 
 class RetryDecision(NamedTuple):
-    """What follows a task's own failure.
+    """The decision on a task's retry.
 
     Attributes:
         step: How it is retried.
-        delay: Seconds until it is; 0 if in place.
-        failure: Its failures, this one included.
+        delay: Seconds until the retry; 0 if in place.
+        failure: Its failures, the latest included.
     """
 
     step: RetryStep
@@ -64,29 +62,30 @@
 
 
 def decide_retry(
-    retry: Retry, before: Failure | None, why: str, now: float, rng: random.Random
+    retry: Retry, previous: Failure | None, reason: str, now: float, rng: random.Random
 ) -> RetryDecision:
     """Decide the next step of a task's retry episode.
 
-    Only the task's own failures come here. What it is not to blame for (no capacity, preemption, a lost or
-    full machine, other tasks of its gang) spends neither the count nor the time of the episode.
+    Only a task's own failures count. Missing capacity, preemption, a lost or full machine and
+    failures of other tasks of its gang use up neither the count nor the time of the episode.
 
     Args:
-        retry: The bounds.
-        before: The failures before this one, if any.
-        why: Reason of this one.
+        retry: The delays and limits.
+        previous: The failures before this one, if any.
+        reason: Reason of this failure.
         now: Time of day, in seconds.
-        rng: Spreads the delays: tasks that fail together would otherwise wake together, and compete for the
-            same free capacity and images.
+        rng: For the jitter: tasks that fail together would otherwise be retried together, and
+            compete for the same free capacity and images.
     """
-    parks, first, _, past = before or Failure(0, now, "")  # the first failure is retried in place
-    failure = Failure(parks + 1, first, why[:WHY_BYTES], past)
+    # The first failure is retried in place, so this one would lead to park number `parks`.
+    parks, first_at, _, past_limits = previous or Failure(0, now, "")
+    failure = Failure(parks + 1, first_at, reason[:MAX_REASON_CHARS], past_limits)
     doublings = min(max(parks - 1, 0), MAX_DOUBLINGS)
     delay = min(retry.cap_s, retry.first_delay_s * retry.factor**doublings)
     delay *= 1 + rng.random() / 2
-    if past:
+    if past_limits:
         return RetryDecision(RetryStep.PAST_LIMITS, retry.cap_s * (1 + rng.random()), failure)
-    if now - first >= retry.horizon_s or parks > retry.most_parks:
+    if now - first_at >= retry.horizon_s or parks > retry.most_parks:
         return RetryDecision(RetryStep.IN_PLACE, 0.0, failure._replace(past_limits=1))
     if parks == 0 and retry.first_delay_s < retry.park_at_once_s:
         return RetryDecision(RetryStep.IN_PLACE, 0.0, failure)
@@ -94,19 +93,19 @@
 
 
 class Parks:
-    """The parks of one shard, and the values of the store that keep them: `park/<team>/<n>`.
+    """The parks of one shard, stored in the values `park/<team>/<n>`.
 
     Attributes:
         team: The shard's team.
         value_bytes: The largest value that the store takes, in bytes.
-        items: The parks.
-        revisions: Of each value as last written or read; 0: there is none.
-        written: Each value as last written or read, encoded.
-        dirty: Whether a value may differ from what is written.
+        items: The parks, in the order in which they were added.
+        revisions: Revision of each value as last written or read; 0 if its key does not exist.
+        written: Encoding of each value as last written or read.
+        dirty: Whether a value may differ from what is stored.
     """
 
     def __init__(self, team: str, value_bytes: int) -> None:
-        """No parks yet."""
+        """Create the shard's parks, empty."""
         self.team = team
         self.value_bytes = value_bytes
         self.items: list[Park] = []
@@ -115,22 +114,22 @@
         self.dirty = False
 
     def path(self, n: int) -> str:
-        """The key of a value."""
+        """Return the key of a value."""
         return f"park/{self.team}/{n}"
 
-    def add(self, job: str, tasks: list[list[int]], at: float, failure: Failure) -> None:
-        """Park ranges of a job's tasks until `at`; a range that continues the last park extends it."""
-        for low, high in tasks:
+    def add(self, job: str, ranges: list[list[int]], retry_at: float, failure: Failure) -> None:
+        """Park ranges of a job's tasks; a range that continues the last park extends it."""
+        for low, high in ranges:
             last = self.items[-1] if self.items else None
             if last and (last.job, last.high, last.retry_at, last.failure) == (
                 job,
                 low - 1,
-                at,
+                retry_at,
                 failure,
             ):
                 self.items[-1] = last._replace(high=high)
             else:
-                self.items.append(Park(job, low, high, at, failure))
+                self.items.append(Park(job, low, high, retry_at, failure))
         self.dirty = True
 
     def pop_due(self, now: float) -> list[Park]:
@@ -142,7 +141,7 @@
         return due
 
     def set_value_bytes(self, value_bytes: int) -> None:
-        """From now on the store takes values of at most so many bytes."""
+        """Set the largest value that the store takes, in bytes; all values are checked anew."""
         if value_bytes != self.value_bytes:
             self.value_bytes = value_bytes
             self.dirty = True
@@ -154,24 +153,25 @@
         self.items = kept
 
     def values(self) -> list[list[Any]]:
-        """The parks as rows, in as many values as they need, by retry time."""
+        """Return the parks as rows by retry time, divided into values within the limit."""
         values: list[list[Any]] = [[]]
         size = EMPTY_VALUE_BYTES
         for park in sorted(self.items, key=lambda item: (item.retry_at, item.job, item.low)):
             row = [park.job, park.low, park.high, round(park.retry_at, 3), *park.failure]
-            length = len(msgspec.json.encode(row)) + SEPARATOR_BYTES
-            if size + length > self.value_bytes and values[-1]:
+            row_bytes = len(msgspec.json.encode(row)) + SEPARATOR_BYTES
+            if size + row_bytes > self.value_bytes and values[-1]:
                 values.append([])
                 size = EMPTY_VALUE_BYTES
             values[-1].append(row)
-            size += length
+            size += row_bytes
         return values
 
     def pending_writes(self) -> list[tuple[int, list[Any] | None]]:
-        """The values that differ from what is written, with their numbers; None: to be deleted.
+        """Return the values that differ from what is stored, by number; None: to be deleted.
 
-        Where they become more, the last comes first: if they don't fit into one transaction, a park that
-        moves to a later value is stored twice for a moment, rather than not at all.
+        If there are more values than stored, the last one comes first: where one transaction does
+        not take them all, a park that moves to a later value is stored twice for a moment, rather
+        than not at all.
         """
         values = self.values() if self.items else []
         count = max(len(values), len(self.revisions))
@@ -188,7 +188,7 @@
         return writes
 
     def set_written(self, n: int, value: list[Any] | None, revision: int) -> None:
-        """A value is durable under that revision; None: it was deleted."""
+        """Record that a value is stored with that revision; None: that it was deleted."""
         while len(self.revisions) <= n:
             self.revisions.append(0)
             self.written.append(b"")
@@ -196,14 +196,15 @@
         self.written[n] = b"" if value is None else msgspec.json.encode(value)
 
     def load(self, n: int, value: list[Any], revision: int) -> list[Park]:
-        """Take in a value that was read from the store; returns the parks that were not known yet.
+        """Add the parks of a stored value, and return those that were not known yet.
 
-        A park may be in two values, if an earlier owner was moving it from one to the other.
+        A park is in two values if an earlier owner was moving it from one to the other.
         """
         self.set_written(n, value, revision)
         known = set(self.items)
         loaded = [
-            Park(job, low, high, at, Failure(*failure)) for job, low, high, at, *failure in value
+            Park(job, low, high, retry_at, Failure(*failure))
+            for job, low, high, retry_at, *failure in value
         ]
         new = [park for park in loaded if park not in known]
         self.items += new
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -106,7 +106,7 @@
     job = Job(spec(shares=size * 3), 0.0, 7, size)
     for task in range(size, 2 * size):
         job.place(task, f"vm-{task:06d}", 100_000 + task, 0.0)
-        job.set_failure(task, Failure(20, 1_700_000_000.123 + task, "x" * parking.WHY_BYTES))
+        job.set_failure(task, Failure(20, 1_700_000_000.123 + task, "x" * parking.MAX_REASON_CHARS))
     value = job.chunk_value(1)
     assert len(encode(value)) < 8.0 * 1024
     again = Job(spec(shares=size * 3), 0.0, 7, size)
