--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -1,4 +1,4 @@
-"""A machine as its shard's owner knows it: its phase, its free capacity and what runs on it."""
+"""A machine in the memory of its shard's owner: its phase, free capacity and placements."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from ashdock.core.task import Placement
 from ashdock.wire.messages import MachineType
 
-IMAGES_STORED = 12  # of a machine's record: what its next owner is told of the cache, kept small
-BOOT_PATIENCE = (
-    1.6  # times the usual boot time: work does not wait for a machine that is later than that
-)
-ROUNDING = 1e-6  # what sums of floats may be off by
-UNBOUNDED = 1 << 30  # how often a need of nothing fits
+# In a machine's record, which is kept small; they tell its next owner what its cache holds.
+MAX_STORED_IMAGES = 12
+# Multiple of the usual boot time after which work does not wait for the machine any longer.
+BOOT_PATIENCE = 1.6
+ROUNDING_ERROR = 1e-6  # bound of the error of sums of floats
+UNBOUNDED_COUNT = 1 << 30  # how often a request for nothing fits
 
 
 class MachinePhase(Enum):
-    """Where a machine stands with its shard's owner."""
+    """Phase of a machine, as its shard's owner sees it."""
 
-    EXPECTED = "expected"  # scaled out; no heartbeat has reached this owner
+    EXPECTED = "expected"  # scaled out, but this owner has received no heartbeat
     UP = "up"
-    LEAVING = "leaving"  # no new tasks: reclaimed, suspect, or wanted elsewhere
-    DECOMMISSIONED = "doomed"  # durably given up: the leader releases it
+    LEAVING = "leaving"  # cordoned: reclaimed, suspect, or to pass to another shard
+    DECOMMISSIONED = "doomed"  # to be released by the leader, once this is durable
 
 
 class Machine:
-    """A machine that is assigned to this owner's shard. Times are in seconds.
+    """A machine that is assigned to this owner's shard. Times are times of day in seconds.
 
     Attributes:
         name: Its name.
@@ -37,44 +37,48 @@
         zone: Its zone.
         spot: Whether it is a spot instance.
         address: Its agent's address; "" if not known yet.
-        rented_at: When it was scaled out, or found.
+        rented_at: When it was scaled out, or when it was found if that is not known.
         rented_at_known: Whether `rented_at` is when it was scaled out.
         revision: Revision of its record.
         shape: Its machine type.
-        phase: Where it stands.
+        phase: Its phase.
         why: Why it is leaving or decommissioned.
-        decommission_generation: 1 until the decommission is durable, else 0.
+        decommission_generation: 1 until its decommissioning is durable, else 0.
         live: The placements that count here.
         version: Rises with every change of `live`.
         cpus: Free cores.
         gpus: Free accelerators.
-        memory_gb: Free memory, in GB.
+        memory_gb: Free memory.
         known_since: When this owner learnt of it.
-        last_heartbeat_at: Time of its last heartbeat.
-        incarnation: Its agent's incarnation.
-        sequence: Sequence of its last heartbeat.
+        last_heartbeat_at: When its last heartbeat was received.
+        incarnation: Incarnation of its agent.
+        sequence: Sequence number of its last heartbeat.
         fencing_token: The token that its agent last reported.
-        idle_since: Since when nothing is placed here.
-        images: Size in GB of what its image cache holds, as far as is known, the last used last.
-        ended_attempts: Attempts that were reported as ended and are not forgotten yet.
+        idle_since: Since when it has no placement; None if it has one.
+        images: Sizes in GB of the images that its cache holds, as far as known, the most recently
+            used last.
+        ended_attempts: Attempts that its agent reports as ended and has not been told to forget.
         orphaned_tasks: Tasks that run here without a placement, with their attempt.
         reported_count: Number of tasks in the last heartbeat.
         reclaim_at: When the cloud takes the spot instance back.
         no_room_until: Until when nothing is placed here, because it had less room than expected.
-        failed_jobs: Jobs with the time when they last failed here.
-        sending_commands: Whether direct commands are on their way.
-        outstanding_runs: Run commands that were sent directly and not answered, with the fencing token. They may
-            arrive minutes late, and are harmless only once the worker has a higher token or is of another
-            incarnation.
-        raise_token: Whether its fencing token has to rise, because a direct run command was not answered.
-        inherited: Whether it was up for the owner before, and no heartbeat has reached this one.
-        target_shard: The shard that gets it once it is empty; "" leaves it unassigned.
+        failed_jobs: Jobs that failed here, with the time of the last failure.
+        sending_commands: Whether direct commands are in flight.
+        outstanding_runs: Run commands that were sent directly and not answered, with the fencing
+            token. They may arrive minutes late, and are harmless only once the worker has a higher
+            token or another incarnation.
+        raise_token: Whether its fencing token has to rise, because a direct run command was not
+            answered.
+        inherited: Whether it was up under the previous owner, and this one has received no
+            heartbeat.
+        target_shard: The shard to which it passes once it is empty; "" leaves it unassigned, None
+            keeps it here.
     """
 
     def __init__(
         self, name: str, value: dict[str, Any], revision: int, shape: MachineType, now: float
     ) -> None:
-        """Take it from its record, read at that revision."""
+        """Create it from its record, which was read at that revision."""
         self.name = name
         self.type = value["t"]
         self.zone = value["z"]
@@ -111,7 +115,7 @@
         self.outstanding_runs: dict[tuple[str, int, int], int] = {}
         self.raise_token = False
         if value.get("n") and value.get("a") and self.phase is MachinePhase.EXPECTED:
-            # It was up when it was assigned. If it is not any more, its silence shows it.
+            # It was up when it was assigned; if it is down now, its silence will show that.
             self.phase = MachinePhase.UP
             self.incarnation = value["n"]
             self.last_heartbeat_at = now
@@ -119,7 +123,7 @@
         self.target_shard: str | None = None
 
     def record(self, shard: str) -> dict[str, Any]:
-        """Its record, assigned to `shard`."""
+        """Return its record, with `shard` as the shard that it is assigned to."""
         value: dict[str, Any] = {
             "t": self.type,
             "z": self.zone,
@@ -130,10 +134,10 @@
         value["at"] = round(self.rented_at, 3)
         if self.rented_at_known:
             value["r"] = 1
-        images = list(reversed(self.images))[:IMAGES_STORED]
+        images = list(reversed(self.images))[:MAX_STORED_IMAGES]
         value["i"] = [[image, self.images[image]] for image in images]
         if self.incarnation:
-            # With it the next owner can command the worker before its first heartbeat.
+            # Lets the next owner send commands to the worker before its first heartbeat.
             value["n"] = self.incarnation
         if self.phase is MachinePhase.DECOMMISSIONED:
             value["x"] = self.why
@@ -142,68 +146,68 @@
     # -- changes of state --------------------------------------------------------------------
 
     def mark_up(self, address: str) -> None:
-        """A heartbeat came, from an agent at that address."""
+        """Record that its agent, at that address, has sent a heartbeat."""
         self.address = address
         if self.phase is MachinePhase.EXPECTED:
             self.phase = MachinePhase.UP
 
     def cordon(self, why: str) -> None:
-        """It takes no new tasks from here on."""
+        """Place no more tasks on it, for a reason that is kept in `why`."""
         if self.phase in (MachinePhase.UP, MachinePhase.EXPECTED):
             self.phase = MachinePhase.LEAVING
             self.why = why
 
     def decommission(self, why: str) -> None:
-        """It is to be given up; durable with the next write of its record."""
+        """Mark it as to be released; that is durable with the next write of its record."""
         if self.phase is not MachinePhase.DECOMMISSIONED:
             self.phase = MachinePhase.DECOMMISSIONED
             self.why = why
 
     def image_used(self, image: str, size: float) -> None:
-        """A task here has its image, of that size in GB.
+        """Record that a task here uses an image of that size in GB.
 
-        The least recently used images are taken to be gone once the cache is full: otherwise gangs would be
-        placed on machines that have to fetch the image after all.
+        Once the cache is full, the least recently used images are assumed to be evicted. Otherwise
+        gangs would be placed on machines that have to fetch the image after all.
         """
         known = self.images.pop(image, None)
         self.images[image] = size
         if known is None:
-            over = sum(self.images.values()) - self.shape.cache_gb
+            excess_gb = sum(self.images.values()) - self.shape.cache_gb
             for other in list(self.images)[:-1]:
-                if over <= 0:
+                if excess_gb <= 0:
                     break
-                over -= self.images.pop(other)
+                excess_gb -= self.images.pop(other)
 
     def image_missing(self, image: str) -> None:
-        """The image is being fetched, so it was not there."""
+        """Record that the cache does not hold the image, since it is being fetched."""
         self.images.pop(image, None)
 
-    # -- room --------------------------------------------------------------------------------
+    # -- capacity ----------------------------------------------------------------------------
 
-    def allocate(self, placement: Placement, cpus: float, gpus: float, memory: float) -> None:
-        """Place a task that needs so much."""
+    def allocate(self, placement: Placement, cpus: float, gpus: float, memory_gb: float) -> None:
+        """Add a placement, and subtract its request from the free capacity."""
         self.live[placement.key] = placement
         self.version += 1
         self.cpus -= cpus
         self.gpus -= gpus
-        self.memory_gb -= memory
+        self.memory_gb -= memory_gb
         self.idle_since = None
 
     def deallocate(
-        self, placement: Placement, cpus: float, gpus: float, memory: float, now: float
+        self, placement: Placement, cpus: float, gpus: float, memory_gb: float, now: float
     ) -> None:
-        """Remove a placement, and free what it took."""
+        """Remove a placement, and add its request to the free capacity."""
         if self.live.pop(placement.key, None) is not None:
             self.version += 1
             self.cpus += cpus
             self.gpus += gpus
-            self.memory_gb += memory
+            self.memory_gb += memory_gb
         if not self.live:
             self.idle_since = now
 
-    def fits(self, cpus: float, gpus: float, memory: float) -> int:
-        """How many such tasks the free capacity takes."""
-        return fits((self.cpus, self.gpus, self.memory_gb), (cpus, gpus, memory))
+    def fits(self, cpus: float, gpus: float, memory_gb: float) -> int:
+        """Return how many tasks with such a request fit into the free capacity."""
+        return fits((self.cpus, self.gpus, self.memory_gb), (cpus, gpus, memory_gb))
 
     @property
     def usable(self) -> bool:
@@ -211,14 +215,14 @@
         return self.phase is MachinePhase.UP and self.reclaim_at is None
 
     def is_booting(self, now: float) -> bool:
-        """Whether work may wait for it to boot; not if it is far later than usual."""
+        """Whether work may wait for it to boot; not if that takes far longer than usual."""
         boot_s = self.shape.boot_s
         started_at = max(self.rented_at, self.known_since - boot_s)
         return self.phase is MachinePhase.EXPECTED and now - started_at < BOOT_PATIENCE * boot_s
 
     @property
     def empty(self) -> bool:
-        """No placement counts here, and no report of a task is left to be settled."""
+        """Whether it has no placements, and its agent reports no tasks."""
         return (
             not self.live
             and not self.orphaned_tasks
@@ -227,33 +231,39 @@
         )
 
     def silence_s(self, now: float) -> float:
-        """Seconds since its last heartbeat, or since this owner learnt of it."""
+        """Return the seconds since its last heartbeat, or since this owner learnt of it."""
         return now - (
             self.last_heartbeat_at if self.last_heartbeat_at is not None else self.known_since
         )
 
 
-def fit_machine_record(value: dict[str, Any], most: int) -> dict[str, Any]:
-    """A machine's record, without the least recently used images that would make it longer than `most` bytes."""
-    images = list(value.get("i", ()))
-    while images and len(msgspec.json.encode({**value, "i": images})) > most:
+def fit_machine_record(record: dict[str, Any], max_bytes: int) -> dict[str, Any]:
+    """Return a machine's record, shortened to `max_bytes` by its least recently used images.
+
+    Without any images it may still be longer.
+    """
+    images = list(record.get("i", ()))
+    while images and len(msgspec.json.encode({**record, "i": images})) > max_bytes:
         images.pop()
-    return {**value, "i": images} if len(images) < len(value.get("i", ())) else value
+    return {**record, "i": images} if len(images) < len(record.get("i", ())) else record
 
 
-def stored_images(value: dict[str, Any]) -> list[tuple[str, float]]:
-    """Images and their sizes in GB from a machine's record, the last used first; 0 where an earlier version wrote only the names."""
+def stored_images(record: dict[str, Any]) -> list[tuple[str, float]]:
+    """Return images and their sizes in GB from a machine's record, the most recently used first.
+
+    A size is 0 if an earlier version wrote the record, with the names only.
+    """
     return [
-        (item, 0.0) if isinstance(item, str) else (item[0], item[1]) for item in value.get("i", ())
+        (item, 0.0) if isinstance(item, str) else (item[0], item[1]) for item in record.get("i", ())
     ]
 
 
 def fits(free: Sequence[float], need: Sequence[float]) -> int:
-    """How many times a need goes into what is free; both are CPUs, GPUs and memory."""
-    count = UNBOUNDED
+    """Return how often a request fits; `free` and `need` are CPUs, GPUs and memory."""
+    count = UNBOUNDED_COUNT
     for wanted, available in ((need[0], free[0]), (need[1], free[1]), (need[2], free[2])):
         if wanted > 0:
-            times = int((available + ROUNDING) / wanted)
+            times = int((available + ROUNDING_ERROR) / wanted)
             if times <= 0:
                 return 0
             if times < count:
@@ -262,10 +272,10 @@
 
 
 def remaining(free: Sequence[float], need: Sequence[float], times: int) -> list[float]:
-    """What is left of the free CPUs, GPUs and memory after so many times the need."""
+    """Return the CPUs, GPUs and memory that are left after a request was placed `times` over."""
     return [free[0] - need[0] * times, free[1] - need[1] * times, free[2] - need[2] * times]
 
 
-def capacity(shape: MachineType, cpus: float, gpus: float, memory: float) -> int:
-    """How many such tasks an empty machine of that type takes."""
-    return fits((shape.cpus, shape.gpus, shape.memory_gb), (cpus, gpus, memory))
+def capacity(shape: MachineType, cpus: float, gpus: float, memory_gb: float) -> int:
+    """Return how many tasks with such a request an empty machine of that type takes."""
+    return fits((shape.cpus, shape.gpus, shape.memory_gb), (cpus, gpus, memory_gb))
