--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -1,7 +1,8 @@
 """Reconciles a worker's heartbeat with a shard's placements.
 
-A placement counts until its end is proved. What a heartbeat proves depends on what was sent to the worker, in which of its
-incarnations, and under which fencing token; each method that takes an end for proved says why it may.
+A placement counts until its end is proved. What a heartbeat proves depends on what was sent to the
+worker, in which of its incarnations, and under which fencing token. Each method that accepts an end
+as proved says why it may.
 """
 
 from __future__ import annotations
@@ -30,12 +31,12 @@
 log = logging.getLogger("ashdock.shard")
 
 
-# Job, task and attempt. A plain tuple, since one is made for each task of each heartbeat.
+# Job, task and attempt. A plain tuple is cheap: one is built for each task of each heartbeat.
 AttemptKey = tuple[str, int, int]
 
 
 class ReconciledShard(Protocol):
-    """What a heartbeat may touch of a shard: its jobs, its machines, and the changes that follow from what is proved."""
+    """The part of a shard that heartbeats read and change."""
 
     jobs: dict[str, Job]
     machines: dict[str, Machine]
@@ -47,51 +48,54 @@
     failures: FailureHandler
 
     def token(self, machine: Machine) -> int:
-        """The fencing token for commands to the machine."""
+        """Return the fencing token for commands to the machine."""
         ...
 
     def finish(self, job: Job, task: int, now: float) -> None:
-        """Take in that a task is done."""
+        """Mark a task as done."""
         ...
 
     def lost(self, placement: Placement, why: str, now: float) -> None:
-        """Take in that a placement is proved gone, by no fault of its task."""
+        """Drop a placement whose end is proved, and which did not fail of its own."""
         ...
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
-        """Stop a placement, with so many seconds to save."""
+        """Stop a placement; its task has `grace_s` seconds to save its state."""
         ...
 
     def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
-        """Take in that the cloud takes a spot instance back, in so many seconds."""
+        """Evict tasks from a spot instance that the cloud takes back in `notice_s` seconds."""
         ...
 
 
 class HeartbeatReconciler:
-    """Takes heartbeats in, for one shard."""
+    """Applies heartbeats to one shard."""
 
     def __init__(self, shard: ReconciledShard, estimates: Estimates) -> None:
-        """Reconcile for a shard; durations of what is done go into the estimates."""
+        """Reconcile for a shard; the estimates learn from the run times of tasks that are done."""
         self.shard = shard
         self.estimates = estimates
 
     def on_heartbeat(
         self, heartbeat: Heartbeat, now: float, checkin: bool
     ) -> list[TaskCommand] | None:
-        """Take a worker's heartbeat in.
+        """Apply a worker's heartbeat, and choose the commands to answer with.
 
-        A heartbeat that is not newer than the last one proves nothing. One under a higher token than ours belongs to a
-        later owner. One under a lower token may have been sent before commands of ours arrived: what it holds is taken
-        in, what it lacks proves nothing. A message sent directly is over once the worker reports a higher token than it
-        was sent under, since it is refused from then on.
+        A heartbeat that is not newer than the last one proves nothing. One under a higher token
+        than ours belongs to a later owner. One under a lower token may have been sent before
+        commands of ours arrived: the tasks in it are taken into account, but a task that is missing
+        proves nothing. A run command that was sent directly cannot take effect once the worker
+        reports a higher token than it was sent under, since the worker refuses it from then on.
 
         Args:
-            heartbeat: the worker's status.
-            now: the time.
-            checkin: whether it came to be answered; if not, it was the answer to a direct message.
+            heartbeat: The worker's status.
+            now: The time.
+            checkin: Whether the worker sent it as a request of its own. If not, it was the answer
+                to direct commands.
 
         Returns:
-            The commands to answer with; None if it may not be answered, so that the worker's lease runs on.
+            The commands to answer with; None if it must not be answered, so that the worker's lease
+            is not renewed.
         """
         machine = self.shard.machines.get(heartbeat.machine)
         if machine is None:
@@ -126,13 +130,14 @@
         }
 
     def _incarnation_ended(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Take in that the worker's lease had expired: it killed and forgot all that it had.
-
-        That proves the end of placements of our own whose start was sent, or which were seen, in an earlier incarnation:
-        a command names the incarnation that it is for, so none of ours can start them in the new one. It proves
-        nothing for those of an earlier owner, which may have started them in the new incarnation, whatever was seen of
-        them before (docs/incidents/ended-again-and-again.md). For those, a heartbeat under our token that lacks them
-        is the proof.
+        """Handle a new incarnation: the worker's lease had expired, and it killed all its tasks.
+
+        That proves the end of our own placements that were sent, or reported, in an earlier
+        incarnation: a command names the incarnation that it is for, so no earlier command of ours
+        can start them in the new one. It proves nothing for placements of an earlier owner, which
+        may have started them in the new incarnation, whatever was reported of them before
+        (docs/incidents/ended-again-and-again.md). For those, the proof is a heartbeat under our
+        token in which they are missing.
         """
         log.info(
             "worker lost its tasks in a new incarnation: machine=%s incarnation=%d",
@@ -140,7 +145,7 @@
             heartbeat.incarnation,
         )
         machine.ended_attempts.clear()
-        machine.outstanding_runs.clear()  # they name the old incarnation
+        machine.outstanding_runs.clear()  # they are for the earlier incarnation
         for placement in list(machine.live.values()):
             if (
                 placement.from_earlier_owner
@@ -149,18 +154,19 @@
             ):
                 continue
             if placement.incarnation < heartbeat.incarnation:
-                self.shard.lost(placement, "worker lost its controllers", now)
+                self.shard.lost(placement, "worker lease expired", now)
 
     def _reconcile_tasks(
         self, machine: Machine, heartbeat: Heartbeat, now: float, absence_proves: bool
     ) -> None:
-        """Compare the tasks that a worker reports with what is placed on its machine.
+        """Compare the tasks that a worker reports with the placements on its machine.
 
         Args:
-            machine: the worker's machine.
-            heartbeat: what it reports.
-            now: the time.
-            absence_proves: whether it was sent under our token and to be answered, so that it had all commands before.
+            machine: The worker's machine.
+            heartbeat: The worker's status.
+            now: The time.
+            absence_proves: Whether a missing task can prove the end of its placement: the heartbeat
+                is a request, sent under our token.
         """
         reported: dict[AttemptKey, TaskReport] = {
             (*split_task(report.task), report.attempt): report for report in heartbeat.tasks
@@ -169,7 +175,7 @@
         ended: set[AttemptKey] = set()
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement:
-                continue  # dropped with its gang a moment ago
+                continue  # dropped with its gang in an earlier iteration
             attempt = (placement.job, placement.task, placement.attempt)
             report = reported.pop(attempt, None)
             if report is None:
@@ -192,17 +198,17 @@
                 else:
                     machine.image_used(spec.image, spec.image_gb)
         if reported or machine.orphaned_tasks:
-            self._take_in_unplaced(machine, reported, ended, now)
+            self._reconcile_unplaced(machine, reported, ended, now)
         machine.ended_attempts = ended
 
-    def _take_in_unplaced(
+    def _reconcile_unplaced(
         self,
         machine: Machine,
         reported: dict[AttemptKey, TaskReport],
         ended: set[AttemptKey],
         now: float,
     ) -> None:
-        """Take in what a worker reports beyond the placements: ended attempts (added to `ended`) and orphaned tasks."""
+        """Handle reports without a placement: ended attempts (added to `ended`), orphaned tasks."""
         orphaned: dict[tuple[str, int], int] = {}
         for (job_id, task, attempt), report in reported.items():
             if report.status != TaskStatus.ENDED:
@@ -245,12 +251,13 @@
 
     @staticmethod
     def _is_absent(placement: Placement, heartbeat: Heartbeat) -> bool:
-        """Whether a heartbeat under our token that lacks the task proves that it is not, and will not be, there.
+        """Whether a heartbeat under our token without the task proves the end of its placement.
 
-        The worker takes no commands of earlier owners any more, and what it took before, it reports. Of our own starts
-        none may be on its way: direct ones are outstanding (the caller looks), and one that went with an answer can
-        arrive as long as the worker has not sent a later heartbeat than the one answered. A start that was sent, and
-        neither reported nor stopped since, is simply repeated.
+        The worker refuses commands of earlier owners from then on, and reports the tasks that they
+        started before. That leaves our own run commands, of which none may be in flight. Direct
+        ones are in `outstanding_runs`, which the caller checks. One that was sent in an answer can
+        arrive until the worker has sent a later heartbeat than the one answered. A run command that
+        was sent, while the task was neither reported nor stopped since, is simply repeated.
         """
         if (
             placement.start_answered is not None
@@ -262,11 +269,11 @@
         )
 
     def _on_done_unplaced(self, job: Job, task: int, now: float) -> None:
-        """Take in that an attempt without a placement is done; its result counts.
+        """Accept the result of a done attempt that has no placement.
 
-        A worker says so only of an attempt that ran to its end, and a task needs to be done only once, so another
-        attempt of it is stopped. A gang's tasks complete together: one that is done proves them all. A service is never
-        done.
+        A worker reports an attempt as done only if it ran to its end, and a task has to be done
+        only once, so another attempt of it is stopped. The tasks of a gang complete together: one
+        that is done proves that all are. A service is never done.
         """
         if job.spec.kind == JobKind.SERVICE:
             return
@@ -278,12 +285,15 @@
         if placement is None:
             self.shard.finish(job, task, now)
         else:
-            self.shard.stop(placement, "done already", 0.0, now)
+            self.shard.stop(placement, "already done", 0.0, now)
 
     def _on_ended(
         self, machine: Machine, placement: Placement, report: TaskReport, now: float
     ) -> None:
-        """Take in that a placed attempt has ended. The worker's word is the proof, whatever the token: it does not restart it."""
+        """Handle the end of a placed attempt.
+
+        The report is proof under any token, because a worker does not restart an ended attempt.
+        """
         job = self.shard.jobs[placement.job]
         cause = report.cause or "error"
         if cause == TaskCause.DONE and job.spec.kind != JobKind.SERVICE and job.active:
@@ -303,7 +313,7 @@
         self.shard.lost(placement, cause, now)
 
     def _on_done(self, machine: Machine, job: Job, placement: Placement, now: float) -> None:
-        """Take in a result; a gang's tasks complete together, so one that is done proves them all."""
+        """Accept a result; a gang's tasks complete together, so one proves that all are done."""
         machine.failed_jobs.clear()
         machine.image_used(job.spec.image, job.spec.image_gb)
         self.estimates.learn(job, placement, now)
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -57,7 +57,7 @@
         idle_since: Since when it has no placement; None if it has one.
         images: Sizes in GB of the images that its cache holds, as far as known, the most recently
             used last.
-        ended_attempts: Attempts that its agent reports as ended and has not been told to forget.
+        ended_attempts: Attempts that the last heartbeat reported as ended.
         orphaned_tasks: Tasks that run here without a placement, with their attempt.
         reported_count: Number of tasks in the last heartbeat.
         reclaim_at: When the cloud takes the spot instance back.
