--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -1,4 +1,7 @@
-"""The commands for a machine's worker: what to run, kill and forget, with answers to heartbeats or directly."""
+"""Commands for a machine's worker: which tasks to run, kill and forget.
+
+They are sent in the answers to heartbeats, or directly.
+"""
 
 from __future__ import annotations
 
@@ -16,38 +19,38 @@
     task_name,
 )
 
-MAX_COMMANDS = 200  # in one message, which keeps it well under 64 KiB
+MAX_COMMANDS = 200  # in one message, to keep it well under 64 KiB
 
 
 class CommandedShard(Protocol):
-    """What the commands follow from."""
+    """The part of a shard from which commands are derived."""
 
     jobs: dict[str, Job]
     shared: Shared
     workers: Workers
 
     def token(self, machine: Machine) -> int:
-        """The fencing token for commands to the machine."""
+        """Return the fencing token for commands to the machine."""
         ...
 
     def note_machine(self, name: str) -> None:
-        """Have a machine's record written, if need be."""
+        """Have the next transaction check whether the machine's record must be written."""
         ...
 
 
 class TaskCommands:
-    """Chooses the commands for a shard's machines, and tracks the run commands that may still arrive."""
+    """Chooses a shard's commands, and tracks run commands that may still arrive late."""
 
     def __init__(self, shard: CommandedShard) -> None:
-        """Command for a shard."""
+        """Choose commands for a shard."""
         self.shard = shard
 
     def commands_for(self, machine: Machine, heartbeat: Heartbeat | None) -> list[TaskCommand]:
-        """Choose what a machine is to do.
+        """Choose the commands for a machine.
 
         Args:
-            machine: the machine.
-            heartbeat: the one that the commands answer; None if they are sent directly.
+            machine: The machine.
+            heartbeat: The heartbeat that they answer; None if they are sent directly.
         """
         commands: list[TaskCommand] = []
         for placement in machine.live.values():
@@ -80,7 +83,7 @@
             )
         if heartbeat or machine.target_shard is not None:
             for job_id, task, attempt in sorted(machine.ended_attempts):
-                if (job_id, task, attempt) not in machine.outstanding_runs and self._forgettable(
+                if (job_id, task, attempt) not in machine.outstanding_runs and self._may_forget(
                     job_id, task, attempt
                 ):
                     commands.append(
@@ -90,8 +93,8 @@
                     )
         return commands[:MAX_COMMANDS]
 
-    def _forgettable(self, job_id: str, task: int, attempt: int) -> bool:
-        """Whether an ended attempt's outcome is durable, and no run command for it may still arrive."""
+    def _may_forget(self, job_id: str, task: int, attempt: int) -> bool:
+        """Whether an ended attempt's outcome is durable, so that no run command for it is sent again."""
         job = self.shard.jobs.get(job_id)
         if job is None or not 0 <= task < job.spec.tasks:
             return True
@@ -102,7 +105,7 @@
         return job.phase is not JobPhase.OVER and chunk.durable_generation >= chunk.generation
 
     def direct_commands(self, machine: Machine) -> list[TaskCommand]:
-        """Choose what to send directly; its run commands are outstanding until answered."""
+        """Choose the commands to send directly; run commands are outstanding until answered."""
         if machine.sending_commands or not machine.address or not machine.incarnation:
             return []
         commands = self.commands_for(machine, None)
@@ -116,27 +119,30 @@
 
     @staticmethod
     def on_direct_answered(machine: Machine, commands: list[TaskCommand]) -> None:
-        """Take in that direct commands cannot arrive any more."""
+        """Record that direct commands cannot arrive any more."""
         for command in commands:
             machine.outstanding_runs.pop((*split_task(command.task), command.attempt), None)
 
     def on_direct_unanswered(self, machine: Machine, commands: list[TaskCommand]) -> None:
-        """Raise the token, since a run command may still arrive, even minutes late: it is refused then."""
+        """Have the fencing token raised if a run command may still arrive, even minutes late.
+
+        The worker refuses the command once it has a higher token.
+        """
         if any(command.verb == CommandVerb.RUN for command in commands):
             machine.raise_token = True
             self.shard.note_machine(machine.name)
 
     def lease_must_expire(self, machine: Machine, now: float) -> bool:
-        """Whether the worker's lease must run out.
+        """Whether the worker's lease must be left to expire.
 
-        So it is if a run command that was not answered may still arrive, its job was cancelled, and the token that would
-        refuse it has not reached the worker; in an outage of the store it cannot be raised. Not renewed, the incarnation
-        that the command names is over within `cancel_s`.
+        That is so if a run command of a cancelled job may still arrive, and the token with which
+        the worker would refuse it has not reached the worker in time: the token cannot be raised
+        while the store is unavailable. Without renewal the incarnation that the command names ends
+        within `cancel_s` of the cancellation.
         """
         workers = self.shard.workers
-        limit = now - (
-            workers.cancel_s - workers.lease_s - 2 * self.shard.shared.skew_ms / 1000
-        )  # twice: the worker's clock and ours
+        # Twice the skew: the worker's clock and ours.
+        limit = now - (workers.cancel_s - workers.lease_s - 2 * self.shard.shared.skew_ms / 1000)
         for job_id, _, _ in machine.outstanding_runs:
             job = self.shard.jobs.get(job_id)
             if job is not None and job.cancelled_at is not None and job.cancelled_at < limit:
