--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -94,7 +94,7 @@
         return commands[:MAX_COMMANDS]
 
     def _may_forget(self, job_id: str, task: int, attempt: int) -> bool:
-        """Whether an ended attempt's outcome is durable, so that no run command for it is sent again."""
+        """Whether an ended attempt's outcome is durable, so that it is not started again."""
         job = self.shard.jobs.get(job_id)
         if job is None or not 0 <= task < job.spec.tasks:
             return True
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -1,4 +1,7 @@
-"""What follows from a task's own failure: a retry in place or parked, and the quarantine of a machine where jobs fail."""
+"""Handling of tasks' own failures.
+
+A failed task is retried in place or parked. A machine on which several jobs fail is quarantined.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,13 @@
 
 log = logging.getLogger("ashdock.shard")
 
-FAILED_JOBS_OF_SUSPECT = 2  # different jobs that failed on a machine lately, for it to be suspect
-LATELY_SHARE = 3  # "lately" is the retry horizon divided by this
-QUARANTINE_SHARE = 4  # at most about one of so many machines may be in quarantine
+SUSPECT_FAILED_JOBS = 2  # a machine is suspect once so many different jobs failed there recently
+RECENT_DIVISOR = 3  # a failure is recent for the retry horizon divided by this
+QUARANTINE_DIVISOR = 4  # at most about one of so many machines may be in quarantine
 
 
 class FailingShard(Protocol):
-    """What the handling of failures needs of a shard."""
+    """The part of a shard that failures read and change."""
 
     jobs: dict[str, Job]
     machines: dict[str, Machine]
@@ -30,7 +33,7 @@
     rng: random.Random
 
     def release(self, placement: Placement, now: float) -> None:
-        """Take in that a placement is proved gone; its task is ready again."""
+        """Drop a placement whose end is proved, and make its task ready again."""
         ...
 
     def break_gang(self, job: Job, why: str, now: float) -> None:
@@ -42,19 +45,19 @@
         ...
 
     def note_machine(self, name: str) -> None:
-        """Have a machine's record written, if need be."""
+        """Have the next transaction check whether the machine's record must be written."""
         ...
 
 
 class FailureHandler:
-    """Handles the tasks' own failures, for one shard."""
+    """Handles the failures of one shard's tasks."""
 
     def __init__(self, shard: FailingShard) -> None:
         """Handle the failures of a shard."""
         self.shard = shard
 
     def on_failure(self, machine: Machine, placement: Placement, why: str, now: float) -> None:
-        """Take in that a task failed of its own on a machine; a gang's attempt is stopped as a whole."""
+        """Handle a task's own failure on a machine; a gang's attempt is stopped as a whole."""
         job = self.shard.jobs[placement.job]
         reason = f"{why} on {machine.name}"
         log.info(
@@ -64,7 +67,7 @@
             placement.attempt,
             reason,
         )
-        self._blame(job, machine, now)
+        self._count_against_machine(job, machine, now)
         failure = Failure(0, now, reason)
         if job.spec.kind != JobKind.GANG:
             self.shard.release(placement, now)
@@ -77,21 +80,21 @@
             self.shard.release(placement, now)
 
     def retry(self, job: Job, tasks: list[int], failure: Failure, now: float) -> None:
-        """Decide when tasks are tried again: in place, after a park, or past the retry episode's bounds.
+        """Retry tasks in place, or park them until their retry time.
 
         Args:
-            job: the job.
-            tasks: its tasks that failed together, ascending: all of a gang, or one.
-            failure: this failure.
-            now: the time.
+            job: The job.
+            tasks: Its tasks that failed together, ascending: all of a gang, or one.
+            failure: This failure; only its reason counts.
+            now: The time.
         """
         decision = decide_retry(
             self.shard.retry, job.failures.get(tasks[0]), failure.reason, now, self.shard.rng
         )
-        what = "the gang" if job.spec.kind == JobKind.GANG else f"task {tasks[0]}"
+        subject = "the gang" if job.spec.kind == JobKind.GANG else f"task {tasks[0]}"
         if job.reason is None:
-            # From the first failure on: who submitted it with a mistake is not to wait for the second.
-            job.set_reason(f"{what} failed: {failure.reason}; tried again")
+            # Users learn of a mistake in their submission with its first failure.
+            job.set_reason(f"{subject} failed: {failure.reason}; tried again")
         if decision.step == "in_place":
             for task in tasks:
                 job.set_failure(task, decision.failure)
@@ -99,42 +102,46 @@
         for task in tasks:
             job.park(task, decision.failure)
         self.shard.parks.add(job.id, ranges_of(tasks), now + decision.delay, decision.failure)
-        times = decision.failure.failure_count
+        count = decision.failure.failure_count
         if decision.step == "past":
             job.set_reason(
-                f"{what} failed {times} times, last: {failure.reason}; still tried now and then"
+                f"{subject} failed {count} times, last: {failure.reason}; still tried now and then"
             )
-            log.info("retry episode past its bounds: job=%s reason=%s", job.id, job.reason)
+            log.info("retry episode exceeded its limits: job=%s reason=%s", job.id, job.reason)
             return
         log.info(
             "parked after failures: job=%s tasks=%s delay_s=%.1f failures=%d",
             job.id,
             "all" if job.spec.kind == JobKind.GANG else tasks[0],
             decision.delay,
-            times,
+            count,
         )
 
     def clear_machine_failures(self, job: Job) -> None:
-        """Count a job's failures no longer against the machines where it failed."""
+        """Remove a job's failures from the machines where it failed."""
         for name in job.avoided_machines:
             if name in self.shard.machines:
                 self.shard.machines[name].failed_jobs.pop(job.id, None)
 
-    def _blame(self, job: Job, machine: Machine, now: float) -> None:
-        """Count a failure against its machine, which goes into quarantine if different jobs failed there lately.
+    def _count_against_machine(self, job: Job, machine: Machine, now: float) -> None:
+        """Count a failure against its machine, and quarantine the machine if it is suspect.
 
-        A job that fails on one machine after another, and nowhere ends well, says nothing about any of them: arrays
-        submitted with a mistake fail on dozens at once, and two such jobs made sound machines suspect.
+        It is suspect once different jobs have failed there recently. A job that fails on one
+        machine after another, and has no task done, does not count against any of them: arrays
+        submitted with a mistake fail on dozens of machines at once, and two such jobs made sound
+        machines suspect.
         """
         job.avoided_machines[machine.name] = now + self.shard.retry.cap_s
         if job.done_count or len(job.avoided_machines) == 1:
             machine.failed_jobs[job.id] = now
         else:
             self.clear_machine_failures(job)
-        lately_s = self.shard.retry.horizon_s / LATELY_SHARE
-        recent = [at for at in machine.failed_jobs.values() if now - at < lately_s]
+        recent_s = self.shard.retry.horizon_s / RECENT_DIVISOR
+        recent = [
+            failed_at for failed_at in machine.failed_jobs.values() if now - failed_at < recent_s
+        ]
         if (
-            len(recent) >= FAILED_JOBS_OF_SUSPECT
+            len(recent) >= SUSPECT_FAILED_JOBS
             and machine.phase is MachinePhase.UP
             and self._may_quarantine()
         ):
@@ -150,4 +157,4 @@
     def _may_quarantine(self) -> bool:
         machines = self.shard.machines
         suspects = sum(1 for machine in machines.values() if machine.why == "suspect")
-        return suspects * QUARANTINE_SHARE <= len(machines)
+        return suspects * QUARANTINE_DIVISOR <= len(machines)
