--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -184,7 +184,7 @@
                     and attempt not in machine.outstanding_runs
                     and self._is_absent(placement, heartbeat)
                 ):
-                    self.shard.lost(placement, placement.why or "not on its machine", now)
+                    self.shard.lost(placement, placement.stop_reason or "not on its machine", now)
             elif report.status == TaskStatus.ENDED:
                 ended.add(attempt)
                 self._on_ended(machine, placement, report, now)
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -42,7 +42,7 @@
         revision: Revision of its record.
         shape: Its machine type.
         phase: Its phase.
-        why: Why it is leaving or decommissioned.
+        leaving_reason: Why it is leaving or decommissioned.
         decommission_generation: 1 until its decommissioning is durable, else 0.
         live: The placements that count here.
         version: Rises with every change of `live`.
@@ -89,7 +89,7 @@
         self.revision = revision
         self.shape = shape
         self.phase = MachinePhase.DECOMMISSIONED if value.get("x") else MachinePhase.EXPECTED
-        self.why = value.get("x", "")
+        self.leaving_reason = value.get("x", "")
         self.decommission_generation = 0
         self.live: dict[tuple[str, int], Placement] = {}
         self.version = 0
@@ -140,7 +140,7 @@
             # Lets the next owner send commands to the worker before its first heartbeat.
             value["n"] = self.incarnation
         if self.phase is MachinePhase.DECOMMISSIONED:
-            value["x"] = self.why
+            value["x"] = self.leaving_reason
         return value
 
     # -- changes of state --------------------------------------------------------------------
@@ -151,17 +151,17 @@
         if self.phase is MachinePhase.EXPECTED:
             self.phase = MachinePhase.UP
 
-    def cordon(self, why: str) -> None:
-        """Place no more tasks on it, for a reason that is kept in `why`."""
+    def cordon(self, reason: str) -> None:
+        """Place no more tasks on it, for a reason that is kept in `leaving_reason`."""
         if self.phase in (MachinePhase.UP, MachinePhase.EXPECTED):
             self.phase = MachinePhase.LEAVING
-            self.why = why
+            self.leaving_reason = reason
 
-    def decommission(self, why: str) -> None:
+    def decommission(self, reason: str) -> None:
         """Mark it as to be released; that is durable with the next write of its record."""
         if self.phase is not MachinePhase.DECOMMISSIONED:
             self.phase = MachinePhase.DECOMMISSIONED
-            self.why = why
+            self.leaving_reason = reason
 
     def image_used(self, image: str, size: float) -> None:
         """Record that a task here uses an image of that size in GB.
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -302,7 +302,10 @@
                 and machine.live.get(placement.key) is placement
             ):
                 self.preempt(
-                    self.jobs[placement.job], [placement.task], machine.why or "drained", now
+                    self.jobs[placement.job],
+                    [placement.task],
+                    machine.leaving_reason or "drained",
+                    now,
                 )
 
     def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -97,7 +97,7 @@
                 and machine.silence_s(now) > REPORTS_MISSED * shard.workers.report_s
             ):
                 shard.decommission(machine, "taken back")
-            elif machine.why == "suspect" and not machine.live:
+            elif machine.leaving_reason == "suspect" and not machine.live:
                 shard.decommission(machine, "suspect")
             elif machine.last_heartbeat_at is not None and machine.silence_s(now) > silence_limit_s:
                 # Silence is no proof that its tasks stopped. Releasing it makes one.
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -76,7 +76,7 @@
         image_ready_at: When a heartbeat first showed its image as fetched.
         running_at: When a heartbeat first showed it as running.
         grace_s: Seconds that it has to save its state when it is stopped.
-        why: Why it is being stopped.
+        stop_reason: Why it is being stopped.
         reclaim_handled: Whether it was already decided how it ends on a spot instance that the
             cloud takes back.
     """
@@ -96,8 +96,8 @@
         "running_at",
         "start_answered",
         "status",
+        "stop_reason",
         "task",
-        "why",
         "worker_reported",
     )
 
@@ -120,7 +120,7 @@
         self.image_ready_at: float | None = None
         self.running_at: float | None = None
         self.grace_s = 0.0
-        self.why = ""
+        self.stop_reason = ""
         self.reclaim_handled = False
 
     @property
@@ -163,14 +163,14 @@
         if self.phase is not PlacementPhase.STOPPING:
             self.phase = PlacementPhase.REPORTED
 
-    def stop(self, why: str, grace_s: float) -> None:
+    def stop(self, reason: str, grace_s: float) -> None:
         """Mark it as to be stopped; a second call can only shorten the grace period."""
         if self.phase is PlacementPhase.STOPPING:
             if grace_s < self.grace_s:
                 self.grace_s = grace_s
             return
         self.phase = PlacementPhase.STOPPING
-        self.why = why
+        self.stop_reason = reason
         self.grace_s = grace_s
 
     @property
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -56,10 +56,10 @@
         """Handle the failures of a shard."""
         self.shard = shard
 
-    def on_failure(self, machine: Machine, placement: Placement, why: str, now: float) -> None:
+    def on_failure(self, machine: Machine, placement: Placement, cause: str, now: float) -> None:
         """Handle a task's own failure on a machine; a gang's attempt is stopped as a whole."""
         job = self.shard.jobs[placement.job]
-        reason = f"{why} on {machine.name}"
+        reason = f"{cause} on {machine.name}"
         log.info(
             "task failed: job=%s task=%d attempt=%d reason=%s",
             job.id,
@@ -156,5 +156,5 @@
 
     def _may_quarantine(self) -> bool:
         machines = self.shard.machines
-        suspects = sum(1 for machine in machines.values() if machine.why == "suspect")
+        suspects = sum(1 for machine in machines.values() if machine.leaving_reason == "suspect")
         return suspects * QUARANTINE_DIVISOR <= len(machines)
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -37,7 +37,7 @@
         for name, job in shard.jobs.items()
     }
     machines = {
-        name: [MACHINE_PHASES[machine.phase], machine.why, machine.revision]
+        name: [MACHINE_PHASES[machine.phase], machine.leaving_reason, machine.revision]
         for name, machine in shard.machines.items()
     }
     return {"jobs": jobs, "machines": machines, "parks": shard.parks.revisions}
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -267,7 +267,7 @@
         "rented_at": machine.rented_at,
         "rental_time_known": machine.rented_at_known,
         "phase": MACHINE_PHASES[machine.phase],
-        "reason": machine.why,
+        "reason": machine.leaving_reason,
         "session": machine.incarnation,
         "images": plain(stored_images(record)),
         "as_leader": plain(tuple(as_leader)),
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -700,9 +700,10 @@
     heir.scheduler.schedule(14.0)
     assert heir.machines["vm-9"].is_booting(14.0) is True
     heir.tick(16.0)
-    assert heir.machines["vm-9"].why == ""  # it may be up: silence since the takeover has to show
+    # It may be up: silence since the takeover has to show.
+    assert heir.machines["vm-9"].leaving_reason == ""
     heir.tick(14.0 + heir.maintenance.silent_s + 1)
-    assert heir.machines["vm-9"].why == "never came up"
+    assert heir.machines["vm-9"].leaving_reason == "never came up"
 
 
 INHERITED = [  # (tenure, tally, token, is it listed) of the reports the heir gets -> does the placement count
