--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -45,7 +45,7 @@
         job.awaits_dependencies = True
         own = Carried(job.spec.priority, job.deadline_at)
         self.graph.add(
-            job.id, job.spec.dependencies or (), own, self._takes(job.spec), job.submitted
+            job.id, job.spec.dependencies or (), own, self._takes(job.spec), job.submitted_at
         )
         self._carry()
 
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -93,7 +93,7 @@
     Attributes:
         spec: The submission.
         id: The job's id.
-        submitted: Time of the submission.
+        submitted_at: Time of the submission.
         eligible_at: Time since which it may start: its submission, or when the last of its
             dependencies was done, whichever is later.
         awaits_dependencies: Whether a dependency is not done; no task may be placed until it is.
@@ -131,7 +131,7 @@
     def __init__(
         self,
         spec: JobSpec,
-        submitted: float,
+        submitted_at: float,
         revision: int,
         chunk_tasks: int,
         unmarked_chunk_tasks: int = 0,
@@ -140,15 +140,15 @@
 
         Args:
             spec: The submission.
-            submitted: Time of the submission.
+            submitted_at: Time of the submission.
             revision: Revision of `job/<id>`.
             chunk_tasks: Number of tasks in a chunk.
             unmarked_chunk_tasks: See the class; 0 for `chunk_tasks`.
         """
         self.spec = spec
         self.id = spec.id
-        self.submitted = submitted
-        self.eligible_at = submitted
+        self.submitted_at = submitted_at
+        self.eligible_at = submitted_at
         self.awaits_dependencies = False
         self.carried: Carried = NOTHING
         self.revision = revision
@@ -296,7 +296,7 @@
     def dependencies_done(self, since: float) -> None:
         """Let the job start: the last of its dependencies was done at `since`."""
         self.awaits_dependencies = False
-        self.eligible_at = max(self.submitted, since)
+        self.eligible_at = max(self.submitted_at, since)
 
     def set_reason(self, reason: str) -> None:
         """Set what users are told about the job's state; it is written if it changed."""
@@ -378,11 +378,11 @@
 
         It is the earlier of its own deadline and of what the jobs that depend on it need.
         """
-        own = math.inf if self.spec.deadline_s is None else self.submitted + self.spec.deadline_s
+        own = math.inf if self.spec.deadline_s is None else self.submitted_at + self.spec.deadline_s
         return min(own, self.carried.finish_by)
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Number of tasks that their worker last reported as running."""
         return sum(1 for placement in self.live.values() if placement.status == TaskStatus.RUNNING)
 
@@ -566,20 +566,20 @@
         if self.phase in (JobPhase.CANCELLED, JobPhase.ORPHANED):
             status = JobStatus.WITHDRAWN
         return job_record(
-            self.spec, self.submitted, status, self.reason, self.cancelled_at, self.ended_at
+            self.spec, self.submitted_at, status, self.reason, self.cancelled_at, self.ended_at
         )
 
 
 def job_record(
     spec: JobSpec,
-    submitted: float,
+    submitted_at: float,
     status: str = JobStatus.QUEUED,
     reason: str | None = None,
     cancelled_at: float | None = None,
     done_at: float | None = None,
 ) -> dict[str, Any]:
     """Return a job's record, the value of `job/<id>`; times are times of day in seconds."""
-    record: dict[str, Any] = {"spec": spec, "at": submitted, "status": status}
+    record: dict[str, Any] = {"spec": spec, "at": submitted_at, "status": status}
     if reason:
         record["reason"] = reason
     if cancelled_at is not None:
--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -52,12 +52,12 @@
 
     Attributes:
         step: How it is retried.
-        delay: Seconds until the retry; 0 if in place.
+        delay_s: Seconds until the retry; 0 if in place.
         failure: Its failures, the latest included.
     """
 
     step: RetryStep
-    delay: float
+    delay_s: float
     failure: Failure
 
 
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -154,7 +154,7 @@
             (shape.boot_s for shape in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
-        return (job.submitted - job.deadline_at) / 2 < self.slack(job, now) < boot_s
+        return (job.submitted_at - job.deadline_at) / 2 < self.slack(job, now) < boot_s
 
     def aim_s(self, spec: JobSpec) -> float:
         aims = [
@@ -189,8 +189,8 @@
                 )
             turn, size = self._turn(job, now)
             return (-job.priority, turn, size, job.eligible_at - now - ahead)
-        deadline_s = max(job.deadline_at - job.submitted, 1e-3)
-        late = now + self.estimates.run_s(spec) * (1 - self.grace) - job.submitted
+        deadline_s = max(job.deadline_at - job.submitted_at, 1e-3)
+        late = now + self.estimates.run_s(spec) * (1 - self.grace) - job.submitted_at
         times = sorted(
             o.times
             for o in self.shard.shared.objectives
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -207,7 +207,9 @@
     def counts(self) -> list[tuple[str, int, int]]:
         """Of each active job: its id, and how many tasks are done and running."""
         return [
-            (job.id, job.done_count, job.running) for job in self.shard.jobs.values() if job.active
+            (job.id, job.done_count, job.running_count)
+            for job in self.shard.jobs.values()
+            if job.active
         ]
 
     def _forget_old_rows(self) -> None:
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -101,7 +101,7 @@
             return
         for task in tasks:
             job.park(task, decision.failure)
-        self.shard.parks.add(job.id, ranges_of(tasks), now + decision.delay, decision.failure)
+        self.shard.parks.add(job.id, ranges_of(tasks), now + decision.delay_s, decision.failure)
         count = decision.failure.failure_count
         if decision.step == "past":
             job.set_reason(
@@ -113,7 +113,7 @@
             "parked after failures: job=%s tasks=%s delay_s=%.1f failures=%d",
             job.id,
             "all" if job.spec.kind == JobKind.GANG else tasks[0],
-            decision.delay,
+            decision.delay_s,
             count,
         )
 
--- a/ashdock/peer_reports.py
+++ b/ashdock/peer_reports.py
@@ -107,6 +107,6 @@
         owner = self.owners.table.get(team)
         if owner and owner.shard and job_id in owner.shard.jobs:
             job = owner.shard.jobs[job_id]
-            return job.done_count, job.running
+            return job.done_count, job.running_count
         label = self.cluster.owner_label(team)
         return self.counts_by_peer.get(label or "", {}).get(job_id, (0, 0))
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -26,7 +26,7 @@
         name: {
             "phase": JOB_PHASES[job.phase],
             "revision": job.revision,
-            "at": job.submitted,
+            "at": job.submitted_at,
             "reason": job.reason,
             "cancelled_at": job.cancelled_at,
             "chunks": {
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -120,7 +120,7 @@
     spec = attributes_of(spec_of_record(record), SPEC)
     known = known_job_of(record, REVISION)
     owned = [job.active, job.reason, job.cancelled_at]
-    read = {"spec": spec, "at": job.submitted, "owned": owned, "known": plain(known)}
+    read = {"spec": spec, "at": job.submitted_at, "owned": owned, "known": plain(known)}
     return read | read_final(spec["id"], record)
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -148,7 +148,7 @@
 def test_delays_double_to_the_cap_and_differ() -> None:
     rng = random.Random(1)
     delays = [
-        parking.decide_retry(Retry(), Failure(n, 0, ""), "e", 1, rng).delay for n in range(1, 12)
+        parking.decide_retry(Retry(), Failure(n, 0, ""), "e", 1, rng).delay_s for n in range(1, 12)
     ]
     for base, delay in zip([2, 4, 8, 16, 32, 60, 60, 60], delays, strict=False):
         assert base <= delay <= base * 1.5
