--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -163,14 +163,14 @@
             self.phase = MachinePhase.DECOMMISSIONED
             self.leaving_reason = reason
 
-    def image_used(self, image: str, size: float) -> None:
-        """Record that a task here uses an image of that size in GB.
+    def image_used(self, image: str, size_gb: float) -> None:
+        """Record that a task here uses an image.
 
         Once the cache is full, the least recently used images are assumed to be evicted. Otherwise
         gangs would be placed on machines that have to fetch the image after all.
         """
         known = self.images.pop(image, None)
-        self.images[image] = size
+        self.images[image] = size_gb
         if known is None:
             excess_gb = sum(self.images.values()) - self.shape.cache_gb
             for other in list(self.images)[:-1]:
