--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -93,7 +93,7 @@
 
 
 class Parks:
-    """The parks of one shard, stored in the values `park/<team>/<n>`.
+    """The parks of one shard, stored in the values `park/<team>/<index>`.
 
     Attributes:
         team: The shard's team.
@@ -113,9 +113,9 @@
         self.written: list[bytes] = []
         self.dirty = False
 
-    def path(self, n: int) -> str:
+    def path(self, index: int) -> str:
         """Return the key of a value."""
-        return f"park/{self.team}/{n}"
+        return f"park/{self.team}/{index}"
 
     def add(self, job: str, ranges: list[list[int]], retry_at: float, failure: Failure) -> None:
         """Park ranges of a job's tasks; a range that continues the last park extends it."""
@@ -167,7 +167,7 @@
         return values
 
     def pending_writes(self) -> list[tuple[int, list[Any] | None]]:
-        """Return the values that differ from what is stored, by number; None: to be deleted.
+        """Return the values that differ from what is stored, by index; None: to be deleted.
 
         If there are more values than stored, the last one comes first: where one transaction does
         not take them all, a park that moves to a later value is stored twice for a moment, rather
@@ -176,31 +176,31 @@
         values = self.values() if self.items else []
         count = max(len(values), len(self.revisions))
         existing = sum(revision > 0 for revision in self.revisions)
-        numbers = reversed(range(count)) if len(values) > existing else range(count)
+        indices = reversed(range(count)) if len(values) > existing else range(count)
         writes: list[tuple[int, list[Any] | None]] = []
-        for n in numbers:
-            revision = self.revisions[n] if n < len(self.revisions) else 0
-            if n >= len(values):
+        for index in indices:
+            revision = self.revisions[index] if index < len(self.revisions) else 0
+            if index >= len(values):
                 if revision:
-                    writes.append((n, None))
-            elif revision == 0 or self.written[n] != msgspec.json.encode(values[n]):
-                writes.append((n, values[n]))
+                    writes.append((index, None))
+            elif revision == 0 or self.written[index] != msgspec.json.encode(values[index]):
+                writes.append((index, values[index]))
         return writes
 
-    def set_written(self, n: int, value: list[Any] | None, revision: int) -> None:
+    def set_written(self, index: int, value: list[Any] | None, revision: int) -> None:
         """Record that a value is stored with that revision; None: that it was deleted."""
-        while len(self.revisions) <= n:
+        while len(self.revisions) <= index:
             self.revisions.append(0)
             self.written.append(b"")
-        self.revisions[n] = 0 if value is None else revision
-        self.written[n] = b"" if value is None else msgspec.json.encode(value)
+        self.revisions[index] = 0 if value is None else revision
+        self.written[index] = b"" if value is None else msgspec.json.encode(value)
 
-    def load(self, n: int, value: list[Any], revision: int) -> list[Park]:
+    def load(self, index: int, value: list[Any], revision: int) -> list[Park]:
         """Add the parks of a stored value, and return those that were not known yet.
 
         A park is in two values if an earlier owner was moving it from one to the other.
         """
-        self.set_written(n, value, revision)
+        self.set_written(index, value, revision)
         known = set(self.items)
         loaded = [
             Park(job, low, high, retry_at, Failure(*failure))
