--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -130,7 +130,7 @@
         }
 
     def _incarnation_ended(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """Handle a new incarnation: the worker's lease had expired, and it killed all its tasks.
+        """Handle a new incarnation: the worker's lease expired, it killed and forgot its tasks.
 
         That proves the end of our own placements that were sent, or reported, in an earlier
         incarnation: a command names the incarnation that it is for, so no earlier command of ours
@@ -166,7 +166,7 @@
             heartbeat: The worker's status.
             now: The time.
             absence_proves: Whether a missing task can prove the end of its placement: the heartbeat
-                is a request, sent under our token.
+                is a request, sent under our token, so that the worker had all commands before.
         """
         reported: dict[AttemptKey, TaskReport] = {
             (*split_task(report.task), report.attempt): report for report in heartbeat.tasks
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -116,7 +116,7 @@
         reason: What users are told about its state.
         reason_generation: Number of changes of `reason`.
         durable_reason_generation: The `reason_generation` that was last stored.
-        cancelled_at: Time of its cancellation, or when that of a dependency was taken in.
+        cancelled_at: Time of its cancellation, or when this owner learnt of that of a dependency.
         gang_stop_reason: Why the present attempt of a gang is being stopped; None if it is not.
         gang_failure: A task's own failure in the present attempt of a gang.
         avoided_machines: By machine where it failed, the time until which it is placed elsewhere if
@@ -410,7 +410,7 @@
         return int(index), int(width) if width else self.unmarked_chunk_tasks
 
     def set_chunk_revision(self, suffix: str, revision: int) -> None:
-        """Take in the present revision of a chunk of any layout; 0: its key does not exist."""
+        """Record the present revision of a chunk of any layout; 0: its key does not exist."""
         index, width = self.parse_chunk_suffix(suffix)
         if width == self.chunk_tasks:
             self.chunk(index).revision = revision
@@ -476,8 +476,7 @@
         """Return the value to be stored for a chunk.
 
         `a` is the highest attempt number, `d` the ranges of done tasks, `p` the placements and `f`
-        the ranges of tasks with equal failures. Tasks in neither `d` nor `p` are ready or
-        parked.
+        the ranges of tasks with equal failures. Tasks in neither `d` nor `p` are ready or parked.
         """
         low = index * self.chunk_tasks
         high = min(low + self.chunk_tasks, self.spec.tasks)
