--- a/ashdock/command_sender.py
+++ b/ashdock/command_sender.py
@@ -58,12 +58,12 @@
             machine = shard.machines.get(name)
             if machine is None:
                 continue
-            if machine.sending:
+            if machine.sending_commands:
                 shard.urgent_machines[name] = None
                 continue
-            commands = shard.commands.direct(machine)
+            commands = shard.commands.direct_commands(machine)
             if commands:
-                machine.sending = True
+                machine.sending_commands = True
                 task = asyncio.create_task(
                     self._exchange(shard, machine, commands, shard.token(machine))
                 )
@@ -83,20 +83,20 @@
                 machine.address, token, machine.incarnation, commands
             )
             if status in STATUSES_OF_WORKER:
-                shard.commands.direct_answered(machine, commands)
+                shard.commands.on_direct_answered(machine, commands)
             else:
-                shard.commands.direct_unanswered(machine, commands)
+                shard.commands.on_direct_unanswered(machine, commands)
             self._take_in(shard, machine, heartbeat)
             if status != HTTPStatus.OK:
                 log.debug("direct commands refused: machine=%s status=%d", machine.name, status)
         except NoAnswer as error:
             if error.sent:
-                shard.commands.direct_unanswered(machine, commands)
+                shard.commands.on_direct_unanswered(machine, commands)
             else:
-                shard.commands.direct_answered(machine, commands)
+                shard.commands.on_direct_answered(machine, commands)
             log.debug("direct commands not answered: machine=%s error=%s", machine.name, error)
         finally:
-            machine.sending = False
+            machine.sending_commands = False
             self.wake.set()
 
     def _take_in(self, shard: Shard, machine: Machine, heartbeat: Heartbeat | None) -> None:
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -51,20 +51,20 @@
 
     def add(self, job: Job) -> None:
         """Have a job wait until all its dependencies are durably done."""
-        job.waits = True
-        own = Urgency(job.spec.priority, job.due)
+        job.awaits_dependencies = True
+        own = Urgency(job.spec.priority, job.deadline_at)
         self.graph.add(
             job.id,
             job.spec.dependencies or (),
             own,
             self._estimated_duration_s(job.spec),
-            job.submitted,
+            job.submitted_at,
         )
         self._apply_inherited()
 
     def cancelled(self, job: Job, now: float) -> None:
         """Take in that a job of this shard is durably cancelled, and cancel its dependents."""
-        job.waits = False
+        job.awaits_dependencies = False
         self.graph.drop(job.id)
         self.settled(job.id, JobStatus.WITHDRAWN, None, now)
         self._apply_inherited()
@@ -105,7 +105,7 @@
         if status == JobStatus.DONE:
             for job_id, ready_since in self.graph.done(dependency, at):
                 job = self.shard.jobs[job_id]
-                job.released(ready_since)
+                job.dependencies_done(ready_since)
                 self.shard.needs_scheduling = True
                 log.info("all dependencies done: job=%s last=%s", job_id, dependency)
                 self.shard.status_reporter.record_arrival(job, now)
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from ashdock.core.job import Job
-from ashdock.core.machine import Machine, capacity, fits, less
+from ashdock.core.machine import Machine, capacity, fits, remaining
 from ashdock.wire.messages import JobKind, JobSpec, MachineType
 
 
@@ -82,7 +82,7 @@
         if room <= 0:
             continue
         cost_s = placement_cost_s(spec, machine)
-        if job.avoid.get(machine.name, 0.0) > now:
+        if job.avoided_machines.get(machine.name, 0.0) > now:
             cost_s += 1000.0  # the job failed there recently: last resort
         candidates.append(Candidate(cost_s, machine, room))
     candidates.sort(key=lambda candidate: (candidate.cost_s, candidate.machine.name))
@@ -209,7 +209,7 @@
         self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int
     ) -> None:
         """Add what is left of one machine after so many tasks."""
-        free = less((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
+        free = remaining((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
         if all(amount > 1e-6 for amount in free[::2]):  # every task needs CPUs and memory
             self.remainders.append((shape.label, zone, spot, free))
 
@@ -241,7 +241,7 @@
                 break
             if is_suitable(label, zone, spot) and (taken := min(left, fits(free, need))):
                 left -= taken
-                free[:] = less(free, need, taken)
+                free[:] = remaining(free, need, taken)
         for (label, zone, spot), (shape, number) in list(self.whole_machines.items()):
             if left <= 0:
                 break
--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -61,13 +61,13 @@
         the machines are up. An array of 25,000 tasks of a few seconds each requested 195 machines.
         """
         spec = job.spec
-        if spec.kind != JobKind.ARRAY or not math.isinf(job.due):
-            return job.ready
+        if spec.kind != JobKind.ARRAY or not math.isinf(job.deadline_at):
+            return job.ready_count
         # From the start of a task until the next one runs in its place.
         cycle_s = run_s + 2 * self.shared.workers.report_s
         return max(
             0,
-            math.ceil((job.ready + len(job.live)) * cycle_s / self.target_duration_s(spec))
+            math.ceil((job.ready_count + len(job.live)) * cycle_s / self.target_duration_s(spec))
             - len(job.live),
         )
 
@@ -82,6 +82,6 @@
         """
         spec = job.spec
         group = 0.0 if self.has_service_level(spec) else 5.0
-        if now - job.since > 4 * self.target_duration_s(spec):
+        if now - job.eligible_at > 4 * self.target_duration_s(spec):
             return group, 0.0
-        return group, (spec.tasks - job.done) * run_s * (spec.gpus or spec.cpus)
+        return group, (spec.tasks - job.done_count) * run_s * (spec.gpus or spec.cpus)
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -17,7 +17,7 @@
 from ashdock.core.dependency_tracker import DependencyTracker
 from ashdock.core.estimates import Estimates
 from ashdock.core.heartbeat_reconciler import HeartbeatReconciler
-from ashdock.core.job import Job, JobPhase, chunk_size, spec_of_record
+from ashdock.core.job import Job, JobPhase, spec_of_record, tasks_per_chunk
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.park import Parks
 from ashdock.core.quota import Usage
@@ -28,7 +28,7 @@
 from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.shard_writer import ShardWriter
 from ashdock.core.status_reporter import StatusReporter
-from ashdock.core.task import Phase, Placement, TaskState
+from ashdock.core.task import Placement, PlacementPhase, TaskState
 from ashdock.core.task_commands import TaskCommands
 from ashdock.core.task_failures import FailureHandler
 from ashdock.core.write_limits import WriteLimits
@@ -98,7 +98,7 @@
         self.policy = SchedulingPolicy(team, shared, catalog)
         self.write_limits = write_limits or WriteLimits(shared.state)
         self.parks = Parks(team.name, self.write_limits.value_bytes)
-        self.chunk_tasks = chunk_size(shared.state.value_kb)
+        self.chunk_tasks = tasks_per_chunk(shared.state.value_kb)
         self.dependency_tracker = DependencyTracker(self)
         self.orphaned_tasks: dict[str, set[str]] = {}
         self.resource_requests: list[ResourceRequest] = []
@@ -157,7 +157,7 @@
             else self.chunk_tasks
         )
         job = Job(spec, record["at"], revision, chunk_tasks, self.chunk_tasks)
-        job.listener = self.writer.changed_jobs
+        job.changed_jobs = self.writer.changed_jobs
         self.needs_scheduling = True
         job.reason = record.get("reason")
         self.jobs[spec.id] = job
@@ -172,7 +172,7 @@
     def complete_job(self, job: Job, now: float) -> None:
         """Complete a job, all of whose tasks are done."""
         self.classes.done(job.id, now)
-        job.over(now if self.write_limits.announced_apply else None)
+        job.mark_over(now if self.write_limits.announced_apply else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
         """Add a machine that is assigned here.
@@ -208,7 +208,7 @@
         self.usage.add(spec)
         machine = self.machines.get(placement.machine)
         if machine:
-            machine.take(placement, spec.cpus, spec.gpus, spec.memory_gb)
+            machine.allocate(placement, spec.cpus, spec.gpus, spec.memory_gb)
 
     def drop_placement(self, placement: Placement, now: float) -> None:
         """Stop counting a placement.
@@ -221,7 +221,7 @@
         self.usage.subtract(spec)
         machine = self.machines.get(placement.machine)
         if machine:
-            machine.give_back(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
+            machine.deallocate(placement, spec.cpus, spec.gpus, spec.memory_gb, now)
 
     def mark_machine_changed(self, name: str) -> None:
         """Mark a machine's record as changed, so that the next transaction may write it."""
@@ -254,8 +254,8 @@
             self.drop_placement(placement, now)
         if job.states[task] != TaskState.DONE:
             job.finish(task)
-        job.changed()
-        if job.complete and job.active:
+        job.mark_changed()
+        if job.all_done and job.active:
             self.complete_job(job, now)
 
     def stop(self, placement: Placement, why: str, grace_s: float, now: float) -> None:
@@ -279,7 +279,7 @@
         This does not count as a failure of the task. It stops a gang's whole attempt.
         """
         job = self.jobs[placement.job]
-        if placement.phase is not Phase.STOPPING:
+        if placement.phase is not PlacementPhase.STOPPING:
             log.info(
                 "task lost: job=%s task=%d machine=%s reason=%s",
                 job.id,
@@ -287,14 +287,14 @@
                 placement.machine,
                 why,
             )
-        if job.spec.kind == JobKind.GANG and job.active and not job.breaking:
+        if job.spec.kind == JobKind.GANG and job.active and not job.gang_stop_reason:
             self.break_gang(job, why, now)
         if job.live.get(placement.task) is placement:
             self.release(placement, now)
 
     def break_gang(self, job: Job, why: str, now: float, grace_s: float = 0.0) -> None:
         """Stop all tasks of a gang's attempt."""
-        job.breaking = why
+        job.gang_stop_reason = why
         for placement in list(job.live.values()):
             if job.live.get(placement.task) is placement:
                 self.stop(placement, why, grace_s, now)
@@ -302,10 +302,10 @@
 
     def _finish_stopped_gang(self, job: Job, now: float) -> None:
         """Once all tasks of a stopped attempt are proved gone, retry the gang if it failed."""
-        if job.live or not job.breaking:
+        if job.live or not job.gang_stop_reason:
             return
-        job.breaking = None
-        failure, job.broke = job.broke, None
+        job.gang_stop_reason = None
+        failure, job.gang_failure = job.gang_failure, None
         if failure and job.active:
             self.failures.retry(job, list(range(job.spec.tasks)), failure, now)
 
@@ -322,23 +322,26 @@
         """Stop tasks with time to save their state; of a gang, all tasks."""
         grace_s = self.grace_s(job.spec)
         if job.spec.kind == JobKind.GANG:
-            if not job.breaking:
+            if not job.gang_stop_reason:
                 self.break_gang(job, why, now, grace_s)
             return
         for task in tasks:
             placement = job.live.get(task)
-            if placement and placement.phase is not Phase.STOPPING:
+            if placement and placement.phase is not PlacementPhase.STOPPING:
                 self.stop(placement, why, grace_s, now)
 
     def drain(self, machine: Machine, now: float) -> None:
         """Preempt all tasks of a machine, with time to save their state."""
         for placement in list(machine.live.values()):
             if (
-                placement.phase is not Phase.STOPPING
+                placement.phase is not PlacementPhase.STOPPING
                 and machine.live.get(placement.key) is placement
             ):
                 self.preempt(
-                    self.jobs[placement.job], [placement.task], machine.why or "drained", now
+                    self.jobs[placement.job],
+                    [placement.task],
+                    machine.leaving_reason or "drained",
+                    now,
                 )
 
     def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
@@ -358,7 +361,7 @@
                 notice_s,
             )
         machine.reclaim_at = now + notice_s
-        machine.leave("spot reclaim")
+        machine.cordon("spot reclaim")
         for placement in list(machine.live.values()):
             if machine.live.get(placement.key) is not placement or placement.reclaim_handled:
                 continue
@@ -386,13 +389,13 @@
         job.cancel(at)
         self.classes.attainment.withdrawn(job_id)
         job.revision = max(job.revision, revision)
-        job.breaking = None
+        job.gang_stop_reason = None
         self.dependency_tracker.cancelled(job, now)
-        if not job.done:
+        if not job.done_count:
             # Most jobs that fail until they are cancelled were submitted with a mistake.
-            self.failures.exonerate(job)
+            self.failures.clear_machine_failures(job)
         self.cancelled_jobs[job_id] = job
-        self.parks.drop(job_id)
+        self.parks.remove_job(job_id)
         for placement in list(job.live.values()):
             self.stop(placement, "cancelled", 0.0, now)
 
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -64,12 +64,12 @@
         shard = self.shard
         shard.current_time = now
         shard.dependency_tracker.check_new_dependencies(now)
-        for park in shard.parks.due(now):
+        for park in shard.parks.pop_due(now):
             job = shard.jobs.get(park.job)
             if job:
                 shard.needs_scheduling = True
                 for task in range(park.low, park.high + 1):
-                    job.wake(task, park.failure)
+                    job.unpark(task, park.failure)
         if now - self.checked_at < shard.workers.report_s / CHECKS_PER_HEARTBEAT_INTERVAL:
             return
         self.checked_at = now
@@ -89,7 +89,7 @@
             if machine.phase is MachinePhase.DECOMMISSIONED:
                 continue
             if machine.inherited:
-                if now - machine.since > inherited_limit_s:
+                if now - machine.known_since > inherited_limit_s:
                     shard.decommission(machine, "not heard since the part was taken over")
             elif machine.phase is MachinePhase.EXPECTED:
                 # Some machines never come up but are charged for all the same. The timeout starts
@@ -97,18 +97,18 @@
                 # each failover.
                 if (
                     now - machine.rented_at > BOOT_TIMEOUT_FACTOR * machine.shape.boot_s
-                    and now - machine.since > silent_s
+                    and now - machine.known_since > silent_s
                 ):
                     shard.decommission(machine, "never came up")
             elif (
                 machine.reclaim_at is not None
                 and now > machine.reclaim_at
-                and machine.silent_for(now) > MISSED_HEARTBEATS * shard.workers.report_s
+                and machine.silence_s(now) > MISSED_HEARTBEATS * shard.workers.report_s
             ):
                 shard.decommission(machine, "taken back")
-            elif machine.why == "suspect" and not machine.live:
+            elif machine.leaving_reason == "suspect" and not machine.live:
                 shard.decommission(machine, "suspect")
-            elif machine.last_at is not None and machine.silent_for(now) > silence_limit_s:
+            elif machine.last_heartbeat_at is not None and machine.silence_s(now) > silence_limit_s:
                 # Silence does not prove that the machine's tasks have stopped; its release does.
                 shard.decommission(machine, "silent")
 
@@ -120,10 +120,12 @@
         finite: otherwise two failed machines of two would hold their tasks forever.
         """
         reporting = [
-            machine for machine in self.shard.machines.values() if machine.last_at is not None
+            machine
+            for machine in self.shard.machines.values()
+            if machine.last_heartbeat_at is not None
         ]
         silent_s = self.silent_s
-        silent = sum(1 for machine in reporting if machine.silent_for(now) > silent_s)
+        silent = sum(1 for machine in reporting if machine.silence_s(now) > silent_s)
         return silent_s if silent * 2 <= len(reporting) else 2 * silent_s
 
     def _inherited_limit_s(self, now: float) -> float:
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -61,8 +61,8 @@
     for job in shard.jobs.values():
         for chunk in job.chunks.values():
             # A narrower chunk whose tasks only a wider stored chunk holds still has to be written.
-            if chunk.revision or not job.wider:
-                chunk.durable = chunk.gen
+            if chunk.revision or not job.replaced_chunks:
+                chunk.durable_generation = chunk.generation
         _resolve_inconsistencies(shard, job, now)
     shard.dependency_tracker.check_new_dependencies(now)
 
@@ -110,7 +110,7 @@
     if not job.active:
         for placement in list(job.live.values()):
             shard.stop(placement, "cancelled", 0.0, now)
-    elif job.spec.kind == JobKind.GANG and job.done:
+    elif job.spec.kind == JobKind.GANG and job.done_count:
         # A gang's tasks complete together, so one done task proves that all are done.
         for task in range(job.spec.tasks):
             shard.finish(job, task, now)
@@ -120,7 +120,7 @@
         attempts = {placement.attempt for placement in job.live.values()}
         if len(job.live) < job.spec.tasks or len(attempts) > 1:
             shard.break_gang(job, "incomplete", now)
-    if job.complete and job.active:
+    if job.all_done and job.active:
         shard.complete_job(job, now)
     for placement in list(job.live.values()):
         # A machine's record is deleted only once the machine is proved to be gone.
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -17,11 +17,11 @@
 import msgspec
 
 from ashdock.core.dependency_tracker import DependencyTracker
-from ashdock.core.job import Chunk, Job, JobPhase, fitting
-from ashdock.core.machine import Machine, MachinePhase, trimmed
+from ashdock.core.job import Chunk, Job, JobPhase, fit_job_record
+from ashdock.core.machine import Machine, MachinePhase, fit_machine_record
 from ashdock.core.park import Parks
 from ashdock.core.quota import within_guarantee
-from ashdock.core.task import Phase, Placement
+from ashdock.core.task import Placement, PlacementPhase
 from ashdock.core.write_limits import WriteLimits
 from ashdock.settings import Shared, Team
 from ashdock.wire.messages import JobKind, JobStatus
@@ -175,7 +175,7 @@
         shard = self.shard
         max_ops = self._max_ops(writes_per_s)
         transaction = Transaction(max_ops)
-        shard.parks.fit(shard.write_limits.value_bytes)
+        shard.parks.set_value_bytes(shard.write_limits.value_bytes)
         if self.changed_machines:
             # Without this reserve, the placements of a team with many jobs filled each transaction,
             # while thirty machines at a time that it was to transfer stood empty.
@@ -220,7 +220,7 @@
         for job in list(self.changed_jobs.values()):
             if job.id not in self.shard.jobs or not self._has_unwritten(job):
                 del self.changed_jobs[job.id]
-            elif job.pressing and not self._is_bulk(job):
+            elif job.is_urgent and not self._is_bulk(job):
                 transaction.urgent = True
                 if not self._write_job(job, transaction):
                     break
@@ -232,7 +232,7 @@
         parks, size = self.shard.parks, self.shard.write_limits.value_bytes
         if not parks.dirty:
             return
-        for index, value in parks.writes():
+        for index, value in parks.pending_writes():
             if transaction.has_room(1, size):
                 revision = parks.revisions[index] if index < len(parks.revisions) else 0
                 transaction.put(parks.path(index), value, revision)
@@ -243,13 +243,15 @@
         for name in list(self.changed_machines):
             machine = self.shard.machines.get(name)
             if machine is None or (
-                machine.to is None and not machine.bump and not machine.decommission_generation
+                machine.target_shard is None
+                and not machine.raise_token
+                and not machine.decommission_generation
             ):
                 del self.changed_machines[name]
                 continue
             transaction.urgent = True
             self._write_machine(machine, transaction)
-            if machine.to is not None and machine.ended and not machine.live:
+            if machine.target_shard is not None and machine.ended_attempts and not machine.live:
                 # A machine is transferred only after its worker has forgotten all ended attempts,
                 # so the command to forget them does not wait for a heartbeat.
                 self.shard.urgent_machines[machine.name] = None
@@ -270,17 +272,17 @@
         return (
             job.active
             and spec.kind == JobKind.ARRAY
-            and math.isinf(job.due)
+            and math.isinf(job.deadline_at)
             and spec.tasks > self.shard.chunk_tasks
             and not within_guarantee(self.shard.team, spec.cpus, spec.gpus)
         )
 
     @staticmethod
     def _has_unwritten(job: Job) -> bool:
-        if job.settled or job.wider:
+        if job.outcome_ready or job.replaced_chunks:
             return True
-        return job.reason_gen > job.reason_durable or any(
-            chunk.gen > chunk.durable for chunk in job.chunks.values()
+        return job.reason_generation > job.durable_reason_generation or any(
+            chunk.generation > chunk.durable_generation for chunk in job.chunks.values()
         )
 
     def _write_job(self, job: Job, transaction: Transaction) -> bool:
@@ -289,13 +291,13 @@
         Returns:
             Whether all of it fit into the transaction.
         """
-        if job.settled:
+        if job.outcome_ready:
             return self._write_outcome(job, transaction)
         if not self._write_chunks(job, transaction):
             return False
-        if job.wider and not self._delete_replaced_chunks(job, transaction):
+        if job.replaced_chunks and not self._delete_replaced_chunks(job, transaction):
             return False
-        if job.reason_gen > job.reason_durable and job.active:
+        if job.reason_generation > job.durable_reason_generation and job.active:
             return self._write_reason(job, transaction)
         return True
 
@@ -316,10 +318,10 @@
             size = len(value) + CHUNK_ENVELOPE_BYTES
             if (not is_gang or announced_apply) and not transaction.has_room(1, size):
                 return False
-            transaction.put(job.path(chunk.n), msgspec.Raw(value), chunk.revision)
+            transaction.put(job.chunk_path(chunk.index), msgspec.Raw(value), chunk.revision)
             transaction.conditions[job.job_path] = job.revision
             transaction.size_bytes += size
-            transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.gen))
+            transaction.on_commit.append(partial(self._chunk_durable, job, chunk, chunk.generation))
         return True
 
     def _delete_replaced_chunks(self, job: Job, transaction: Transaction) -> bool:
@@ -331,10 +333,11 @@
         Returns:
             Whether all such deletions fit into the transaction.
         """
-        for tail, wide in list(job.wider.items()):
+        for tail, wide in list(job.replaced_chunks.items()):
             if not all(
-                chunk.gen <= chunk.durable or job.path(chunk.n) in transaction.writes
-                for chunk in job.pieces(wide.low, wide.high)
+                chunk.generation <= chunk.durable_generation
+                or job.chunk_path(chunk.index) in transaction.writes
+                for chunk in job.chunks_covering(wide.low, wide.high)
             ):
                 continue
             if not transaction.has_room(1, KEY_BYTES):
@@ -349,14 +352,14 @@
         size = JOB_RECORD_OPS * len(msgspec.json.encode(record))
         if size > JOB_RECORD_OPS * self.shard.write_limits.value_bytes:
             # The submission alone nearly fills a value: the reason is only in the owner's log.
-            job.reason_durable = job.reason_gen
+            job.durable_reason_generation = job.reason_generation
             return True
         if not transaction.has_room(JOB_RECORD_OPS, size):
             return False
         transaction.put(job.job_path, record, job.revision)
-        transaction.put(job.head_path, record, job.revision)
+        transaction.put(job.job_copy_path, record, job.revision)
         transaction.size_bytes += size
-        transaction.on_commit.append(partial(self._reason_durable, job, job.reason_gen))
+        transaction.on_commit.append(partial(self._reason_durable, job, job.reason_generation))
         return True
 
     def _changed_chunks(self, job: Job, max_chunks: int) -> list[tuple[Chunk, bytes]]:
@@ -365,9 +368,13 @@
         Of a gang these are all changed chunks, of any other job at most `max_chunks`.
         """
         while True:
-            changed = (chunk for chunk in job.chunks.values() if chunk.gen > chunk.durable)
+            changed = (
+                chunk
+                for chunk in job.chunks.values()
+                if chunk.generation > chunk.durable_generation
+            )
             encoded = [
-                (chunk, msgspec.json.encode(job.chunk_value(chunk.n)))
+                (chunk, msgspec.json.encode(job.chunk_value(chunk.index)))
                 for chunk in (
                     changed if job.spec.kind == JobKind.GANG else islice(changed, max_chunks)
                 )
@@ -381,7 +388,7 @@
                 return encoded
             # Narrow in proportion to the excess, by at least a quarter so that this ends soon.
             fitting_tasks = job.chunk_tasks * self.shard.write_limits.value_bytes // largest
-            job.narrow(max(1, min(fitting_tasks, job.chunk_tasks * 3 // 4)))
+            job.narrow_chunks(max(1, min(fitting_tasks, job.chunk_tasks * 3 // 4)))
             log.info(
                 "chunk too large, narrowed: job=%s bytes=%d chunk_tasks=%d",
                 job.id,
@@ -398,23 +405,24 @@
             Whether the outcome fit into the transaction.
         """
         stored = [
-            StoredKey(job.path(chunk.n), chunk.revision)
+            StoredKey(job.chunk_path(chunk.index), chunk.revision)
             for chunk in job.chunks.values()
             if chunk.revision
         ]
         stored += [
-            StoredKey(job.work_path(tail), wide.revision) for tail, wide in job.wider.items()
+            StoredKey(job.work_path(tail), wide.revision)
+            for tail, wide in job.replaced_chunks.items()
         ]
         max_deletions = transaction.max_ops - OUTCOME_RESERVED_OPS
         deleted_now, deleted_later = stored[:max_deletions], stored[max_deletions:]
-        record = fitting(job.record(), self.shard.write_limits.value_bytes)
+        record = fit_job_record(job.record(), self.shard.write_limits.value_bytes)
         ops = len(deleted_now) + JOB_RECORD_OPS
         size = KEY_BYTES * ops + len(msgspec.json.encode(record))
         if not transaction.has_room(ops, size):
             return False
         if job.phase is not JobPhase.CANCELLED:
             transaction.put(job.job_path, record, job.revision)
-        transaction.put(job.head_path, None, job.revision)
+        transaction.put(job.job_copy_path, None, job.revision)
         for path, revision in deleted_now:
             transaction.put(path, None, revision)
         transaction.size_bytes += size
@@ -427,19 +435,23 @@
         The record is also rewritten to raise the fencing token above that of an unanswered command.
         """
         is_transfer = (
-            machine.to is not None and machine.empty and machine.phase is MachinePhase.LEAVING
+            machine.target_shard is not None
+            and machine.empty
+            and machine.phase is MachinePhase.LEAVING
         )
-        raises_token = machine.bump and any(
-            sent >= self.shard.token(machine) for sent in machine.outstanding.values()
+        raises_token = machine.raise_token and any(
+            sent >= self.shard.token(machine) for sent in machine.outstanding_runs.values()
         )
         if not (is_transfer or raises_token or machine.decommission_generation):
             return
         if not transaction.has_room(1, MACHINE_BYTES):
             return
-        team = machine.to if is_transfer and machine.to is not None else self.shard.name
+        team = (
+            machine.target_shard if is_transfer and machine.target_shard is not None else self.shard.name
+        )
         transaction.put(
             f"machine/{machine.name}",
-            trimmed(machine.value(team), self.shard.write_limits.value_bytes),
+            fit_machine_record(machine.record(team), self.shard.write_limits.value_bytes),
             machine.revision,
         )
         transaction.size_bytes += MACHINE_BYTES
@@ -448,13 +460,13 @@
     # -- after a commit ----------------------------------------------------------------------------
 
     def _parks_durable(self, index: int, value: list[Any] | None, revision: int) -> None:
-        self.shard.parks.wrote(index, value, revision)
-        self.shard.parks.dirty = bool(self.shard.parks.writes())
+        self.shard.parks.set_written(index, value, revision)
+        self.shard.parks.dirty = bool(self.shard.parks.pending_writes())
 
     def _machine_durable(self, machine: Machine, team: str, revision: int) -> None:
         machine.revision = revision
         machine.decommission_generation = 0
-        machine.bump = False
+        machine.raise_token = False
         if team != self.shard.name:
             log.info(
                 "machine transferred: machine=%s from=%s to=%s",
@@ -467,25 +479,27 @@
     def _chunk_durable(self, job: Job, chunk: Chunk, generation: int, revision: int) -> None:
         """Allow the run commands that waited for the chunk; a gang's only after its last chunk."""
         chunk.revision = revision
-        chunk.durable = max(chunk.durable, generation)
+        chunk.durable_generation = max(chunk.durable_generation, generation)
         is_gang = job.spec.kind == JobKind.GANG
-        if is_gang and any(other.placed > other.durable for other in job.chunks.values()):
+        if is_gang and any(
+            other.placed_generation > other.durable_generation for other in job.chunks.values()
+        ):
             return
         for placement in (job if is_gang else chunk).live.values():
             if (
-                placement.phase is Phase.INTENDED
-                and placement.gen <= job.chunk_of(placement.task).durable
+                placement.phase is PlacementPhase.INTENDED
+                and placement.generation <= job.chunk_of(placement.task).durable_generation
             ):
-                placement.committed()
+                placement.mark_committed()
                 self.shard.urgent_machines[placement.machine] = None
 
     @staticmethod
     def _replaced_chunk_deleted(job: Job, tail: str, _revision: int) -> None:
-        job.chunk_wrote(tail, 0)
+        job.set_chunk_revision(tail, 0)
 
     @staticmethod
     def _reason_durable(job: Job, generation: int, revision: int) -> None:
-        job.reason_durable = generation
+        job.durable_reason_generation = generation
         job.revision = revision
 
     def _outcome_committed(self, job: Job, remaining: list[StoredKey], _revision: int) -> None:
@@ -505,7 +519,7 @@
         job.phase = JobPhase.FINAL
         for placement in list(job.live.values()):
             self.shard.drop_placement(placement, placement.placed_at)
-        self.shard.parks.drop(job.id)
+        self.shard.parks.remove_job(job.id)
         self.shard.jobs.pop(job.id, None)
         self.shard.dependency_tracker.settled(
             job.id,
@@ -536,7 +550,7 @@
             _, job_id, tail = rest.split("/", 2)
             self._apply_stored_work(job_id, tail, value, revision)
         elif kind == "park":
-            self.shard.parks.wrote(int(rest.rsplit("/", 1)[1]), value, revision)
+            self.shard.parks.set_written(int(rest.rsplit("/", 1)[1]), value, revision)
             self.shard.parks.dirty = True
         elif kind == "machine":
             self._apply_stored_machine(rest, value, revision, now)
@@ -558,7 +572,7 @@
         if job is None:
             return
         if tail != "job":
-            job.chunk_wrote(tail, revision)
+            job.set_chunk_revision(tail, revision)
         elif value is None and job.phase is JobPhase.CANCELLED:
             self._outcome_durable(job, [])
 
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -125,10 +125,10 @@
             job: The job.
             now: Time of day, in seconds.
         """
-        if job.waits or job.spec.kind == JobKind.SERVICE:
+        if job.awaits_dependencies or job.spec.kind == JobKind.SERVICE:
             return
         self.shard.classes.came(
-            job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
+            job.id, job.job_class, self.shard.name, job.spec.tasks, job.eligible_at, job.deadline_at
         )
         if job.spec.deadline_s is not None:
             return
@@ -216,7 +216,11 @@
             if machine.live and machine.usable and machine.name not in shard.reserved
         ]
         self._prune_busy_cache()
-        waiting = sum(job.ready for job in shard.jobs.values() if job.active and not job.waits)
+        waiting = sum(
+            job.ready_count
+            for job in shard.jobs.values()
+            if job.active and not job.awaits_dependencies
+        )
         return ShardStatus(
             shard.name,
             shard.scheduled_revision,
@@ -234,14 +238,18 @@
         The team "" means that the machine becomes unassigned.
         """
         return [
-            (machine.name, machine.to)
+            (machine.name, machine.target_shard)
             for machine in self.shard.machines.values()
-            if machine.to is not None and machine.phase is MachinePhase.LEAVING
+            if machine.target_shard is not None and machine.phase is MachinePhase.LEAVING
         ]
 
     def task_counts(self) -> list[tuple[str, int, int]]:
         """Return each active job's id and its numbers of done and of running tasks."""
-        return [(job.id, job.done, job.running) for job in self.shard.jobs.values() if job.active]
+        return [
+            (job.id, job.done_count, job.running_count)
+            for job in self.shard.jobs.values()
+            if job.active
+        ]
 
     def _prune_busy_cache(self) -> None:
         machines = self.shard.machines
@@ -312,8 +320,8 @@
         """
         machine = self.shard.machines.get(name)
         if machine is not None and machine.usable and machine.empty and to != self.shard.name:
-            machine.to = to
-            machine.leave("transfer")
+            machine.target_shard = to
+            machine.cordon("transfer")
             self.shard.mark_machine_changed(name)
 
     def reclaim(self, command: Reclaim, now: float) -> None:
@@ -322,8 +330,8 @@
             machine = self.shard.machines.get(name)
             if machine and machine.usable and name not in self.shard.reserved:
                 log.info("machine reclaimed: machine=%s for=%s", name, command.to)
-                machine.leave(f"reclaimed for {command.to}")
-                machine.to = command.to
+                machine.cordon(f"reclaimed for {command.to}")
+                machine.target_shard = command.to
                 self.shard.mark_machine_changed(name)
                 self.shard.drain(machine, now)
 
@@ -350,8 +358,8 @@
                     and remaining.zone in ("", machine.zone)
                     and (remaining.spot or not machine.spot)
                 ):
-                    machine.to = to
-                    machine.leave(f"transfer to {to}")
+                    machine.target_shard = to
+                    machine.cordon(f"transfer to {to}")
                     self.shard.mark_machine_changed(machine.name)
                     self.rebalances[to] = _RebalanceRequest(
                         remaining._replace(number=remaining.number - 1), until
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -1,4 +1,7 @@
-"""The commands for a machine's worker: what to run, kill and forget, with answers to heartbeats or directly."""
+"""Commands for a machine's worker: which tasks to run, kill and forget.
+
+They are sent in the answers to heartbeats, or directly.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 from ashdock.core.job import Job, JobPhase
 from ashdock.core.machine import Machine
-from ashdock.core.task import Phase
+from ashdock.core.task import PlacementPhase
 from ashdock.settings import Shared, Workers
 from ashdock.wire.messages import (
     CommandVerb,
@@ -16,43 +19,43 @@
     task_name,
 )
 
-MAX_COMMANDS = 200  # in one message, which keeps it well under 64 KiB
+MAX_COMMANDS = 200  # in one message, to keep it well under 64 KiB
 
 
 class CommandedShard(Protocol):
-    """What the commands follow from."""
+    """The part of a shard from which commands are derived."""
 
     jobs: dict[str, Job]
     shared: Shared
     workers: Workers
 
     def token(self, machine: Machine) -> int:
-        """The fencing token for commands to the machine."""
+        """Return the fencing token for commands to the machine."""
         ...
 
     def mark_machine_changed(self, name: str) -> None:
-        """Have a machine's record written, if need be."""
+        """Have the next transaction check whether the machine's record must be written."""
         ...
 
 
 class TaskCommands:
-    """Chooses the commands for a shard's machines, and tracks the run commands that may still arrive."""
+    """Chooses a shard's commands, and tracks run commands that may still arrive late."""
 
     def __init__(self, shard: CommandedShard) -> None:
-        """Command for a shard."""
+        """Choose commands for a shard."""
         self.shard = shard
 
-    def orders(self, machine: Machine, heartbeat: Heartbeat | None) -> list[TaskCommand]:
-        """Choose what a machine is to do.
+    def commands_for(self, machine: Machine, heartbeat: Heartbeat | None) -> list[TaskCommand]:
+        """Choose the commands for a machine.
 
         Args:
-            machine: the machine.
-            heartbeat: the one that the commands answer; None if they are sent directly.
+            machine: The machine.
+            heartbeat: The heartbeat that they answer; None if they are sent directly.
         """
         commands: list[TaskCommand] = []
         for placement in machine.live.values():
             name = task_name(placement.job, placement.task)
-            if placement.phase is Phase.STOPPING:
+            if placement.phase is PlacementPhase.STOPPING:
                 commands.append(
                     TaskCommand(
                         verb=CommandVerb.KILL,
@@ -61,14 +64,14 @@
                         grace_s=placement.grace_s,
                     )
                 )
-            elif placement.phase is Phase.COMMITTED or (
-                placement.phase is Phase.START_SENT and not placement.seen
+            elif placement.phase is PlacementPhase.COMMITTED or (
+                placement.phase is PlacementPhase.START_SENT and not placement.worker_reported
             ):
                 commands.append(
                     TaskCommand(verb=CommandVerb.RUN, task=name, attempt=placement.attempt)
                 )
                 if heartbeat:
-                    placement.answered_with_start(heartbeat.incarnation, heartbeat.sequence)
+                    placement.start_sent_in_answer(heartbeat.incarnation, heartbeat.sequence)
         for (job_id, task), attempt in machine.orphaned_tasks.items():
             commands.append(
                 TaskCommand(
@@ -78,9 +81,9 @@
                     grace_s=0.0,
                 )
             )
-        if heartbeat or machine.to is not None:
-            for job_id, task, attempt in sorted(machine.ended):
-                if (job_id, task, attempt) not in machine.outstanding and self._forgettable(
+        if heartbeat or machine.target_shard is not None:
+            for job_id, task, attempt in sorted(machine.ended_attempts):
+                if (job_id, task, attempt) not in machine.outstanding_runs and self._may_forget(
                     job_id, task, attempt
                 ):
                     commands.append(
@@ -90,8 +93,8 @@
                     )
         return commands[:MAX_COMMANDS]
 
-    def _forgettable(self, job_id: str, task: int, attempt: int) -> bool:
-        """Whether an ended attempt's outcome is durable, and no run command for it may still arrive."""
+    def _may_forget(self, job_id: str, task: int, attempt: int) -> bool:
+        """Whether an ended attempt's outcome is durable, so that it is not started again."""
         job = self.shard.jobs.get(job_id)
         if job is None or not 0 <= task < job.spec.tasks:
             return True
@@ -99,45 +102,48 @@
         if placement is not None and placement.attempt == attempt:
             return False
         chunk = job.chunk_of(task)
-        return job.phase is not JobPhase.OVER and chunk.durable >= chunk.gen
+        return job.phase is not JobPhase.OVER and chunk.durable_generation >= chunk.generation
 
-    def direct(self, machine: Machine) -> list[TaskCommand]:
-        """Choose what to send directly; its run commands are outstanding until answered."""
-        if machine.sending or not machine.address or not machine.incarnation:
+    def direct_commands(self, machine: Machine) -> list[TaskCommand]:
+        """Choose the commands to send directly; run commands are outstanding until answered."""
+        if machine.sending_commands or not machine.address or not machine.incarnation:
             return []
-        commands = self.orders(machine, None)
+        commands = self.commands_for(machine, None)
         token = self.shard.token(machine)
         for command in commands:
             placement = machine.live.get(split_task(command.task))
             if command.verb == CommandVerb.RUN and placement:
-                placement.sent_directly(machine.incarnation)
-                machine.outstanding[(*placement.key, placement.attempt)] = token
+                placement.start_sent_directly(machine.incarnation)
+                machine.outstanding_runs[(*placement.key, placement.attempt)] = token
         return commands
 
     @staticmethod
-    def direct_answered(machine: Machine, commands: list[TaskCommand]) -> None:
-        """Take in that direct commands cannot arrive any more."""
+    def on_direct_answered(machine: Machine, commands: list[TaskCommand]) -> None:
+        """Record that direct commands cannot arrive any more."""
         for command in commands:
-            machine.outstanding.pop((*split_task(command.task), command.attempt), None)
+            machine.outstanding_runs.pop((*split_task(command.task), command.attempt), None)
+
+    def on_direct_unanswered(self, machine: Machine, commands: list[TaskCommand]) -> None:
+        """Have the fencing token raised if a run command may still arrive, even minutes late.
 
-    def direct_unanswered(self, machine: Machine, commands: list[TaskCommand]) -> None:
-        """Raise the token, since a run command may still arrive, even minutes late: it is refused then."""
+        The worker refuses the command once it has a higher token.
+        """
         if any(command.verb == CommandVerb.RUN for command in commands):
-            machine.bump = True
+            machine.raise_token = True
             self.shard.mark_machine_changed(machine.name)
 
-    def lapses(self, machine: Machine, now: float) -> bool:
-        """Whether the worker's lease must run out.
+    def lease_must_expire(self, machine: Machine, now: float) -> bool:
+        """Whether the worker's lease must be left to expire.
 
-        So it is if a run command that was not answered may still arrive, its job was cancelled, and the token that would
-        refuse it has not reached the worker; in an outage of the store it cannot be raised. Not renewed, the incarnation
-        that the command names is over within `cancel_s`.
+        That is so if a run command of a cancelled job may still arrive, and the token with which
+        the worker would refuse it has not reached the worker in time: the token cannot be raised
+        while the store is unavailable. Without renewal the incarnation that the command names ends
+        within `cancel_s` of the cancellation.
         """
         workers = self.shard.workers
-        limit = now - (
-            workers.cancel_s - workers.lease_s - 2 * self.shard.shared.skew_ms / 1000
-        )  # twice: the worker's clock and ours
-        for job_id, _, _ in machine.outstanding:
+        # Twice the skew: the worker's clock and ours.
+        limit = now - (workers.cancel_s - workers.lease_s - 2 * self.shard.shared.skew_ms / 1000)
+        for job_id, _, _ in machine.outstanding_runs:
             job = self.shard.jobs.get(job_id)
             if job is not None and job.cancelled_at is not None and job.cancelled_at < limit:
                 return True
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from ashdock.cluster_state import ClusterState
-from ashdock.core.job import Job, fitting, job_record, spec_of_record
-from ashdock.core.machine import Machine, MachinePhase, images_of, trimmed
+from ashdock.core.job import Job, fit_job_record, job_record, spec_of_record
+from ashdock.core.machine import Machine, MachinePhase, fit_machine_record, stored_images
 from ashdock.core.park import Park, Parks
 from ashdock.core.shard import Shard
 from ashdock.core.task import Failure, TaskState
@@ -81,7 +81,7 @@
 def write_fitting_job_record(values: Plain) -> Plain:
     """The record of a job that is over, made to fit a value of `limit` bytes."""
     record = msgspec.json.decode(to_bytes(values["record"]))
-    return encoded(fitting(record, values["limit"]))
+    return encoded(fit_job_record(record, values["limit"]))
 
 
 class RecordReader:
@@ -120,7 +120,7 @@
     spec = attributes_of(spec_of_record(record), SPEC)
     known = known_job_of(record, REVISION)
     owned = [job.active, job.reason, job.cancelled_at]
-    read = {"spec": spec, "at": job.submitted, "owned": owned, "known": plain(known)}
+    read = {"spec": spec, "at": job.submitted_at, "owned": owned, "known": plain(known)}
     return read | read_final(spec["id"], record)
 
 
@@ -160,8 +160,14 @@
     done = [task for task, state in enumerate(job.states) if state == TaskState.DONE]
     placed = [[task, found.machine, found.attempt] for task, found in sorted(job.live.items())]
     failed = [
-        {"task": task, "times": f.times, "first": f.first, "why": f.why, "past": f.past}
-        for task, f in sorted(job.fails.items())
+        {
+            "task": task,
+            "times": f.failure_count,
+            "first": f.first_at,
+            "why": f.reason,
+            "past": f.past_limits,
+        }
+        for task, f in sorted(job.failures.items())
     ]
     return {"done": task_ranges(done), "placed": placed, "failed": failed}
 
@@ -171,9 +177,14 @@
     job = make_job(values)
     tail = values["key"].rsplit("/", 1)[1]
     job.load_chunks([(tail, msgspec.json.decode(to_bytes(values["value"])), REVISION)], NOW)
-    number, width = job.of_tail(tail)
+    number, width = job.parse_chunk_suffix(tail)
     chunk = job.chunk(number)
-    head = {"chunk": number, "width": width, "attempts": chunk.attempts, "revision": chunk.revision}
+    head = {
+        "chunk": number,
+        "width": width,
+        "attempts": chunk.max_attempt,
+        "revision": chunk.revision,
+    }
     return head | job_tasks_to_values(job)
 
 
@@ -190,8 +201,8 @@
         failure = Failure(item["times"], item["first"], item["why"], item["past"])
         job.set_failure(item["task"], failure)
     chunk = job.chunk(tasks["chunk"])
-    chunk.attempts = max(chunk.attempts, tasks["attempts"])
-    return {"key": job.path(chunk.n), "value": encoded(job.chunk_value(chunk.n))}
+    chunk.max_attempt = max(chunk.max_attempt, tasks["attempts"])
+    return {"key": job.chunk_path(chunk.index), "value": encoded(job.chunk_value(chunk.index))}
 
 
 def read_layouts(values: Plain) -> Plain:
@@ -203,11 +214,11 @@
     ]
     job.load_chunks(found, NOW)
     writes = {
-        job.path(chunk.n): encoded(job.chunk_value(chunk.n))
+        job.chunk_path(chunk.index): encoded(job.chunk_value(chunk.index))
         for chunk in job.chunks.values()
-        if chunk.gen > chunk.durable
+        if chunk.generation > chunk.durable_generation
     }
-    wider = {job.work_path(tail): plain(wide) for tail, wide in job.wider.items()}
+    wider = {job.work_path(tail): plain(wide) for tail, wide in job.replaced_chunks.items()}
     return {"width": job.chunk_tasks, "writes": writes, "wider": wider} | job_tasks_to_values(job)
 
 
@@ -220,7 +231,8 @@
     number = int(values["key"].rsplit("/", 1)[1])
     rows_read = parks.load(number, msgspec.json.decode(to_bytes(values["value"])), REVISION)
     return [
-        dict(zip(PARK, (p.job, p.low, p.high, p.at, *p.failure), strict=True)) for p in rows_read
+        dict(zip(PARK, (p.job, p.low, p.high, p.retry_at, *p.failure), strict=True))
+        for p in rows_read
     ]
 
 
@@ -230,7 +242,7 @@
     for row in values["parks"]:
         failure = Failure(row["times"], row["first"], row["why"], row["past"])
         parks.items.append(Park(row["job"], row["low"], row["high"], row["at"], failure))
-    return [[parks.path(number), encoded(value)] for number, value in parks.writes()]
+    return [[parks.path(number), encoded(value)] for number, value in parks.pending_writes()]
 
 
 MACHINE_PHASES = {
@@ -253,11 +265,11 @@
         "spot": machine.spot,
         "address": machine.address,
         "rented_at": machine.rented_at,
-        "rental_time_known": machine.dated,
+        "rental_time_known": machine.rented_at_known,
         "phase": MACHINE_PHASES[machine.phase],
-        "reason": machine.why,
+        "reason": machine.leaving_reason,
         "session": machine.incarnation,
-        "images": plain(images_of(record)),
+        "images": plain(stored_images(record)),
         "as_leader": plain(tuple(as_leader)),
     }
 
@@ -266,12 +278,14 @@
     """A machine's record, read by an owner and written again for a shard."""
     record = msgspec.json.decode(to_bytes(values["value"]))
     machine = Machine("vm-1", record, REVISION, machine_type("g4"), NOW)
-    return encoded(machine.value(values["part"]))
+    return encoded(machine.record(values["part"]))
 
 
 def trim_machine(values: Plain) -> Plain:
     """A machine's record with no more images than fit a value of `limit` bytes."""
-    return encoded(trimmed(msgspec.json.decode(to_bytes(values["value"])), values["limit"]))
+    return encoded(
+        fit_machine_record(msgspec.json.decode(to_bytes(values["value"])), values["limit"])
+    )
 
 
 def write_leader_machine(values: Plain) -> Plain:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -17,8 +17,8 @@
 from ashdock.core import placement as placing
 from ashdock.core import preemption_cost, status_reporter
 from ashdock.core.allocator import Allocator, AssignMachine, MoveShard, ScaleIn, ScaleOut
-from ashdock.core.job import Job, JobPhase, chunk_size
-from ashdock.core.machine import Machine, trimmed
+from ashdock.core.job import Job, JobPhase, tasks_per_chunk
+from ashdock.core.machine import Machine, fit_machine_record
 from ashdock.core.machine_index import MachineView
 from ashdock.core.quota import Usage, limit_permits_job, within_guarantee
 from ashdock.core.scheduling_policy import SchedulingPolicy
@@ -30,7 +30,7 @@
     ResourceRequest,
     ShardStatus,
 )
-from ashdock.core.task import Failure, Phase, ranges_of
+from ashdock.core.task import Failure, PlacementPhase, ranges_of
 from ashdock.leader.inventory import list_lag, missing_machines
 from ashdock.settings import Objective, Operators, Renting, Retry, Team
 from ashdock.wire.messages import (
@@ -112,11 +112,11 @@
 
 
 def test_full_chunk_fits_in_a_value_and_is_restored() -> None:
-    size = chunk_size(8.0)
+    size = tasks_per_chunk(8.0)
     job = Job(spec(shares=size * 3), 0.0, 7, size)
     for task in range(size, 2 * size):
         job.place(task, f"vm-{task:06d}", 100_000 + task, 0.0)
-        job.set_failure(task, Failure(20, 1_700_000_000.123 + task, "x" * parking.WHY_BYTES))
+        job.set_failure(task, Failure(20, 1_700_000_000.123 + task, "x" * parking.MAX_REASON_CHARS))
     value = job.chunk_value(1)
     assert len(encode(value)) < 8.0 * 1024
     restored = Job(spec(shares=size * 3), 0.0, 7, size)
@@ -124,7 +124,7 @@
     assert (
         len(placed) == size
         and restored.chunk_value(1) == value
-        and all(p.phase is Phase.START_SENT for p in placed)
+        and all(p.phase is PlacementPhase.START_SENT for p in placed)
     )
 
 
@@ -143,14 +143,14 @@
 def test_retry_episode_is_bounded(
     before: Failure | None, now: float, step: str, times: int, past: int
 ) -> None:
-    got = parking.after_failure(Retry(), before, "error", now, random.Random(1))
-    assert (got.step, got.failure.times, got.failure.past) == (step, times, past)
-    assert got.failure.first == (now if before is None else before.first)
+    got = parking.decide_retry(Retry(), before, "error", now, random.Random(1))
+    assert (got.step, got.failure.failure_count, got.failure.past_limits) == (step, times, past)
+    assert got.failure.first_at == (now if before is None else before.first_at)
 
 
 def test_first_delay_of_ten_seconds_parks_at_once() -> None:
     assert (
-        parking.after_failure(Retry(first_delay_s=10), None, "error", 0, random.Random(1)).step
+        parking.decide_retry(Retry(first_delay_s=10), None, "error", 0, random.Random(1)).step
         == "park"
     )
 
@@ -158,7 +158,7 @@
 def test_retry_delays_double_up_to_the_cap_with_jitter() -> None:
     rng = random.Random(1)
     delays = [
-        parking.after_failure(Retry(), Failure(n, 0, ""), "e", 1, rng).delay for n in range(1, 12)
+        parking.decide_retry(Retry(), Failure(n, 0, ""), "e", 1, rng).delay_s for n in range(1, 12)
     ]
     for base, delay in zip([2, 4, 8, 16, 32, 60, 60, 60], delays, strict=False):
         assert base <= delay <= base * 1.5
@@ -169,16 +169,16 @@
     parks = parking.Parks("red", 400)
     for n in range(20):
         parks.add(f"req-{n:06d}", [[0, 3], [7, 9]], 100.0 + n, Failure(2, 50.0, "error on vm-1"))
-    writes = parks.writes()
+    writes = parks.pending_writes()
     assert len(writes) > 3 and all(len(encode(value)) <= 400 for _, value in writes)
     restored = parking.Parks("red", 400)
     for n, value in writes:
         assert value is not None
         restored.load(n, value, 9)
-    assert sorted(restored.items) == sorted(parks.items) and restored.writes() == []
-    due = restored.due(109.5)
-    assert len(due) == 20 and min(park.at for park in restored.items) == 110.0
-    assert any(value is None for _, value in restored.writes())
+    assert sorted(restored.items) == sorted(parks.items) and restored.pending_writes() == []
+    due = restored.pop_due(109.5)
+    assert len(due) == 20 and min(park.retry_at for park in restored.items) == 110.0
+    assert any(value is None for _, value in restored.pending_writes())
 
 
 QUOTA = [  # limits, usage and task, each as (CPUs, GPUs) -> tasks permitted
@@ -287,8 +287,8 @@
     start_one_task(shard)
     machine = shard.machines["vm-0"]
     if events[0][0] == "unanswered":
-        commands = shard.commands.direct(machine)
-        shard.commands.direct_unanswered(machine, commands)
+        commands = shard.commands.direct_commands(machine)
+        shard.commands.on_direct_unanswered(machine, commands)
     job = shard.jobs["req-000001"]
     shard.preempt(job, [0], "test", 3.0)
     for kind, a, b, c in events:
@@ -323,7 +323,7 @@
 ) -> None:
     shard = shard_with([spec(shares=2)], "a")
     shard.jobs["req-000001"].states[1] = 3  # the other task is done
-    shard.jobs["req-000001"].done, shard.jobs["req-000001"].ready = 1, 1
+    shard.jobs["req-000001"].done_count, shard.jobs["req-000001"].ready_count = 1, 1
     start_one_task(shard)
     job = shard.jobs["req-000001"]
     commands = shard.reconciler.on_heartbeat(
@@ -332,7 +332,7 @@
     assert "forget" not in [command.verb for command in commands or []], (
         "forget sent before the outcome was durable"
     )
-    assert 0 not in job.live and job.fails.get(0, Failure(0, 0, "")).times == failures
+    assert 0 not in job.live and job.failures.get(0, Failure(0, 0, "")).failure_count == failures
     assert (job.phase is JobPhase.OVER) is (after == "done")
     writes = commit(shard, 30)
     if after == "done":
@@ -375,7 +375,7 @@
         shard.tick(float(now))
         shard.scheduler.schedule(float(now))
     assert (
-        shard.jobs["req-000001"].fails == {}
+        shard.jobs["req-000001"].failures == {}
         and shard.parks.items == []
         and shard.resource_requests[0].tasks == 2
     )
@@ -639,7 +639,7 @@
         Team("red"), msgspec.structs.replace(shard.shared, objectives=objectives), shard.catalog
     )
     assert [job.id[-1] for job in shard.scheduler.schedulable_jobs(9.0)] == ["3", "2", "1"]
-    shard.jobs["req-000002"].since = -2000.0  # long overdue: no array starves
+    shard.jobs["req-000002"].eligible_at = -2000.0  # long overdue: no array starves
     assert [job.id[-1] for job in shard.scheduler.schedulable_jobs(9.0)] == ["2", "3", "1"]
 
 
@@ -684,11 +684,11 @@
         assert job.reason and "error on vm-" in job.reason, (
             "the reason is shown from the first failure on"
         )
-        if job.doubtful:
+        if job.likely_faulty:
             break
         shard.scheduler.schedule(sequence + 0.6)
         revision += 1
-    assert job.doubtful and not any(machine.failed for machine in shard.machines.values())
+    assert job.likely_faulty and not any(machine.failed_jobs for machine in shard.machines.values())
     commit(shard, 90)
     for name in ("vm-0", "vm-1"):
         shard.reconciler.on_heartbeat(heartbeat(name, 90), 39.0, True)
@@ -698,14 +698,14 @@
         shard.scheduler.schedule(now)
     sound = shard.jobs["req-000002"]
     assert len(job.live) <= 1 and sound.live
-    assert not any(p.phase is Phase.STOPPING for p in sound.live.values()) and all(
+    assert not any(p.phase is PlacementPhase.STOPPING for p in sound.live.values()) and all(
         w.priority == 1 for w in shard.resource_requests
     )
     restored = Job(job.spec, 0.0, 7, job.chunk_tasks)
     restored.set_failure(0, Failure(3, 0.0, "error"))
-    assert restored.doubtful, "a new owner knows it by the stored count"
+    assert restored.likely_faulty, "a new owner knows it by the stored count"
     restored.finish(1)
-    assert not restored.doubtful
+    assert not restored.likely_faulty
 
 
 def test_machine_assigned_after_the_last_scheduling_cycle_is_not_idle() -> None:
@@ -761,12 +761,12 @@
     new_owner = shard_with([spec(shares=2)], "", revision=50)
     new_owner.load([("vm-9", record, 5)], [], [], 14.0)
     new_owner.scheduler.schedule(14.0)
-    assert new_owner.machines["vm-9"].coming(14.0) is True
+    assert new_owner.machines["vm-9"].is_booting(14.0) is True
     new_owner.tick(16.0)
     # It may be up: only its silence since the failover shows that it is not.
-    assert new_owner.machines["vm-9"].why == ""
+    assert new_owner.machines["vm-9"].leaving_reason == ""
     new_owner.tick(14.0 + new_owner.maintenance.silent_s + 1)
-    assert new_owner.machines["vm-9"].why == "never came up"
+    assert new_owner.machines["vm-9"].leaving_reason == "never came up"
 
 
 # (incarnation, sequence, fencing token, whether the task is reported) of the heartbeats that the
@@ -842,7 +842,7 @@
     ]
     new_owner.load([("vm-0", record, 5)], work, [], 5.0)
     machine = new_owner.machines["vm-0"]
-    assert [command.verb for command in new_owner.commands.direct(machine)] == [CommandVerb.RUN]
+    assert [command.verb for command in new_owner.commands.direct_commands(machine)] == [CommandVerb.RUN]
     tasks: list[tuple[str, int, str, str | None]] = [("req-000001/0", 1, "running", None)]
     if late is not None:
         new_owner.reconciler.on_heartbeat(
@@ -882,7 +882,7 @@
     shard = shard_with([spec(1, shares=8)], "ab" * 40)
     shard.scheduler.schedule(1.0)
     for machine in shard.machines.values():
-        machine.came_up("10.1.0.1:9000")
+        machine.mark_up("10.1.0.1:9000")
     shard.scheduler.schedule(1.0)
     costs = []
     for batch in (1, 2, 3):
@@ -980,12 +980,12 @@
     shard.status_reporter.rebalance(Rebalance("red", "blue", 1, (), "b", True), 1.0)
     shard.scheduler.schedule(1.0)
     assert (
-        shard.machines["vm-1"].to == "blue"
+        shard.machines["vm-1"].target_shard == "blue"
         and not shard.machines["vm-1"].live
         and shard.machines["vm-0"].live
     )
     shard.scheduler.schedule(1.5)
-    assert shard.machines["vm-0"].to is None  # one machine was asked for
+    assert shard.machines["vm-0"].target_shard is None  # one machine was asked for
 
 
 HEADROOM = [  # sizes in machines of gangs that came in the last 4 boot times -> empty machines kept
@@ -1043,12 +1043,12 @@
     """
     machine = shard_with([], "a").machines["vm-0"]
     for image, size in used:
-        machine.uses(image, size)
+        machine.image_used(image, size)
     assert "".join(machine.images) == held
     new_owner = shard_with([], "", revision=50)
-    new_owner.add_machine("vm-0", machine.value("red"), 9, 0.0)
+    new_owner.add_machine("vm-0", machine.record("red"), 9, 0.0)
     assert "".join(new_owner.machines["vm-0"].images) == held
-    machine.lacks(held[-1])
+    machine.image_missing(held[-1])
     assert "".join(machine.images) == held[:-1]
 
 
@@ -1123,9 +1123,9 @@
             (f"req-000001/{task}", placement.attempt, "ended", "done")
         )
     for machine, tasks in where.items():
-        shard.commands.direct(shard.machines[machine])
-        shard.commands.direct_answered(
-            shard.machines[machine], shard.commands.orders(shard.machines[machine], None)
+        shard.commands.direct_commands(shard.machines[machine])
+        shard.commands.on_direct_answered(
+            shard.machines[machine], shard.commands.commands_for(shard.machines[machine], None)
         )
         shard.reconciler.on_heartbeat(heartbeat(machine, 2, tasks), 5.0, True)
     ends: list[dict[str, Any]] = []
@@ -1148,13 +1148,15 @@
         "at": 1.0,
         "i": [[f"{n}" + "i" * 190, 2.0] for n in range(12)],
     }
-    short = trimmed(value, 1024)
+    short = fit_machine_record(value, 1024)
     assert (
         len(encode(short)) <= 1024
         and 2 < len(short["i"]) < 12
         and short["i"] == value["i"][: len(short["i"])]
     )
-    assert trimmed(value, 4096) is value and trimmed({"t": "g4"}, 10) == {"t": "g4"}
+    assert fit_machine_record(value, 4096) is value and fit_machine_record({"t": "g4"}, 10) == {
+        "t": "g4"
+    }
 
 
 def test_number_of_teams_per_scale_out_is_bounded() -> None:
@@ -1172,7 +1174,7 @@
     """
     shard = shard_with([spec(1, shares=4, accelerators=4.0, snapshot_s=0.0)], machines="abab")
     for machine in shard.machines.values():
-        machine.came_up("10.1.0.1:9000")
+        machine.mark_up("10.1.0.1:9000")
     shard.scheduler.schedule(1.0)
     computed: list[str] = []
     whole = preemption_cost.machine_preemption_cost
@@ -1232,7 +1234,7 @@
     moved = [sum(path.startswith("machine/") for path in each) for each in writes]
     assert moved[:2] == [3, 1] and sum(moved) == 4 and max(map(len, writes)) <= 9
     assert all(
-        placement.phase is Phase.COMMITTED
+        placement.phase is PlacementPhase.COMMITTED
         for job in shard.jobs.values()
         for placement in job.live.values()
     )
