--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -230,7 +230,7 @@
 
     def _on_running(self, placement: Placement, now: float) -> None:
         job = self.shard.jobs[placement.job]
-        self.shard.classes.attainment.started(job.id, 1, now)
+        self.shard.classes.attainment.record_started(job.id, 1, now)
         if job.started_at is None:
             job.started_at = now
             log.info(
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -333,7 +333,7 @@
             return
         log.info("job cancelled: job=%s tasks_to_stop=%d", job_id, len(job.live))
         job.cancel(at)
-        self.classes.attainment.withdrawn(job_id)
+        self.classes.attainment.record_cancelled(job_id)
         job.revision = max(job.revision, revision)
         job.breaking = None
         self.dependency_tracker.cancelled(job, now)
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -11,15 +11,15 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from ashdock.fairness.slo_attainment import HALF, Row, SloAttainment
+from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, JobCounts, SloAttainment
 from ashdock.settings import Objective
 
 RISES = (
-    HALF * 5 / 4
+    MIN_ATTAINMENT * 5 / 4
 )  # a class served less than this rises: before it is a half, of which the users say that it is too little,
-RESTS = HALF * 3 / 2  # until it is served so well
+RESTS = MIN_ATTAINMENT * 3 / 2  # until it is served so well
 BETTER = (
-    HALF / 4
+    MIN_ATTAINMENT / 4
 )  # by how much another of its priority has to be served better: where all are late alike, rising helps nobody
 FEW = 4  # fewer jobs that are due tell nothing
 
@@ -68,17 +68,17 @@
         self, job: str, job_class: str, team: str, tasks: int, since: float, due_at: float
     ) -> None:
         """Accepted, and free to start."""
-        self.attainment.made(
+        self.attainment.record_submitted(
             job, job_class, team, tasks, since, self.aims.get(job_class, math.inf), due_at
         )
-        self.attainment.accepted(job)
+        self.attainment.record_accepted(job)
 
     def done(self, job: str, now: float) -> None:
-        over = self.attainment.done(job, now)
+        over = self.attainment.record_done(job, now)
         if over is not None:
             name, row = over
-            due, attainment = self.recent.get(name, (0.0, 0.0))
-            self.recent[name] = (due + row.due, attainment + row.attainment)
+            due, attained = self.recent.get(name, (0.0, 0.0))
+            self.recent[name] = (due + row.due, attained + row.attained)
 
     def look(self, now: float) -> dict[str, float]:
         """Each class's share of late, as far as enough of it is due."""
@@ -88,19 +88,19 @@
         fade = 0.5 ** ((now - self.faded_at) / self.fades_s)
         self.faded_at = now
         self.recent = {
-            name: (due * fade, attainment * fade)
-            for name, (due, attainment) in self.recent.items()
+            name: (due * fade, attained * fade)
+            for name, (due, attained) in self.recent.items()
             if due * fade > 0.1
         }
-        rows: dict[str, Row] = {}
+        rows: dict[str, JobCounts] = {}
         for known in self.attainment.open.values():
-            rows[known.job_class] = rows.get(known.job_class, Row()).plus(known.row(now))
+            rows[known.job_class] = rows.get(known.job_class, JobCounts()).plus(known.row(now))
         self.shares = {}
         for name in {*rows, *self.recent}:
-            due, attainment = self.recent.get(name, (0.0, 0.0))
-            row = rows.get(name, Row())
+            due, attained = self.recent.get(name, (0.0, 0.0))
+            row = rows.get(name, JobCounts())
             if due + row.due >= FEW:
-                self.shares[name] = (attainment + row.attainment) / (due + row.due)
+                self.shares[name] = (attained + row.attained) / (due + row.due)
         self.rising = {
             name
             for name, share in self.shares.items()
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -212,14 +212,14 @@
             if owner.shard is None:
                 continue
             classes = owner.shard.classes
-            for (kind, name), row in classes.attainment.rows(owner.shard.clock).items():
+            for (kind, name), row in classes.attainment.counts(owner.shard.clock).items():
                 if kind == "class":
-                    share.add_metric([team, name], row.share)
+                    share.add_metric([team, name], row.attainment)
                     due.add_metric([team, name], row.due)
                     rises.add_metric([team, name], float(name in classes.rising))
                 elif kind == "largest":
-                    largest.add_metric([team, name], row.share)
-            for name, spans in classes.attainment.waits.items():
+                    largest.add_metric([team, name], row.attainment)
+            for name, spans in classes.attainment.start_waits.items():
                 waits.add_metric([team, name], classes.attainment.histogram(name), spans.sum_s)
         away = CounterMetricFamily(
             "ashdock_submissions_turned_away", "told to come back, by team", labels=["team"]
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -91,7 +91,7 @@
         """A task holds its image and is on a machine from here."""
         self.starts += 1
         if self.served is not None:
-            self.served.started(job, 1, now)
+            self.served.record_started(job, 1, now)
         run = self.jobs.get(job)
         if run is None:
             return
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -42,7 +42,7 @@
 from hdrh.histogram import HdrHistogram
 from pympler import asizeof
 
-from ashdock.fairness.slo_attainment import HALF, SloAttainment, jain
+from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import Objective, Team
 from tests import cost, courses, simtime, whole
@@ -323,7 +323,7 @@
         began, counts = self.now(), self.counts
         if counts:
             due_at = began + run["due_s"] if run["due_s"] else math.inf
-            self.served.made(
+            self.served.record_submitted(
                 run["id"],
                 run["workload"],
                 run["owner"],
@@ -345,7 +345,7 @@
                     self.errors["given up"] += 1
                     return self.leave(user)
                 await asyncio.sleep(1.0)
-        self.served.accepted(run["id"])
+        self.served.record_accepted(run["id"])
         if counts:
             self.took.record_value(max(1, int((self.now() - began) * 1000)))
         while any((run["id"], task) not in self.fleet.rules.done for task in range(run["shares"])):
@@ -354,7 +354,7 @@
             status = await self.ask(user, "GET", f"/v2/runs/{run['id']}", b"", 2.0)
             if status == 200:
                 self.asked.record_value(max(1, int((self.now() - at) * 1000)))
-        self.served.done(run["id"], self.now())
+        self.served.record_done(run["id"], self.now())
         self.leave(user)
 
     def job(
@@ -546,7 +546,7 @@
             if host.startswith("10.0.0.")
         ]
         alive = list(fleet.controllers.values())
-        rows = users.served.rows(users.now())
+        rows = users.served.counts(users.now())
         out.update(
             gaps=gaps.rows if gaps else [],
             machines_rented=sum(map(len, fleet.world.charters.values())),
@@ -565,10 +565,13 @@
             requests=(fleet.state.requests - requests) / past,
             writes=(fleet.state.counted - counted) / past,
             served={
-                " ".join(name): [*row, round(row.share, 3)] for name, row in sorted(rows.items())
+                " ".join(name): [*row, round(row.attainment, 3)]
+                for name, row in sorted(rows.items())
             },
             worst=users.served.worst(users.now()),
-            jain=round(jain(row.share for (kind, _), row in rows.items() if kind == "team"), 4),
+            jain=round(
+                jain(row.attainment for (kind, _), row in rows.items() if kind == "team"), 4
+            ),
             starts=(fleet.rules.starts - starts) / past,
             written={kind: round(number / past, 2) for kind, number in kinds.most_common()},
             killed=fleet.killed,
@@ -818,7 +821,7 @@
     print(json.dumps(row, indent=1))
     if options.save:
         Path(options.save).write_text(json.dumps(row))
-    if row["worst"][0] < HALF or row["broken"]:
+    if row["worst"][0] < MIN_ATTAINMENT or row["broken"]:
         sys.exit(1)
 
 
--- a/tests/test_courses.py
+++ b/tests/test_courses.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ashdock.fairness.slo_attainment import HALF
+from ashdock.fairness.slo_attainment import MIN_ATTAINMENT
 from tests import courses, scale
 from tests.courses import End, Traffic
 
@@ -113,7 +113,7 @@
     assert (
         row["broken"] == []
         and row["killed"] == 0
-        and row["worst"][0] >= HALF
+        and row["worst"][0] >= MIN_ATTAINMENT
         and row["within_1s"] > 0.9
     )
     assert row["sockets"] < 0.6 * 400
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -15,7 +15,7 @@
 from ashdock.fairness.fair_queue import FairQueue
 from ashdock.fairness.hot_tenants import HotTenantDetector
 from ashdock.fairness.load_shedder import LoadShedder, PeerLoad
-from ashdock.fairness.slo_attainment import Row, SloAttainment, jain
+from ashdock.fairness.slo_attainment import JobCounts, SloAttainment, jain
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Objective, SettingsError, load
 from tests import simtime
@@ -46,16 +46,16 @@
     share: float,
 ) -> None:
     attainment = SloAttainment()
-    attainment.made("j1", "leaf", "red", 4, 0.0, *aims)
-    attainment.accepted("j1")
+    attainment.record_submitted("j1", "leaf", "red", 4, 0.0, *aims)
+    attainment.record_accepted("j1")
     for at in starts:
-        attainment.started("j1", 1, at)
+        attainment.record_started("j1", 1, at)
     if done is not None:
-        attainment.done("j1", done)
-    rows = attainment.rows(now)
+        attainment.record_done("j1", done)
+    rows = attainment.counts(now)
     assert rows["class", "leaf"] == rows["team", "red"] and (
         rows["team", "red"].due,
-        rows["team", "red"].share,
+        rows["team", "red"].attainment,
     ) == (due, share)
     assert attainment.histogram("leaf")[-1:] == ([("+Inf", float(len(starts)))] if starts else [])
 
@@ -63,12 +63,12 @@
 def test_the_worst_is_named_and_what_is_withdrawn_is_nobodys_fault() -> None:
     attainment = SloAttainment()
     for n, team in enumerate(["red", "blue", "blue"]):
-        attainment.made(f"j{n}", "leaf", team, 1, 0.0, 5.0)
-    attainment.withdrawn("j1")
-    attainment.started("j0", 1, 1.0)
-    assert attainment.worst(9.0) == (0.0, "team blue") and attainment.rows(9.0)[
+        attainment.record_submitted(f"j{n}", "leaf", team, 1, 0.0, 5.0)
+    attainment.record_cancelled("j1")
+    attainment.record_started("j0", 1, 1.0)
+    assert attainment.worst(9.0) == (0.0, "team blue") and attainment.counts(9.0)[
         "class", "leaf"
-    ] == Row(3, 0, 1, 0, 2, 1.0)
+    ] == JobCounts(3, 0, 1, 0, 2, 1.0)
     assert jain([1.0, 1.0]) == 1.0 and jain([1.0, 0.0, 0.0, 0.0]) == 0.25 and jain([]) == 1.0
 
 
@@ -76,13 +76,13 @@
 def test_a_classes_largest_jobs_are_counted_beside_it(over: bool) -> None:
     attainment = SloAttainment()
     for n, tasks in enumerate([1, 1, 1, 1, 4, 5, 8, 9]):
-        attainment.made(f"j{n}", "leaf", "red", tasks, 0.0, 5.0, 9.5)
-        attainment.started(f"j{n}", tasks, 9.0 if n == 7 else 1.0)
+        attainment.record_submitted(f"j{n}", "leaf", "red", tasks, 0.0, 5.0, 9.5)
+        attainment.record_started(f"j{n}", tasks, 9.0 if n == 7 else 1.0)
     if over:
         for n in range(8):
-            attainment.done(f"j{n}", 10.0)
-    rows = attainment.rows(10.0)
-    assert rows["class", "leaf"].share == 0.875 and rows["largest", "leaf"] == Row(
+            attainment.record_done(f"j{n}", 10.0)
+    rows = attainment.counts(10.0)
+    assert rows["class", "leaf"].attainment == 0.875 and rows["largest", "leaf"] == JobCounts(
         2, 0, 2, 2 if over else 0, 2, 1.0
     )
     assert attainment.worst(10.0) == (0.5, "largest leaf")
@@ -260,7 +260,7 @@
     every = {job.id for job in jobs}
     assert classes.lifted(jobs, every, 2.0) == set(), "nothing is due"
     for n in range(6):
-        classes.attainment.started(f"a{n}", 1, 3.0)
+        classes.attainment.record_started(f"a{n}", 1, 3.0)
         classes.done(f"a{n}", 9.0)
     # The longest waiting first; one alone, whatever its priority's others are; and nothing for what cannot run or is doubtful.
     assert classes.lifted(jobs, every, 30.0) == {"g0"} and classes.rising == {"gang"}
@@ -276,7 +276,7 @@
     # Once three quarters are served it rests; what was of long ago is forgotten.
     for n in range(6, 60):
         classes.came(f"g{n}", "gang", "red", 1, 31.0, math.inf)
-        classes.attainment.started(f"g{n}", 1, 32.0)
+        classes.attainment.record_started(f"g{n}", 1, 32.0)
     assert classes.lifted(jobs, every, 33.0) == set() and classes.rising == set()
 
 
