--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -158,7 +158,7 @@
             and (job.spec.kind != JobKind.GANG or job.ready == job.spec.tasks)
         ]
         jobs.sort(key=lambda job: self._rank(job, now, cycle))
-        lifted = self.shard.classes.lifted(jobs, self._permitted_job_ids(jobs), now)
+        lifted = self.shard.classes.boosted_job_ids(jobs, self._permitted_job_ids(jobs), now)
         if lifted:
             jobs.sort(key=lambda job: (-job.priority, job.id not in lifted))
         return jobs
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -161,7 +161,7 @@
 
     def complete(self, job: Job, now: float) -> None:
         """Take in that all tasks of a job are done."""
-        self.classes.done(job.id, now)
+        self.classes.record_done(job.id, now)
         job.over(now if self.write_limits.announced_apply else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -97,7 +97,7 @@
         """
         if job.waits or job.spec.kind == JobKind.SERVICE:
             return
-        self.shard.classes.came(
+        self.shard.classes.record_accepted(
             job.id, job.job_class, self.shard.name, job.spec.tasks, job.since, job.due
         )
         if job.spec.deadline_s is not None:
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -20,7 +20,7 @@
 RESTS = MIN_ATTAINMENT * 3 / 2  # until it is served so well
 BETTER = (
     MIN_ATTAINMENT / 4
-)  # by how much another of its priority has to be served better: where all are late alike, rising helps nobody
+)  # by how much another of its priority has to be served better: where all are late alike, boosted helps nobody
 FEW = 4  # fewer jobs that are due tell nothing
 
 
@@ -44,8 +44,8 @@
 
 
 class Classes:
-    def __init__(self, objectives: Iterable[Objective], looks_s: float) -> None:
-        """`looks_s`: how often the shares are worked out anew."""
+    def __init__(self, objectives: Iterable[Objective], refresh_interval_s: float) -> None:
+        """`refresh_interval_s`: how often the shares are worked out anew."""
         self.aims: dict[str, float] = {}  # by class: the most lenient for a start
         for objective in objectives:
             if objective.kind == "wait" and objective.job_class and objective.within_s:
@@ -54,17 +54,17 @@
                 )
         # What is over counts half after twice the longest aim: a rush is forgotten, but not before its last job was due.
         self.fades_s = 2 * max(self.aims.values(), default=60.0)
-        self.looks_s = looks_s
-        self.looked_at = -math.inf
+        self.refresh_interval_s = refresh_interval_s
+        self.refreshed_at = -math.inf
         self.faded_at = -math.inf
         self.attainment = SloAttainment()
         self.recent: dict[
             str, tuple[float, float]
         ] = {}  # by class: of jobs that are over, how many were due, and served
         self.shares: dict[str, float] = {}
-        self.rising: set[str] = set()
+        self.boosted: set[str] = set()
 
-    def came(
+    def record_accepted(
         self, job: str, job_class: str, team: str, tasks: int, since: float, due_at: float
     ) -> None:
         """Accepted, and free to start."""
@@ -73,18 +73,18 @@
         )
         self.attainment.record_accepted(job)
 
-    def done(self, job: str, now: float) -> None:
+    def record_done(self, job: str, now: float) -> None:
         over = self.attainment.record_done(job, now)
         if over is not None:
             name, row = over
             due, attained = self.recent.get(name, (0.0, 0.0))
             self.recent[name] = (due + row.due, attained + row.attained)
 
-    def look(self, now: float) -> dict[str, float]:
+    def refresh(self, now: float) -> dict[str, float]:
         """Each class's share of late, as far as enough of it is due."""
-        if now - self.looked_at < self.looks_s:
+        if now - self.refreshed_at < self.refresh_interval_s:
             return self.shares
-        self.looked_at = now
+        self.refreshed_at = now
         fade = 0.5 ** ((now - self.faded_at) / self.fades_s)
         self.faded_at = now
         self.recent = {
@@ -101,18 +101,20 @@
             row = rows.get(name, JobCounts())
             if due + row.due >= FEW:
                 self.shares[name] = (attained + row.attained) / (due + row.due)
-        self.rising = {
+        self.boosted = {
             name
             for name, share in self.shares.items()
-            if share < (RESTS if name in self.rising else RISES)
+            if share < (RESTS if name in self.boosted else RISES)
         }
         return self.shares
 
-    def lifted(self, waiting: Sequence[Ready], can_run: Iterable[str], now: float) -> set[str]:
+    def boosted_job_ids(
+        self, waiting: Sequence[Ready], can_run: Iterable[str], now: float
+    ) -> set[str]:
         """Jobs that go first of their priority in this pass. `can_run`: those for which there are machines at all; what has none, or is
         doubtful, is not starved by others, and takes nothing from them."""
-        shares = self.look(now)
-        if not self.rising:
+        shares = self.refresh(now)
+        if not self.boosted:
             return set()
         like: dict[int, set[str]] = {}
         for job in waiting:
@@ -120,7 +122,7 @@
         able = set(can_run)
         first: dict[tuple[int, str], Ready] = {}
         for job in waiting:
-            if job.job_class not in self.rising or job.doubtful or job.id not in able:
+            if job.job_class not in self.boosted or job.doubtful or job.id not in able:
                 continue
             others = [shares.get(name, 1.0) for name in like[job.priority] if name != job.job_class]
             key = job.priority, job.job_class
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -216,7 +216,7 @@
                 if kind == "class":
                     share.add_metric([team, name], row.attainment)
                     due.add_metric([team, name], row.due)
-                    rises.add_metric([team, name], float(name in classes.rising))
+                    rises.add_metric([team, name], float(name in classes.boosted))
                 elif kind == "largest":
                     largest.add_metric([team, name], row.attainment)
             for name, spans in classes.attainment.start_waits.items():
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -242,14 +242,15 @@
 def test_a_class_that_falls_behind_rises_by_one_job_a_pass() -> None:
     """A hot class of short arrays with deadlines went before gangs of the same priority in each pass, as long as any were in time."""
     classes = Classes(
-        [Objective("wait", 0.9, "gang", 10.0), Objective("wait", 0.9, "other", 10.0)], looks_s=1.0
+        [Objective("wait", 0.9, "gang", 10.0), Objective("wait", 0.9, "other", 10.0)],
+        refresh_interval_s=1.0,
     )
     jobs = [ReadyJob(f"g{n}", "gang", 1, float(n)) for n in range(6)] + [
         ReadyJob(f"a{n}", "array", 1, 0.0) for n in range(6)
     ]
     jobs.append(ReadyJob("low", "other", 0, 0.0))
     for job in jobs:
-        classes.came(
+        classes.record_accepted(
             job.id,
             job.job_class,
             "red",
@@ -258,26 +259,27 @@
             math.inf if job.job_class != "array" else 99.0,
         )
     every = {job.id for job in jobs}
-    assert classes.lifted(jobs, every, 2.0) == set(), "nothing is due"
+    assert classes.boosted_job_ids(jobs, every, 2.0) == set(), "nothing is due"
     for n in range(6):
         classes.attainment.record_started(f"a{n}", 1, 3.0)
-        classes.done(f"a{n}", 9.0)
+        classes.record_done(f"a{n}", 9.0)
     # The longest waiting first; one alone, whatever its priority's others are; and nothing for what cannot run or is doubtful.
-    assert classes.lifted(jobs, every, 30.0) == {"g0"} and classes.rising == {"gang"}
+    assert classes.boosted_job_ids(jobs, every, 30.0) == {"g0"} and classes.boosted == {"gang"}
     assert (
-        classes.lifted(jobs, every - {"g0"}, 30.5) == {"g1"}
-        and classes.lifted(jobs, set(), 30.6) == set()
+        classes.boosted_job_ids(jobs, every - {"g0"}, 30.5) == {"g1"}
+        and classes.boosted_job_ids(jobs, set(), 30.6) == set()
     )
     jobs[0].doubtful = True
-    assert classes.lifted(jobs, every, 30.7) == {"g1"}
-    assert classes.lifted([job for job in jobs if job.job_class == "gang"], every, 30.8) == set(), (
-        "nobody of its priority is served better"
-    )
+    assert classes.boosted_job_ids(jobs, every, 30.7) == {"g1"}
+    assert (
+        classes.boosted_job_ids([job for job in jobs if job.job_class == "gang"], every, 30.8)
+        == set()
+    ), "nobody of its priority is served better"
     # Once three quarters are served it rests; what was of long ago is forgotten.
     for n in range(6, 60):
-        classes.came(f"g{n}", "gang", "red", 1, 31.0, math.inf)
+        classes.record_accepted(f"g{n}", "gang", "red", 1, 31.0, math.inf)
         classes.attainment.record_started(f"g{n}", 1, 32.0)
-    assert classes.lifted(jobs, every, 33.0) == set() and classes.rising == set()
+    assert classes.boosted_job_ids(jobs, every, 33.0) == set() and classes.boosted == set()
 
 
 class ReadyJob:
