--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -98,10 +98,10 @@
     ) -> Refusal | None:
         """`behind_s`: how long what goes before one of that team takes to be written; `each_s`: how long one more of it does, at its share."""
         self.line_s = behind_s
-        self.hot_tenants.comes(team, now)
+        self.hot_tenants.record_submission(team, now)
         late_s = self.processor.late_s(now)
         # What is computed late has no line in which teams could have their turns: whoever brings more than its share goes first.
-        if late_s > ACCEPT_WAITS_S / (8 if self.hot_tenants.hot(team) else 4):
+        if late_s > ACCEPT_WAITS_S / (8 if self.hot_tenants.is_hot(team) else 4):
             return self._turn_away(
                 team, Short.PROCESSOR, "this controller is behind", late_s, each_s, now
             )
@@ -116,13 +116,18 @@
     ) -> Refusal:
         self.turned_away[team if team in self.hot_tenants.teams else ""] += 1
         return self._refuse(
-            "submission", of, 429, why, self.hot_tenants.returns_in(team, wait_s, each_s, now), now
+            "submission",
+            of,
+            429,
+            why,
+            self.hot_tenants.retry_after_s(team, wait_s, each_s, now),
+            now,
         )
 
     def question(self, now: float, team: str = "") -> Refusal | None:
         """Questions give way before submissions do: who asks will ask again in any case. About a hot team's jobs, first of all."""
         late_s = self.processor.late_s(now)
-        if late_s > USER_WAITS_S / (8 if self.hot_tenants.hot(team) else 4):
+        if late_s > USER_WAITS_S / (8 if self.hot_tenants.is_hot(team) else 4):
             return self._refuse(
                 "question", Short.PROCESSOR, 429, "this controller is behind", 1 + int(late_s), now
             )
--- a/ashdock/fairness/fair_queue.py
+++ b/ashdock/fairness/fair_queue.py
@@ -52,7 +52,7 @@
         """Who is served next. Raises ValueError where nobody waits."""
         return min((queue[0] for queue in self.queues.values()), key=lambda waiting: waiting.start)
 
-    def leave(self, waiting: Waiting[Item]) -> None:
+    def remove_first(self, waiting: Waiting[Item]) -> None:
         """The first of its team goes, served or not."""
         queue = self.queues[waiting.team]
         queue.popleft()
@@ -67,7 +67,7 @@
         if not self.queues:
             self.served_to.clear()
 
-    def ahead_of(self, team: str) -> list[Waiting[Item]]:
+    def requests_ahead_of(self, team: str) -> list[Waiting[Item]]:
         """What would be served before one who came now."""
         start = self._start(team)
         return [waiting for waiting in self if waiting.start <= start]
--- a/ashdock/fairness/load_shedder.py
+++ b/ashdock/fairness/load_shedder.py
@@ -17,11 +17,11 @@
 class HeartbeatLag:
     """How far apart beats are, of late."""
 
-    def __init__(self, beat_s: float) -> None:
-        self.gap_s = beat_s
+    def __init__(self, heartbeat_interval_s: float) -> None:
+        self.gap_s = heartbeat_interval_s
         self.at: float | None = None
 
-    def beat(self, now: float) -> None:
+    def record_heartbeat(self, now: float) -> None:
         if self.at is not None:
             self.gap_s += (now - self.at - self.gap_s) * FADES
         self.at = now
@@ -36,13 +36,13 @@
 
 
 class LoadShedder:
-    def __init__(self, beat_s: float, patience_s: float) -> None:
+    def __init__(self, heartbeat_interval_s: float, patience_s: float) -> None:
         """`patience_s`: how long we have to be behind, and how long nothing is handed on after something was."""
-        self.beat_s = beat_s
+        self.heartbeat_interval_s = heartbeat_interval_s
         self.patience_s = patience_s
         self.since: float | None = None  # behind since
 
-    def hand_on(
+    def choose_handover(
         self,
         gap_s: float,
         ours: Mapping[str, int],
@@ -54,7 +54,7 @@
 
         Leading counts as a shard. Only to who then has no more than we have left: else it would come back. The lightest goes: the others'
         workers all have to find their new owner."""
-        if gap_s < BEHIND * self.beat_s:
+        if gap_s < BEHIND * self.heartbeat_interval_s:
             self.since = None
             return None
         if self.since is None:
--- a/ashdock/load_handover.py
+++ b/ashdock/load_handover.py
@@ -51,8 +51,8 @@
 
     def on_beat(self, now: float) -> None:
         """Note a beat of this controller, and hand a shard over if it is due. `now`: by the steady clock."""
-        self.heartbeat_lag.beat(now)
-        handover = self.load_shedder.hand_on(
+        self.heartbeat_lag.record_heartbeat(now)
+        handover = self.load_shedder.choose_handover(
             self.heartbeat_lag.gap_s, self._work_by_team(), self.leads(), self._peer_loads(), now
         )
         if handover is not None:
--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -235,7 +235,7 @@
                 peer.last_seen_at = time.monotonic()
                 if isinstance(frame, PeerHeartbeat):
                     peer.heartbeat = frame
-                    peer.heartbeat_lag.beat(peer.last_seen_at)
+                    peer.heartbeat_lag.record_heartbeat(peer.last_seen_at)
                 self.on_frame(label, frame)
         except FrameError as error:
             self._log_closed(label, str(error))
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -230,7 +230,7 @@
         admission = self.context.admission
         for team in admission.hot_tenants.teams:
             away.add_metric([team], admission.turned_away[team])
-            hot.add_metric([team], float(admission.hot_tenants.hot(team)))
+            hot.add_metric([team], float(admission.hot_tenants.is_hot(team)))
         yield from (share, due, largest, rises, waits, away, hot)
 
     def _recovery(self) -> Iterable[Metric]:
--- a/ashdock/net/rate_limiter.py
+++ b/ashdock/net/rate_limiter.py
@@ -169,7 +169,7 @@
                     continue
                 granted.set_result(None)
                 self._count_overtaking(priority, first.amount)
-            self.queues[priority].leave(first)
+            self.queues[priority].remove_first(first)
 
     def _priority_of_first(self, priority: RequestPriority) -> RequestPriority:
         """Of the first in a queue: a background request that is overdue need not leave the reserve."""
@@ -202,7 +202,7 @@
         if team is None:
             queued = sum(self._queued_at(other) for other in self.queues if other <= priority)
         else:
-            ahead = self.queues[priority].ahead_of(team)
+            ahead = self.queues[priority].requests_ahead_of(team)
             queued = sum(waiting.amount for waiting in ahead if not waiting.item.done())
         return max(0.0, (queued - self.tokens) / self.per_s)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -192,7 +192,7 @@
     assert (asked and (asked.status, asked.retry_after)) == question
     assert (submitted and (submitted.status, submitted.retry_after)) == submission
     for _ in range(20):
-        desk.hot_tenants.comes("red", 10.0)
+        desk.hot_tenants.record_submission("red", 10.0)
     assert (
         desk.question(10.0, "red") is not None,
         desk.submission(line, 10.0, "red") is not None,
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -105,7 +105,7 @@
     order: dict[str, list[int]] = {}
     while line:
         first = line.first()
-        line.leave(first)
+        line.remove_first(first)
         had[first.team] += first.amount
         order.setdefault(first.team, []).append(first.item)
         for one in line.queues:
@@ -151,11 +151,11 @@
 
 
 def test_each_who_is_told_to_come_back_has_a_moment_of_its_own() -> None:
-    hot_tenants = HotTenantDetector(["hot", "quiet"], fades_s=6.0, most_s=10.0)
-    times = [hot_tenants.returns_in("hot", 0.8, 0.5, 100.0) for _ in range(30)]
+    hot_tenants = HotTenantDetector(["hot", "quiet"], half_life_s=6.0, max_retry_after_s=10.0)
+    times = [hot_tenants.retry_after_s("hot", 0.8, 0.5, 100.0) for _ in range(30)]
     assert times[:8] == [2, 2, 3, 3, 4, 4, 5, 5] and max(times) == 10 and times == sorted(times)
-    assert hot_tenants.returns_in("quiet", 0.2, 0.5, 100.0) == 1
-    assert hot_tenants.returns_in("hot", 0.8, 0.5, 140.0) == 2, "what is over is forgotten"
+    assert hot_tenants.retry_after_s("quiet", 0.2, 0.5, 100.0) == 1
+    assert hot_tenants.retry_after_s("hot", 0.8, 0.5, 140.0) == 2, "what is over is forgotten"
 
 
 HEAT = [  # submissions of late by team -> those that are hot
@@ -169,16 +169,18 @@
 
 @pytest.mark.parametrize(("came", "hot"), HEAT)
 def test_who_is_hot(came: dict[str, int], hot: list[str]) -> None:
-    hot_tenants = HotTenantDetector(["red", "blue", "green"], fades_s=6.0, most_s=10.0)
+    hot_tenants = HotTenantDetector(
+        ["red", "blue", "green"], half_life_s=6.0, max_retry_after_s=10.0
+    )
     for team, number in came.items():
         for _ in range(number):
-            hot_tenants.comes(team, 1.0)
-    assert sorted(team for team in came if hot_tenants.hot(team)) == hot
-    assert set(hot_tenants.came) <= hot_tenants.teams, (
+            hot_tenants.record_submission(team, 1.0)
+    assert sorted(team for team in came if hot_tenants.is_hot(team)) == hot
+    assert set(hot_tenants.recent_submissions) <= hot_tenants.teams, (
         "any name may be sent, and none of them fills a table"
     )
-    hot_tenants.comes("blue", 100.0)
-    assert hot_tenants.hot("blue") and not hot_tenants.hot("red")
+    hot_tenants.record_submission("blue", 100.0)
+    assert hot_tenants.is_hot("blue") and not hot_tenants.is_hot("red")
 
 
 WEIGHTS = [
@@ -231,10 +233,10 @@
     others: dict[str, PeerLoad],
     given: tuple[str, str] | None,
 ) -> None:
-    load_shedder = LoadShedder(beat_s=0.5, patience_s=10.0)
-    assert load_shedder.hand_on(gap_s, ours, leads, others, 0.0) is None, "not at once"
-    assert load_shedder.hand_on(gap_s, ours, leads, others, 10.0) == given
-    assert load_shedder.hand_on(gap_s, ours, leads, others, 15.0) is None, (
+    load_shedder = LoadShedder(heartbeat_interval_s=0.5, patience_s=10.0)
+    assert load_shedder.choose_handover(gap_s, ours, leads, others, 0.0) is None, "not at once"
+    assert load_shedder.choose_handover(gap_s, ours, leads, others, 10.0) == given
+    assert load_shedder.choose_handover(gap_s, ours, leads, others, 15.0) is None, (
         "nor the next one soon after"
     )
 
