--- a/ashdock/admission/connections.py
+++ b/ashdock/admission/connections.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from ashdock.admission.shares import Shares, Use
+from ashdock.admission.shares import Shares, SocketUse
 
 
 class ConnectionPhase(Enum):
@@ -42,23 +42,24 @@
             quiet_s or idle_s
         )  # a worker's connection idle for longer has been left by it
         # By use, those longest without a change of phase first.
-        self.open: dict[Use, OrderedDict[Hashable, _Connection]] = {
-            use: OrderedDict() for use in Use
+        self.open: dict[SocketUse, OrderedDict[Hashable, _Connection]] = {
+            use: OrderedDict() for use in SocketUse
         }
-        self.use: dict[Hashable, Use] = {}
-        self.ended: Counter[tuple[Use, str]] = Counter()  # by use and why, since the start
+        self.use: dict[Hashable, SocketUse] = {}
+        self.ended: Counter[tuple[SocketUse, str]] = Counter()  # by use and why, since the start
 
     def __len__(self) -> int:
         return len(self.use)
 
-    def count(self, use: Use) -> int:
+    def count(self, use: SocketUse) -> int:
         return len(self.open[use])
 
     @property
     def short(self) -> bool:
         """Whether somebody's connections are ended for want of places."""
         return (
-            self.count(Use.WORKER) >= self.shares.workers_most(self.count(Use.USER))
+            self.count(SocketUse.WORKER)
+            >= self.shares.max_worker_connections(self.count(SocketUse.USER))
             or len(self) >= self.shares.inbound
         )
 
@@ -71,18 +72,18 @@
         if len(self) >= self.shares.inbound:
             instead = self._dispensable(now)
             if instead is None:
-                self.ended[Use.NEW, "refused"] += 1
+                self.ended[SocketUse.NEW, "refused"] += 1
                 return Arrival(False)
             self._end(instead, "made place")
-        self.use[key] = Use.NEW
-        self.open[Use.NEW][key] = _Connection(now)
+        self.use[key] = SocketUse.NEW
+        self.open[SocketUse.NEW][key] = _Connection(now)
         return Arrival(True, instead)
 
     def asks(self, key: Hashable, now: float) -> None:
         """The first bytes of a request have come."""
         self._change(key, ConnectionPhase.ASKING, now)
 
-    def told(self, key: Hashable, use: Use) -> bool:
+    def told(self, key: Hashable, use: SocketUse) -> bool:
         """The request is here: what it is for. False: no place is left for that, and it is to be told so."""
         before = self.use.get(key)
         if before is None:
@@ -90,7 +91,7 @@
         if before is not use:
             self.open[use][key] = self.open[before].pop(key)
             self.use[key] = use
-        if use is Use.USER and self.count(use) > self.shares.users_most():
+        if use is SocketUse.USER and self.count(use) > self.shares.max_user_connections():
             self.ended[use, "refused"] += 1
             return False
         return True
@@ -101,11 +102,11 @@
         if use is None:
             return False
         keep = True
-        if use is Use.WORKER:
-            keep = self.count(use) <= self.shares.workers_most(self.count(Use.USER))
-        elif use is Use.USER:
+        if use is SocketUse.WORKER:
+            keep = self.count(use) <= self.shares.max_worker_connections(self.count(SocketUse.USER))
+        elif use is SocketUse.USER:
             # Before users have to be refused theirs are closed as well, once an answer is given.
-            keep = self.count(use) <= self.shares.users_most() * 7 // 8
+            keep = self.count(use) <= self.shares.max_user_connections() * 7 // 8
         if not keep:
             self.ended[use, "after an answer"] += 1
         self._change(key, ConnectionPhase.WAITING if keep else ConnectionPhase.LEAVING, now)
@@ -121,7 +122,7 @@
         out: list[Hashable] = []
         quiet_s = self.quiet_s if self.short else self.idle_s
         for use, table in self.open.items():
-            idle_s = min(quiet_s, self.idle_s) if use is Use.WORKER else self.idle_s
+            idle_s = min(quiet_s, self.idle_s) if use is SocketUse.WORKER else self.idle_s
             for key, connection in table.items():
                 age = now - connection.since
                 if age <= min(idle_s, self.slow_s):
@@ -142,12 +143,12 @@
             self.open[use].move_to_end(key)
 
     def _dispensable(self, now: float) -> Hashable | None:
-        key, silent = next(iter(self.open[Use.NEW].items()), (None, None))
+        key, silent = next(iter(self.open[SocketUse.NEW].items()), (None, None))
         if silent is not None and now - silent.since > self.slow_s / 4:
             return key
         # The oldest is the likeliest to have been left by its worker for good.
-        table = self.open[Use.WORKER]
-        if len(table) <= self.shares.certain[Use.WORKER]:
+        table = self.open[SocketUse.WORKER]
+        if len(table) <= self.shares.reserved[SocketUse.WORKER]:
             return None
         return next(
             (
--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -10,7 +10,7 @@
 
 from ashdock.admission.connections import Connections
 from ashdock.admission.processor import Processor
-from ashdock.admission.shares import Use, memory_of, shares_of
+from ashdock.admission.shares import SocketUse, memory_shares, socket_shares
 from ashdock.fairness.hot_tenants import HotTenantDetector
 from ashdock.settings import Shared
 
@@ -77,12 +77,12 @@
             weights,
         )
         self.turned_away: Counter[str] = Counter()  # submissions told to come back, by team
-        self.shares = shares_of(shared.machine_limits.max_connections, peers)
+        self.shares = socket_shares(shared.machine_limits.max_connections, peers)
         # A worker that has not reported for two and a half of its periods reports elsewhere, or not at all.
         self.connections = Connections(
             self.shares, idle_s=60.0, slow_s=10.0, quiet_s=2.5 * shared.workers.report_s
         )
-        self.memory = memory_of(shared.machine_limits.ram_mb, self.shares.inbound)
+        self.memory = memory_shares(shared.machine_limits.ram_mb, self.shares.inbound)
         self.bodies = 0  # bytes of what comes in and is answered
         self.processor = Processor(fades_s=shared.workers.report_s / 2)
         self.shortages = {what: _Shortage(what) for what in Short}
@@ -137,9 +137,11 @@
         """The answer to whom there is no place for."""
         return self._refuse("connection", Short.SOCKETS, 503, "no connection to spare", 1, now)
 
-    def body(self, size: int, use: Use) -> bool:
+    def body(self, size: int, use: SocketUse) -> bool:
         """Whether so many bytes more may come in; they count until `body_done`. A quarter is for workers' reports alone: leases hang on them."""
-        most = self.memory.bodies if use is Use.WORKER else self.memory.bodies * 3 // 4
+        most = (
+            self.memory.body_bytes if use is SocketUse.WORKER else self.memory.body_bytes * 3 // 4
+        )
         if self.bodies + size > most:
             return False
         self.bodies += size
@@ -165,13 +167,13 @@
         if of is Short.PROCESSOR:
             return f"answers wait {self.processor.late_s(now):.2f} s; questions go first, then submissions"
         if of is Short.MEMORY:
-            return f"{self.bodies} of {self.memory.bodies} bytes of requests have come in or are being answered"
+            return f"{self.bodies} of {self.memory.body_bytes} bytes of requests have come in or are being answered"
         if of is Short.WRITES:
             return f"what users submit waits {self.line_s:.2f} s to be written"
-        connections, users = self.connections, self.connections.count(Use.USER)
+        connections, users = self.connections, self.connections.count(SocketUse.USER)
         return (
-            f"{len(connections)} of {self.shares.inbound} connections, {users} users' (of {self.shares.users_most()}), "
-            f"{connections.count(Use.WORKER)} workers' (of {self.shares.workers_most(users)}); workers' are closed after their answers"
+            f"{len(connections)} of {self.shares.inbound} connections, {users} users' (of {self.shares.max_user_connections()}), "
+            f"{connections.count(SocketUse.WORKER)} workers' (of {self.shares.max_worker_connections(users)}); workers' are closed after their answers"
         )
 
     def tick(self, late_s: float, now: float) -> None:
--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Use(Enum):
+class SocketUse(Enum):
     """What a socket is for."""
 
     NEW = "new"  # has connected, and not said yet what it wants
@@ -14,9 +14,9 @@
     PROBE = "probes"  # /ready and /metrics
     WORKER = "workers"
     MESH = "mesh"
-    STATE = "state"
+    STORE = "state"
     CLOUD = "cloud"
-    ORDERS = "orders"  # ours to workers
+    COMMANDS = "orders"  # ours to workers
 
     # Members are told apart by identity. Hashing their names instead, fifteen times a report, was a twelfth of answering one.
     __hash__ = object.__hash__
@@ -24,14 +24,14 @@
 
 # Of the limit, places that nobody else may take, and the least that makes sense. What is left of the limit after all of them is for
 # users before workers: a worker's connection can be opened anew for each report, a user's cannot without its user noticing.
-CERTAIN = {
-    Use.NEW: (1 / 16, 2),
-    Use.USER: (1 / 4, 2),
-    Use.PROBE: (1 / 64, 1),
-    Use.WORKER: (1 / 4, 2),
-    Use.STATE: (1 / 16, 4),
-    Use.CLOUD: (1 / 64, 2),
-    Use.ORDERS: (1 / 8, 1),
+RESERVED = {
+    SocketUse.NEW: (1 / 16, 2),
+    SocketUse.USER: (1 / 4, 2),
+    SocketUse.PROBE: (1 / 64, 1),
+    SocketUse.WORKER: (1 / 4, 2),
+    SocketUse.STORE: (1 / 16, 4),
+    SocketUse.CLOUD: (1 / 64, 2),
+    SocketUse.COMMANDS: (1 / 8, 1),
 }
 SPARE = 1 / 32  # for the listening ends, what the interpreter holds open, and what is on its way
 LEAST_SPARE = 4
@@ -42,52 +42,56 @@
     """Places for each use. `inbound` is what all that connects to us may hold together."""
 
     limit: int
-    certain: dict[Use, int]
+    reserved: dict[SocketUse, int]
     inbound: int
 
-    def users_most(self) -> int:
+    def max_user_connections(self) -> int:
         return max(
-            self.inbound - sum(self.certain[use] for use in (Use.NEW, Use.PROBE, Use.WORKER)),
-            self.certain[Use.USER],
+            self.inbound
+            - sum(self.reserved[use] for use in (SocketUse.NEW, SocketUse.PROBE, SocketUse.WORKER)),
+            self.reserved[SocketUse.USER],
         )
 
-    def workers_most(self, users: int) -> int:
-        """How many workers' connections may stay open while users have so many: what is certain, and half of what users do not
+    def max_worker_connections(self, users: int) -> int:
+        """How many workers' connections may stay open while users have so many: what is reserved, and half of what users do not
         need beyond that. The other half is for all who come back at once: after a freeze or a cut each worker connects anew while
         what it left has not been noticed, and 1,775 of 1,937 sockets were in use."""
         rest = (
             self.inbound
-            - self.certain[Use.NEW]
-            - self.certain[Use.PROBE]
-            - max(users, self.certain[Use.USER])
+            - self.reserved[SocketUse.NEW]
+            - self.reserved[SocketUse.PROBE]
+            - max(users, self.reserved[SocketUse.USER])
         )
-        return self.certain[Use.WORKER] + max(rest - self.certain[Use.WORKER], 0) // 2
+        return self.reserved[SocketUse.WORKER] + max(rest - self.reserved[SocketUse.WORKER], 0) // 2
 
 
-def shares_of(limit: int, peers: int) -> Shares:
+def socket_shares(limit: int, peers: int) -> Shares:
     """Divide `limit` sockets of a controller with so many others."""
-    certain = {use: max(int(limit * ratio), least) for use, (ratio, least) in CERTAIN.items()}
-    certain[Use.MESH] = LINKS * (peers + 1)
-    ours = sum(certain[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS, Use.MESH)) + max(
-        int(limit * SPARE), LEAST_SPARE
-    )
-    return Shares(limit, certain, max(limit - ours, 4))
+    reserved = {use: max(int(limit * ratio), least) for use, (ratio, least) in RESERVED.items()}
+    reserved[SocketUse.MESH] = LINKS * (peers + 1)
+    ours = sum(
+        reserved[use]
+        for use in (SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS, SocketUse.MESH)
+    ) + max(int(limit * SPARE), LEAST_SPARE)
+    return Shares(limit, reserved, max(limit - ours, 4))
 
 
-def plain(limit: int) -> Shares:
+def undivided_shares(limit: int) -> Shares:
     """All for whoever comes: for an end that serves one kind of caller."""
-    return Shares(limit, dict.fromkeys(Use, limit), limit)
+    return Shares(limit, dict.fromkeys(SocketUse, limit), limit)
 
 
-def least_connections(peers: int) -> int:
+def min_connections(peers: int) -> int:
     """The smallest limit that leaves a place for each use besides what we need ourselves."""
-    least = {use: number for use, (_, number) in CERTAIN.items()}
+    least = {use: number for use, (_, number) in RESERVED.items()}
     ours = (
-        sum(least[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS))
+        sum(least[use] for use in (SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS))
         + LINKS * (peers + 1)
         + LEAST_SPARE
     )
-    return ours + sum(least[use] for use in (Use.NEW, Use.USER, Use.PROBE, Use.WORKER))
+    return ours + sum(
+        least[use] for use in (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
+    )
 
 
 # Of the memory that the settings give, for each thing that grows with those who ask. What a start needs, the records of the fleet and the jobs
@@ -95,19 +99,25 @@
 BODIES = 1 / 8  # of requests that come in or are being answered
 BUFFERS = 1 / 8  # what all connections may hold that has not been read
 REMEMBERED = 1 / 8  # jobs that have ended, and revisions of others
-JOB_BYTES = 512  # of one that is remembered
-MOST_JOBS = 20_000  # that are remembered, however much memory there is
-LEAST_BUFFER, MOST_BUFFER = 2 * 1024, 64 * 1024
+CACHED_JOB_BYTES = 512  # of one that is remembered
+MAX_CACHED_JOBS = 20_000  # that are remembered, however much memory there is
+MIN_BUFFER_BYTES, MAX_BUFFER_BYTES = 2 * 1024, 64 * 1024
 
 
 class Memory(NamedTuple):
-    bodies: int  # bytes
-    buffer: int  # bytes of a connection: its reader stops reading at twice that
-    jobs: int
+    body_bytes: int  # bytes
+    buffer_bytes: int  # bytes of a connection: its reader stops reading at twice that
+    cached_jobs: int
 
 
-def memory_of(ram_mb: float, inbound: int) -> Memory:
+def memory_shares(ram_mb: float, inbound: int) -> Memory:
     """Divide a controller's memory (MB) with so many connections to it at most."""
     whole = ram_mb * 2**20
-    buffer = int(min(max(whole * BUFFERS / (2 * max(inbound, 1)), LEAST_BUFFER), MOST_BUFFER))
-    return Memory(int(whole * BODIES), buffer, int(min(whole * REMEMBERED / JOB_BYTES, MOST_JOBS)))
+    buffer = int(
+        min(max(whole * BUFFERS / (2 * max(inbound, 1)), MIN_BUFFER_BYTES), MAX_BUFFER_BYTES)
+    )
+    return Memory(
+        int(whole * BODIES),
+        buffer,
+        int(min(whole * REMEMBERED / CACHED_JOB_BYTES, MAX_CACHED_JOBS)),
+    )
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -9,7 +9,7 @@
 from typing import get_args
 
 from ashdock.admission.control import Admission
-from ashdock.admission.shares import Use
+from ashdock.admission.shares import SocketUse
 from ashdock.background_tasks import BackgroundTasks, TimerLateness, run_periodically
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
 from ashdock.cancellation.knowledge import CancellationKnowledge
@@ -203,21 +203,21 @@
         self.cluster_version = ClusterVersion(self)
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
-        sockets = self.admission.shares.certain
+        sockets = self.admission.shares.reserved
         self.store = StoreClient(
             *address(settings.outside.state, "outside.state"),
             self.shared,
             self.write_limits,
-            sockets[Use.STATE],
+            sockets[SocketUse.STORE],
             weights,
         )
         self.cloud = CloudClient(
-            *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[Use.CLOUD]
+            *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[SocketUse.CLOUD]
         )
         self.worker_client = WorkerClient(
             self.workers.lease_s / COMMANDS_PER_AGENT_LEASE,
             IDLE_HEARTBEATS * self.workers.report_s,
-            sockets[Use.ORDERS],
+            sockets[SocketUse.COMMANDS],
         )
         self.background_tasks = BackgroundTasks()
         self.background = self.background_tasks.tasks
@@ -431,5 +431,5 @@
             lambda: refused(admission.no_place(time.monotonic())),
             admission,
             lambda: refused(admission.no_memory(time.monotonic())),
-            admission.memory.buffer,
+            admission.memory.buffer_bytes,
         )
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from ashdock.admission.control import Admission, Refusal
-from ashdock.admission.shares import Use
+from ashdock.admission.shares import SocketUse
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
 from ashdock.core.job import fitting, job_record, spec_of_record
 from ashdock.core.machine import capacity
@@ -59,12 +59,12 @@
     return error(refusal.status, refusal.why, refusal.retry_after)
 
 
-def use_of(target: str) -> Use:
+def use_of(target: str) -> SocketUse:
     """What a connection is for, by what is asked over it."""
     path = target.partition("?")[0]
     if path == "/checkin":
-        return Use.WORKER
-    return Use.PROBE if path in ("/ready", "/metrics") else Use.USER
+        return SocketUse.WORKER
+    return SocketUse.PROBE if path in ("/ready", "/metrics") else SocketUse.USER
 
 
 class Answering(Protocol):
@@ -144,7 +144,7 @@
         self.reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.looking: set[str] = set()  # jobs that others need, being looked up to tell who asks
         self.status_reader = StatusReader(
-            context.store, ANSWER_S, self.saw, context.admission.memory.jobs
+            context.store, ANSWER_S, self.saw, context.admission.memory.cached_jobs
         )
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
@@ -445,7 +445,7 @@
 
     def _over(self, job_id: str, final: Final) -> None:
         self.finals[job_id] = final
-        if len(self.finals) > self.context.admission.memory.jobs:  # the rest are read again
+        if len(self.finals) > self.context.admission.memory.cached_jobs:  # the rest are read again
             self.finals.popitem(last=False)
 
     def is_final(self, job_id: str) -> bool:
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -13,7 +13,7 @@
 import h11
 
 from ashdock.admission.connections import Connections
-from ashdock.admission.shares import Use, plain
+from ashdock.admission.shares import SocketUse, undivided_shares
 from ashdock.net import heads
 
 log = logging.getLogger("ashdock.http")
@@ -48,7 +48,7 @@
 class Bodies(Protocol):
     """Who tells how many bytes of bodies may be here at once."""
 
-    def body(self, size: int, use: Use) -> bool: ...
+    def body(self, size: int, use: SocketUse) -> bool: ...
 
     def body_done(self, size: int) -> None: ...
 
@@ -89,8 +89,8 @@
     return head + answer.body if body else head
 
 
-def all_alike(target: str) -> Use:
-    return Use.USER
+def all_alike(target: str) -> SocketUse:
+    return SocketUse.USER
 
 
 def no_place() -> Answer:
@@ -99,7 +99,7 @@
 
 def plain_connections(most: int, idle_s: float = 60.0, slow_s: float = 10.0) -> Connections:
     """One that tells no callers apart."""
-    return Connections(plain(most), idle_s, slow_s)
+    return Connections(undivided_shares(most), idle_s, slow_s)
 
 
 class Server:
@@ -113,7 +113,7 @@
         self,
         handler: Handler,
         connections: Connections,
-        use_of: Callable[[str], Use] = all_alike,
+        use_of: Callable[[str], SocketUse] = all_alike,
         refused: Callable[[], Answer] = no_place,
         bodies: Bodies | None = None,
         full: Callable[[], Answer] = no_place,
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -14,7 +14,7 @@
 from prometheus_client.registry import Collector
 
 from ashdock.admission.control import Admission
-from ashdock.admission.shares import Use
+from ashdock.admission.shares import SocketUse
 from ashdock.cluster_version import ClusterVersion
 from ashdock.core.duration_histogram import DurationHistogram
 from ashdock.core.shard import Shard
@@ -259,18 +259,21 @@
             context.admission.connections,
             time.monotonic(),
         )
-        held = {use: connections.count(use) for use in (Use.NEW, Use.USER, Use.PROBE, Use.WORKER)}
+        held = {
+            use: connections.count(use)
+            for use in (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
+        }
         held |= {
-            Use.MESH: len(context.mesh.links)
+            SocketUse.MESH: len(context.mesh.links)
             + sum(peer.writer is not None for peer in context.mesh.peers.values()),
-            Use.STATE: context.store.sockets,
-            Use.CLOUD: context.cloud.client.sockets,
-            Use.ORDERS: context.worker_client.sockets,
+            SocketUse.STORE: context.store.sockets,
+            SocketUse.CLOUD: context.cloud.client.sockets,
+            SocketUse.COMMANDS: context.worker_client.sockets,
         }
         most = {
-            **admission.shares.certain,
-            Use.USER: admission.shares.users_most(),
-            Use.WORKER: admission.shares.workers_most(held[Use.USER]),
+            **admission.shares.reserved,
+            SocketUse.USER: admission.shares.max_user_connections(),
+            SocketUse.WORKER: admission.shares.max_worker_connections(held[SocketUse.USER]),
         }
         sockets = GaugeMetricFamily("ashdock_sockets", "sockets held, by what for", labels=["use"])
         shares = GaugeMetricFamily(
--- a/ashdock/settings.py
+++ b/ashdock/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from ashdock.admission.shares import least_connections
+from ashdock.admission.shares import min_connections
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
@@ -196,7 +196,7 @@
     others = raw.get("others")
     leasts = {
         "ram_mb": START_MB,
-        "max_connections": float(least_connections(len(others) if isinstance(others, list) else 0)),
+        "max_connections": float(min_connections(len(others) if isinstance(others, list) else 0)),
     }
     if isinstance(lease_s, int | float) and lease_s > 0:
         leasts["core_share"] = min(START_CORE_S / lease_s, 1.0)
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -41,7 +41,7 @@
         return peer_messages.ForwardReply(1, answer[0], to_bytes(answer[1])) if answer else None
 
     admission = SimpleNamespace(
-        memory=SimpleNamespace(jobs=10),
+        memory=SimpleNamespace(cached_jobs=10),
         submission=lambda *words: None,
         question=lambda *words: None,
     )
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -89,7 +89,7 @@
 
     def __init__(self) -> None:
         self.told: list[Plain] = []
-        self.admission = SimpleNamespace(memory=SimpleNamespace(jobs=10))
+        self.admission = SimpleNamespace(memory=SimpleNamespace(cached_jobs=10))
 
     def learn(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """Nothing is remembered here."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,13 +14,13 @@
 from ashdock.admission.control import Admission, Short
 from ashdock.admission.processor import Processor, pass_share, pause_s
 from ashdock.admission.shares import (
-    JOB_BYTES,
-    LEAST_BUFFER,
-    MOST_BUFFER,
-    MOST_JOBS,
-    Use,
-    memory_of,
-    shares_of,
+    CACHED_JOB_BYTES,
+    MAX_BUFFER_BYTES,
+    MAX_CACHED_JOBS,
+    MIN_BUFFER_BYTES,
+    SocketUse,
+    memory_shares,
+    socket_shares,
 )
 from ashdock.front import Final, use_of
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server
@@ -35,24 +35,30 @@
 @pytest.mark.parametrize("limit", [16, 64, 400, 1200, 1937, 20_000])
 @pytest.mark.parametrize("peers", [0, 2, 8])
 def test_shares_stay_within_the_limit(limit: int, peers: int) -> None:
-    shares = shares_of(limit, peers)
+    shares = socket_shares(limit, peers)
     if limit >= 400:
-        ours = sum(shares.certain[use] for use in (Use.MESH, Use.STATE, Use.CLOUD, Use.ORDERS))
+        ours = sum(
+            shares.reserved[use]
+            for use in (SocketUse.MESH, SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS)
+        )
         assert shares.inbound + ours < limit
-        inbound = (Use.NEW, Use.USER, Use.PROBE, Use.WORKER)
-        assert sum(shares.certain[use] for use in inbound) <= shares.inbound
-    assert shares.users_most() >= 2 and shares.workers_most(10**6) == shares.certain[Use.WORKER]
+        inbound = (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
+        assert sum(shares.reserved[use] for use in inbound) <= shares.inbound
+    assert (
+        shares.max_user_connections() >= 2
+        and shares.max_worker_connections(10**6) == shares.reserved[SocketUse.WORKER]
+    )
 
 
-def filled(connections: Connections, **counts: int) -> dict[Use, list[str]]:
+def filled(connections: Connections, **counts: int) -> dict[SocketUse, list[str]]:
     """So many waiting connections of each use, the first the oldest."""
-    out: dict[Use, list[str]] = {}
+    out: dict[SocketUse, list[str]] = {}
     for label, number in counts.items():
-        use = Use(label)
+        use = SocketUse(label)
         for n in range(number):
             key = f"{label}{n}"
             assert connections.arrive(key, n * 0.001).admitted
-            if use is not Use.NEW:
+            if use is not SocketUse.NEW:
                 assert connections.told(key, use)
                 connections.answered(key, n * 0.001)
             out.setdefault(use, []).append(key)
@@ -61,9 +67,14 @@
 
 def limited(inbound: int) -> Connections:
     """Of so many places 1/4 each for users and workers, 1/16 for those who have not said."""
-    shares = shares_of(400, 2)._replace(inbound=inbound)
-    for use, ratio in {Use.NEW: 16, Use.USER: 4, Use.WORKER: 4, Use.PROBE: 64}.items():
-        shares.certain[use] = max(inbound // ratio, 1)
+    shares = socket_shares(400, 2)._replace(inbound=inbound)
+    for use, ratio in {
+        SocketUse.NEW: 16,
+        SocketUse.USER: 4,
+        SocketUse.WORKER: 4,
+        SocketUse.PROBE: 64,
+    }.items():
+        shares.reserved[use] = max(inbound // ratio, 1)
     return Connections(shares, idle_s=60.0, slow_s=10.0, quiet_s=2.5)
 
 
@@ -85,15 +96,17 @@
     connections = limited(100)
     filled(connections, users=users, workers=workers)
     connections.arrive("w", 1.0)
-    assert connections.told("w", Use.WORKER) and connections.answered("w", 1.0) is worker_keeps
+    assert (
+        connections.told("w", SocketUse.WORKER) and connections.answered("w", 1.0) is worker_keeps
+    )
     connections.left("w")
     connections.arrive("u", 1.0)
-    assert connections.told("u", Use.USER) and connections.answered("u", 1.0) is user_keeps
+    assert connections.told("u", SocketUse.USER) and connections.answered("u", 1.0) is user_keeps
 
 
 def test_when_all_places_are_taken_the_oldest_idle_worker_goes() -> None:
     connections = limited(100)
-    keys = filled(connections, users=20, workers=78)[Use.WORKER]
+    keys = filled(connections, users=20, workers=78)[SocketUse.WORKER]
     connections.asks(keys[0], 2.0)  # the oldest is at it: its report is not thrown away
     for n in range(2):
         assert connections.arrive(f"late{n}", 2.0) == (True, None)
@@ -104,20 +117,21 @@
     connections = limited(100)
     filled(connections, users=68, workers=25, new=7)
     assert (
-        not connections.arrive("more", 2.0).admitted and connections.ended[Use.NEW, "refused"] == 1
+        not connections.arrive("more", 2.0).admitted
+        and connections.ended[SocketUse.NEW, "refused"] == 1
     )
 
 
 def test_users_are_refused_only_beyond_all_that_workers_can_spare() -> None:
     connections = limited(100)
-    keys = filled(connections, users=connections.shares.users_most())[Use.USER]
+    keys = filled(connections, users=connections.shares.max_user_connections())[SocketUse.USER]
     connections.arrive("one", 1.0)
-    assert not connections.told("one", Use.USER)
+    assert not connections.told("one", SocketUse.USER)
     connections.left("one")
     connections.left(keys[0])
     connections.arrive("two", 1.0)
-    assert connections.told("two", Use.USER)
-    assert not connections.told("never came", Use.USER) and not connections.answered(
+    assert connections.told("two", SocketUse.USER)
+    assert not connections.told("never came", SocketUse.USER) and not connections.answered(
         "never came", 1.0
     )
 
@@ -142,9 +156,9 @@
     if phase is ConnectionPhase.ASKING:
         connections.asks(f"{label}0", 0.0)
     if short:
-        for n in range(connections.shares.workers_most(0)):
+        for n in range(connections.shares.max_worker_connections(0)):
             connections.arrive(n, 100.0)
-            connections.told(n, Use.WORKER)
+            connections.told(n, SocketUse.WORKER)
             connections.answered(n, 100.0)
     assert (f"{label}0" in connections.overdue(age)) is ended
     assert (f"{label}0" in connections.use) is not ended
@@ -221,14 +235,14 @@
 @pytest.mark.parametrize(
     ("target", "use"),
     [
-        ("/checkin", Use.WORKER),
-        ("/ready", Use.PROBE),
-        ("/metrics?x=1", Use.PROBE),
-        ("/v2/runs", Use.USER),
-        ("/nonsense", Use.USER),
+        ("/checkin", SocketUse.WORKER),
+        ("/ready", SocketUse.PROBE),
+        ("/metrics?x=1", SocketUse.PROBE),
+        ("/v2/runs", SocketUse.USER),
+        ("/nonsense", SocketUse.USER),
     ],
 )
-def test_use_of(target: str, use: Use) -> None:
+def test_use_of(target: str, use: SocketUse) -> None:
     assert use_of(target) is use
 
 
@@ -371,15 +385,15 @@
     [(32.0, 8), (110.0, 755), (110.0, 1133), (194.0, 1033), (4096.0, 1000), (64.0, 100_000)],
 )
 def test_what_may_grow_has_a_share_of_the_memory(ram_mb: float, inbound: int) -> None:
-    memory = memory_of(ram_mb, inbound)
+    memory = memory_shares(ram_mb, inbound)
     whole = ram_mb * 2**20
     assert (
-        memory.bodies == int(whole / 8)
-        and 0 < memory.jobs * JOB_BYTES <= whole / 8
-        and memory.jobs <= MOST_JOBS
+        memory.body_bytes == int(whole / 8)
+        and 0 < memory.cached_jobs * CACHED_JOB_BYTES <= whole / 8
+        and memory.cached_jobs <= MAX_CACHED_JOBS
     )
-    assert LEAST_BUFFER <= memory.buffer <= MOST_BUFFER
-    assert memory.buffer == LEAST_BUFFER or 2 * memory.buffer * inbound <= whole / 8
+    assert MIN_BUFFER_BYTES <= memory.buffer_bytes <= MAX_BUFFER_BYTES
+    assert memory.buffer_bytes == MIN_BUFFER_BYTES or 2 * memory.buffer_bytes * inbound <= whole / 8
 
 
 def test_a_job_that_is_remembered_is_no_larger_than_counted() -> None:
@@ -393,7 +407,10 @@
         )
         for n in range(2000)
     }
-    assert asizeof.asizeof(finals) / 2000 < JOB_BYTES and asizeof.asizeof(known) / 2000 < JOB_BYTES
+    assert (
+        asizeof.asizeof(finals) / 2000 < CACHED_JOB_BYTES
+        and asizeof.asizeof(known) / 2000 < CACHED_JOB_BYTES
+    )
 
 
 def test_bodies_beyond_the_memory_are_told_to_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -402,7 +419,7 @@
     async def day(service: Service) -> None:
         controller = service.controllers[0]
         await service.submit(job(1, shares=2))
-        controller.admission.memory = controller.admission.memory._replace(bodies=400_000)
+        controller.admission.memory = controller.admission.memory._replace(body_bytes=400_000)
         said: list[bytes] = []
 
         async def half() -> None:
