--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -80,7 +80,10 @@
         self.shares = socket_shares(shared.machine_limits.max_connections, peers)
         # A worker that has not reported for two and a half of its periods reports elsewhere, or not at all.
         self.connections = Connections(
-            self.shares, idle_s=60.0, slow_s=10.0, quiet_s=2.5 * shared.workers.report_s
+            self.shares,
+            idle_s=60.0,
+            request_timeout_s=10.0,
+            worker_stale_after_s=2.5 * shared.workers.report_s,
         )
         self.memory = memory_shares(shared.machine_limits.ram_mb, self.shares.inbound)
         self.bodies = 0  # bytes of what comes in and is answered
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -145,12 +145,12 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(self.connections.slow_s / 4)
-            for writer in self.connections.overdue(time.monotonic()):
+            await asyncio.sleep(self.connections.request_timeout_s / 4)
+            for writer in self.connections.end_overdue(time.monotonic()):
                 writer.transport.abort()  # type: ignore[attr-defined]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        arrival = self.connections.arrive(writer, time.monotonic())
+        arrival = self.connections.admit(writer, time.monotonic())
         if not arrival.admitted:
             # Full: say so at once rather than let the connection hang.
             answer = self.refused()
@@ -158,8 +158,8 @@
             writer.write(head.encode() + b"Content-Length: 0\r\nConnection: close\r\n\r\n")
             writer.close()
             return
-        if arrival.instead is not None:
-            arrival.instead.transport.abort()  # type: ignore[attr-defined]
+        if arrival.evicted is not None:
+            arrival.evicted.transport.abort()  # type: ignore[attr-defined]
         self.open.add(writer)
         try:
             ahead: bytes | None = b""
@@ -172,7 +172,7 @@
             self._refuse(writer, str(why))
         finally:
             self._let_go(writer)
-            self.connections.left(writer)
+            self.connections.connection_closed(writer)
             self.open.discard(writer)
             writer.close()
 
@@ -203,7 +203,7 @@
             if not data and connection.their_state is h11.IDLE:
                 raise EOFError
             connection.receive_data(data)
-            self.connections.asks(writer, time.monotonic())
+            self.connections.data_received(writer, time.monotonic())
 
     async def _one(
         self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -213,7 +213,7 @@
             ahead = await reader.read(MOST_BODY)
             if not ahead:
                 return None
-            self.connections.asks(writer, time.monotonic())
+            self.connections.data_received(writer, time.monotonic())
         try:
             known = heads.request_of(ahead)
             received = await (
@@ -230,12 +230,14 @@
         if received is None:
             return None
         request = received.request
-        if not self.connections.told(writer, self.use_of(request.target)):
+        if not self.connections.request_received(writer, self.use_of(request.target)):
             await self._last(writer, self.refused())
             return None
         answer = await self._answer(request)
         # Whose connections have outgrown their share is told to close it together with the answer: no request is on its way then.
-        unleased = self.connections.answered(writer, time.monotonic()) and received.unleased
+        unleased = (
+            self.connections.keep_after_response(writer, time.monotonic()) and received.unleased
+        )
         writer.write(message(answer, close=not unleased, body=request.method != "HEAD"))
         await writer.drain()
         return received.ahead if unleased else None
@@ -261,7 +263,7 @@
             data = await reader.read(MOST_BODY)
             if not data:
                 raise h11.RemoteProtocolError("the body is cut short")
-            self.connections.asks(writer, time.monotonic())
+            self.connections.data_received(writer, time.monotonic())
             body += data
         return Received(
             Request(head.method.decode("ascii"), head.target, body[: head.length]),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -57,10 +57,10 @@
         use = SocketUse(label)
         for n in range(number):
             key = f"{label}{n}"
-            assert connections.arrive(key, n * 0.001).admitted
+            assert connections.admit(key, n * 0.001).admitted
             if use is not SocketUse.NEW:
-                assert connections.told(key, use)
-                connections.answered(key, n * 0.001)
+                assert connections.request_received(key, use)
+                connections.keep_after_response(key, n * 0.001)
             out.setdefault(use, []).append(key)
     return out
 
@@ -75,7 +75,7 @@
         SocketUse.PROBE: 64,
     }.items():
         shares.reserved[use] = max(inbound // ratio, 1)
-    return Connections(shares, idle_s=60.0, slow_s=10.0, quiet_s=2.5)
+    return Connections(shares, idle_s=60.0, request_timeout_s=10.0, worker_stale_after_s=2.5)
 
 
 KEEPS = [  # (users, workers there already) -> whether a worker's and a user's connection stay open after their answer
@@ -95,29 +95,33 @@
 ) -> None:
     connections = limited(100)
     filled(connections, users=users, workers=workers)
-    connections.arrive("w", 1.0)
+    connections.admit("w", 1.0)
     assert (
-        connections.told("w", SocketUse.WORKER) and connections.answered("w", 1.0) is worker_keeps
+        connections.request_received("w", SocketUse.WORKER)
+        and connections.keep_after_response("w", 1.0) is worker_keeps
+    )
+    connections.connection_closed("w")
+    connections.admit("u", 1.0)
+    assert (
+        connections.request_received("u", SocketUse.USER)
+        and connections.keep_after_response("u", 1.0) is user_keeps
     )
-    connections.left("w")
-    connections.arrive("u", 1.0)
-    assert connections.told("u", SocketUse.USER) and connections.answered("u", 1.0) is user_keeps
 
 
 def test_when_all_places_are_taken_the_oldest_idle_worker_goes() -> None:
     connections = limited(100)
     keys = filled(connections, users=20, workers=78)[SocketUse.WORKER]
-    connections.asks(keys[0], 2.0)  # the oldest is at it: its report is not thrown away
+    connections.data_received(keys[0], 2.0)  # the oldest is at it: its report is not thrown away
     for n in range(2):
-        assert connections.arrive(f"late{n}", 2.0) == (True, None)
-    assert [connections.arrive(f"later{n}", 2.0).instead for n in range(2)] == [keys[1], keys[2]]
-    connections.left(keys[1])  # its socket tells its own end afterwards
+        assert connections.admit(f"late{n}", 2.0) == (True, None)
+    assert [connections.admit(f"later{n}", 2.0).evicted for n in range(2)] == [keys[1], keys[2]]
+    connections.connection_closed(keys[1])  # its socket tells its own end afterwards
     assert len(connections) == 100
     # Nobody is thrown out for one that has not said what it wants once workers are down to what is certain.
     connections = limited(100)
     filled(connections, users=68, workers=25, new=7)
     assert (
-        not connections.arrive("more", 2.0).admitted
+        not connections.admit("more", 2.0).admitted
         and connections.ended[SocketUse.NEW, "refused"] == 1
     )
 
@@ -125,27 +129,27 @@
 def test_users_are_refused_only_beyond_all_that_workers_can_spare() -> None:
     connections = limited(100)
     keys = filled(connections, users=connections.shares.max_user_connections())[SocketUse.USER]
-    connections.arrive("one", 1.0)
-    assert not connections.told("one", SocketUse.USER)
-    connections.left("one")
-    connections.left(keys[0])
-    connections.arrive("two", 1.0)
-    assert connections.told("two", SocketUse.USER)
-    assert not connections.told("never came", SocketUse.USER) and not connections.answered(
-        "never came", 1.0
-    )
+    connections.admit("one", 1.0)
+    assert not connections.request_received("one", SocketUse.USER)
+    connections.connection_closed("one")
+    connections.connection_closed(keys[0])
+    connections.admit("two", 1.0)
+    assert connections.request_received("two", SocketUse.USER)
+    assert not connections.request_received(
+        "never came", SocketUse.USER
+    ) and not connections.keep_after_response("never came", 1.0)
 
 
 OVERDUE = [  # (use, phase, age, places short) -> ended
-    ("users", ConnectionPhase.WAITING, 30.0, True, False),
-    ("users", ConnectionPhase.WAITING, 61.0, False, True),
-    ("users", ConnectionPhase.ASKING, 11.0, False, True),
-    ("users", ConnectionPhase.ASKING, 9.0, False, False),
-    ("workers", ConnectionPhase.WAITING, 3.0, False, False),
-    ("workers", ConnectionPhase.WAITING, 3.0, True, True),
-    ("workers", ConnectionPhase.WAITING, 2.0, True, False),
-    ("workers", ConnectionPhase.ASKING, 3.0, True, False),
-    ("new", ConnectionPhase.ASKING, 11.0, False, True),
+    ("users", ConnectionPhase.IDLE, 30.0, True, False),
+    ("users", ConnectionPhase.IDLE, 61.0, False, True),
+    ("users", ConnectionPhase.BUSY, 11.0, False, True),
+    ("users", ConnectionPhase.BUSY, 9.0, False, False),
+    ("workers", ConnectionPhase.IDLE, 3.0, False, False),
+    ("workers", ConnectionPhase.IDLE, 3.0, True, True),
+    ("workers", ConnectionPhase.IDLE, 2.0, True, False),
+    ("workers", ConnectionPhase.BUSY, 3.0, True, False),
+    ("new", ConnectionPhase.BUSY, 11.0, False, True),
 ]
 
 
@@ -153,23 +157,23 @@
 def test_overdue(label: str, phase: ConnectionPhase, age: float, short: bool, ended: bool) -> None:
     connections = limited(100)
     filled(connections, **{label: 1})
-    if phase is ConnectionPhase.ASKING:
-        connections.asks(f"{label}0", 0.0)
+    if phase is ConnectionPhase.BUSY:
+        connections.data_received(f"{label}0", 0.0)
     if short:
         for n in range(connections.shares.max_worker_connections(0)):
-            connections.arrive(n, 100.0)
-            connections.told(n, SocketUse.WORKER)
-            connections.answered(n, 100.0)
-    assert (f"{label}0" in connections.overdue(age)) is ended
+            connections.admit(n, 100.0)
+            connections.request_received(n, SocketUse.WORKER)
+            connections.keep_after_response(n, 100.0)
+    assert (f"{label}0" in connections.end_overdue(age)) is ended
     assert (f"{label}0" in connections.use) is not ended
 
 
 def test_what_comes_in_drop_by_drop_is_slow_all_the_same() -> None:
     connections = limited(100)
-    connections.arrive("drops", 0.0)
+    connections.admit("drops", 0.0)
     for n in range(11):
-        connections.asks("drops", float(n))
-    assert connections.overdue(10.5) == ["drops"]
+        connections.data_received("drops", float(n))
+    assert connections.end_overdue(10.5) == ["drops"]
 
 
 def test_the_processor_is_as_late_as_its_worst_moment_of_late() -> None:
