--- a/ashdock/admission/processor.py
+++ b/ashdock/admission/processor.py
@@ -4,7 +4,9 @@
 
 PASSES = 1 / 2  # of the processor, for the scheduling passes of all shards together
 PASS = 1 / 4  # for those of one shard
-CHOOSING = 1 / 4  # for the leader's choices. The rest is for answers: to workers before users
+LEADER_CPU_SHARE = (
+    1 / 4
+)  # for the leader's choices. The rest is for answers: to workers before users
 
 
 def pause_s(took_s: float, share: float) -> float:
@@ -12,7 +14,7 @@
     return took_s * (1 / share - 1)
 
 
-def pass_share(shards: int) -> float:
+def shard_cpu_share(shards: int) -> float:
     """Of one shard's passes, where so many shards are owned here. With three parts and the lead, a quarter each left nothing for
     the answers that keep their workers' leases."""
     return min(PASS, PASSES / max(shards, 1))
@@ -21,8 +23,8 @@
 class Processor:
     """Fed by a timer: how late it fires is how long whatever comes in has to wait."""
 
-    def __init__(self, fades_s: float) -> None:
-        self.fades_s = fades_s  # in which what was measured loses half its weight
+    def __init__(self, half_life_s: float) -> None:
+        self.half_life_s = half_life_s  # in which what was measured loses half its weight
         self.late = 0.0
         self.at = 0.0
 
@@ -32,4 +34,4 @@
 
     def late_s(self, now: float) -> float:
         """Of late, at the worst."""
-        return float(self.late * 0.5 ** (max(now - self.at, 0.0) / self.fades_s))
+        return float(self.late * 0.5 ** (max(now - self.at, 0.0) / self.half_life_s))
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -428,8 +428,8 @@
             self.front.handle,
             admission.connections,
             use_of,
-            lambda: refused(admission.no_place(time.monotonic())),
+            lambda: refused(admission.refuse_connection(time.monotonic())),
             admission,
-            lambda: refused(admission.no_memory(time.monotonic())),
+            lambda: refused(admission.refuse_body(time.monotonic())),
             admission.memory.buffer_bytes,
         )
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -56,7 +56,7 @@
 
 
 def refused(refusal: Refusal) -> Answer:
-    return error(refusal.status, refusal.why, refusal.retry_after)
+    return error(refusal.status, refusal.reason, refusal.retry_after)
 
 
 def use_of(target: str) -> SocketUse:
@@ -198,7 +198,7 @@
             return error(503, "the state service does not answer", self._retry_after())
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
         writes = context.store.write_limiter
-        refusal_now = context.admission.submission(
+        refusal_now = context.admission.admit_submission(
             writes.backlog_s(RequestPriority.USER, spec.team),
             time.monotonic(),
             spec.team,
@@ -319,7 +319,7 @@
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         remembered = self.status_reader.known.get(job_id)
-        behind = self.context.admission.question(
+        behind = self.context.admission.admit_status_request(
             time.monotonic(), remembered.team if remembered else ""
         )
         if behind:
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, Protocol
 
-from ashdock.admission.processor import CHOOSING, pause_s
+from ashdock.admission.processor import LEADER_CPU_SHARE, pause_s
 from ashdock.core.allocator import (
     Allocator,
     AssignMachine,
@@ -232,7 +232,7 @@
         decisions = self.allocator.decide(machine_views, shard_statuses, now)
         moves = self.allocator.balance(owners, context.fit_members(), shard_statuses, now)
         self._dispatch(decisions + moves)
-        return max(context.tick_s, pause_s(context.now() - now, CHOOSING))
+        return max(context.tick_s, pause_s(context.now() - now, LEADER_CPU_SHARE))
 
     # -- decisions -----------------------------------------------------------------------------
 
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -48,9 +48,9 @@
 class Bodies(Protocol):
     """Who tells how many bytes of bodies may be here at once."""
 
-    def body(self, size: int, use: SocketUse) -> bool: ...
+    def reserve_body(self, size: int, use: SocketUse) -> bool: ...
 
-    def body_done(self, size: int) -> None: ...
+    def release_body(self, size: int) -> None: ...
 
 
 class Answer(NamedTuple):
@@ -179,14 +179,14 @@
     def _holds(self, writer: asyncio.StreamWriter, size: int, target: str) -> None:
         """So many bytes more of a body come over this connection. Raises NoMemory."""
         if size and self.bodies is not None:
-            if not self.bodies.body(size, self.use_of(target)):
+            if not self.bodies.reserve_body(size, self.use_of(target)):
                 raise NoMemory
             self.held[writer] = self.held.get(writer, 0) + size
 
     def _let_go(self, writer: asyncio.StreamWriter) -> None:
         size = self.held.pop(writer, 0)
         if size and self.bodies is not None:
-            self.bodies.body_done(size)
+            self.bodies.release_body(size)
 
     async def _event(
         self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -229,7 +229,7 @@
         )
         admission = self.context.admission
         for team in admission.hot_tenants.teams:
-            away.add_metric([team], admission.turned_away[team])
+            away.add_metric([team], admission.refused_submissions[team])
             hot.add_metric([team], float(admission.hot_tenants.is_hot(team)))
         yield from (share, due, largest, rises, waits, away, hot)
 
@@ -297,7 +297,7 @@
         refused.add_metric(["order", "sockets"], context.worker_client.deferred)
         short = GaugeMetricFamily("ashdock_short", "1 while something runs short", labels=["of"])
         for of, shortage in admission.shortages.items():
-            short.add_metric([of.value], float(shortage.began is not None))
+            short.add_metric([of.value], float(shortage.began_at is not None))
         behind = GaugeMetricFamily(
             "ashdock_writes_behind_seconds",
             "how long what waits to be written will take",
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from ashdock.admission.processor import pass_share, pause_s
+from ashdock.admission.processor import pause_s, shard_cpu_share
 from ashdock.command_sender import CommandSender
 from ashdock.concurrency import StaleContextError, ensure_current
 from ashdock.core.shard import Shard
@@ -361,7 +361,7 @@
         # Cycles get no more than their share of the processor, however large the shard.
         ended_at = self.context.now()
         self.next_cycle_at = ended_at + pause_s(
-            ended_at - now, pass_share(self.context.owned_shard_count())
+            ended_at - now, shard_cpu_share(self.context.owned_shard_count())
         )
 
     def _cycle_due(self, shard: Shard, now: float) -> bool:
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -42,8 +42,8 @@
 
     admission = SimpleNamespace(
         memory=SimpleNamespace(cached_jobs=10),
-        submission=lambda *words: None,
-        question=lambda *words: None,
+        admit_submission=lambda *words: None,
+        admit_status_request=lambda *words: None,
     )
     home = context(
         store,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,8 +11,8 @@
 from pympler import asizeof
 
 from ashdock.admission.connections import ConnectionPhase, Connections
-from ashdock.admission.control import Admission, Short
-from ashdock.admission.processor import Processor, pass_share, pause_s
+from ashdock.admission.control import Admission, Resource
+from ashdock.admission.processor import Processor, pause_s, shard_cpu_share
 from ashdock.admission.shares import (
     CACHED_JOB_BYTES,
     MAX_BUFFER_BYTES,
@@ -184,7 +184,7 @@
         0.5
     )
     assert pause_s(0.1, 1 / 4) == pytest.approx(0.3)
-    assert all(n * pass_share(n) <= 1 / 2 and pass_share(n) <= 1 / 4 for n in range(1, 9))
+    assert all(n * shard_cpu_share(n) <= 1 / 2 and shard_cpu_share(n) <= 1 / 4 for n in range(1, 9))
 
 
 REFUSALS = [  # (seconds late, seconds of writes in line) -> status of a question and of a submission, when to return
@@ -206,18 +206,18 @@
 ) -> None:
     desk = Admission(shared(), 2)
     desk.tick(late, 10.0)
-    asked, submitted = desk.question(10.0), desk.submission(line, 10.0)
+    asked, submitted = desk.admit_status_request(10.0), desk.admit_submission(line, 10.0)
     assert (asked and (asked.status, asked.retry_after)) == question
     assert (submitted and (submitted.status, submitted.retry_after)) == submission
     for _ in range(20):
         desk.hot_tenants.record_submission("red", 10.0)
     assert (
-        desk.question(10.0, "red") is not None,
-        desk.submission(line, 10.0, "red") is not None,
+        desk.admit_status_request(10.0, "red") is not None,
+        desk.admit_submission(line, 10.0, "red") is not None,
     ) == (late > 0.25, late > 0.625 or line > 0.8)
     assert (
-        desk.question(10.0, "blue") is not None,
-        desk.submission(line, 10.0, "blue") is not None,
+        desk.admit_status_request(10.0, "blue") is not None,
+        desk.admit_submission(line, 10.0, "blue") is not None,
     ) == (late > 0.5, late > 1.25 or line > 0.8)
 
 
@@ -227,13 +227,13 @@
     desk = Admission(shared(), 2)
     with caplog.at_level(logging.INFO, "ashdock.admission"):
         for n in range(50):
-            assert desk.submission(2.0, 10.0 + n / 10)
+            assert desk.admit_submission(2.0, 10.0 + n / 10)
             desk.tick(0.0, 10.0 + n / 10)
         for n in range(50):
             desk.tick(0.0, 15.0 + n / 10)
     said = [record.getMessage() for record in caplog.records]
     assert len(said) == 2 and said[0].startswith("short of writes") and "50 were told" in said[1]
-    assert desk.refused["submission", Short.WRITES] == 50
+    assert desk.refused["submission", Resource.WRITES] == 50
 
 
 @pytest.mark.parametrize(
@@ -440,12 +440,12 @@
             b" 503 " in one and b"retry-after: 1" in one.lower() for one in said
         )
         assert (
-            controller.admission.bodies == 300_000
-            and controller.admission.refused["request", Short.MEMORY] == 35
+            controller.admission.held_body_bytes == 300_000
+            and controller.admission.refused["request", Resource.MEMORY] == 35
         )
         assert await service.until_final(["req-000001"], 30) == []
         await asyncio.gather(*calls, return_exceptions=True)  # ended as too slow
-        assert controller.admission.bodies == 0
+        assert controller.admission.held_body_bytes == 0
         assert not any(worker.tenure > 1 for worker in service.world.workers.values())
         assert await service.poll("req-000001", 0) == "done"
 
