--- a/ashdock/fairness/__init__.py
+++ b/ashdock/fairness/__init__.py
@@ -1,1 +1,4 @@
-"""Who is served of what runs short: counted, and divided. Without input or output; docs/fairness.md has the account."""
+"""Fairness between teams and between job classes: accounting, queueing and shedding of load.
+
+Without input or output. The rules are described in docs/fairness.md.
+"""
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -1,8 +1,8 @@
-"""A shard's classes of jobs: how each is served, and which of them falls behind its like.
+"""Boosts the job classes of a shard whose SLO attainment falls behind that of the others.
 
-Priorities, guarantees and limits go before: a class rises only among work of its own priority, and by one job a pass, the one that has
-waited longest. So what rises costs the others one job's room a pass at most, however far it is behind, and is not served at the
-cost of all of theirs.
+Priorities, guarantees and limits take precedence: a class is boosted only among jobs of its own
+priority, and by one job in each scheduling cycle, the one that has waited longest. A boost costs
+the others at most the room of one job in each cycle, however far behind the class is.
 """
 
 from __future__ import annotations
@@ -14,120 +14,169 @@
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, JobCounts, SloAttainment
 from ashdock.settings import Objective
 
-RISES = (
-    MIN_ATTAINMENT * 5 / 4
-)  # a class served less than this rises: before it is a half, of which the users say that it is too little,
-RESTS = MIN_ATTAINMENT * 3 / 2  # until it is served so well
-BETTER = (
-    MIN_ATTAINMENT / 4
-)  # by how much another of its priority has to be served better: where all are late alike, boosted helps nobody
-FEW = 4  # fewer jobs that are due tell nothing
+# A class is boosted below this attainment, so before it reaches what users regard as a failure.
+BOOST_BELOW = MIN_ATTAINMENT * 5 / 4
+BOOST_UNTIL = MIN_ATTAINMENT * 3 / 2  # a class that is boosted stays so below this
+# Another class of the same priority has to be better off by this much. Where all are equally late,
+# a boost helps nobody.
+MIN_LEAD = MIN_ATTAINMENT / 4
+MIN_DUE_JOBS = 4  # the attainment of fewer due jobs says nothing
 
 
-class Ready(Protocol):
-    """What of a waiting job is looked at."""
+class WaitingJob(Protocol):
+    """What is read of a job that waits for machines."""
 
     @property
-    def id(self) -> str: ...
+    def id(self) -> str:
+        """Id of the job."""
 
     @property
-    def job_class(self) -> str: ...
+    def job_class(self) -> str:
+        """Name of its job class."""
 
     @property
-    def priority(self) -> int: ...
+    def priority(self) -> int:
+        """Higher goes first."""
 
     @property
-    def since(self) -> float: ...
+    def since(self) -> float:
+        """When it could first have started."""
 
     @property
-    def doubtful(self) -> bool: ...
+    def doubtful(self) -> bool:
+        """Whether its failures point to a mistake in the job rather than to one machine."""
 
 
 class Classes:
+    """Attainment of each job class of one shard, and the classes that are boosted.
+
+    Attributes:
+        start_targets_s: the longest start target of each class that has any.
+        half_life_s: after which a job that is done counts half.
+        refresh_interval_s: least time between two computations of the attainment.
+        attainment: counts of the jobs.
+        recent_counts: number and summed attainment of due jobs that are done, by class; decaying.
+        class_attainment: attainment of the classes of which enough jobs are due.
+        boosted: classes of which a job may be boosted.
+    """
+
     def __init__(self, objectives: Iterable[Objective], refresh_interval_s: float) -> None:
-        """`refresh_interval_s`: how often the shares are worked out anew."""
-        self.aims: dict[str, float] = {}  # by class: the most lenient for a start
+        """Start without jobs.
+
+        Args:
+            objectives: of all kinds; only start targets of a class are used.
+            refresh_interval_s: least time between two computations of the attainment.
+        """
+        self.start_targets_s: dict[str, float] = {}
         for objective in objectives:
             if objective.kind == "wait" and objective.job_class and objective.within_s:
-                self.aims[objective.job_class] = max(
-                    self.aims.get(objective.job_class, 0.0), objective.within_s
+                self.start_targets_s[objective.job_class] = max(
+                    self.start_targets_s.get(objective.job_class, 0.0), objective.within_s
                 )
-        # What is over counts half after twice the longest aim: a rush is forgotten, but not before its last job was due.
-        self.fades_s = 2 * max(self.aims.values(), default=60.0)
+        # Twice the longest target: a burst is forgotten, but not before its last job was due.
+        self.half_life_s = 2 * max(self.start_targets_s.values(), default=60.0)
         self.refresh_interval_s = refresh_interval_s
         self.refreshed_at = -math.inf
-        self.faded_at = -math.inf
+        self.decayed_at = -math.inf
         self.attainment = SloAttainment()
-        self.recent: dict[
-            str, tuple[float, float]
-        ] = {}  # by class: of jobs that are over, how many were due, and served
-        self.shares: dict[str, float] = {}
+        self.recent_counts: dict[str, tuple[float, float]] = {}
+        self.class_attainment: dict[str, float] = {}
         self.boosted: set[str] = set()
 
     def record_accepted(
-        self, job: str, job_class: str, team: str, tasks: int, since: float, due_at: float
+        self,
+        job_id: str,
+        job_class: str,
+        team: str,
+        tasks: int,
+        startable_at: float,
+        deadline_at: float,
     ) -> None:
-        """Accepted, and free to start."""
+        """Record that a job was accepted and may start from `startable_at` on."""
         self.attainment.record_submitted(
-            job, job_class, team, tasks, since, self.aims.get(job_class, math.inf), due_at
+            job_id,
+            job_class,
+            team,
+            tasks,
+            startable_at,
+            self.start_targets_s.get(job_class, math.inf),
+            deadline_at,
         )
-        self.attainment.record_accepted(job)
+        self.attainment.record_accepted(job_id)
 
-    def record_done(self, job: str, now: float) -> None:
-        over = self.attainment.record_done(job, now)
-        if over is not None:
-            name, row = over
-            due, attained = self.recent.get(name, (0.0, 0.0))
-            self.recent[name] = (due + row.due, attained + row.attained)
+    def record_done(self, job_id: str, now: float) -> None:
+        """Record that a job is done."""
+        closed = self.attainment.record_done(job_id, now)
+        if closed is not None:
+            job_class, counts = closed
+            due, attained = self.recent_counts.get(job_class, (0.0, 0.0))
+            self.recent_counts[job_class] = (due + counts.due, attained + counts.attained)
 
     def refresh(self, now: float) -> dict[str, float]:
-        """Each class's share of late, as far as enough of it is due."""
+        """Compute the attainment of the classes and which are boosted, unless that is recent.
+
+        Returns:
+            Attainment of each class of which at least `MIN_DUE_JOBS` jobs are due.
+        """
         if now - self.refreshed_at < self.refresh_interval_s:
-            return self.shares
+            return self.class_attainment
         self.refreshed_at = now
-        fade = 0.5 ** ((now - self.faded_at) / self.fades_s)
-        self.faded_at = now
-        self.recent = {
-            name: (due * fade, attained * fade)
-            for name, (due, attained) in self.recent.items()
-            if due * fade > 0.1
+        decay = 0.5 ** ((now - self.decayed_at) / self.half_life_s)
+        self.decayed_at = now
+        self.recent_counts = {
+            name: (due * decay, attained * decay)
+            for name, (due, attained) in self.recent_counts.items()
+            if due * decay > 0.1
         }
-        rows: dict[str, JobCounts] = {}
-        for known in self.attainment.open.values():
-            rows[known.job_class] = rows.get(known.job_class, JobCounts()).plus(known.row(now))
-        self.shares = {}
-        for name in {*rows, *self.recent}:
-            due, attained = self.recent.get(name, (0.0, 0.0))
-            row = rows.get(name, JobCounts())
-            if due + row.due >= FEW:
-                self.shares[name] = (attained + row.attained) / (due + row.due)
+        open_counts: dict[str, JobCounts] = {}
+        for job in self.attainment.open_jobs.values():
+            open_counts[job.job_class] = open_counts.get(job.job_class, JobCounts()).plus(
+                job.counts(now)
+            )
+        self.class_attainment = {}
+        for name in {*open_counts, *self.recent_counts}:
+            due, attained = self.recent_counts.get(name, (0.0, 0.0))
+            counts = open_counts.get(name, JobCounts())
+            if due + counts.due >= MIN_DUE_JOBS:
+                self.class_attainment[name] = (attained + counts.attained) / (due + counts.due)
         self.boosted = {
             name
-            for name, share in self.shares.items()
-            if share < (RESTS if name in self.boosted else RISES)
+            for name, attainment in self.class_attainment.items()
+            if attainment < (BOOST_UNTIL if name in self.boosted else BOOST_BELOW)
         }
-        return self.shares
+        return self.class_attainment
 
     def boosted_job_ids(
-        self, waiting: Sequence[Ready], can_run: Iterable[str], now: float
+        self, waiting: Sequence[WaitingJob], runnable_ids: Iterable[str], now: float
     ) -> set[str]:
-        """Jobs that go first of their priority in this pass. `can_run`: those for which there are machines at all; what has none, or is
-        doubtful, is not starved by others, and takes nothing from them."""
-        shares = self.refresh(now)
+        """Return the jobs that go first of their priority in this cycle: at most one of each class.
+
+        Args:
+            waiting: all jobs that wait for machines.
+            runnable_ids: the jobs that fit a machine at all, free or not. One that fits none, or is
+                doubtful, is not kept waiting by other jobs and takes nothing from them. Read only
+                while a class is boosted.
+            now: current time in seconds.
+        """
+        class_attainment = self.refresh(now)
         if not self.boosted:
             return set()
-        like: dict[int, set[str]] = {}
+        classes_by_priority: dict[int, set[str]] = {}
         for job in waiting:
-            like.setdefault(job.priority, set()).add(job.job_class)
-        able = set(can_run)
-        first: dict[tuple[int, str], Ready] = {}
+            classes_by_priority.setdefault(job.priority, set()).add(job.job_class)
+        runnable = set(runnable_ids)
+        longest_waiting: dict[tuple[int, str], WaitingJob] = {}
         for job in waiting:
-            if job.job_class not in self.boosted or job.doubtful or job.id not in able:
+            if job.job_class not in self.boosted or job.doubtful or job.id not in runnable:
                 continue
-            others = [shares.get(name, 1.0) for name in like[job.priority] if name != job.job_class]
+            others = [
+                class_attainment.get(name, 1.0)
+                for name in classes_by_priority[job.priority]
+                if name != job.job_class
+            ]
             key = job.priority, job.job_class
-            if max(others, default=0.0) >= shares[job.job_class] + BETTER and (
-                key not in first or job.since < first[key].since
+            if max(others, default=0.0) >= class_attainment[job.job_class] + MIN_LEAD and (
+                key not in longest_waiting or job.since < longest_waiting[key].since
             ):
-                first[key] = job
-        return {job.id for job in first.values()}
+                longest_waiting[key] = job
+        return {job.id for job in longest_waiting.values()}
--- a/ashdock/fairness/slo_attainment.py
+++ b/ashdock/fairness/slo_attainment.py
@@ -1,12 +1,17 @@
-"""What "served" means, and the count of it, for each class of jobs and each team.
+"""SLO attainment of each job class and each team: how much of what is due was started in time.
 
-A job falls due when the most lenient of its class's aims for a start has gone by since it was submitted, or as soon as all of its
-tasks run; where the class has a deadline instead, when that has gone by, or it is done. It counts as served by the share of its tasks
-that were started by then, or wholly if it was done by its deadline. What is withdrawn by its user never falls due. The share of a
-class, or of a team, is the mean over its jobs that are due: one of a hundred tasks counts as much as one of a single task, since each
-has one user who waits for it.
+With a start target, a job is due once that time has passed since its submission, or once all of its
+tasks have started. With a deadline, it is due when that has passed or when the job is done; with
+both, whichever comes first. A job with neither is due when it is done. A job that its user cancels
+is never due.
 
-A class's largest jobs are counted beside it: wide ones wait longest behind many small ones, and in the mean of a class they hardly show.
+A due job attains the fraction of its tasks that started within the start target, or 1 if it is done
+by its deadline. Without a start target all starts are in time; without a deadline a job that is
+done is always in time. The attainment of a class or a team is the mean over its due jobs. Jobs
+count alike, whether they have one task or a hundred, since each has one user who waits for it.
+
+The largest jobs of a class are also counted on their own: large jobs wait longest behind many small
+ones, and hardly show in the mean of the class.
 """
 
 from __future__ import annotations
@@ -18,30 +23,42 @@
 
 from ashdock.core.duration_histogram import DurationHistogram
 
-MIN_ATTAINMENT = 0.5  # of which the users say that less is a failed day
-FIRST_WAIT_S = 0.25  # the first bound of a histogram of waits; each further one is twice as long
-BOUNDS = 14  # up to about 34 minutes, beyond which all are alike
+MIN_ATTAINMENT = 0.5  # users regard a day with less as failed
+FIRST_BUCKET_S = 0.25  # upper bound of the first bucket; each further bound is twice the one before
+BUCKETS = 14  # up to about 34 minutes; longer waits share one more bucket
 
 
-def width_of(tasks: int) -> int:
-    """Jobs of like size have the same: from each power of two up to the next."""
+def size_bucket(tasks: int) -> int:
+    """Return the same number for jobs of similar size: from each power of two up to the next."""
     return tasks.bit_length()
 
 
 class JobCounts(NamedTuple):
-    submitted: int = 0  # submitted
+    """Numbers of jobs by how far they have come, and the sum of their attainment.
+
+    Attributes:
+        submitted: jobs that were submitted.
+        accepted: jobs whose submission was accepted.
+        started: jobs of which all tasks have started.
+        done: jobs that are done.
+        due: jobs that are due.
+        attained: sum of the attainment of the due jobs, each from 0 to 1.
+    """
+
+    submitted: int = 0
     accepted: int = 0
-    started: int = 0  # all of its tasks have run
+    started: int = 0
     done: int = 0
     due: int = 0
-    attained: float = 0.0  # of those that are due, each by its share
+    attained: float = 0.0
 
     @property
     def attainment(self) -> float:
-        """1 while nothing is due."""
+        """Mean attainment of the due jobs; 1 while none is due."""
         return self.attained / self.due if self.due else 1.0
 
     def plus(self, other: JobCounts) -> JobCounts:
+        """Return the sums of both."""
         return JobCounts(
             self.submitted + other.submitted,
             self.accepted + other.accepted,
@@ -53,32 +70,34 @@
 
 
 @dataclass(slots=True)
-class _Open:
-    """A job that may still change what is counted of it."""
+class _OpenJob:
+    """A job whose counts may still change."""
 
     job_class: str
     team: str
     tasks: int
-    made_at: float
-    aim_s: float  # math.inf: no aim for its start
-    due_at: float  # math.inf: no deadline
+    submitted_at: float
+    start_target_s: float  # math.inf: no start target
+    deadline_at: float  # math.inf: no deadline
     accepted: bool = False
-    process_started: int = 0
-    in_time: int = 0
-
-    def row(self, now: float, done: bool = False) -> JobCounts:
-        by_aim = now >= self.made_at + self.aim_s or self.process_started >= self.tasks
-        by_deadline = done or now >= self.due_at
-        no_aim = math.isinf(self.aim_s) and math.isinf(self.due_at)
-        due = (by_aim and not math.isinf(self.aim_s)) or (
-            by_deadline and (no_aim or not math.isinf(self.due_at))
+    started_tasks: int = 0
+    started_in_time: int = 0
+
+    def counts(self, now: float, done: bool = False) -> JobCounts:
+        target_due = (
+            now >= self.submitted_at + self.start_target_s or self.started_tasks >= self.tasks
+        )
+        deadline_due = done or now >= self.deadline_at
+        no_objective = math.isinf(self.start_target_s) and math.isinf(self.deadline_at)
+        due = (target_due and not math.isinf(self.start_target_s)) or (
+            deadline_due and (no_objective or not math.isinf(self.deadline_at))
         )
-        started = min(self.in_time / self.tasks, 1.0)
-        attained = max(started, 1.0 if done and now <= self.due_at else 0.0)
+        started = min(self.started_in_time / self.tasks, 1.0)
+        attained = max(started, 1.0 if done and now <= self.deadline_at else 0.0)
         return JobCounts(
             1,
             int(self.accepted),
-            int(self.process_started >= self.tasks),
+            int(self.started_tasks >= self.tasks),
             int(done),
             int(due),
             attained if due else 0.0,
@@ -87,112 +106,144 @@
 
 @dataclass
 class SloAttainment:
-    open: dict[str, _Open] = field(default_factory=dict)
-    over: dict[tuple[str, str], JobCounts] = field(default_factory=dict)  # by class and team
-    widths: dict[tuple[str, int], JobCounts] = field(
-        default_factory=dict
-    )  # by class and width, of what is over
-    start_waits: dict[str, DurationHistogram] = field(
-        default_factory=dict
-    )  # by class, of each task's start
+    """Counts of all jobs that were recorded. All times are seconds of one clock.
+
+    Attributes:
+        open_jobs: jobs that are neither done nor cancelled, by id.
+        closed: counts of the other jobs, by class and team.
+        closed_by_size: the same counts, by class and size bucket.
+        start_waits: how long tasks waited for their start, by class.
+    """
+
+    open_jobs: dict[str, _OpenJob] = field(default_factory=dict)
+    closed: dict[tuple[str, str], JobCounts] = field(default_factory=dict)
+    closed_by_size: dict[tuple[str, int], JobCounts] = field(default_factory=dict)
+    start_waits: dict[str, DurationHistogram] = field(default_factory=dict)
 
     def record_submitted(
         self,
-        job: str,
+        job_id: str,
         job_class: str,
         team: str,
         tasks: int,
         at: float,
-        aim_s: float = math.inf,
-        due_at: float = math.inf,
+        start_target_s: float = math.inf,
+        deadline_at: float = math.inf,
     ) -> None:
-        """Submitted. Times are seconds of one clock. A job that is known already stays as it is."""
-        self.open.setdefault(job, _Open(job_class, team, max(tasks, 1), at, aim_s, due_at))
+        """Record a submission; a job that is open already is left as it is.
+
+        Args:
+            job_id: id of the job.
+            job_class: its job class.
+            team: its team.
+            tasks: number of its tasks; less than 1 counts as 1.
+            at: when it was submitted.
+            start_target_s: seconds within which its tasks should start.
+            deadline_at: when it should be done.
+        """
+        self.open_jobs.setdefault(
+            job_id, _OpenJob(job_class, team, max(tasks, 1), at, start_target_s, deadline_at)
+        )
 
-    def record_accepted(self, job: str) -> None:
-        if job in self.open:
-            self.open[job].accepted = True
+    def record_accepted(self, job_id: str) -> None:
+        """Record that the submission of a job was accepted."""
+        if job_id in self.open_jobs:
+            self.open_jobs[job_id].accepted = True
 
-    def record_started(self, job: str, tasks: int, at: float) -> None:
-        """So many more of its tasks run. A task that starts again does not count again beyond the job's number."""
-        known = self.open.get(job)
-        if known is None or known.process_started >= known.tasks:
+    def record_started(self, job_id: str, tasks: int, at: float) -> None:
+        """Record that `tasks` more tasks of a job have started.
+
+        Once as many starts are recorded as the job has tasks, further ones are ignored as restarts.
+        """
+        job = self.open_jobs.get(job_id)
+        if job is None or job.started_tasks >= job.tasks:
             return
-        known.process_started += tasks
-        waited = at - known.made_at
-        if waited <= known.aim_s:
-            known.in_time += tasks
-        self.start_waits.setdefault(known.job_class, DurationHistogram(FIRST_WAIT_S, BOUNDS)).add(
-            waited, tasks
+        job.started_tasks += tasks
+        wait_s = at - job.submitted_at
+        if wait_s <= job.start_target_s:
+            job.started_in_time += tasks
+        self.start_waits.setdefault(job.job_class, DurationHistogram(FIRST_BUCKET_S, BUCKETS)).add(
+            wait_s, tasks
         )
 
-    def record_done(self, job: str, at: float) -> tuple[str, JobCounts] | None:
-        """Its class, and what it counts for; None if it is not known."""
-        known = self.open.pop(job, None)
-        if known is None:
+    def record_done(self, job_id: str, at: float) -> tuple[str, JobCounts] | None:
+        """Record that a job is done.
+
+        Returns:
+            Its class and its counts; None if the job is not open.
+        """
+        job = self.open_jobs.pop(job_id, None)
+        if job is None:
             return None
-        row = known.row(at, done=True)
-        self._close(known, row)
-        return known.job_class, row
-
-    def record_cancelled(self, job: str) -> None:
-        known = self.open.pop(job, None)
-        if known is not None:
-            self._close(
-                known, JobCounts(1, int(known.accepted), int(known.process_started >= known.tasks))
-            )
-
-    def _close(self, known: _Open, row: JobCounts) -> None:
-        key = known.job_class, known.team
-        self.over[key] = self.over.get(key, JobCounts()).plus(row)
-        width = known.job_class, width_of(known.tasks)
-        self.widths[width] = self.widths.get(width, JobCounts()).plus(row)
+        counts = job.counts(at, done=True)
+        self._close(job, counts)
+        return job.job_class, counts
+
+    def record_cancelled(self, job_id: str) -> None:
+        """Record that a job was cancelled by its user: it is not due, now or later."""
+        job = self.open_jobs.pop(job_id, None)
+        if job is not None:
+            self._close(job, JobCounts(1, int(job.accepted), int(job.started_tasks >= job.tasks)))
+
+    def _close(self, job: _OpenJob, counts: JobCounts) -> None:
+        key = job.job_class, job.team
+        self.closed[key] = self.closed.get(key, JobCounts()).plus(counts)
+        size_key = job.job_class, size_bucket(job.tasks)
+        self.closed_by_size[size_key] = self.closed_by_size.get(size_key, JobCounts()).plus(counts)
 
     def largest(self, now: float) -> dict[str, JobCounts]:
-        """Of each class the jobs of the greatest width that has come."""
-        every = [
-            *self.widths.items(),
+        """Return the counts of the jobs in the largest size bucket seen of each class."""
+        counts_by_size = [
+            *self.closed_by_size.items(),
             *(
-                ((known.job_class, width_of(known.tasks)), known.row(now))
-                for known in self.open.values()
+                ((job.job_class, size_bucket(job.tasks)), job.counts(now))
+                for job in self.open_jobs.values()
             ),
         ]
-        widest: dict[str, int] = {}
-        for (job_class, width), _ in every:
-            widest[job_class] = max(width, widest.get(job_class, 0))
-        out: dict[str, JobCounts] = {}
-        for (job_class, width), row in every:
-            if width == widest[job_class]:
-                out[job_class] = out.get(job_class, JobCounts()).plus(row)
-        return out
+        largest_size: dict[str, int] = {}
+        for (job_class, size), _ in counts_by_size:
+            largest_size[job_class] = max(size, largest_size.get(job_class, 0))
+        totals: dict[str, JobCounts] = {}
+        for (job_class, size), counts in counts_by_size:
+            if size == largest_size[job_class]:
+                totals[job_class] = totals.get(job_class, JobCounts()).plus(counts)
+        return totals
 
     def counts(self, now: float) -> dict[tuple[str, str], JobCounts]:
-        """By ("class", name), ("team", name) and, of each class, ("largest", name)."""
-        out: dict[tuple[str, str], JobCounts] = {}
-        every = [(key, row) for key, row in self.over.items()]
-        every += [((known.job_class, known.team), known.row(now)) for known in self.open.values()]
-        for (job_class, team), row in every:
-            for name in (("class", job_class), ("team", team)):
-                out[name] = out.get(name, JobCounts()).plus(row)
-        out.update((("largest", job_class), row) for job_class, row in self.largest(now).items())
-        return out
+        """Return counts by ("class", name), ("team", name) and ("largest", name of a class)."""
+        totals: dict[tuple[str, str], JobCounts] = {}
+        all_counts = [(key, counts) for key, counts in self.closed.items()]
+        all_counts += [
+            ((job.job_class, job.team), job.counts(now)) for job in self.open_jobs.values()
+        ]
+        for (job_class, team), counts in all_counts:
+            for key in (("class", job_class), ("team", team)):
+                totals[key] = totals.get(key, JobCounts()).plus(counts)
+        totals.update(
+            (("largest", job_class), counts) for job_class, counts in self.largest(now).items()
+        )
+        return totals
 
     def worst(self, now: float) -> tuple[float, str]:
-        """The smallest share, and whose it is."""
+        """Return the lowest attainment, and of what it is, such as "team red"."""
         return min(
-            ((row.attainment, f"{kind} {name}") for (kind, name), row in self.counts(now).items()),
+            (
+                (counts.attainment, f"{kind} {name}")
+                for (kind, name), counts in self.counts(now).items()
+            ),
             default=(1.0, "nobody"),
         )
 
     def histogram(self, job_class: str) -> list[tuple[str, float]]:
-        """Bounds in seconds and how many starts waited no longer."""
+        """Return upper bounds in seconds, each with the number of starts that waited no longer."""
         return self.start_waits[job_class].rows() if job_class in self.start_waits else []
 
 
 def jain(values: Iterable[float]) -> float:
-    """Jain's index of fairness: 1 where all are alike, 1/n where one has everything.
+    """Return Jain's fairness index: 1 if all values are equal, 1/n if only one of n is not zero.
 
-    Source: Jain, Chiu, Hawe, "A Quantitative Measure of Fairness and Discrimination", 1984."""
-    had = list(values)
-    squares = sum(value * value for value in had)
-    return sum(had) ** 2 / (len(had) * squares) if squares else 1.0
+    Source: Jain, Chiu, Hawe, "A Quantitative Measure of Fairness and Discrimination", 1984.
+    """
+    listed = list(values)
+    squares = sum(value * value for value in listed)
+    return sum(listed) ** 2 / (len(listed) * squares) if squares else 1.0
