--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -117,7 +117,7 @@
     assert (
         all(items == sorted(items) for items in order.values())
         and len(line) == 0
-        and not line.served_to
+        and not line.finish_tags
     )
 
 
