--- a/ashdock/fairness/hot_tenants.py
+++ b/ashdock/fairness/hot_tenants.py
@@ -1,15 +1,25 @@
-"""Who is to come back, and when, while more is submitted or asked than this controller can take."""
+"""Detects teams that submit more than their share, and spreads retries of refused submissions."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable, Mapping
 
-SURPLUS = 1.25  # times its share of all that comes, from which on a team is hot
+HOT_FACTOR = 1.25  # a team is hot above this multiple of its share of the recent submissions
 
 
 class HotTenantDetector:
-    """What came of late from each team, fading; and for each that is told to come back, the moments given out so far."""
+    """Recent submissions of each team, decaying, and the retry times given to refused ones.
+
+    Attributes:
+        teams: the known teams. Anybody may send any name, so others get no entry in any table.
+        weights: of the teams; 1 where none is given.
+        half_life_s: after which a submission counts half.
+        max_retry_after_s: the longest time that a refused submission is told to wait.
+        recent_submissions: decayed number of submissions, by team.
+        decayed_at: when that number was last decayed.
+        next_retry_at: the latest retry time given out, by team; "" stands for all unknown names.
+    """
 
     def __init__(
         self,
@@ -18,29 +28,39 @@
         max_retry_after_s: float,
         weights: Mapping[str, float] | None = None,
     ) -> None:
-        self.teams = frozenset(
-            teams
-        )  # what names another has no table of its own here: anybody may send any name
+        """Start without submissions.
+
+        Args:
+            teams: names of the known teams.
+            half_life_s: after which a submission counts half.
+            max_retry_after_s: the longest time that a refused submission is told to wait.
+            weights: of the teams; 1 where none is given.
+        """
+        self.teams = frozenset(teams)
         self.weights = weights or {}
-        self.half_life_s = half_life_s  # in which what came loses half its weight
+        self.half_life_s = half_life_s
         self.max_retry_after_s = max_retry_after_s
         self.recent_submissions: dict[str, float] = {}
-        self.at = 0.0
-        self.returns: dict[str, float] = {}
+        self.decayed_at = 0.0
+        self.next_retry_at: dict[str, float] = {}
 
     def record_submission(self, team: str, now: float) -> None:
-        faded = 0.5 ** (max(now - self.at, 0.0) / self.half_life_s)
+        """Count a submission, accepted or not."""
+        decay = 0.5 ** (max(now - self.decayed_at, 0.0) / self.half_life_s)
         self.recent_submissions = {
-            name: amount * faded
+            name: amount * decay
             for name, amount in self.recent_submissions.items()
-            if amount * faded > 0.01
+            if amount * decay > 0.01
         }
-        self.at = max(self.at, now)
+        self.decayed_at = max(self.decayed_at, now)
         if team in self.teams:
             self.recent_submissions[team] = self.recent_submissions.get(team, 0.0) + 1.0
 
     def is_hot(self, team: str) -> bool:
-        """Whether it brings more than its share, by weight, of what came of late. Where there is only one team nobody is hot."""
+        """Return whether a team brings more than its share, by weight, of the recent submissions.
+
+        Never true of an unknown team, nor where there is only one team.
+        """
         share = (
             self.weights.get(team, 1.0) / sum(self.weights.get(name, 1.0) for name in self.teams)
             if team in self.teams
@@ -48,12 +68,22 @@
         )
         return len(self.teams) > 1 and self.recent_submissions.get(
             team, 0.0
-        ) > SURPLUS * share * sum(self.recent_submissions.values())
+        ) > HOT_FACTOR * share * sum(self.recent_submissions.values())
+
+    def retry_after_s(self, team: str, wait_s: float, service_time_s: float, now: float) -> int:
+        """Return when a refused submission may be retried, in whole seconds, at least one.
+
+        Retry times of a team are spaced by its service time, so that they come as fast as they can
+        be served. When all were told the same second, they came back together and were refused
+        again.
 
-    def retry_after_s(self, team: str, wait_s: float, each_s: float, now: float) -> int:
-        """Whole seconds, at least one. Each who is told to come back is given a moment of its own, `each_s` after the one before it, as fast as
-        its team is served: told the same second all of them came back together, to be sent away again."""
+        Args:
+            team: whose submission it is.
+            wait_s: seconds until the submission could be served.
+            service_time_s: seconds that one submission of the team takes at its share.
+            now: current time in seconds.
+        """
         team = team if team in self.teams else ""
-        at = max(self.returns.get(team, 0.0), now + wait_s) + each_s
-        self.returns[team] = min(at, now + self.max_retry_after_s)
-        return max(1, math.ceil(round(self.returns[team] - now, 3)))
+        retry_at = max(self.next_retry_at.get(team, 0.0), now + wait_s) + service_time_s
+        self.next_retry_at[team] = min(retry_at, now + self.max_retry_after_s)
+        return max(1, math.ceil(round(self.next_retry_at[team] - now, 3)))
