--- a/ashdock/fairness/load_shedder.py
+++ b/ashdock/fairness/load_shedder.py
@@ -1,7 +1,8 @@
-"""Whether a controller that is short of its processor for long hands a shard on, and to whom.
+"""Decides whether a controller that stays short of processor time hands a shard over, and to whom.
 
-How behind a controller is shows in its beats: each says that a whole round of its loop is over, so one that is behind sends fewer of them than
-it is set to. That holds however late we read them, needs no word of a new kind, and is true of controllers of the version before.
+A controller sends a heartbeat after each full round of its loop, so one that is behind sends fewer
+than configured. That shows however late the heartbeats are read, needs no message of its own, and
+holds for controllers of the previous version as well.
 """
 
 from __future__ import annotations
@@ -9,26 +10,41 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-FADES = 1 / 8  # weight of the newest gap between two beats
-BEHIND = 2.0  # times the gap that is meant: each round takes as long again as it should
-BETTER = 1.5  # how many times shorter the gaps of who is to have the shard have to be
+NEWEST_GAP_WEIGHT = 1 / 8  # in the moving average of the gaps between heartbeats
+BEHIND_FACTOR = (
+    2.0  # a controller is behind when its gaps are this many times the heartbeat interval
+)
+MIN_GAP_RATIO = 1.5  # the gaps of the new owner have to be shorter by this factor
 
 
 class HeartbeatLag:
-    """How far apart beats are, of late."""
+    """Moving average of the gap between the heartbeats of one controller.
+
+    Attributes:
+        gap_s: the average, in seconds.
+        last_heartbeat_at: when the newest heartbeat came; None before the first.
+    """
 
     def __init__(self, heartbeat_interval_s: float) -> None:
+        """Start with the configured interval as the average."""
         self.gap_s = heartbeat_interval_s
-        self.at: float | None = None
+        self.last_heartbeat_at: float | None = None
 
     def record_heartbeat(self, now: float) -> None:
-        if self.at is not None:
-            self.gap_s += (now - self.at - self.gap_s) * FADES
-        self.at = now
+        """Take in a heartbeat that came or was sent at `now`."""
+        if self.last_heartbeat_at is not None:
+            self.gap_s += (now - self.last_heartbeat_at - self.gap_s) * NEWEST_GAP_WEIGHT
+        self.last_heartbeat_at = now
 
 
 class PeerLoad(NamedTuple):
-    """Another controller that may own parts."""
+    """Load of another controller that may own shards.
+
+    Attributes:
+        gap_s: average gap between its heartbeats, in seconds.
+        shards: number of shards that it owns.
+        leads: whether it is the leader.
+    """
 
     gap_s: float
     shards: int
@@ -36,38 +52,61 @@
 
 
 class LoadShedder:
+    """Chooses a shard to hand over and its new owner once a controller has been behind for long.
+
+    Attributes:
+        heartbeat_interval_s: the configured interval.
+        patience_s: how long the controller has to be behind.
+        behind_since: when it fell behind, or last handed a shard over; None while it is not behind.
+    """
+
     def __init__(self, heartbeat_interval_s: float, patience_s: float) -> None:
-        """`patience_s`: how long we have to be behind, and how long nothing is handed on after something was."""
+        """Start as not behind.
+
+        Args:
+            heartbeat_interval_s: the configured interval.
+            patience_s: how long the controller has to be behind, and the least time between two
+                handovers.
+        """
         self.heartbeat_interval_s = heartbeat_interval_s
         self.patience_s = patience_s
-        self.since: float | None = None  # behind since
+        self.behind_since: float | None = None
 
     def choose_handover(
         self,
         gap_s: float,
-        ours: Mapping[str, int],
+        work_by_shard: Mapping[str, int],
         leads: bool,
-        others: Mapping[str, PeerLoad],
+        peers: Mapping[str, PeerLoad],
         now: float,
     ) -> tuple[str, str] | None:
-        """The shard to hand on and the controller that is to have it. `ours`: the work of each shard here.
+        """Return the shard to hand over and the label of its new owner, if any.
+
+        Being the leader counts as owning a shard. The new owner must not end up with more than this
+        controller keeps, or the shard would come back. The shard with the least work is chosen,
+        since all of its workers have to find their new owner.
 
-        Leading counts as a shard. Only to who then has no more than we have left: else it would come back. The lightest goes: the others'
-        workers all have to find their new owner."""
-        if gap_s < BEHIND * self.heartbeat_interval_s:
-            self.since = None
+        Args:
+            gap_s: average gap between the heartbeats of this controller, in seconds.
+            work_by_shard: amount of work of each shard that this controller owns.
+            leads: whether this controller is the leader.
+            peers: the controllers that may take a shard, by label.
+            now: current time in seconds.
+        """
+        if gap_s < BEHIND_FACTOR * self.heartbeat_interval_s:
+            self.behind_since = None
             return None
-        if self.since is None:
-            self.since = now
-        if now - self.since < self.patience_s or not ours:
+        if self.behind_since is None:
+            self.behind_since = now
+        if now - self.behind_since < self.patience_s or not work_by_shard:
             return None
-        able = {
-            label: other.shards + other.leads
-            for label, other in others.items()
-            if other.gap_s * BETTER <= gap_s
+        peer_shards = {
+            label: peer.shards + peer.leads
+            for label, peer in peers.items()
+            if peer.gap_s * MIN_GAP_RATIO <= gap_s
         }
-        label = min(sorted(able), key=lambda label: able[label], default="")
-        if not label or able[label] + 1 > len(ours) + leads - 1:
+        label = min(sorted(peer_shards), key=lambda label: peer_shards[label], default="")
+        if not label or peer_shards[label] + 1 > len(work_by_shard) + leads - 1:
             return None
-        self.since = now
-        return min(sorted(ours), key=lambda shard: ours[shard]), label
+        self.behind_since = now
+        return min(sorted(work_by_shard), key=lambda shard: work_by_shard[shard]), label
