--- a/ashdock/admission/__init__.py
+++ b/ashdock/admission/__init__.py
@@ -1,5 +1,6 @@
-"""Who gets what when sockets, the processor or the state service's writes run short, and who is told to come back when.
+"""Admission control when sockets, processor time, memory or the store's write rate run short.
 
-One place decides and says so: `shares` divides the limits, `connections` keeps the table of connections, `processor` knows how far
-behind we are, and `desk` puts them together for those who ask. No input or output here; times are passed in.
+`shares` divides the limits, `connections` holds the table of inbound connections, `processor`
+measures how late this process is, and `control` decides what is refused, reports it, and tells
+callers when to retry. Nothing here does input or output; times are passed in.
 """
--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -1,4 +1,4 @@
-"""Named shares of a controller's sockets and memory, each a ratio to the limit that the settings give."""
+"""Shares of a controller's sockets and memory: fractions of the limits that the settings give."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 
 
 class SocketUse(Enum):
-    """What a socket is for."""
+    """What a socket is used for; the values are labels of metrics."""
 
-    NEW = "new"  # has connected, and not said yet what it wants
+    NEW = "new"  # connected, without a complete request so far
     USER = "users"
     PROBE = "probes"  # /ready and /metrics
     WORKER = "workers"
     MESH = "mesh"
     STORE = "state"
     CLOUD = "cloud"
-    COMMANDS = "orders"  # ours to workers
+    COMMANDS = "orders"  # from this controller to workers
 
-    # Members are told apart by identity. Hashing their names instead, fifteen times a report, was a twelfth of answering one.
+    # Members are compared by identity. Hashing their names, fifteen times for each worker's report,
+    # took a twelfth of the time that answering it takes.
     __hash__ = object.__hash__
 
 
-# Of the limit, places that nobody else may take, and the least that makes sense. What is left of the limit after all of them is for
-# users before workers: a worker's connection can be opened anew for each report, a user's cannot without its user noticing.
+# Sockets reserved for each use: a fraction of the limit, and the least that works. What is left of
+# the limit goes to users before workers: a worker can open a new connection for each report, but a
+# user notices when its connection is closed.
 RESERVED = {
     SocketUse.NEW: (1 / 16, 2),
     SocketUse.USER: (1 / 4, 2),
@@ -33,19 +35,28 @@
     SocketUse.CLOUD: (1 / 64, 2),
     SocketUse.COMMANDS: (1 / 8, 1),
 }
-SPARE = 1 / 32  # for the listening ends, what the interpreter holds open, and what is on its way
-LEAST_SPARE = 4
-LINKS = 4  # of the mesh to a peer: one out, one in, and as many once more while one that is dead has not been noticed
+# Of the limit: for listening sockets, those that the interpreter holds open, and those being opened.
+OVERHEAD_RATIO = 1 / 32
+MIN_OVERHEAD = 4
+# One link out and one in, and as many again while the loss of the old ones has not been noticed.
+MESH_SOCKETS_PER_PEER = 4
 
 
 class Shares(NamedTuple):
-    """Places for each use. `inbound` is what all that connects to us may hold together."""
+    """How the sockets of a controller are divided.
+
+    Attributes:
+        limit: sockets that the controller may hold.
+        reserved: sockets reserved for each use.
+        inbound: sockets that all connections from users, workers and probes may hold together.
+    """
 
     limit: int
     reserved: dict[SocketUse, int]
     inbound: int
 
     def max_user_connections(self) -> int:
+        """Return how many connections of users may be open."""
         return max(
             self.inbound
             - sum(self.reserved[use] for use in (SocketUse.NEW, SocketUse.PROBE, SocketUse.WORKER)),
@@ -53,71 +64,98 @@
         )
 
     def max_worker_connections(self, users: int) -> int:
-        """How many workers' connections may stay open while users have so many: what is reserved, and half of what users do not
-        need beyond that. The other half is for all who come back at once: after a freeze or a cut each worker connects anew while
-        what it left has not been noticed, and 1,775 of 1,937 sockets were in use."""
-        rest = (
+        """Return how many connections of workers may stay open while `users` of users are open.
+
+        These are the reserved ones and half of what users leave beyond that. The other half is kept
+        for reconnects: after a freeze or a network partition each worker opens a new connection
+        before the loss of its old one is noticed, which took 1,775 of 1,937 sockets.
+        """
+        left_by_users = (
             self.inbound
             - self.reserved[SocketUse.NEW]
             - self.reserved[SocketUse.PROBE]
             - max(users, self.reserved[SocketUse.USER])
         )
-        return self.reserved[SocketUse.WORKER] + max(rest - self.reserved[SocketUse.WORKER], 0) // 2
+        return (
+            self.reserved[SocketUse.WORKER]
+            + max(left_by_users - self.reserved[SocketUse.WORKER], 0) // 2
+        )
 
 
 def socket_shares(limit: int, peers: int) -> Shares:
-    """Divide `limit` sockets of a controller with so many others."""
+    """Divide the sockets of a controller.
+
+    Args:
+        limit: sockets that the controller may hold.
+        peers: number of other controllers.
+    """
     reserved = {use: max(int(limit * ratio), least) for use, (ratio, least) in RESERVED.items()}
-    reserved[SocketUse.MESH] = LINKS * (peers + 1)
-    ours = sum(
+    reserved[SocketUse.MESH] = MESH_SOCKETS_PER_PEER * (peers + 1)
+    not_inbound = sum(
         reserved[use]
         for use in (SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS, SocketUse.MESH)
-    ) + max(int(limit * SPARE), LEAST_SPARE)
-    return Shares(limit, reserved, max(limit - ours, 4))
+    ) + max(int(limit * OVERHEAD_RATIO), MIN_OVERHEAD)
+    return Shares(limit, reserved, max(limit - not_inbound, 4))
 
 
 def undivided_shares(limit: int) -> Shares:
-    """All for whoever comes: for an end that serves one kind of caller."""
+    """Return shares that let each use have the whole limit, for a server with one kind of client."""
     return Shares(limit, dict.fromkeys(SocketUse, limit), limit)
 
 
 def min_connections(peers: int) -> int:
-    """The smallest limit that leaves a place for each use besides what we need ourselves."""
+    """Return the smallest limit with the least reserved for each use, given so many peers."""
     least = {use: number for use, (_, number) in RESERVED.items()}
-    ours = (
+    not_inbound = (
         sum(least[use] for use in (SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS))
-        + LINKS * (peers + 1)
-        + LEAST_SPARE
+        + MESH_SOCKETS_PER_PEER * (peers + 1)
+        + MIN_OVERHEAD
     )
-    return ours + sum(
+    return not_inbound + sum(
         least[use] for use in (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
     )
 
 
-# Of the memory that the settings give, for each thing that grows with those who ask. What a start needs, the records of the fleet and the jobs
-# that are open have the rest.
-BODIES = 1 / 8  # of requests that come in or are being answered
-BUFFERS = 1 / 8  # what all connections may hold that has not been read
-REMEMBERED = 1 / 8  # jobs that have ended, and revisions of others
-CACHED_JOB_BYTES = 512  # of one that is remembered
-MAX_CACHED_JOBS = 20_000  # that are remembered, however much memory there is
-MIN_BUFFER_BYTES, MAX_BUFFER_BYTES = 2 * 1024, 64 * 1024
+# Fractions of the memory limit for what grows with the number of clients. The rest is for what a
+# start needs, the records of the machines, and the open jobs.
+BODIES_RATIO = 1 / 8  # bodies of requests that are received or answered
+BUFFERS_RATIO = 1 / 8  # unread bytes of all connections
+JOB_CACHE_RATIO = 1 / 8  # outcomes of jobs that have ended, and revisions of others
+CACHED_JOB_BYTES = 512  # the most that one of them takes
+MAX_CACHED_JOBS = 20_000  # however much memory there is
+MIN_BUFFER_BYTES, MAX_BUFFER_BYTES = 2 * 1024, 64 * 1024  # of one connection
 
 
 class Memory(NamedTuple):
-    body_bytes: int  # bytes
-    buffer_bytes: int  # bytes of a connection: its reader stops reading at twice that
+    """How the memory of a controller is divided.
+
+    Attributes:
+        body_bytes: for the bodies of all requests that are received or answered.
+        buffer_bytes: read buffer of a connection, which stops reading at twice that.
+        cached_jobs: number of jobs in each cache of jobs.
+    """
+
+    body_bytes: int
+    buffer_bytes: int
     cached_jobs: int
 
 
 def memory_shares(ram_mb: float, inbound: int) -> Memory:
-    """Divide a controller's memory (MB) with so many connections to it at most."""
-    whole = ram_mb * 2**20
-    buffer = int(
-        min(max(whole * BUFFERS / (2 * max(inbound, 1)), MIN_BUFFER_BYTES), MAX_BUFFER_BYTES)
+    """Divide the memory of a controller.
+
+    Args:
+        ram_mb: memory that the controller may use, in MiB.
+        inbound: most connections to it at a time.
+    """
+    ram_bytes = ram_mb * 2**20
+    buffer_bytes = int(
+        min(
+            max(ram_bytes * BUFFERS_RATIO / (2 * max(inbound, 1)), MIN_BUFFER_BYTES),
+            MAX_BUFFER_BYTES,
+        )
     )
     return Memory(
-        int(whole * BODIES),
-        buffer,
-        int(min(whole * REMEMBERED / CACHED_JOB_BYTES, MAX_CACHED_JOBS)),
+        int(ram_bytes * BODIES_RATIO),
+        buffer_bytes,
+        int(min(ram_bytes * JOB_CACHE_RATIO / CACHED_JOB_BYTES, MAX_CACHED_JOBS)),
     )
