--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -186,7 +186,7 @@
 
     def tick(self, late_s: float, now: float) -> None:
         """Told by a timer how late it fired."""
-        self.processor.ticked(late_s, now)
+        self.processor.record_lateness(late_s, now)
         ended = sum(self.connections.ended.values())
         if self.connections.short and ended > self.told_ended:
             self.shortages[Resource.SOCKETS].runs_short(now, self.picture)
--- a/ashdock/admission/processor.py
+++ b/ashdock/admission/processor.py
@@ -1,37 +1,50 @@
-"""How far this controller is behind with what it has to compute, and what of its processor goes into what."""
+"""How late this process is with its work, and how its processor time is divided."""
 
 from __future__ import annotations
 
-PASSES = 1 / 2  # of the processor, for the scheduling passes of all shards together
-PASS = 1 / 4  # for those of one shard
-LEADER_CPU_SHARE = (
-    1 / 4
-)  # for the leader's choices. The rest is for answers: to workers before users
+ALL_CYCLES_CPU_SHARE = 1 / 2  # for the scheduling cycles of all shards together
+MAX_SHARD_CPU_SHARE = 1 / 4  # for the scheduling cycles of one shard
+# For the leader's decisions. The rest is for answering requests, those of workers before those of
+# users.
+LEADER_CPU_SHARE = 1 / 4
 
 
 def pause_s(took_s: float, share: float) -> float:
-    """How long to wait after work that took so long, for it to take no more than its share."""
+    """Return how long to wait after work of `took_s` seconds for it to keep to its share."""
     return took_s * (1 / share - 1)
 
 
 def shard_cpu_share(shards: int) -> float:
-    """Of one shard's passes, where so many shards are owned here. With three parts and the lead, a quarter each left nothing for
-    the answers that keep their workers' leases."""
-    return min(PASS, PASSES / max(shards, 1))
+    """Return the processor share of one shard's scheduling cycles where so many are owned.
+
+    A fixed quarter for each of three shards and for the leader left no time for the answers that
+    keep the leases of their workers.
+    """
+    return min(MAX_SHARD_CPU_SHARE, ALL_CYCLES_CPU_SHARE / max(shards, 1))
 
 
 class Processor:
-    """Fed by a timer: how late it fires is how long whatever comes in has to wait."""
+    """Recent lateness of a timer, which is how long an incoming request has to wait.
+
+    Attributes:
+        half_life_s: in which the recorded lateness decays by half.
+        recorded_late_s: lateness as of `recorded_at`.
+        recorded_at: when it was recorded.
+    """
 
     def __init__(self, half_life_s: float) -> None:
-        self.half_life_s = half_life_s  # in which what was measured loses half its weight
-        self.late = 0.0
-        self.at = 0.0
+        """Start as not late, with lateness that decays by half in `half_life_s` seconds."""
+        self.half_life_s = half_life_s
+        self.recorded_late_s = 0.0
+        self.recorded_at = 0.0
 
-    def ticked(self, late_s: float, now: float) -> None:
-        self.late = max(self.late_s(now), late_s, 0.0)
-        self.at = now
+    def record_lateness(self, late_s: float, now: float) -> None:
+        """Record that a timer fired `late_s` seconds late."""
+        self.recorded_late_s = max(self.late_s(now), late_s, 0.0)
+        self.recorded_at = now
 
     def late_s(self, now: float) -> float:
-        """Of late, at the worst."""
-        return float(self.late * 0.5 ** (max(now - self.at, 0.0) / self.half_life_s))
+        """Return the highest recent lateness in seconds, decayed since it was recorded."""
+        return float(
+            self.recorded_late_s * 0.5 ** (max(now - self.recorded_at, 0.0) / self.half_life_s)
+        )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -178,8 +178,8 @@
 
 def test_the_processor_is_as_late_as_its_worst_moment_of_late() -> None:
     processor = Processor(2.0)
-    processor.ticked(4.0, 10.0)
-    processor.ticked(0.1, 12.0)
+    processor.record_lateness(4.0, 10.0)
+    processor.record_lateness(0.1, 12.0)
     assert processor.late_s(12.0) == pytest.approx(2.0) and processor.late_s(16.0) == pytest.approx(
         0.5
     )
