--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -35,7 +35,7 @@
     SocketUse.CLOUD: (1 / 64, 2),
     SocketUse.COMMANDS: (1 / 8, 1),
 }
-# Of the limit: for listening sockets, those that the interpreter holds open, and those being opened.
+# Of the limit: listening sockets, those that the interpreter holds open, and those being opened.
 OVERHEAD_RATIO = 1 / 32
 MIN_OVERHEAD = 4
 # One link out and one in, and as many again while the loss of the old ones has not been noticed.
@@ -99,7 +99,7 @@
 
 
 def undivided_shares(limit: int) -> Shares:
-    """Return shares that let each use have the whole limit, for a server with one kind of client."""
+    """Return shares that give each use the whole limit, for a server with one kind of client."""
     return Shares(limit, dict.fromkeys(SocketUse, limit), limit)
 
 
