--- a/ashdock/admission/connections.py
+++ b/ashdock/admission/connections.py
@@ -1,4 +1,7 @@
-"""The table of connections that others have made to us: which may come in, which may stay open after its answer, which go."""
+"""The table of inbound connections: which are admitted, kept open after a response, or closed.
+
+Who owns the sockets reports events and closes the connections that it is told to close.
+"""
 
 from __future__ import annotations
 
@@ -11,28 +14,45 @@
 
 
 class ConnectionPhase(Enum):
-    IDLE = "idle"  # for its next request, or its first
-    BUSY = "busy"  # a request is coming in, or being answered
-    CLOSING = (
-        "closing"  # told to close: its next request is answered, if there is one, and then it ends
-    )
+    """What a connection is doing."""
+
+    IDLE = "idle"  # waits for its next request
+    BUSY = "busy"  # a request is awaited after connecting, received, or answered
+    CLOSING = "closing"  # closed once its response is sent
 
 
 class Arrival(NamedTuple):
+    """What becomes of a new connection.
+
+    Attributes:
+        admitted: whether it may stay.
+        evicted: another connection that has to be closed in its place.
+    """
+
     admitted: bool
-    evicted: Hashable | None = None  # to be ended to make place for it
+    evicted: Hashable | None = None
 
 
 class _Connection:
     __slots__ = ("phase", "since")
 
     def __init__(self, now: float) -> None:
-        self.phase = ConnectionPhase.BUSY  # whoever connects is to ask at once
+        self.phase = ConnectionPhase.BUSY  # its first request has to come within the timeout
         self.since = now
 
 
 class Connections:
-    """Connections are keys here; whoever holds the sockets ends those it is told to end."""
+    """Inbound connections, each known by a key of the caller's choice. Times are in seconds.
+
+    Attributes:
+        shares: limits of each use.
+        idle_s: how long a connection may be idle.
+        request_timeout_s: how long a request may take to be received and answered.
+        worker_stale_after_s: how long a worker's connection may be idle while sockets are short.
+        by_use: the connections of each use, in the order of their last change of phase or use.
+        use: what each connection is used for.
+        ended: number of connections closed or refused, by use and reason.
+    """
 
     def __init__(
         self,
@@ -41,63 +61,78 @@
         request_timeout_s: float,
         worker_stale_after_s: float = 0.0,
     ) -> None:
+        """Start without connections.
+
+        Args:
+            shares: limits of each use.
+            idle_s: how long a connection may be idle.
+            request_timeout_s: how long a request may take to be received and answered.
+            worker_stale_after_s: how long a worker's connection may be idle before the worker has
+                probably abandoned it; 0: as long as any other.
+        """
         self.shares = shares
-        self.idle_s = idle_s  # between requests
-        self.request_timeout_s = (
-            request_timeout_s  # for one whole request to arrive and be answered
-        )
-        self.worker_stale_after_s = (
-            worker_stale_after_s or idle_s
-        )  # a worker's connection idle for longer has been left by it
-        # By use, those longest without a change of phase first.
-        self.open: dict[SocketUse, OrderedDict[Hashable, _Connection]] = {
+        self.idle_s = idle_s
+        self.request_timeout_s = request_timeout_s
+        self.worker_stale_after_s = worker_stale_after_s or idle_s
+        self.by_use: dict[SocketUse, OrderedDict[Hashable, _Connection]] = {
             use: OrderedDict() for use in SocketUse
         }
         self.use: dict[Hashable, SocketUse] = {}
-        self.ended: Counter[tuple[SocketUse, str]] = Counter()  # by use and why, since the start
+        self.ended: Counter[tuple[SocketUse, str]] = Counter()
 
     def __len__(self) -> int:
+        """Return the number of open connections."""
         return len(self.use)
 
     def count(self, use: SocketUse) -> int:
-        return len(self.open[use])
+        """Return the number of open connections of a use."""
+        return len(self.by_use[use])
 
     @property
     def short(self) -> bool:
-        """Whether somebody's connections are ended for want of places."""
+        """Whether connections are closed because there are too few sockets."""
         return (
             self.count(SocketUse.WORKER)
             >= self.shares.max_worker_connections(self.count(SocketUse.USER))
             or len(self) >= self.shares.inbound
         )
 
-    # -- changes of state --------------------------------------------------------------------------------
+    # -- events --------------------------------------------------------------------------------------
 
     def admit(self, key: Hashable, now: float) -> Arrival:
-        """One more has connected. Where there is no place, one goes that has said nothing for long, or a worker's that waits: it
-        can report over another."""
+        """Add a new connection, or refuse it.
+
+        At the limit another is evicted: one that has sent no whole request within a quarter of the
+        timeout, or an idle one of a worker, which can report over a new connection. If there is
+        neither, the new one is refused.
+        """
         evicted = None
         if len(self) >= self.shares.inbound:
-            evicted = self._dispensable(now)
+            evicted = self._choose_evicted(now)
             if evicted is None:
                 self.ended[SocketUse.NEW, "refused"] += 1
                 return Arrival(False)
             self._end(evicted, "made place")
         self.use[key] = SocketUse.NEW
-        self.open[SocketUse.NEW][key] = _Connection(now)
+        self.by_use[SocketUse.NEW][key] = _Connection(now)
         return Arrival(True, evicted)
 
     def data_received(self, key: Hashable, now: float) -> None:
-        """The first bytes of a request have come."""
-        self._change(key, ConnectionPhase.BUSY, now)
+        """Record that part of a request has been received."""
+        self._set_phase(key, ConnectionPhase.BUSY, now)
 
     def request_received(self, key: Hashable, use: SocketUse) -> bool:
-        """The request is here: what it is for. False: no place is left for that, and it is to be told so."""
-        before = self.use.get(key)
-        if before is None:
-            return False  # ended meanwhile
-        if before is not use:
-            self.open[use][key] = self.open[before].pop(key)
+        """Record that a whole request was received, which shows what the connection is used for.
+
+        Returns:
+            False if the request is to be refused, because the connection is no longer known or too
+            many are open for that use.
+        """
+        previous_use = self.use.get(key)
+        if previous_use is None:
+            return False  # evicted or timed out in the meantime
+        if previous_use is not use:
+            self.by_use[use][key] = self.by_use[previous_use].pop(key)
             self.use[key] = use
         if use is SocketUse.USER and self.count(use) > self.shares.max_user_connections():
             self.ended[use, "refused"] += 1
@@ -105,7 +140,7 @@
         return True
 
     def keep_after_response(self, key: Hashable, now: float) -> bool:
-        """Whether the connection may stay open after its answer."""
+        """Record that a response is sent, and return whether the connection stays open after it."""
         use = self.use.get(key)
         if use is None:
             return False
@@ -113,53 +148,58 @@
         if use is SocketUse.WORKER:
             keep = self.count(use) <= self.shares.max_worker_connections(self.count(SocketUse.USER))
         elif use is SocketUse.USER:
-            # Before users have to be refused theirs are closed as well, once an answer is given.
+            # Users' connections are closed after a response before requests have to be refused.
             keep = self.count(use) <= self.shares.max_user_connections() * 7 // 8
         if not keep:
             self.ended[use, "after an answer"] += 1
-        self._change(key, ConnectionPhase.IDLE if keep else ConnectionPhase.CLOSING, now)
+        self._set_phase(key, ConnectionPhase.IDLE if keep else ConnectionPhase.CLOSING, now)
         return keep
 
     def connection_closed(self, key: Hashable) -> None:
+        """Remove a connection, if it is still known."""
         use = self.use.pop(key, None)
         if use is not None:
-            del self.open[use][key]
+            del self.by_use[use][key]
 
     def end_overdue(self, now: float) -> list[Hashable]:
-        """Those to be ended: idle, slow, or left by their worker while places are short."""
-        out: list[Hashable] = []
+        """Remove and return the connections that have to be closed at `now`.
+
+        These are idle for too long, too slow with a request, or probably abandoned by their worker
+        while sockets are short.
+        """
+        overdue: list[Hashable] = []
         worker_stale_after_s = self.worker_stale_after_s if self.short else self.idle_s
-        for use, table in self.open.items():
+        for use, table in self.by_use.items():
             idle_s = (
                 min(worker_stale_after_s, self.idle_s) if use is SocketUse.WORKER else self.idle_s
             )
             for key, connection in table.items():
-                age = now - connection.since
-                if age <= min(idle_s, self.request_timeout_s):
-                    break  # the rest are younger
-                if age > (
+                age_s = now - connection.since
+                if age_s <= min(idle_s, self.request_timeout_s):
+                    break  # the rest changed phase or use later
+                if age_s > (
                     self.request_timeout_s if connection.phase is ConnectionPhase.BUSY else idle_s
                 ):
-                    out.append(key)
-        for key in out:
+                    overdue.append(key)
+        for key in overdue:
             self._end(key, "idle or slow")
-        return out
+        return overdue
 
-    def _change(self, key: Hashable, phase: ConnectionPhase, now: float) -> None:
+    def _set_phase(self, key: Hashable, phase: ConnectionPhase, now: float) -> None:
         use = self.use.get(key)
         if use is not None:
-            connection = self.open[use][key]
+            connection = self.by_use[use][key]
             if connection.phase is phase is ConnectionPhase.BUSY:
-                return  # what comes in drop by drop is slow all the same
+                return  # receiving in small pieces does not extend the timeout
             connection.phase, connection.since = phase, now
-            self.open[use].move_to_end(key)
+            self.by_use[use].move_to_end(key)
 
-    def _dispensable(self, now: float) -> Hashable | None:
-        key, silent = next(iter(self.open[SocketUse.NEW].items()), (None, None))
-        if silent is not None and now - silent.since > self.request_timeout_s / 4:
+    def _choose_evicted(self, now: float) -> Hashable | None:
+        key, oldest_new = next(iter(self.by_use[SocketUse.NEW].items()), (None, None))
+        if oldest_new is not None and now - oldest_new.since > self.request_timeout_s / 4:
             return key
-        # The oldest is the likeliest to have been left by its worker for good.
-        table = self.open[SocketUse.WORKER]
+        # The one idle for longest is the likeliest to have been abandoned by its worker.
+        table = self.by_use[SocketUse.WORKER]
         if len(table) <= self.shares.reserved[SocketUse.WORKER]:
             return None
         return next(
@@ -167,6 +207,6 @@
             None,
         )
 
-    def _end(self, key: Hashable, why: str) -> None:
-        self.ended[self.use[key], why] += 1
+    def _end(self, key: Hashable, reason: str) -> None:
+        self.ended[self.use[key], reason] += 1
         self.connection_closed(key)
