--- a/ashdock/admission/connections.py
+++ b/ashdock/admission/connections.py
@@ -97,12 +97,12 @@
             or len(self) >= self.shares.inbound
         )
 
-    # -- events --------------------------------------------------------------------------------------
+    # -- events ----------------------------------------------------------------------------------
 
     def admit(self, key: Hashable, now: float) -> Arrival:
         """Add a new connection, or refuse it.
 
-        At the limit another is evicted: one that has sent no whole request within a quarter of the
+        At the limit another is evicted: one that has sent no whole request in a quarter of the
         timeout, or an idle one of a worker, which can report over a new connection. If there is
         neither, the new one is refused.
         """
