--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -1,4 +1,4 @@
-"""Where those who serve ask whether to, and where it is said what runs short."""
+"""Decides which requests are refused while a resource is short, and logs the shortages."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 
 log = logging.getLogger("ashdock.admission")
 
-# A submission that would wait longer for its turn to be written is sent away instead. Users count a second as late and, sent away,
-# come back after one: sent away sooner than this, those were late who would have been in time.
-WRITTEN_S = 0.8
-USER_WAITS_S = 2.0  # for the answer to a question (PROTOCOL, "GET /v2/runs/{id}")
-ACCEPT_WAITS_S = 5.0  # for that to a submission
+# A submission that would wait longer than this to be written is refused. Users regard more than a
+# second as late, and a refused one is retried after a second at the earliest. With a lower limit,
+# submissions that would have been in time were late.
+MAX_WRITE_WAIT_S = 0.8
+STATUS_TIMEOUT_S = 2.0  # users wait this long for the answer to a status request
+SUBMISSION_TIMEOUT_S = 5.0  # users wait this long for the answer to a submission
 
 
 class Resource(Enum):
-    """What can run short, each for itself."""
+    """What can run short; the values are labels of metrics."""
 
     SOCKETS = "sockets"
     PROCESSOR = "processor"
@@ -33,52 +34,89 @@
 
 
 class Refusal(NamedTuple):
+    """The answer to a refused request.
+
+    Attributes:
+        status: HTTP status.
+        reason: text for the client.
+        retry_after: seconds after which the client may retry.
+    """
+
     status: int
     reason: str
     retry_after: int
 
 
 class _Shortage:
-    """EASY until something is refused or ended for want of it, SHORT until nothing was for a while."""
+    """Shortage of one resource.
+
+    It begins when something is refused or closed for lack of the resource, and ends once that has
+    not happened for some time.
+    """
 
-    def __init__(self, what: Resource) -> None:
-        self.what = what
+    def __init__(self, resource: Resource) -> None:
+        self.resource = resource
         self.began_at: float | None = None
-        self.last = 0.0
-        self.turned_away = 0
+        self.last_seen_at = 0.0
+        self.refused = 0
 
-    def runs_short(self, now: float, picture: Callable[[Resource, float], str]) -> None:
+    def observe(self, now: float, describe: Callable[[Resource, float], str]) -> None:
         if self.began_at is None:
-            log.warning("short of %s: %s", self.what.value, picture(self.what, now))
-            self.began_at, self.turned_away = now, 0
-        self.last = now
+            log.warning(
+                "resource short: resource=%s %s", self.resource.value, describe(self.resource, now)
+            )
+            self.began_at, self.refused = now, 0
+        self.last_seen_at = now
 
-    def is_over(self, now: float) -> None:
+    def end(self, now: float) -> None:
         if self.began_at is not None:
             log.info(
-                "enough %s again after %.1f s; %d were told to come back",
-                self.what.value,
+                "resource no longer short: resource=%s duration_s=%.1f refused=%d",
+                self.resource.value,
                 now - self.began_at,
-                self.turned_away,
+                self.refused,
             )
             self.began_at = None
 
 
 class Admission:
-    """One for a controller. Asked by the front for users' requests, by the server for connections."""
+    """Admission control of one controller, for its HTTP server and its handlers of users' requests.
+
+    Attributes:
+        hot_tenants: which teams submit more than their share.
+        refused_submissions: number by team; "" stands for all unknown names.
+        shares: how the sockets are divided.
+        connections: the inbound connections.
+        memory: how the memory is divided.
+        held_body_bytes: bodies of the requests that are received or answered.
+        processor: how late this process is.
+        shortages: whether each resource is short.
+        refused: number of refusals, by kind of request and the resource that was short.
+        shortage_end_s: a shortage ends after this many seconds without a refusal.
+        ended_connections: connections closed or refused up to the last tick.
+        write_wait_s: how long the last submission would have waited to be written.
+    """
 
     def __init__(
         self, shared: Shared, peers: int, weights: Mapping[str, float] | None = None
     ) -> None:
+        """Divide the limits that the settings give.
+
+        Args:
+            shared: settings of the platform.
+            peers: number of other controllers.
+            weights: of the teams; 1 where none is given.
+        """
         self.hot_tenants = HotTenantDetector(
             [team.name for team in shared.teams],
             2 * shared.workers.report_s,
-            2 * ACCEPT_WAITS_S,
+            2 * SUBMISSION_TIMEOUT_S,
             weights,
         )
-        self.refused_submissions: Counter[str] = Counter()  # submissions told to come back, by team
+        self.refused_submissions: Counter[str] = Counter()
         self.shares = socket_shares(shared.machine_limits.max_connections, peers)
-        # A worker that has not reported for two and a half of its periods reports elsewhere, or not at all.
+        # A worker that has been silent for two and a half reporting periods reports over another
+        # connection, or not at all.
         self.connections = Connections(
             self.shares,
             idle_s=60.0,
@@ -86,51 +124,72 @@
             worker_stale_after_s=2.5 * shared.workers.report_s,
         )
         self.memory = memory_shares(shared.machine_limits.ram_mb, self.shares.inbound)
-        self.held_body_bytes = 0  # bytes of what comes in and is answered
+        self.held_body_bytes = 0
         self.processor = Processor(half_life_s=shared.workers.report_s / 2)
-        self.shortages = {what: _Shortage(what) for what in Resource}
-        self.refused: Counter[tuple[str, Resource]] = (
-            Counter()
-        )  # what was asked for, and what there was too little of
-        self.calm_s = 2 * shared.workers.report_s
-        self.told_ended = 0
-        self.line_s = 0.0  # of submissions to be written, when last asked
+        self.shortages = {resource: _Shortage(resource) for resource in Resource}
+        self.refused: Counter[tuple[str, Resource]] = Counter()
+        self.shortage_end_s = 2 * shared.workers.report_s
+        self.ended_connections = 0
+        self.write_wait_s = 0.0
 
     def admit_submission(
-        self, behind_s: float, now: float, team: str = "", each_s: float = 0.0
+        self, write_wait_s: float, now: float, team: str = "", service_time_s: float = 0.0
     ) -> Refusal | None:
-        """`behind_s`: how long what goes before one of that team takes to be written; `each_s`: how long one more of it does, at its share."""
-        self.line_s = behind_s
+        """Return None if a submission is admitted, else the refusal.
+
+        Args:
+            write_wait_s: seconds until a submission of this team would be written.
+            now: current time in seconds.
+            team: whose submission it is.
+            service_time_s: seconds that one more submission takes at the team's share.
+        """
+        self.write_wait_s = write_wait_s
         self.hot_tenants.record_submission(team, now)
         late_s = self.processor.late_s(now)
-        # What is computed late has no line in which teams could have their turns: whoever brings more than its share goes first.
-        if late_s > ACCEPT_WAITS_S / (8 if self.hot_tenants.is_hot(team) else 4):
-            return self._turn_away(
-                team, Resource.PROCESSOR, "this controller is behind", late_s, each_s, now
+        # There is no queue for processor time in which teams could take turns, so a hot team is
+        # refused first, at half the lateness.
+        if late_s > SUBMISSION_TIMEOUT_S / (8 if self.hot_tenants.is_hot(team) else 4):
+            return self._refuse_submission(
+                team, Resource.PROCESSOR, "this controller is behind", late_s, service_time_s, now
             )
-        if behind_s > WRITTEN_S:
-            return self._turn_away(
-                team, Resource.WRITES, "too many submissions at once", behind_s, each_s, now
+        if write_wait_s > MAX_WRITE_WAIT_S:
+            return self._refuse_submission(
+                team,
+                Resource.WRITES,
+                "too many submissions at once",
+                write_wait_s,
+                service_time_s,
+                now,
             )
         return None
 
-    def _turn_away(
-        self, team: str, of: Resource, why: str, wait_s: float, each_s: float, now: float
+    def _refuse_submission(
+        self,
+        team: str,
+        resource: Resource,
+        reason: str,
+        wait_s: float,
+        service_time_s: float,
+        now: float,
     ) -> Refusal:
         self.refused_submissions[team if team in self.hot_tenants.teams else ""] += 1
         return self._refuse(
             "submission",
-            of,
+            resource,
             429,
-            why,
-            self.hot_tenants.retry_after_s(team, wait_s, each_s, now),
+            reason,
+            self.hot_tenants.retry_after_s(team, wait_s, service_time_s, now),
             now,
         )
 
     def admit_status_request(self, now: float, team: str = "") -> Refusal | None:
-        """Questions give way before submissions do: who asks will ask again in any case. About a hot team's jobs, first of all."""
+        """Return None if a status request is admitted, else the refusal.
+
+        Status requests are refused before submissions, since they are repeated anyway, and those
+        about the jobs of a hot team first of all.
+        """
         late_s = self.processor.late_s(now)
-        if late_s > USER_WAITS_S / (8 if self.hot_tenants.is_hot(team) else 4):
+        if late_s > STATUS_TIMEOUT_S / (8 if self.hot_tenants.is_hot(team) else 4):
             return self._refuse(
                 "question",
                 Resource.PROCESSOR,
@@ -142,55 +201,71 @@
         return None
 
     def refuse_connection(self, now: float) -> Refusal:
-        """The answer to whom there is no place for."""
+        """Return the refusal for a connection that finds no free socket."""
         return self._refuse("connection", Resource.SOCKETS, 503, "no connection to spare", 1, now)
 
     def reserve_body(self, size: int, use: SocketUse) -> bool:
-        """Whether so many bytes more may come in; they count until `release_body`. A quarter is for workers' reports alone: leases hang on them."""
-        most = (
+        """Reserve memory for `size` bytes of a request's body, until `release_body`.
+
+        A quarter of the memory is only for workers' reports, since they renew leases.
+
+        Returns:
+            False if there is too little memory; nothing is reserved then.
+        """
+        max_bytes = (
             self.memory.body_bytes if use is SocketUse.WORKER else self.memory.body_bytes * 3 // 4
         )
-        if self.held_body_bytes + size > most:
+        if self.held_body_bytes + size > max_bytes:
             return False
         self.held_body_bytes += size
         return True
 
     def release_body(self, size: int) -> None:
+        """Release `size` bytes that were reserved."""
         self.held_body_bytes -= size
 
     def refuse_body(self, now: float) -> Refusal:
-        """The answer to whom there is no memory for what it sends."""
+        """Return the refusal for a request whose body finds no free memory."""
         return self._refuse("request", Resource.MEMORY, 503, "too much comes in at once", 1, now)
 
     def _refuse(
-        self, what: str, of: Resource, status: int, why: str, retry_after: int, now: float
+        self,
+        request_kind: str,
+        resource: Resource,
+        status: int,
+        reason: str,
+        retry_after: int,
+        now: float,
     ) -> Refusal:
-        self.refused[what, of] += 1
-        shortage = self.shortages[of]
-        shortage.runs_short(now, self.picture)
-        shortage.turned_away += 1
-        return Refusal(status, why, retry_after)
-
-    def picture(self, of: Resource, now: float) -> str:
-        if of is Resource.PROCESSOR:
-            return f"answers wait {self.processor.late_s(now):.2f} s; questions go first, then submissions"
-        if of is Resource.MEMORY:
-            return f"{self.held_body_bytes} of {self.memory.body_bytes} bytes of requests have come in or are being answered"
-        if of is Resource.WRITES:
-            return f"what users submit waits {self.line_s:.2f} s to be written"
+        self.refused[request_kind, resource] += 1
+        shortage = self.shortages[resource]
+        shortage.observe(now, self.describe)
+        shortage.refused += 1
+        return Refusal(status, reason, retry_after)
+
+    def describe(self, resource: Resource, now: float) -> str:
+        """Return the current use of a resource, for the log."""
+        if resource is Resource.PROCESSOR:
+            return f"late_s={self.processor.late_s(now):.2f}"
+        if resource is Resource.MEMORY:
+            return f"held_body_bytes={self.held_body_bytes} max_body_bytes={self.memory.body_bytes}"
+        if resource is Resource.WRITES:
+            return f"write_wait_s={self.write_wait_s:.2f}"
         connections, users = self.connections, self.connections.count(SocketUse.USER)
         return (
-            f"{len(connections)} of {self.shares.inbound} connections, {users} users' (of {self.shares.max_user_connections()}), "
-            f"{connections.count(SocketUse.WORKER)} workers' (of {self.shares.max_worker_connections(users)}); workers' are closed after their answers"
+            f"connections={len(connections)} max_connections={self.shares.inbound} "
+            f"users={users} max_users={self.shares.max_user_connections()} "
+            f"workers={connections.count(SocketUse.WORKER)} "
+            f"max_workers={self.shares.max_worker_connections(users)}"
         )
 
     def tick(self, late_s: float, now: float) -> None:
-        """Told by a timer how late it fired."""
+        """Record that a timer fired `late_s` seconds late, and begin or end shortages."""
         self.processor.record_lateness(late_s, now)
-        ended = sum(self.connections.ended.values())
-        if self.connections.short and ended > self.told_ended:
-            self.shortages[Resource.SOCKETS].runs_short(now, self.picture)
-        self.told_ended = ended
+        ended_connections = sum(self.connections.ended.values())
+        if self.connections.short and ended_connections > self.ended_connections:
+            self.shortages[Resource.SOCKETS].observe(now, self.describe)
+        self.ended_connections = ended_connections
         for shortage in self.shortages.values():
-            if now - shortage.last > self.calm_s:
-                shortage.is_over(now)
+            if now - shortage.last_seen_at > self.shortage_end_s:
+                shortage.end(now)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -232,7 +232,11 @@
         for n in range(50):
             desk.tick(0.0, 15.0 + n / 10)
     said = [record.getMessage() for record in caplog.records]
-    assert len(said) == 2 and said[0].startswith("short of writes") and "50 were told" in said[1]
+    assert (
+        len(said) == 2
+        and said[0].startswith("resource short: resource=writes")
+        and said[1].endswith(" refused=50")
+    )
     assert desk.refused["submission", Resource.WRITES] == 50
 
 
