--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,7 @@
-"""Who gets what when sockets, the processor or writes run short: as tables, and with whole controllers held to few sockets."""
+"""Admission control when sockets, processor time, memory or writes run short.
+
+As tables of cases, and with whole controllers whose sockets are limited.
+"""
 
 from __future__ import annotations
 
@@ -37,13 +40,13 @@
 def test_shares_stay_within_the_limit(limit: int, peers: int) -> None:
     shares = socket_shares(limit, peers)
     if limit >= 400:
-        ours = sum(
+        not_inbound = sum(
             shares.reserved[use]
             for use in (SocketUse.MESH, SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS)
         )
-        assert shares.inbound + ours < limit
-        inbound = (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
-        assert sum(shares.reserved[use] for use in inbound) <= shares.inbound
+        assert shares.inbound + not_inbound < limit
+        inbound_uses = (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
+        assert sum(shares.reserved[use] for use in inbound_uses) <= shares.inbound
     assert (
         shares.max_user_connections() >= 2
         and shares.max_worker_connections(10**6) == shares.reserved[SocketUse.WORKER]
@@ -51,7 +54,7 @@
 
 
 def filled(connections: Connections, **counts: int) -> dict[SocketUse, list[str]]:
-    """So many waiting connections of each use, the first the oldest."""
+    """Open so many idle connections of each use, and return their keys, the oldest first."""
     out: dict[SocketUse, list[str]] = {}
     for label, number in counts.items():
         use = SocketUse(label)
@@ -66,7 +69,7 @@
 
 
 def limited(inbound: int) -> Connections:
-    """Of so many places 1/4 each for users and workers, 1/16 for those who have not said."""
+    """Return a table that reserves 1/4 each for users and workers, and 1/16 for new connections."""
     shares = socket_shares(400, 2)._replace(inbound=inbound)
     for use, ratio in {
         SocketUse.NEW: 16,
@@ -78,7 +81,9 @@
     return Connections(shares, idle_s=60.0, request_timeout_s=10.0, worker_stale_after_s=2.5)
 
 
-KEEPS = [  # (users, workers there already) -> whether a worker's and a user's connection stay open after their answer
+# Open connections of users and of workers; then whether a further one of a worker, and of a user,
+# stays open after a response.
+KEEP_CASES = [
     (0, 10, True, True),
     (10, 40, True, True),
     (10, 68, False, True),
@@ -89,44 +94,44 @@
 ]
 
 
-@pytest.mark.parametrize(("users", "workers", "worker_keeps", "user_keeps"), KEEPS)
-def test_workers_give_way_before_users(
-    users: int, workers: int, worker_keeps: bool, user_keeps: bool
+@pytest.mark.parametrize(("users", "workers", "worker_kept", "user_kept"), KEEP_CASES)
+def test_connections_of_workers_are_closed_before_those_of_users(
+    users: int, workers: int, worker_kept: bool, user_kept: bool
 ) -> None:
     connections = limited(100)
     filled(connections, users=users, workers=workers)
     connections.admit("w", 1.0)
     assert (
         connections.request_received("w", SocketUse.WORKER)
-        and connections.keep_after_response("w", 1.0) is worker_keeps
+        and connections.keep_after_response("w", 1.0) is worker_kept
     )
     connections.connection_closed("w")
     connections.admit("u", 1.0)
     assert (
         connections.request_received("u", SocketUse.USER)
-        and connections.keep_after_response("u", 1.0) is user_keeps
+        and connections.keep_after_response("u", 1.0) is user_kept
     )
 
 
-def test_when_all_places_are_taken_the_oldest_idle_worker_goes() -> None:
+def test_longest_idle_connection_of_a_worker_is_evicted_at_the_limit() -> None:
     connections = limited(100)
     keys = filled(connections, users=20, workers=78)[SocketUse.WORKER]
-    connections.data_received(keys[0], 2.0)  # the oldest is at it: its report is not thrown away
+    connections.data_received(keys[0], 2.0)  # the oldest one is busy, so its report is not lost
     for n in range(2):
         assert connections.admit(f"late{n}", 2.0) == (True, None)
     assert [connections.admit(f"later{n}", 2.0).evicted for n in range(2)] == [keys[1], keys[2]]
-    connections.connection_closed(keys[1])  # its socket tells its own end afterwards
+    connections.connection_closed(keys[1])  # as its socket reports afterwards
     assert len(connections) == 100
-    # Nobody is thrown out for one that has not said what it wants once workers are down to what is certain.
+    # No worker is evicted for a new connection once workers hold no more than is reserved for them.
     connections = limited(100)
     filled(connections, users=68, workers=25, new=7)
     assert (
-        not connections.admit("more", 2.0).admitted
+        not connections.admit("new", 2.0).admitted
         and connections.ended[SocketUse.NEW, "refused"] == 1
     )
 
 
-def test_users_are_refused_only_beyond_all_that_workers_can_spare() -> None:
+def test_users_are_refused_only_beyond_all_sockets_not_reserved_for_others() -> None:
     connections = limited(100)
     keys = filled(connections, users=connections.shares.max_user_connections())[SocketUse.USER]
     connections.admit("one", 1.0)
@@ -140,7 +145,8 @@
     ) and not connections.keep_after_response("never came", 1.0)
 
 
-OVERDUE = [  # (use, phase, age, places short) -> ended
+# Use, phase, seconds in it, and whether sockets are short; then whether the connection is closed.
+OVERDUE_CASES = [
     ("users", ConnectionPhase.IDLE, 30.0, True, False),
     ("users", ConnectionPhase.IDLE, 61.0, False, True),
     ("users", ConnectionPhase.BUSY, 11.0, False, True),
@@ -153,8 +159,10 @@
 ]
 
 
-@pytest.mark.parametrize(("label", "phase", "age", "short", "ended"), OVERDUE)
-def test_overdue(label: str, phase: ConnectionPhase, age: float, short: bool, ended: bool) -> None:
+@pytest.mark.parametrize(("label", "phase", "age_s", "short", "closed"), OVERDUE_CASES)
+def test_overdue_connections_are_closed(
+    label: str, phase: ConnectionPhase, age_s: float, short: bool, closed: bool
+) -> None:
     connections = limited(100)
     filled(connections, **{label: 1})
     if phase is ConnectionPhase.BUSY:
@@ -164,11 +172,11 @@
             connections.admit(n, 100.0)
             connections.request_received(n, SocketUse.WORKER)
             connections.keep_after_response(n, 100.0)
-    assert (f"{label}0" in connections.end_overdue(age)) is ended
-    assert (f"{label}0" in connections.use) is not ended
+    assert (f"{label}0" in connections.end_overdue(age_s)) is closed
+    assert (f"{label}0" in connections.use) is not closed
 
 
-def test_what_comes_in_drop_by_drop_is_slow_all_the_same() -> None:
+def test_request_received_in_small_pieces_times_out() -> None:
     connections = limited(100)
     connections.admit("drops", 0.0)
     for n in range(11):
@@ -176,7 +184,7 @@
     assert connections.end_overdue(10.5) == ["drops"]
 
 
-def test_the_processor_is_as_late_as_its_worst_moment_of_late() -> None:
+def test_processor_reports_its_highest_recent_lateness() -> None:
     processor = Processor(2.0)
     processor.record_lateness(4.0, 10.0)
     processor.record_lateness(0.1, 12.0)
@@ -187,8 +195,9 @@
     assert all(n * shard_cpu_share(n) <= 1 / 2 and shard_cpu_share(n) <= 1 / 4 for n in range(1, 9))
 
 
-REFUSALS = [  # (seconds late, seconds of writes in line) -> status of a question and of a submission, when to return
-    # Of whoever submits more than its share here, each at half of that lateness; the other team is red.
+# Lateness and time until a submission is written, in seconds; then the status and retry time of a
+# status request and of a submission; None: admitted. A hot team is refused at half the lateness.
+REFUSAL_CASES = [
     (0.4, 0.0, None, None),
     (0.8, 0.0, (429, 1), None),
     (0.0, 0.0, None, None),
@@ -200,44 +209,47 @@
 ]
 
 
-@pytest.mark.parametrize(("late", "line", "question", "submission"), REFUSALS)
-def test_questions_give_way_before_submissions(
-    late: float, line: float, question: Any, submission: Any
+@pytest.mark.parametrize(("late_s", "write_wait_s", "status_request", "submission"), REFUSAL_CASES)
+def test_status_requests_are_refused_before_submissions(
+    late_s: float, write_wait_s: float, status_request: Any, submission: Any
 ) -> None:
-    desk = Admission(shared(), 2)
-    desk.tick(late, 10.0)
-    asked, submitted = desk.admit_status_request(10.0), desk.admit_submission(line, 10.0)
-    assert (asked and (asked.status, asked.retry_after)) == question
+    admission = Admission(shared(), 2)
+    admission.tick(late_s, 10.0)
+    asked, submitted = (
+        admission.admit_status_request(10.0),
+        admission.admit_submission(write_wait_s, 10.0),
+    )
+    assert (asked and (asked.status, asked.retry_after)) == status_request
     assert (submitted and (submitted.status, submitted.retry_after)) == submission
     for _ in range(20):
-        desk.hot_tenants.record_submission("red", 10.0)
+        admission.hot_tenants.record_submission("red", 10.0)
     assert (
-        desk.admit_status_request(10.0, "red") is not None,
-        desk.admit_submission(line, 10.0, "red") is not None,
-    ) == (late > 0.25, late > 0.625 or line > 0.8)
+        admission.admit_status_request(10.0, "red") is not None,
+        admission.admit_submission(write_wait_s, 10.0, "red") is not None,
+    ) == (late_s > 0.25, late_s > 0.625 or write_wait_s > 0.8)
     assert (
-        desk.admit_status_request(10.0, "blue") is not None,
-        desk.admit_submission(line, 10.0, "blue") is not None,
-    ) == (late > 0.5, late > 1.25 or line > 0.8)
+        admission.admit_status_request(10.0, "blue") is not None,
+        admission.admit_submission(write_wait_s, 10.0, "blue") is not None,
+    ) == (late_s > 0.5, late_s > 1.25 or write_wait_s > 0.8)
 
 
-def test_a_shortage_is_told_once_when_it_begins_and_once_when_it_is_over(
+def test_shortage_is_logged_once_at_its_begin_and_once_at_its_end(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    desk = Admission(shared(), 2)
+    admission = Admission(shared(), 2)
     with caplog.at_level(logging.INFO, "ashdock.admission"):
         for n in range(50):
-            assert desk.admit_submission(2.0, 10.0 + n / 10)
-            desk.tick(0.0, 10.0 + n / 10)
+            assert admission.admit_submission(2.0, 10.0 + n / 10)
+            admission.tick(0.0, 10.0 + n / 10)
         for n in range(50):
-            desk.tick(0.0, 15.0 + n / 10)
-    said = [record.getMessage() for record in caplog.records]
+            admission.tick(0.0, 15.0 + n / 10)
+    logged = [record.getMessage() for record in caplog.records]
     assert (
-        len(said) == 2
-        and said[0].startswith("resource short: resource=writes")
-        and said[1].endswith(" refused=50")
+        len(logged) == 2
+        and logged[0].startswith("resource short: resource=writes")
+        and logged[1].endswith(" refused=50")
     )
-    assert desk.refused["submission", Resource.WRITES] == 50
+    assert admission.refused["submission", Resource.WRITES] == 50
 
 
 @pytest.mark.parametrize(
@@ -250,25 +262,29 @@
         ("/nonsense", SocketUse.USER),
     ],
 )
-def test_use_of(target: str, use: SocketUse) -> None:
+def test_use_by_path(target: str, use: SocketUse) -> None:
     assert use_of(target) is use
 
 
-def test_orders_beyond_their_places_go_with_the_next_report(
+def test_commands_beyond_the_socket_limit_are_deferred(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Starts that a silent machine lets hang hold a socket each; idle connections to workers go first."""
+    """Commands to machines that do not answer must not occupy more sockets than the limit.
+
+    Idle connections to workers are closed first. A command that finds no socket is not sent; it
+    goes out with the answer to the next report.
+    """
 
     async def main(net: simtime.Net) -> None:
         async def handle(request: Request) -> Answer:
             return Answer(200, b"{}")
 
-        async def hangs(request: Request) -> Answer:
+        async def never_answer(request: Request) -> Answer:
             await asyncio.sleep(1e6)
             return Answer(200)
 
         for n in range(6):
-            await Server(hangs if n > 3 else handle, limited(100)).start(f"10.1.0.{n}", 9000)
+            await Server(never_answer if n > 3 else handle, limited(100)).start(f"10.1.0.{n}", 9000)
         client = WorkerClient(timeout_s=4.0, idle_s=30.0, max_sockets=2)
         for n in range(4):
             await client.send_commands(f"10.1.0.{n}:9000", 1, 1, [])
@@ -277,16 +293,16 @@
             asyncio.create_task(client.send_commands(f"10.1.0.{n}:9000", 1, 1, [])) for n in (4, 5)
         ]
         await asyncio.sleep(0.1)
-        with pytest.raises(NoAnswer) as why:
+        with pytest.raises(NoAnswer) as error:
             await client.send_commands("10.1.0.0:9000", 1, 1, [])
-        assert not why.value.sent and client.deferred == 1 and client.sockets == 2
+        assert not error.value.sent and client.deferred == 1 and client.sockets == 2
         await asyncio.gather(*hanging, return_exceptions=True)
         await client.send_commands("10.1.0.0:9000", 1, 1, [])
 
     simtime.run(main, 1, monkeypatch)
 
 
-def test_a_lease_is_renewed_past_those_that_wait_for_a_place(
+def test_lease_renewal_does_not_wait_for_a_free_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main(net: simtime.Net) -> None:
@@ -296,15 +312,18 @@
 
         await Server(handle, limited(100)).start("10.2.0.1", 2379)
         client = Client("10.2.0.1", 2379, most=4)
-        asked = [asyncio.create_task(client.request("GET", "/slow", b"", 4.0)) for _ in range(8)]
+        slow_requests = [
+            asyncio.create_task(client.request("GET", "/slow", b"", 4.0)) for _ in range(8)
+        ]
         await asyncio.sleep(0.1)
         assert client.sockets == 4
         assert (await client.request("POST", "/renew", b"", 1.0, first=True))[0] == 200
-        ended = await asyncio.gather(*asked, return_exceptions=True)
-        late = [one for one in ended if isinstance(one, NoAnswer)]
+        results = await asyncio.gather(*slow_requests, return_exceptions=True)
+        failed = [result for result in results if isinstance(result, NoAnswer)]
         assert (
-            len(late) == 4 and not any(one.sent for one in late if str(one) == "TimeoutError")
-        ) or late
+            len(failed) == 4
+            and not any(error.sent for error in failed if str(error) == "TimeoutError")
+        ) or failed
 
     simtime.run(main, 1, monkeypatch)
 
@@ -312,15 +331,19 @@
 def test_with_few_sockets_no_lease_ends_and_users_are_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Workers that keep their connections open took every place: users found no controller, and reports came too late to keep
-    the leases. Forty workers, and of three controllers two are down: thirty-odd places are left for all."""
+    """Workers' kept connections must not take all sockets.
+
+    When they did, users reached no controller, and reports came too late to renew leases. Here
+    forty workers report to the only controller left of three, which has some thirty sockets for
+    them and the users.
+    """
 
     async def main(net: simtime.Net) -> None:
         service = Service(net, machines=40, capacity=40)
         for n in range(3):
             net.limits[f"10.0.0.{n}"] = 64
         service.limit = 64
-        service.world.keep = 1  # workers that keep their connection
+        service.world.keep = 1  # workers keep their connections
         await service.start()
         await service.submit(job(1, shares=24, expect_s=60.0))
         await service.submit(job(2, owner="blue", shares=16, expect_s=60.0))
@@ -328,18 +351,18 @@
         for n in (1, 2):
             net.kill(f"10.0.0.{n}")
             service.controllers.pop(n)
-        late, ready = 0, 0
+        late_or_failed, ready = 0, 0
         for _ in range(60):
-            at = service.now()
+            asked_at = service.now()
             status, _ = await Client("10.0.0.0", 8080, keep=0).request(
                 "GET", "/v2/runs/req-000001", b"", 2.0
             )
-            late += service.now() - at > 1.0 or status not in (200, 503)
+            late_or_failed += service.now() - asked_at > 1.0 or status not in (200, 503)
             ready += (await Client("10.0.0.0", 8080, keep=0).request("GET", "/ready", b"", 1.0))[
                 0
             ] == 200
             await asyncio.sleep(0.5)
-        assert late == 0 and ready >= 55
+        assert late_or_failed == 0 and ready >= 55
         assert all(worker.tenure == 1 for worker in service.world.workers.values())
         assert net.most["10.0.0.0"] <= 64 and net.refused == 0
         page = (await Client("10.0.0.0", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
@@ -354,8 +377,10 @@
     simtime.run(main, 41, monkeypatch)
 
 
-def test_a_flood_of_connections_leaves_places_for_the_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Somebody opens connections and says nothing: those who do are answered, and the silent ones are ended in time."""
+def test_flood_of_silent_connections_does_not_starve_requests(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Connections without a request are closed in time, and requests over others are answered."""
 
     async def main(net: simtime.Net) -> None:
         service = Service(net)
@@ -369,9 +394,9 @@
             <= service.controllers[0].admission.shares.inbound
         )
         status, body = await Client("10.0.0.0", 8080, keep=0).request("GET", "/ready", b"", 1.0)
-        assert status == 503 and not body  # said at once, not left hanging
+        assert status == 503 and not body  # refused at once, not left to time out
         await asyncio.sleep(3)
-        for _ in range(40):  # those that have said nothing for a while make place for those who do
+        for _ in range(40):  # connections that have been silent for some time make room for these
             assert (await Client("10.0.0.0", 8080, keep=0).request("GET", "/ready", b"", 1.0))[
                 0
             ] == 200
@@ -385,26 +410,29 @@
     simtime.run(main, 42, monkeypatch)
 
 
-# -- memory --------------------------------------------------------------------------------------------------------
+# -- memory -------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     ("ram_mb", "inbound"),
     [(32.0, 8), (110.0, 755), (110.0, 1133), (194.0, 1033), (4096.0, 1000), (64.0, 100_000)],
 )
-def test_what_may_grow_has_a_share_of_the_memory(ram_mb: float, inbound: int) -> None:
+def test_memory_shares_stay_within_the_limit(ram_mb: float, inbound: int) -> None:
     memory = memory_shares(ram_mb, inbound)
-    whole = ram_mb * 2**20
+    ram_bytes = ram_mb * 2**20
     assert (
-        memory.body_bytes == int(whole / 8)
-        and 0 < memory.cached_jobs * CACHED_JOB_BYTES <= whole / 8
+        memory.body_bytes == int(ram_bytes / 8)
+        and 0 < memory.cached_jobs * CACHED_JOB_BYTES <= ram_bytes / 8
         and memory.cached_jobs <= MAX_CACHED_JOBS
     )
     assert MIN_BUFFER_BYTES <= memory.buffer_bytes <= MAX_BUFFER_BYTES
-    assert memory.buffer_bytes == MIN_BUFFER_BYTES or 2 * memory.buffer_bytes * inbound <= whole / 8
+    assert (
+        memory.buffer_bytes == MIN_BUFFER_BYTES
+        or 2 * memory.buffer_bytes * inbound <= ram_bytes / 8
+    )
 
 
-def test_a_job_that_is_remembered_is_no_larger_than_counted() -> None:
+def test_cached_job_takes_no_more_memory_than_assumed() -> None:
     finals = {
         f"req-{n:06d}": Final("withdrawn", 100_000, "error on vm-000001; tried again", 1.7e9 + n)
         for n in range(2000)
@@ -421,34 +449,37 @@
     )
 
 
-def test_bodies_beyond_the_memory_are_told_to_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each user sends the half of a large body and waits: those for whom there is no memory are told so at once, and workers go on."""
+def test_bodies_beyond_the_memory_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Users who each send half of a large body and wait must not use up the memory.
+
+    Those that exceed it are refused at once, and workers are not affected.
+    """
 
     async def day(service: Service) -> None:
         controller = service.controllers[0]
         await service.submit(job(1, shares=2))
         controller.admission.memory = controller.admission.memory._replace(body_bytes=400_000)
-        said: list[bytes] = []
+        responses: list[bytes] = []
 
-        async def half() -> None:
+        async def send_half() -> None:
             reader, writer = await asyncio.open_connection("10.0.0.0", 8080)
             writer.write(
                 b"POST /v2/runs HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n"
                 + b"x" * 30_000
             )
-            said.append(await reader.read())
+            responses.append(await reader.read())
 
-        calls = [spawn(service.net, "users", half()) for _ in range(40)]
+        calls = [spawn(service.net, "users", send_half()) for _ in range(40)]
         await asyncio.sleep(4)
-        assert len(said) == 35 and all(
-            b" 503 " in one and b"retry-after: 1" in one.lower() for one in said
+        assert len(responses) == 35 and all(
+            b" 503 " in response and b"retry-after: 1" in response.lower() for response in responses
         )
         assert (
             controller.admission.held_body_bytes == 300_000
             and controller.admission.refused["request", Resource.MEMORY] == 35
         )
         assert await service.until_final(["req-000001"], 30) == []
-        await asyncio.gather(*calls, return_exceptions=True)  # ended as too slow
+        await asyncio.gather(*calls, return_exceptions=True)  # closed as too slow
         assert controller.admission.held_body_bytes == 0
         assert not any(worker.tenure > 1 for worker in service.world.workers.values())
         assert await service.poll("req-000001", 0) == "done"
@@ -457,13 +488,13 @@
 
 
 @pytest.mark.parametrize(
-    ("late_s", "asked", "submitted"),
+    ("late_s", "status_request", "submission"),
     [(0.2, 200, 201), (0.6, 429, 201), (1.6, 429, 429), (30.0, 429, 429)],
 )
-def test_what_comes_first_under_a_late_processor(
-    late_s: float, asked: int, submitted: int, monkeypatch: pytest.MonkeyPatch
+def test_order_of_refusals_under_a_late_processor(
+    late_s: float, status_request: int, submission: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Reports and cancellations are answered however late it is; questions go first, then submissions, each told when to come back."""
+    """Status requests are refused first, then submissions, but never reports and cancellations."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shape="daemon", shares=2))
@@ -472,13 +503,13 @@
             await asyncio.sleep(0.2)
         processor = service.controllers[0].admission.processor
         monkeypatch.setattr(processor, "late_s", lambda now: late_s)
-        got = await service.call("GET", "/v2/runs/req-000001", b"", 2.0, 0)
-        assert got is not None and got[0] == asked
+        response = await service.call("GET", "/v2/runs/req-000001", b"", 2.0, 0)
+        assert response is not None and response[0] == status_request
         service.rules.submitted(job(3))
-        got = await service.call("POST", "/v2/runs", service.body_of(job(3)), 5.0, 0)
-        assert got is not None and got[0] == submitted
+        response = await service.call("POST", "/v2/runs", service.body_of(job(3)), 5.0, 0)
+        assert response is not None and response[0] == submission
         assert await service.withdraw("req-000001", 0) == "withdrawn"
-        await asyncio.sleep(15)  # more than two leases, and `cancel_s` is not over
+        await asyncio.sleep(15)  # longer than two leases, shorter than `cancel_s`
         assert not service.rules.on.get(("req-000001", 0)) and service.rules.on.get(
             ("req-000002", 0)
         )
