--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -48,7 +48,7 @@
     Attributes:
         limit: sockets that the controller may hold.
         reserved: sockets reserved for each use.
-        inbound: sockets that all connections from users, workers and probes may hold together.
+        inbound: most connections that others may have open to this controller.
     """
 
     limit: int
@@ -68,7 +68,7 @@
 
         These are the reserved ones and half of what users leave beyond that. The other half is kept
         for reconnects: after a freeze or a network partition each worker opens a new connection
-        before the loss of its old one is noticed, which took 1,775 of 1,937 sockets.
+        before the loss of its old one is noticed. That had 1,775 of 1,937 sockets in use.
         """
         left_by_users = (
             self.inbound
