--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -1,4 +1,4 @@
-"""Named shares of a controller's sockets and memory, each a ratio to the limit that the settings give."""
+"""Shares of a controller's sockets and memory: fractions of the limits that the settings give."""
 
 from __future__ import annotations
 
@@ -6,108 +6,156 @@
 from typing import NamedTuple
 
 
-class Use(Enum):
-    """What a socket is for."""
+class SocketUse(Enum):
+    """What a socket is used for; the values are labels of metrics."""
 
-    NEW = "new"  # has connected, and not said yet what it wants
+    NEW = "new"  # connected, without a complete request so far
     USER = "users"
     PROBE = "probes"  # /ready and /metrics
     WORKER = "workers"
     MESH = "mesh"
-    STATE = "state"
+    STORE = "state"
     CLOUD = "cloud"
-    ORDERS = "orders"  # ours to workers
+    COMMANDS = "orders"  # from this controller to workers
 
-    # Members are told apart by identity. Hashing their names instead, fifteen times a report, was a twelfth of answering one.
+    # Members are compared by identity. Hashing their names, fifteen times for each worker's report,
+    # took a twelfth of the time that answering it takes.
     __hash__ = object.__hash__
 
 
-# Of the limit, places that nobody else may take, and the least that makes sense. What is left of the limit after all of them is for
-# users before workers: a worker's connection can be opened anew for each report, a user's cannot without its user noticing.
-CERTAIN = {
-    Use.NEW: (1 / 16, 2),
-    Use.USER: (1 / 4, 2),
-    Use.PROBE: (1 / 64, 1),
-    Use.WORKER: (1 / 4, 2),
-    Use.STATE: (1 / 16, 4),
-    Use.CLOUD: (1 / 64, 2),
-    Use.ORDERS: (1 / 8, 1),
+# Sockets reserved for each use: a fraction of the limit, and the least that works. What is left of
+# the limit goes to users before workers: a worker can open a new connection for each report, but a
+# user notices when its connection is closed.
+RESERVED = {
+    SocketUse.NEW: (1 / 16, 2),
+    SocketUse.USER: (1 / 4, 2),
+    SocketUse.PROBE: (1 / 64, 1),
+    SocketUse.WORKER: (1 / 4, 2),
+    SocketUse.STORE: (1 / 16, 4),
+    SocketUse.CLOUD: (1 / 64, 2),
+    SocketUse.COMMANDS: (1 / 8, 1),
 }
-SPARE = 1 / 32  # for the listening ends, what the interpreter holds open, and what is on its way
-LEAST_SPARE = 4
-LINKS = 4  # of the mesh to a peer: one out, one in, and as many once more while one that is dead has not been noticed
+# Of the limit: listening sockets, those that the interpreter holds open, and those being opened.
+OVERHEAD_RATIO = 1 / 32
+MIN_OVERHEAD = 4
+# One link out and one in, and as many again while the loss of the old ones has not been noticed.
+MESH_SOCKETS_PER_PEER = 4
 
 
 class Shares(NamedTuple):
-    """Places for each use. `inbound` is what all that connects to us may hold together."""
+    """How the sockets of a controller are divided.
+
+    Attributes:
+        limit: sockets that the controller may hold.
+        reserved: sockets reserved for each use.
+        inbound: most connections that others may have open to this controller.
+    """
 
     limit: int
-    certain: dict[Use, int]
+    reserved: dict[SocketUse, int]
     inbound: int
 
-    def users_most(self) -> int:
+    def max_user_connections(self) -> int:
+        """Return how many connections of users may be open."""
         return max(
-            self.inbound - sum(self.certain[use] for use in (Use.NEW, Use.PROBE, Use.WORKER)),
-            self.certain[Use.USER],
+            self.inbound
+            - sum(self.reserved[use] for use in (SocketUse.NEW, SocketUse.PROBE, SocketUse.WORKER)),
+            self.reserved[SocketUse.USER],
         )
 
-    def workers_most(self, users: int) -> int:
-        """How many workers' connections may stay open while users have so many: what is certain, and half of what users do not
-        need beyond that. The other half is for all who come back at once: after a freeze or a cut each worker connects anew while
-        what it left has not been noticed, and 1,775 of 1,937 sockets were in use."""
-        rest = (
+    def max_worker_connections(self, users: int) -> int:
+        """Return how many connections of workers may stay open while `users` of users are open.
+
+        These are the reserved ones and half of what users leave beyond that. The other half is kept
+        for reconnects: after a freeze or a network partition each worker opens a new connection
+        before the loss of its old one is noticed. That had 1,775 of 1,937 sockets in use.
+        """
+        left_by_users = (
             self.inbound
-            - self.certain[Use.NEW]
-            - self.certain[Use.PROBE]
-            - max(users, self.certain[Use.USER])
+            - self.reserved[SocketUse.NEW]
+            - self.reserved[SocketUse.PROBE]
+            - max(users, self.reserved[SocketUse.USER])
+        )
+        return (
+            self.reserved[SocketUse.WORKER]
+            + max(left_by_users - self.reserved[SocketUse.WORKER], 0) // 2
         )
-        return self.certain[Use.WORKER] + max(rest - self.certain[Use.WORKER], 0) // 2
 
 
-def shares_of(limit: int, peers: int) -> Shares:
-    """Divide `limit` sockets of a controller with so many others."""
-    certain = {use: max(int(limit * ratio), least) for use, (ratio, least) in CERTAIN.items()}
-    certain[Use.MESH] = LINKS * (peers + 1)
-    ours = sum(certain[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS, Use.MESH)) + max(
-        int(limit * SPARE), LEAST_SPARE
-    )
-    return Shares(limit, certain, max(limit - ours, 4))
+def socket_shares(limit: int, peers: int) -> Shares:
+    """Divide the sockets of a controller.
+
+    Args:
+        limit: sockets that the controller may hold.
+        peers: number of other controllers.
+    """
+    reserved = {use: max(int(limit * ratio), least) for use, (ratio, least) in RESERVED.items()}
+    reserved[SocketUse.MESH] = MESH_SOCKETS_PER_PEER * (peers + 1)
+    not_inbound = sum(
+        reserved[use]
+        for use in (SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS, SocketUse.MESH)
+    ) + max(int(limit * OVERHEAD_RATIO), MIN_OVERHEAD)
+    return Shares(limit, reserved, max(limit - not_inbound, 4))
 
 
-def plain(limit: int) -> Shares:
-    """All for whoever comes: for an end that serves one kind of caller."""
-    return Shares(limit, dict.fromkeys(Use, limit), limit)
+def undivided_shares(limit: int) -> Shares:
+    """Return shares that give each use the whole limit, for a server with one kind of client."""
+    return Shares(limit, dict.fromkeys(SocketUse, limit), limit)
 
 
-def least_connections(peers: int) -> int:
-    """The smallest limit that leaves a place for each use besides what we need ourselves."""
-    least = {use: number for use, (_, number) in CERTAIN.items()}
-    ours = (
-        sum(least[use] for use in (Use.STATE, Use.CLOUD, Use.ORDERS))
-        + LINKS * (peers + 1)
-        + LEAST_SPARE
+def min_connections(peers: int) -> int:
+    """Return the smallest limit with the least reserved for each use, given so many peers."""
+    least = {use: number for use, (_, number) in RESERVED.items()}
+    not_inbound = (
+        sum(least[use] for use in (SocketUse.STORE, SocketUse.CLOUD, SocketUse.COMMANDS))
+        + MESH_SOCKETS_PER_PEER * (peers + 1)
+        + MIN_OVERHEAD
+    )
+    return not_inbound + sum(
+        least[use] for use in (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
     )
-    return ours + sum(least[use] for use in (Use.NEW, Use.USER, Use.PROBE, Use.WORKER))
 
 
-# Of the memory that the settings give, for each thing that grows with those who ask. What a start needs, the records of the fleet and the jobs
-# that are open have the rest.
-BODIES = 1 / 8  # of requests that come in or are being answered
-BUFFERS = 1 / 8  # what all connections may hold that has not been read
-REMEMBERED = 1 / 8  # jobs that have ended, and revisions of others
-JOB_BYTES = 512  # of one that is remembered
-MOST_JOBS = 20_000  # that are remembered, however much memory there is
-LEAST_BUFFER, MOST_BUFFER = 2 * 1024, 64 * 1024
+# Fractions of the memory limit for what grows with the number of clients. The rest is for what a
+# start needs, the records of the machines, and the open jobs.
+BODIES_RATIO = 1 / 8  # bodies of requests that are received or answered
+BUFFERS_RATIO = 1 / 8  # unread bytes of all connections
+JOB_CACHE_RATIO = 1 / 8  # outcomes of jobs that have ended, and revisions of others
+CACHED_JOB_BYTES = 512  # the most that one of them takes
+MAX_CACHED_JOBS = 20_000  # however much memory there is
+MIN_BUFFER_BYTES, MAX_BUFFER_BYTES = 2 * 1024, 64 * 1024  # of one connection
 
 
 class Memory(NamedTuple):
-    bodies: int  # bytes
-    buffer: int  # bytes of a connection: its reader stops reading at twice that
-    jobs: int
-
-
-def memory_of(ram_mb: float, inbound: int) -> Memory:
-    """Divide a controller's memory (MB) with so many connections to it at most."""
-    whole = ram_mb * 2**20
-    buffer = int(min(max(whole * BUFFERS / (2 * max(inbound, 1)), LEAST_BUFFER), MOST_BUFFER))
-    return Memory(int(whole * BODIES), buffer, int(min(whole * REMEMBERED / JOB_BYTES, MOST_JOBS)))
+    """How the memory of a controller is divided.
+
+    Attributes:
+        body_bytes: for the bodies of all requests that are received or answered.
+        buffer_bytes: read buffer of a connection, which stops reading at twice that.
+        cached_jobs: number of jobs in each cache of jobs.
+    """
+
+    body_bytes: int
+    buffer_bytes: int
+    cached_jobs: int
+
+
+def memory_shares(ram_mb: float, inbound: int) -> Memory:
+    """Divide the memory of a controller.
+
+    Args:
+        ram_mb: memory that the controller may use, in MiB.
+        inbound: most connections to it at a time.
+    """
+    ram_bytes = ram_mb * 2**20
+    buffer_bytes = int(
+        min(
+            max(ram_bytes * BUFFERS_RATIO / (2 * max(inbound, 1)), MIN_BUFFER_BYTES),
+            MAX_BUFFER_BYTES,
+        )
+    )
+    return Memory(
+        int(ram_bytes * BODIES_RATIO),
+        buffer_bytes,
+        int(min(ram_bytes * JOB_CACHE_RATIO / CACHED_JOB_BYTES, MAX_CACHED_JOBS)),
+    )
--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -792,7 +792,9 @@
             if offering not in is_wanted:
                 is_wanted[offering] = any(
                     self._suits(request, *offering)
-                    and (machine.spot or not (request.opportunistic and self._may_use_spot(request)))
+                    and (
+                        machine.spot or not (request.opportunistic and self._may_use_spot(request))
+                    )
                     for _, request in resource_requests
                 )
             if not is_wanted[offering]:
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -97,7 +97,7 @@
         eligible_at: Time since which it may start: its submission, or when the last of its
             dependencies was done, whichever is later.
         awaits_dependencies: Whether a dependency is not done; no task may be placed until it is.
-        carried: Priority and deadline that it inherits from the jobs that depend on it.
+        inherited: Priority and deadline that it inherits from the jobs that depend on it.
         revision: Revision of `job/<id>` and of its copy under `work/`, which are always written in
             the same transaction.
         phase: Its phase.
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -158,7 +158,7 @@
             and (job.spec.kind != JobKind.GANG or job.ready_count == job.spec.tasks)
         ]
         jobs.sort(key=lambda job: self._rank(job, now, cycle))
-        lifted = self.shard.classes.lifted(jobs, self._permitted_job_ids(jobs), now)
+        lifted = self.shard.classes.boosted_job_ids(jobs, self._permitted_job_ids(jobs), now)
         if lifted:
             jobs.sort(key=lambda job: (-job.priority, job.id not in lifted))
         return jobs
@@ -251,7 +251,9 @@
             group, size = self._wait_rank(job, now)
             return (-job.priority, group, size, job.eligible_at - now - lead_s)
         deadline_s = max(job.deadline_at - job.submitted_at, 1e-3)
-        expected_s = now + self.estimates.run_s(spec) * (1 - self.RUN_TIME_MARGIN) - job.submitted_at
+        expected_s = (
+            now + self.estimates.run_s(spec) * (1 - self.RUN_TIME_MARGIN) - job.submitted_at
+        )
         factors = sorted(
             o.times
             for o in self.shard.shared.objectives
@@ -533,7 +535,8 @@
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
-                        math.isinf(job.deadline_at) and not self.shard.policy.has_service_level(spec),
+                        math.isinf(job.deadline_at)
+                        and not self.shard.policy.has_service_level(spec),
                     )
                 )
         return requests
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -171,7 +171,7 @@
 
     def complete_job(self, job: Job, now: float) -> None:
         """Complete a job, all of whose tasks are done."""
-        self.classes.done(job.id, now)
+        self.classes.record_done(job.id, now)
         job.mark_over(now if self.write_limits.announced_apply else None)
 
     def add_machine(self, name: str, value: dict[str, Any], revision: int, now: float) -> None:
@@ -387,7 +387,7 @@
             return
         log.info("job cancelled: job=%s tasks_to_stop=%d", job_id, len(job.live))
         job.cancel(at)
-        self.classes.attainment.withdrawn(job_id)
+        self.classes.attainment.record_cancelled(job_id)
         job.revision = max(job.revision, revision)
         job.gang_stop_reason = None
         self.dependency_tracker.cancelled(job, now)
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -447,7 +447,9 @@
         if not transaction.has_room(1, MACHINE_BYTES):
             return
         team = (
-            machine.target_shard if is_transfer and machine.target_shard is not None else self.shard.name
+            machine.target_shard
+            if is_transfer and machine.target_shard is not None
+            else self.shard.name
         )
         transaction.put(
             f"machine/{machine.name}",
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -13,7 +13,7 @@
 import h11
 
 from ashdock.admission.connections import Connections
-from ashdock.admission.shares import Use, plain
+from ashdock.admission.shares import SocketUse, undivided_shares
 from ashdock.net import heads
 
 log = logging.getLogger("ashdock.http")
@@ -48,9 +48,9 @@
 class Bodies(Protocol):
     """Who tells how many bytes of bodies may be here at once."""
 
-    def body(self, size: int, use: Use) -> bool: ...
+    def reserve_body(self, size: int, use: SocketUse) -> bool: ...
 
-    def body_done(self, size: int) -> None: ...
+    def release_body(self, size: int) -> None: ...
 
 
 class Answer(NamedTuple):
@@ -89,8 +89,8 @@
     return head + answer.body if body else head
 
 
-def all_alike(target: str) -> Use:
-    return Use.USER
+def all_alike(target: str) -> SocketUse:
+    return SocketUse.USER
 
 
 def no_place() -> Answer:
@@ -99,7 +99,7 @@
 
 def plain_connections(most: int, idle_s: float = 60.0, slow_s: float = 10.0) -> Connections:
     """One that tells no callers apart."""
-    return Connections(plain(most), idle_s, slow_s)
+    return Connections(undivided_shares(most), idle_s, slow_s)
 
 
 class Server:
@@ -113,7 +113,7 @@
         self,
         handler: Handler,
         connections: Connections,
-        use_of: Callable[[str], Use] = all_alike,
+        use_of: Callable[[str], SocketUse] = all_alike,
         refused: Callable[[], Answer] = no_place,
         bodies: Bodies | None = None,
         full: Callable[[], Answer] = no_place,
@@ -145,12 +145,12 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(self.connections.slow_s / 4)
-            for writer in self.connections.overdue(time.monotonic()):
+            await asyncio.sleep(self.connections.request_timeout_s / 4)
+            for writer in self.connections.end_overdue(time.monotonic()):
                 writer.transport.abort()  # type: ignore[attr-defined]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        arrival = self.connections.arrive(writer, time.monotonic())
+        arrival = self.connections.admit(writer, time.monotonic())
         if not arrival.admitted:
             # Full: say so at once rather than let the connection hang.
             answer = self.refused()
@@ -158,8 +158,8 @@
             writer.write(head.encode() + b"Content-Length: 0\r\nConnection: close\r\n\r\n")
             writer.close()
             return
-        if arrival.instead is not None:
-            arrival.instead.transport.abort()  # type: ignore[attr-defined]
+        if arrival.evicted is not None:
+            arrival.evicted.transport.abort()  # type: ignore[attr-defined]
         self.open.add(writer)
         try:
             ahead: bytes | None = b""
@@ -172,21 +172,21 @@
             self._refuse(writer, str(why))
         finally:
             self._let_go(writer)
-            self.connections.left(writer)
+            self.connections.connection_closed(writer)
             self.open.discard(writer)
             writer.close()
 
     def _holds(self, writer: asyncio.StreamWriter, size: int, target: str) -> None:
         """So many bytes more of a body come over this connection. Raises NoMemory."""
         if size and self.bodies is not None:
-            if not self.bodies.body(size, self.use_of(target)):
+            if not self.bodies.reserve_body(size, self.use_of(target)):
                 raise NoMemory
             self.held[writer] = self.held.get(writer, 0) + size
 
     def _let_go(self, writer: asyncio.StreamWriter) -> None:
         size = self.held.pop(writer, 0)
         if size and self.bodies is not None:
-            self.bodies.body_done(size)
+            self.bodies.release_body(size)
 
     async def _event(
         self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -203,7 +203,7 @@
             if not data and connection.their_state is h11.IDLE:
                 raise EOFError
             connection.receive_data(data)
-            self.connections.asks(writer, time.monotonic())
+            self.connections.data_received(writer, time.monotonic())
 
     async def _one(
         self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -213,7 +213,7 @@
             ahead = await reader.read(MOST_BODY)
             if not ahead:
                 return None
-            self.connections.asks(writer, time.monotonic())
+            self.connections.data_received(writer, time.monotonic())
         try:
             known = heads.request_of(ahead)
             received = await (
@@ -230,12 +230,14 @@
         if received is None:
             return None
         request = received.request
-        if not self.connections.told(writer, self.use_of(request.target)):
+        if not self.connections.request_received(writer, self.use_of(request.target)):
             await self._last(writer, self.refused())
             return None
         answer = await self._answer(request)
         # Whose connections have outgrown their share is told to close it together with the answer: no request is on its way then.
-        unleased = self.connections.answered(writer, time.monotonic()) and received.unleased
+        unleased = (
+            self.connections.keep_after_response(writer, time.monotonic()) and received.unleased
+        )
         writer.write(message(answer, close=not unleased, body=request.method != "HEAD"))
         await writer.drain()
         return received.ahead if unleased else None
@@ -261,7 +263,7 @@
             data = await reader.read(MOST_BODY)
             if not data:
                 raise h11.RemoteProtocolError("the body is cut short")
-            self.connections.asks(writer, time.monotonic())
+            self.connections.data_received(writer, time.monotonic())
             body += data
         return Received(
             Request(head.method.decode("ascii"), head.target, body[: head.length]),
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -97,7 +97,9 @@
     """Commit the shard's next transaction at a revision, and return its writes."""
     txn = shard.writer.next_transaction()
     assert txn is not None and txn.conditions[f"part/{shard.name}"] == shard.revision
-    assert txn.writes.keys() <= txn.conditions.keys()  # a delayed transaction overwrites no newer value
+    assert (
+        txn.writes.keys() <= txn.conditions.keys()
+    )  # a delayed transaction overwrites no newer value
     for callback in txn.on_commit:
         callback(revision)
     return txn.writes
@@ -842,7 +844,9 @@
     ]
     new_owner.load([("vm-0", record, 5)], work, [], 5.0)
     machine = new_owner.machines["vm-0"]
-    assert [command.verb for command in new_owner.commands.direct_commands(machine)] == [CommandVerb.RUN]
+    assert [command.verb for command in new_owner.commands.direct_commands(machine)] == [
+        CommandVerb.RUN
+    ]
     tasks: list[tuple[str, int, str, str | None]] = [("req-000001/0", 1, "running", None)]
     if late is not None:
         new_owner.reconciler.on_heartbeat(
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -642,7 +642,8 @@
         successor = store.load_into(upgraded_shard(ops=4))
         if successor.jobs["req-000001"].live:
             stopped = all(
-                p.phase is PlacementPhase.STOPPING for p in successor.jobs["req-000001"].live.values()
+                p.phase is PlacementPhase.STOPPING
+                for p in successor.jobs["req-000001"].live.values()
             )
             assert stopped == (len(successor.jobs["req-000001"].live) < 120)
     assert steps == 4 and all(p.phase is PlacementPhase.COMMITTED for p in job.live.values())
