--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -154,7 +154,7 @@
         Args:
             waiting: all jobs that wait for machines.
             runnable_ids: the jobs that fit a machine at all, free or not. One that fits none, or is
-                doubtful, is not kept waiting by other jobs and takes nothing from them. Read only
+                likely faulty, is not kept waiting by other jobs and takes nothing from them. Read only
                 while a class is boosted.
             now: current time in seconds.
         """
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -292,7 +292,7 @@
     for n in range(6):
         classes.attainment.record_started(f"a{n}", 1, 3.0)
         classes.record_done(f"a{n}", 9.0)
-    # Only the job that has waited longest is boosted, and never one that cannot run or is doubtful.
+    # Only the job that has waited longest is boosted, and never one that cannot run or is likely faulty.
     assert classes.boosted_job_ids(jobs, all_ids, 30.0) == {"g0"} and classes.boosted == {"gang"}
     assert (
         classes.boosted_job_ids(jobs, all_ids - {"g0"}, 30.5) == {"g1"}
