--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -286,7 +286,7 @@
         self.heard_worker = self.connectivity.heartbeat_received
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
-        self.fit_members = self.membership.eligible_members
+        self.eligible_members = self.membership.eligible_members
         self.may_serve = self.membership.may_own_and_lead
         self.readiness = Readiness(
             self.connectivity,
--- a/ashdock/election/elector.py
+++ b/ashdock/election/elector.py
@@ -66,7 +66,7 @@
         """Whether this controller may lead and own shards."""
         ...
 
-    def fit_members(self) -> list[str]:
+    def eligible_members(self) -> list[str]:
         """Labels of the controllers that may."""
         ...
 
@@ -190,7 +190,7 @@
     def _may_campaign(self) -> bool:
         """Whether the key has been vacant for long enough: worse candidates wait longer, so that not all write at once."""
         context = self.context
-        ranked = rank_candidates(context.fit_members(), self.allowed, context.load())
+        ranked = rank_candidates(context.eligible_members(), self.allowed, context.load())
         rank = ranked.index(context.label) if context.label in ranked else len(ranked)
         vacant_s = time.monotonic() - (self.vacant_since or 0.0)
         return vacant_s >= rank * context.ttl_s / CAMPAIGN_STEPS_PER_LEASE
@@ -267,10 +267,12 @@
     def _successor(self) -> str | None:
         """The controller that should lead in place of this one, if any."""
         context = self.context
-        others = [label for label in context.fit_members() if label != context.label]
+        others = [label for label in context.eligible_members() if label != context.label]
         if not context.may_serve():
             return next(iter(rank_candidates(others, self.allowed, context.load())), None)
-        return better_candidate(context.label, context.fit_members(), self.allowed, context.load())
+        return better_candidate(
+            context.label, context.eligible_members(), self.allowed, context.load()
+        )
 
     async def _transfer(self, successor: str | None) -> None:
         """Name the successor in the key, which acquires leadership on seeing it; without one, release the key.
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -69,7 +69,7 @@
     def state_fresh(self) -> bool:
         """Whether the watch caches are up to date."""
 
-    def fit_members(self) -> list[str]:
+    def eligible_members(self) -> list[str]:
         """Labels of the controllers that may own shards."""
 
     def owner_label(self, team: str) -> str | None:
@@ -240,7 +240,7 @@
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
         machine_views = self.snapshot.machine_views()
         decisions = self.allocator.decide(machine_views, shard_statuses, now)
-        moves = self.allocator.balance(owners, context.fit_members(), shard_statuses, now)
+        moves = self.allocator.balance(owners, context.eligible_members(), shard_statuses, now)
         self._dispatch(decisions + moves)
         return max(context.tick_s, pause_s(context.now() - now, CHOOSING))
 
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -94,7 +94,7 @@
         """Whether the store has answered lately."""
         ...
 
-    def fit_members(self) -> list[str]:
+    def eligible_members(self) -> list[str]:
         """The labels of the controllers that may own shards."""
         ...
 
@@ -392,7 +392,7 @@
     async def _transfer(self, shard: Shard, to: str) -> None:
         """Name the next owner in the shard's key, between two of our own transactions. It claims on seeing that."""
         self.transfer_to = None
-        if to not in self.context.fit_members() or any(
+        if to not in self.context.eligible_members() or any(
             machine.sending for machine in shard.machines.values()
         ):
             return
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -71,7 +71,7 @@
         "others": [Other("n2", "10.0.0.2:8081"), Other("n3", "10.0.0.3:8081")],
         "now": lambda: NOW,
         "cut_off": lambda: False,
-        "fit_members": lambda: ["n1", "n2"],
+        "eligible_members": lambda: ["n1", "n2"],
         "names_successor": lambda: True,
     }
     return SimpleNamespace(**(base | more))
