--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -141,7 +141,7 @@
         """When that store lease was last renewed, by the steady clock."""
         return self.membership.lease_renewed_at
 
-    def names_successor(self) -> bool:
+    def can_name_successor(self) -> bool:
         """Whether all controllers understand a leader that names its successor."""
         return self.cluster_version.fences_commands
 
@@ -287,7 +287,7 @@
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
         self.eligible_members = self.membership.eligible_members
-        self.may_serve = self.membership.may_own_and_lead
+        self.may_own_and_lead = self.membership.may_own_and_lead
         self.readiness = Readiness(
             self.connectivity,
             may_serve=self.membership.may_own_and_lead,
--- a/ashdock/election/elector.py
+++ b/ashdock/election/elector.py
@@ -62,7 +62,7 @@
         """When the last successful renewal was sent, by the steady clock."""
         ...
 
-    def may_serve(self) -> bool:
+    def may_own_and_lead(self) -> bool:
         """Whether this controller may lead and own shards."""
         ...
 
@@ -74,7 +74,7 @@
         """Machines of each controller's shards, by label."""
         ...
 
-    def names_successor(self) -> bool:
+    def can_name_successor(self) -> bool:
         """Whether all controllers understand a key that names a successor."""
         ...
 
@@ -178,7 +178,7 @@
         holder = self.election.key_holder(entry.value if entry else None)
         if holder is KeyHolder.ANOTHER_CONTROLLER:
             return
-        if not self.context.may_serve():
+        if not self.context.may_own_and_lead():
             if entry is not None:
                 # The others need not wait until the lease of our previous process expires.
                 await self._release(entry.revision)
@@ -240,7 +240,7 @@
         """Transfer leadership if this controller may not serve any more, or if another is a better leader."""
         if self.election.state is ElectionState.SUSPENDED:
             return
-        if not self.context.may_serve():
+        if not self.context.may_own_and_lead():
             await self._transfer(self._successor())
             return
         now = time.monotonic()
@@ -260,7 +260,7 @@
         return (
             self.election.state is ElectionState.LEADER
             and now - self.election.acquired_at > self.transfer_interval_s
-            and self.context.names_successor()
+            and self.context.can_name_successor()
             and self._successor() is not None
         )
 
@@ -268,7 +268,7 @@
         """The controller that should lead in place of this one, if any."""
         context = self.context
         others = [label for label in context.eligible_members() if label != context.label]
-        if not context.may_serve():
+        if not context.may_own_and_lead():
             return next(iter(rank_candidates(others, self.allowed, context.load())), None)
         return better_candidate(
             context.label, context.eligible_members(), self.allowed, context.load()
@@ -281,7 +281,7 @@
         deleted before.
         """
         election = self.election
-        if successor is None or not self.context.names_successor():
+        if successor is None or not self.context.can_name_successor():
             await self._release(election.term)
             return
         value: dict[str, Any] = {"label": successor, "incarnation": 0, "by": election.label}
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -72,7 +72,7 @@
         "now": lambda: NOW,
         "cut_off": lambda: False,
         "eligible_members": lambda: ["n1", "n2"],
-        "names_successor": lambda: True,
+        "can_name_successor": lambda: True,
     }
     return SimpleNamespace(**(base | more))
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -510,7 +510,7 @@
         assert all(
             c.cluster_version.supports_dependencies
             and not c.cluster_version.fences_commands
-            and not c.names_successor()
+            and not c.can_name_successor()
             for c in service.controllers.values()
         )
         service.boot(2)
