--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -145,7 +145,7 @@
         """Whether all controllers understand a leader that names its successor."""
         return self.cluster_version.fences_commands
 
-    def renewed(self) -> None:
+    def lease_renewed(self) -> None:
         """Let the election be looked at: the membership was renewed."""
         self.election_loop.wake()
 
@@ -273,7 +273,7 @@
             self.operators.duties.machines,
             PATIENCE_AGENT_LEASES * self.workers.lease_s,
         )
-        self.doubted = self.elector.check_lease
+        self.renewal_failed = self.elector.check_lease
         self.terms = TermFence()
 
     def _build_membership(self) -> None:
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -54,11 +54,11 @@
         """Whether neither another controller nor a worker is heard."""
         ...
 
-    def renewed(self) -> None:
+    def lease_renewed(self) -> None:
         """Called when the lease was taken or renewed."""
         ...
 
-    def doubted(self) -> None:
+    def renewal_failed(self) -> None:
         """Called when the store did not answer a renewal."""
         ...
 
@@ -100,12 +100,12 @@
             self.lease_lost()
             return 0.0
         except StoreUnavailableError:
-            context.doubted()
+            context.renewal_failed()
             return interval_s / 2
         context.startup_timeline.joined(time.monotonic())
         self.lease_renewed_at = started
         self.lease_expires_at = started + context.ttl_s
-        context.renewed()
+        context.lease_renewed()
         return interval_s
 
     def lease_lost(self) -> None:
