--- a/ashdock/election/election.py
+++ b/ashdock/election/election.py
@@ -100,16 +100,16 @@
 class Election:
     """The state machine of one controller's leadership."""
 
-    def __init__(self, duty: str, path: str, label: str, incarnation: int) -> None:
+    def __init__(self, name: str, path: str, label: str, incarnation: int) -> None:
         """Start as a follower.
 
         Args:
-            duty: Name of the leadership in metrics.
+            name: Name of the election in metrics.
             path: Key of the store that names the leader.
             label: Label of this controller.
             incarnation: Random number of this process, written to the key for whoever reads it.
         """
-        self.duty = duty
+        self.name = name
         self.path = path
         self.label = label
         self.incarnation = incarnation
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -156,20 +156,20 @@
             "1 for the state in which this controller is",
             labels=["duty", "state"],
         )
-        state.add_metric([elector.election.duty, elector.election.state.value], 1.0)
+        state.add_metric([elector.election.name, elector.election.state.value], 1.0)
         term = GaugeMetricFamily("ashdock_duty_term", "the highest that is known", labels=["duty"])
-        term.add_metric([elector.election.duty], float(terms.highest))
+        term.add_metric([elector.election.name], float(terms.highest))
         refused = CounterMetricFamily(
             "ashdock_duty_words_refused", "of holders that were replaced", labels=["duty"]
         )
-        refused.add_metric([elector.election.duty], terms.refused)
+        refused.add_metric([elector.election.name], terms.refused)
         held = HistogramMetricFamily(
             "ashdock_duty_held_seconds",
             "how long this controller held it, each time",
             labels=["duty"],
         )
         held.add_metric(
-            [elector.election.duty],
+            [elector.election.name],
             elector.leading_durations.rows(),
             elector.leading_durations.sum_s,
         )
@@ -179,7 +179,7 @@
             labels=["duty"],
         )
         gap.add_metric(
-            [elector.election.duty],
+            [elector.election.name],
             elector.vacancy_durations.rows(),
             elector.vacancy_durations.sum_s,
         )
