--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -274,7 +274,7 @@
             PATIENCE_AGENT_LEASES * self.workers.lease_s,
         )
         self.renewal_failed = self.elector.check_lease
-        self.terms = TermFence()
+        self.term_fence = TermFence()
 
     def _build_membership(self) -> None:
         """Membership, and whether this controller is connected and ready."""
@@ -336,7 +336,7 @@
             cluster=self.cluster,
             cluster_version=self.cluster_version,
             mesh=self.mesh,
-            terms=self.terms,
+            term_fence=self.term_fence,
             now=self.now,
         )
         self.send_shard_command = self.shard_commands.send
@@ -384,7 +384,7 @@
         self.election_loop = ElectionLoop(
             elector=self.elector,
             membership=self.membership,
-            terms=self.terms,
+            term_fence=self.term_fence,
             period_s=self.ttl_s / ELECTION_LOOKS_PER_TTL,
             may_lead=lambda: bool(self.catalog),
             send_statuses=self.owner_gossip.send_statuses,
--- a/ashdock/election/fencing.py
+++ b/ashdock/election/fencing.py
@@ -12,17 +12,17 @@
 
     def __init__(self) -> None:
         """Start without a known term."""
-        self.highest = 0
-        self.refused = 0  # commands, since the start of the process
+        self.highest_term = 0
+        self.refused_commands = 0  # commands, since the start of the process
 
     def observe(self, term: int) -> None:
         """The leadership key was seen at revision `term`."""
-        self.highest = max(self.highest, term)
+        self.highest_term = max(self.highest_term, term)
 
     def admit(self, term: int) -> bool:
         """Whether a command of `term` may be followed; one of a lower term than the highest is counted as refused."""
-        if term < self.highest:
-            self.refused += 1
+        if term < self.highest_term:
+            self.refused_commands += 1
             return False
-        self.highest = term
+        self.highest_term = term
         return True
--- a/ashdock/election_loop.py
+++ b/ashdock/election_loop.py
@@ -23,7 +23,7 @@
         *,
         elector: LeaderElector[Leader],
         membership: Membership,
-        terms: TermFence,
+        term_fence: TermFence,
         period_s: float,
         may_lead: Callable[[], bool],
         send_statuses: Callable[[], None],
@@ -33,14 +33,14 @@
         Args:
             elector: acquires, renews, transfers and gives up leadership.
             membership: told if its store lease turns out to be lost.
-            terms: told of each new leader's term.
+            term_fence: told of each new leader's term.
             period_s: the longest time between two looks, in seconds.
             may_lead: whether what a leader needs is known here.
             send_statuses: tells the leader how the shards here stand.
         """
         self.elector = elector
         self.membership = membership
-        self.terms = terms
+        self.term_fence = term_fence
         self.period_s = period_s
         self.may_lead = may_lead
         self.send_statuses = send_statuses
@@ -66,6 +66,6 @@
         """Take in a change of the key `leader`; `value` is None if it was deleted."""
         self.wake()
         if value is not None and path == LEADER_KEY:
-            self.terms.observe(revision)
+            self.term_fence.observe(revision)
             # The leader chooses nothing before it has heard of every shard, and the next beat would be later.
             self.send_statuses()
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -62,7 +62,7 @@
     cluster_version: ClusterVersion
     worker_client: WorkerClient
     membership: Membership
-    terms: TermFence
+    term_fence: TermFence
 
     @property
     def elector(self) -> Duty: ...
@@ -150,7 +150,7 @@
 
     def _duties(self) -> Iterable[Metric]:
         """Of the duties that only one controller may do, as this one has had them."""
-        elector, terms = self.context.elector, self.context.terms
+        elector, term_fence = self.context.elector, self.context.term_fence
         state = GaugeMetricFamily(
             "ashdock_duty_state",
             "1 for the state in which this controller is",
@@ -158,11 +158,11 @@
         )
         state.add_metric([elector.election.name, elector.election.state.value], 1.0)
         term = GaugeMetricFamily("ashdock_duty_term", "the highest that is known", labels=["duty"])
-        term.add_metric([elector.election.name], float(terms.highest))
+        term.add_metric([elector.election.name], float(term_fence.highest_term))
         refused = CounterMetricFamily(
             "ashdock_duty_words_refused", "of holders that were replaced", labels=["duty"]
         )
-        refused.add_metric([elector.election.name], terms.refused)
+        refused.add_metric([elector.election.name], term_fence.refused_commands)
         held = HistogramMetricFamily(
             "ashdock_duty_held_seconds",
             "how long this controller held it, each time",
--- a/ashdock/shard_commands.py
+++ b/ashdock/shard_commands.py
@@ -26,7 +26,7 @@
         cluster: ClusterState,
         cluster_version: ClusterVersion,
         mesh: Mesh,
-        terms: TermFence,
+        term_fence: TermFence,
         now: Callable[[], float],
     ) -> None:
         """Take what commands are sent with and act on.
@@ -36,14 +36,14 @@
             cluster: who owns the others.
             cluster_version: whether all controllers understand commands with a term.
             mesh: carries commands to peers.
-            terms: refuses commands of a leader that has been replaced.
+            term_fence: refuses commands of a leader that has been replaced.
             now: the controller's clock, in seconds since the epoch.
         """
         self.owners = owners
         self.cluster = cluster
         self.cluster_version = cluster_version
         self.mesh = mesh
-        self.terms = terms
+        self.term_fence = term_fence
         self.now = now
 
     def send(self, team: str, command: ShardCommand, term: int) -> None:
@@ -60,14 +60,14 @@
 
         One that a leader decided before it was replaced has reached an owner after its successor's.
         """
-        if self.terms.admit(term):
+        if self.term_fence.admit(term):
             self.execute(command)
         else:
             log.info(
                 "command refused, a later term is known: command=%s term=%d known_term=%d",
                 type(command).__name__,
                 term,
-                self.terms.highest,
+                self.term_fence.highest_term,
             )
 
     def fenced_received(self, _label: str, frame: FencedCommand) -> None:
--- a/tests/election_model.py
+++ b/tests/election_model.py
@@ -282,7 +282,7 @@
         if effect.kind == "write":
             return self._write_arrival(state, effect)
         fence = TermFence()
-        fence.highest = state.owner_highest_term
+        fence.highest_term = state.owner_highest_term
         admitted = self.without == "command_term" or fence.admit(effect.term)
         if not admitted:
             return Step("a command arrives", state)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -208,7 +208,7 @@
         False,
         True,
         False,
-    ] and fence.refused == 2
+    ] and fence.refused_commands == 2
 
 
 @pytest.mark.parametrize(
@@ -470,14 +470,14 @@
         shard = owner.owners["red"].shard
         assert shard is not None
         name = next(name for name, machine in shard.machines.items() if machine.usable)
-        term = owner.terms.highest
+        term = owner.term_fence.highest_term
         owner.frame_dispatcher.dispatch(
             "n9", FencedCommand(term - 1, Reclaim("red", "blue", [name]))
         )
         owner.frame_dispatcher.dispatch(
             "n9", Reclaim("red", "blue", [name])
         )  # without a term: of a process of an earlier version that has ended
-        assert shard.machines[name].usable and owner.terms.refused == 1
+        assert shard.machines[name].usable and owner.term_fence.refused_commands == 1
         owner.frame_dispatcher.dispatch("n9", FencedCommand(term, Reclaim("red", "blue", [name])))
         assert not shard.machines[name].usable
         # The next leader counts the machine that this one reclaimed as on its way.
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -189,7 +189,7 @@
         cluster=cluster,
         cluster_version=version,
         mesh=a_mesh,
-        terms=TermFence(),
+        term_fence=TermFence(),
         now=lambda: 0.0,
     )
     return made, owner
@@ -209,9 +209,9 @@
 
 def test_a_command_of_an_earlier_term_is_refused() -> None:
     made, owner = commands(SentFrames())
-    made.terms.observe(6)
+    made.term_fence.observe(6)
     made.fenced_received("b", FencedCommand(5, TransferShard("red", "c")))
-    assert owner.transfer_to is None and made.terms.refused == 1
+    assert owner.transfer_to is None and made.term_fence.refused_commands == 1
     made.fenced_received("b", FencedCommand(6, TransferShard("red", "c")))
     assert owner.transfer_to == "c"
 
