--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -29,11 +29,11 @@
         """Where it is remembered for users' questions."""
         ...
 
-    def cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
+    def job_cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
         """Stop the job's tasks, if its shard is owned here."""
         ...
 
-    def settled(self, job_id: str, status: str, done_at: float | None) -> None:
+    def job_settled(self, job_id: str, status: str, done_at: float | None) -> None:
         """Tell the jobs that depend on it."""
         ...
 
@@ -77,8 +77,8 @@
         listener = self.listener
         for job_id, team, revision, at in cancelled.jobs:
             if listener.front.cancellation_received(job_id, team, revision, at):
-                listener.cancelled(job_id, team, revision, at)
-                listener.settled(job_id, "withdrawn", None)
+                listener.job_cancelled(job_id, team, revision, at)
+                listener.job_settled(job_id, "withdrawn", None)
 
     def send_echoes(self, now: float) -> None:
         """With each peer heartbeat: send a new number, and each peer's last one back.
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -320,8 +320,8 @@
         self.owned_shard_count = self.shard_owners.count
         self.let_go = self.shard_owners.let_go
         self.jobs_seen = self.shard_owners.job_changed
-        self.cancelled = self.shard_owners.job_cancelled
-        self.settled = self.shard_owners.job_settled
+        self.job_cancelled = self.shard_owners.job_cancelled
+        self.job_settled = self.shard_owners.job_settled
         self.shard_ownership = ShardOwnership(
             tick_s=self.tick_s,
             cluster=self.cluster,
