--- a/ashdock/election/__init__.py
+++ b/ashdock/election/__init__.py
@@ -1,1 +1,1 @@
-"""Leader election: acquired under a store lease, fenced against a replaced leader, transferred in order."""
+"""Leader election on a store lease, with fencing of replaced leaders and leadership transfer."""
--- a/ashdock/election/candidates.py
+++ b/ashdock/election/candidates.py
@@ -1,40 +1,50 @@
-"""Which controller should lead. No input or output.
+"""Ranks the controllers that may lead. No input or output.
 
-Rank decides only when each candidate tries: the key is written by compare-and-swap, so at most one becomes leader.
+The rank only determines when each candidate campaigns. The leadership key is written by
+compare-and-swap, so at most one candidate becomes the leader, whatever the ranks.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable, Mapping
 
-TRANSFER_LOAD_RATIO = 2  # how many times the load of its successor a leader has at least
+MIN_TRANSFER_LOAD_RATIO = 2  # load of the leader to load of the successor
 
 
 def rank_candidates(
-    fit: Iterable[str], allowed: Collection[str], load: Mapping[str, int]
+    eligible: Iterable[str], allowed: Collection[str], load: Mapping[str, int]
 ) -> list[str]:
-    """The controllers that may lead, the best first: allowed by operators, then least loaded.
+    """Return the controllers that may lead, the best candidate first.
 
-    Where none of the allowed ones is fit all others are ranked: no leader costs more than one in the wrong place.
+    They are those that operators allow, in order of increasing load. If none of the allowed ones is
+    eligible, all eligible controllers are ranked, since a cluster without a leader is worse than
+    one whose leader is not on the list.
 
     Args:
-        fit: Labels of the controllers that may serve.
-        allowed: Labels that the operators' file allows to lead; empty: all.
-        load: Machines assigned to each controller's shards, by label.
+        eligible: Labels of the eligible controllers.
+        allowed: Labels that the operators' file allows to lead; empty means all.
+        load: Number of machines assigned to each controller's shards, by label.
     """
-    labels = sorted(fit, key=lambda label: (load.get(label, 0), label))
+    labels = sorted(eligible, key=lambda label: (load.get(label, 0), label))
     return [label for label in labels if not allowed or label in allowed] or labels
 
 
 def better_candidate(
-    leader: str, fit: Collection[str], allowed: Collection[str], load: Mapping[str, int]
+    leader: str, eligible: Collection[str], allowed: Collection[str], load: Mapping[str, int]
 ) -> str | None:
-    """Whom `leader` should transfer leadership to, or `None` if it should keep it.
+    """Return the controller to which `leader` should transfer leadership, or `None`.
 
-    It transfers if operators do not allow it to lead, or if it has the highest load and the best candidate at most
-    half of that. A smaller difference is not worth a change of leader. Arguments are those of `rank_candidates`.
+    A leader that is not ranked, for example because operators do not allow it, transfers to the
+    best candidate. Any other leader transfers only if no candidate has a higher load and the best
+    candidate has at most half of its own: a smaller difference does not justify a change of leader.
+
+    Args:
+        leader: Label of the present leader.
+        eligible: As for `rank_candidates`.
+        allowed: As for `rank_candidates`.
+        load: As for `rank_candidates`.
     """
-    ranked = rank_candidates(fit, allowed, load)
+    ranked = rank_candidates(eligible, allowed, load)
     if not ranked or ranked[0] == leader:
         return None
     best = ranked[0]
@@ -43,4 +53,4 @@
     leader_load = load.get(leader, 0)
     if leader_load < max(load.get(label, 0) for label in ranked):
         return None
-    return best if TRANSFER_LOAD_RATIO * load.get(best, 0) <= leader_load else None
+    return best if MIN_TRANSFER_LOAD_RATIO * load.get(best, 0) <= leader_load else None
--- a/ashdock/election/election.py
+++ b/ashdock/election/election.py
@@ -1,8 +1,8 @@
-"""Leadership as one controller sees it: an explicit state machine without input or output; times are passed in.
+"""State machine of one controller's leadership, without input or output; times are passed in.
 
-Leadership is a key of the store on the store lease of the controller that leads. The revision of the write that
-acquired it is the *term*: it only rises, and no two processes ever share one. What follows from the term is in
-`docs/leader-election.md`.
+The leader is named by a key in the store, which is attached to that controller's store lease. The
+*term* is the revision of the write that acquired leadership: it only increases, and no two
+processes ever have the same term (docs/leader-election.md).
 """
 
 from __future__ import annotations
@@ -12,47 +12,54 @@
 from enum import Enum, auto
 from typing import Any
 
-CLOCK_DRIFT_SHARE = 1e-3  # 0.05% for our steady clock and as much for the store's
+CLOCK_DRIFT_SHARE = 1e-3  # 0.05% for this controller's monotonic clock and as much for the store's
 
 
 class ElectionState(Enum):
-    """Where this controller stands. The values are labels of the metric `ashdock_duty_state`."""
+    """State of this controller in the election.
+
+    The values are labels of the metric `ashdock_duty_state`.
+    """
 
     FOLLOWER = "open"
     """Another controller leads, or none."""
 
     CANDIDATE = "taking"
-    """The write that acquires leadership is under way."""
+    """The write that acquires leadership is in progress."""
 
     RECONCILING = "settling"
-    """Elected; what earlier terms began is being read, and nothing new is begun."""
+    """Elected; the unfinished work of earlier terms is being read, and no new work begins."""
 
     LEADER = "holding"
-    """Elected, with nothing that restrains it."""
+    """Elected, without restrictions."""
 
     SUSPENDED = "doubtful"
-    """Elected, but the store lease may have expired: nothing is done until it has been renewed."""
+    """Elected, but the store lease may have expired: no effect may begin until it is renewed."""
 
     TRANSFERRING = "handing"
-    """Elected; nothing new is begun, and the successor is named once what is under way is over."""
+    """Elected; no new work begins, and the key names the successor once work in progress ends."""
 
 
 class ElectionEvent(Enum):
-    """What moves the state machine from one state to another."""
+    """Events that cause state transitions."""
 
     CAMPAIGN_BEGAN = auto()
     CAMPAIGN_FAILED = auto()
     ACQUIRED = auto()
     RECONCILED = auto()
     LEASE_EXPIRED = auto()
-    LEASE_RENEWED = auto()  # before the term was reconciled
+    LEASE_RENEWED = auto()
+    """The store lease was renewed before reconciliation of the term was complete."""
+
     LEASE_RENEWED_RECONCILED = auto()
+    """The store lease was renewed after reconciliation of the term was complete."""
+
     TRANSFER_BEGAN = auto()
     TRANSFER_CANCELLED = auto()
     LOST = auto()
 
 
-# An event that a state does not list changes nothing in it.
+# An event that is not listed for a state is ignored in that state.
 TRANSITIONS: Mapping[ElectionState, Mapping[ElectionEvent, ElectionState]] = {
     ElectionState.FOLLOWER: {
         ElectionEvent.CAMPAIGN_BEGAN: ElectionState.CANDIDATE,
@@ -86,15 +93,19 @@
 
 
 class KeyHolder(Enum):
-    """Whom the leadership key names."""
+    """Which controller the leadership key names."""
 
     NOBODY = auto()
     """The key does not exist."""
 
     THIS_CONTROLLER = auto()
-    """Leadership was transferred to it, or the key is of its previous process or of an expired lease."""
+    """The key names the controller that reads it.
+
+    Leadership was transferred to it, or its previous process or an expired lease left the key.
+    """
 
     ANOTHER_CONTROLLER = auto()
+    """The key names a different controller."""
 
 
 class Election:
@@ -105,9 +116,9 @@
 
         Args:
             name: Name of the election in metrics.
-            path: Key of the store that names the leader.
+            path: Key in the store that names the leader.
             label: Label of this controller.
-            incarnation: Random number of this process, written to the key for whoever reads it.
+            incarnation: Random number of this process, written to the key as information only.
         """
         self.name = name
         self.path = path
@@ -115,11 +126,12 @@
         self.incarnation = incarnation
         self.state = ElectionState.FOLLOWER
         self.term = 0
-        self.lease_valid_until = -math.inf  # steady clock, s; the store ends the lease no sooner
+        # Monotonic times in seconds. The store does not end the lease before `lease_valid_until`.
+        self.lease_valid_until = -math.inf
         self.reconciled_term = 0
-        self.acquired_at = 0.0  # steady clock, s
+        self.acquired_at = 0.0
 
-    # -- what may be done -----------------------------------------------------------------------------------
+    # -- permissions -------------------------------------------------------------------------------
 
     @property
     def is_elected(self) -> bool:
@@ -127,10 +139,10 @@
         return self.state not in (ElectionState.FOLLOWER, ElectionState.CANDIDATE)
 
     def may_act(self, now: float, term: int, duration_s: float = 0.0) -> bool:
-        """Whether an effect of `term` that takes `duration_s` may begin.
+        """Return whether an effect of `term` that takes `duration_s` may begin.
 
-        To be asked again after each await: a process that was paused or starved of its processor meanwhile finds
-        its lease expired by its own clock.
+        Callers must ask again after each await: the process may have been suspended or starved of
+        CPU time meanwhile, so that its lease has expired by its own clock.
         """
         return (
             self.term == term
@@ -140,44 +152,62 @@
         )
 
     def may_decide(self, now: float, term: int) -> bool:
-        """Whether something new may be begun: only between reconciliation and transfer."""
+        """Return whether new work may begin: only after reconciliation and before a transfer."""
         return self.state is ElectionState.LEADER and self.may_act(now, term)
 
     def key_holder(self, value: Mapping[str, Any] | None) -> KeyHolder:
-        """Whom the value of the leadership key names; `None`: the key does not exist."""
+        """Return which controller a value of the leadership key names.
+
+        Args:
+            value: The value; `None` if the key does not exist.
+        """
         if value is None:
             return KeyHolder.NOBODY
         if value.get("label") == self.label:
             return KeyHolder.THIS_CONTROLLER
         return KeyHolder.ANOTHER_CONTROLLER
 
-    # -- transitions ------------------------------------------------------------------------------------------
+    # -- transitions -------------------------------------------------------------------------------
 
     def begin_campaign(self) -> None:
-        """The write that acquires leadership is about to be sent."""
+        """Record that the write that acquires leadership is about to be sent."""
         self._apply(ElectionEvent.CAMPAIGN_BEGAN)
 
     def fail_campaign(self) -> None:
-        """Another controller was quicker, or the outcome is unknown: if it was written, the key will say so."""
+        """Record that another controller wrote the key first, or that the outcome is unknown.
+
+        If the write was applied after all, the watch of the key reports it.
+        """
         self._apply(ElectionEvent.CAMPAIGN_FAILED)
 
-    def acquire(self, term: int, lease_began: float, lease_s: float, now: float) -> None:
-        """The key was written at revision `term`, on a lease last renewed by a request sent at `lease_began`."""
+    def acquire(self, term: int, renewal_sent_at: float, lease_s: float, now: float) -> None:
+        """Record that the key was written on the store lease.
+
+        Args:
+            term: Revision of the write.
+            renewal_sent_at: When the last renewal of the lease was sent, on the monotonic clock.
+            lease_s: Duration of the lease.
+            now: The present monotonic time.
+        """
         if self._apply(ElectionEvent.ACQUIRED):
             self.term = term
             self.acquired_at = now
-            self.renew(lease_began, lease_s, now)
+            self.renew(renewal_sent_at, lease_s, now)
 
     def complete_reconciliation(self, term: int) -> None:
-        """What terms before `term` left under way is known and counted."""
+        """Record that the unfinished work of terms before `term` is known and accounted for."""
         if self.term == term:
             self.reconciled_term = term
             self._apply(ElectionEvent.RECONCILED)
 
-    def renew(self, lease_began: float, lease_s: float, now: float) -> None:
-        """The store lease was renewed by a request sent at `lease_began`."""
-        drifted_lease_s = lease_s * (1 - CLOCK_DRIFT_SHARE)
-        self.lease_valid_until = max(self.lease_valid_until, lease_began + drifted_lease_s)
+    def renew(self, renewal_sent_at: float, lease_s: float, now: float) -> None:
+        """Record a renewal of the store lease, with arguments as for `acquire`.
+
+        The lease counts from the sending of the request and is shortened by the clock drift, so
+        that it ends here before it ends in the store.
+        """
+        min_lease_s = lease_s * (1 - CLOCK_DRIFT_SHARE)
+        self.lease_valid_until = max(self.lease_valid_until, renewal_sent_at + min_lease_s)
         if now >= self.lease_valid_until:
             return
         if self.reconciled_term == self.term:
@@ -191,22 +221,26 @@
             self._apply(ElectionEvent.LEASE_EXPIRED)
 
     def begin_transfer(self) -> None:
-        """Leadership is to go to a better candidate: nothing new is begun."""
+        """Stop new work, since leadership is to be transferred to a better candidate."""
         self._apply(ElectionEvent.TRANSFER_BEGAN)
 
     def cancel_transfer(self) -> None:
-        """Leadership was to be transferred, and is kept."""
+        """Allow new work again, since leadership is not transferred after all."""
         self._apply(ElectionEvent.TRANSFER_CANCELLED)
 
     def lose(self) -> None:
-        """Leadership was acquired by another controller, transferred or released, or its lease expired."""
+        """Become a follower.
+
+        Another controller acquired leadership, it was transferred or released, or its lease
+        expired.
+        """
         if self._apply(ElectionEvent.LOST):
             self.lease_valid_until = -math.inf
 
     def _apply(self, event: ElectionEvent) -> bool:
-        """Follow the table; whether the state lists the event."""
-        following = TRANSITIONS[self.state].get(event)
-        if following is None:
+        """Make the transition for an event; return whether the state has one."""
+        next_state = TRANSITIONS[self.state].get(event)
+        if next_state is None:
             return False
-        self.state = following
+        self.state = next_state
         return True
