--- a/ashdock/election/elector.py
+++ b/ashdock/election/elector.py
@@ -1,6 +1,7 @@
-"""Acquires, renews, transfers and releases leadership; starts the leader's work and stops it when leadership is lost.
+"""Acquires, renews, transfers and releases leadership, and starts and stops the leader's work.
 
-The model is the leader election of Kubernetes' client-go: one loop calls `run_once`, and a callback starts the work.
+As in the leader election of Kubernetes' client-go, one loop drives the elector (`run_once`), and a
+callback starts the work when leadership is acquired.
 """
 
 from __future__ import annotations
@@ -25,20 +26,20 @@
 log = logging.getLogger("ashdock.election")
 
 HISTOGRAM_BUCKETS = 16
-HISTOGRAM_STEPS_PER_LEASE = 64  # the first bucket ends after a sixty-fourth of a store lease
-CAMPAIGN_STEPS_PER_LEASE = 8  # each candidate tries an eighth of a store lease after the one before
+FIRST_BUCKETS_PER_LEASE = 64  # store lease duration divided by the first bucket's upper bound
+CAMPAIGN_DELAYS_PER_LEASE = 8  # store lease duration divided by the delay from rank to rank
 
 
 class LeaderWork(Protocol):
-    """What runs while this controller leads."""
+    """The work that runs while this controller leads."""
 
     @property
     def under_way(self) -> bool:
-        """Whether an effect is under way that the next leader would have to find out about."""
+        """Whether an effect is in progress that the next leader would have to reconcile."""
         ...
 
     def stop(self) -> None:
-        """Stop at once: leadership is lost."""
+        """Stop at once, since leadership is lost."""
         ...
 
 
@@ -49,38 +50,38 @@
     """The elector's dependencies on its controller."""
 
     label: str
-    ttl_s: float  # of the store lease
+    ttl_s: float  # duration of the store lease
     store: StoreClient
 
     @property
     def store_lease(self) -> int | None:
-        """Id of the membership's store lease; `None`: there is none."""
+        """Id of the membership's store lease, or `None` without one."""
         ...
 
     @property
     def lease_renewed_at(self) -> float:
-        """When the last successful renewal was sent, by the steady clock."""
+        """Monotonic time at which the last successful renewal was sent."""
         ...
 
     def may_own_and_lead(self) -> bool:
-        """Whether this controller may lead and own shards."""
+        """Whether this controller may own shards and lead."""
         ...
 
     def eligible_members(self) -> list[str]:
-        """Labels of the controllers that may."""
+        """Labels of the controllers that may own shards and lead."""
         ...
 
     def load(self) -> Mapping[str, int]:
-        """Machines of each controller's shards, by label."""
+        """Number of machines assigned to each controller's shards, by label."""
         ...
 
     def can_name_successor(self) -> bool:
-        """Whether all controllers understand a key that names a successor."""
+        """Whether all controllers understand a leadership key that names a successor."""
         ...
 
 
 class LeaderElector(Generic[LeaderWorkT]):
-    """Runs one controller's side of the election."""
+    """Takes part in the election on behalf of one controller."""
 
     def __init__(
         self,
@@ -91,16 +92,16 @@
         allowed: Collection[str],
         transfer_interval_s: float,
     ) -> None:
-        """Prepare to take part; nothing is done before `run_once`.
+        """Prepare to take part; nothing happens before `run_once`.
 
         Args:
             context: The controller.
-            election: Its state machine.
+            election: The state machine of its leadership.
             key_cache: Watch cache that holds the leadership key.
             on_started_leading: Starts the leader's work.
-            allowed: Labels that the operators' file allows to lead; empty: all.
-            transfer_interval_s: Leadership is transferred for the sake of load at most once in that time, and an
-                attempt is given up after it.
+            allowed: Labels that the operators' file allows to lead; empty means all.
+            transfer_interval_s: Seconds that an eligible leader leads before it may start a
+                transfer, and after which a transfer that has not succeeded is cancelled.
         """
         self.context = context
         self.election = election
@@ -109,20 +110,22 @@
         self.allowed = allowed
         self.transfer_interval_s = transfer_interval_s
         self.leader_work: LeaderWorkT | None = None
+        # Monotonic times. `successor_named_at` is `None` unless this controller has named a
+        # successor and does not know yet whether that one has acquired leadership.
         self.vacant_since: float | None = None
-        self.successor_named_at: float | None = None  # and it has not acquired leadership yet
+        self.successor_named_at: float | None = None
         self.transfer_began_at = 0.0
-        first_bound_s = context.ttl_s / HISTOGRAM_STEPS_PER_LEASE
+        first_bound_s = context.ttl_s / FIRST_BUCKETS_PER_LEASE
         self.leading_durations = DurationHistogram(first_bound_s, HISTOGRAM_BUCKETS)
         self.vacancy_durations = DurationHistogram(first_bound_s, HISTOGRAM_BUCKETS)
 
     @property
     def entry(self) -> Entry | None:
-        """The leadership key as last seen; `None`: it does not exist."""
+        """The leadership key as last seen, or `None` if it does not exist."""
         return self.key_cache.entries.get(self.election.path)
 
     async def run_once(self) -> None:
-        """Look at the key, the store lease and the other controllers, and do what follows from them.
+        """Acquire, keep, transfer or release leadership as the key, lease and members require.
 
         Raises:
             LeaseLostError: The store lease has expired.
@@ -130,7 +133,7 @@
         """
         if not self.key_cache.ready.is_set():
             return
-        self._observe()
+        self._update_election()
         if self.context.store_lease is None:
             return
         if self.election.is_elected:
@@ -139,8 +142,8 @@
             await self._release_unclaimed_transfer()
             await self._campaign()
 
-    def _observe(self) -> None:
-        """Bring the state machine up to date with the key and the store lease."""
+    def _update_election(self) -> None:
+        """Update the state machine from the key and the store lease."""
         now = time.monotonic()
         election, entry = self.election, self.entry
         if entry is not None:
@@ -150,13 +153,13 @@
         if self.context.store_lease is not None:
             election.renew(self.context.lease_renewed_at, self.context.ttl_s, now)
         if election.is_elected and entry is None:
-            self.stop_leading("its store lease expired")
+            self.stop_leading("the store lease expired")
         elif election.is_elected and entry is not None and entry.revision > election.term:
-            self.stop_leading(f"{entry.value.get('label')} holds the key")
+            self.stop_leading(f"the key names {entry.value.get('label')}")
         election.check_expiry(now)
 
     def check_lease(self) -> None:
-        """Suspend leadership if the store lease has not been renewed in time."""
+        """Suspend leadership if the store lease was not renewed in time."""
         self.election.check_expiry(time.monotonic())
 
     def stop_leading(self, reason: str) -> None:
@@ -170,17 +173,17 @@
             self.leading_durations.add(now - self.election.acquired_at)
             self.election.lose()
 
-    # -- acquire -------------------------------------------------------------------------------------------------
+    # -- acquire -----------------------------------------------------------------------------------
 
     async def _campaign(self) -> None:
-        """Try to acquire leadership if the key allows it and it is this controller's turn."""
+        """Try to acquire leadership if the key and this controller's rank allow it."""
         entry = self.entry
         holder = self.election.key_holder(entry.value if entry else None)
         if holder is KeyHolder.ANOTHER_CONTROLLER:
             return
         if not self.context.may_own_and_lead():
             if entry is not None:
-                # The others need not wait until the lease of our previous process expires.
+                # Spares the others the wait for the lease of this controller's previous process.
                 await self._release(entry.revision)
             return
         if holder is KeyHolder.NOBODY and not self._may_campaign():
@@ -188,18 +191,22 @@
         await self._acquire(entry)
 
     def _may_campaign(self) -> bool:
-        """Whether the key has been vacant for long enough: worse candidates wait longer, so that not all write at once."""
+        """Return whether the key has been vacant for long enough.
+
+        Candidates of a higher rank number wait longer, so that they do not all write at once.
+        """
         context = self.context
         ranked = rank_candidates(context.eligible_members(), self.allowed, context.load())
         rank = ranked.index(context.label) if context.label in ranked else len(ranked)
         vacant_s = time.monotonic() - (self.vacant_since or 0.0)
-        return vacant_s >= rank * context.ttl_s / CAMPAIGN_STEPS_PER_LEASE
+        return vacant_s >= rank * context.ttl_s / CAMPAIGN_DELAYS_PER_LEASE
 
     async def _acquire(self, entry: Entry | None) -> None:
-        """Write the key at the revision found.
+        """Write the key, on condition that it still has the revision of `entry`.
 
-        A key that names this very process is written like any other: it may be of a lease that has expired, of which
-        the watch has not told yet, or of a write of ours that was applied after its request had timed out.
+        A key that names this very process is written as well: its lease may have expired without
+        the watch having reported it, or it may be the result of an earlier write that was applied
+        after the request timed out.
 
         Raises:
             LeaseLostError: The store lease has expired.
@@ -225,7 +232,7 @@
             raise
         self.key_cache.apply_own_write(election.path, value, term)
         if context.store_lease != store_lease:
-            election.fail_campaign()  # the membership ended meanwhile, and the key with it
+            election.fail_campaign()  # the lease expired meanwhile, and the key with it
             return
         if vacant_since is not None:
             self.vacancy_durations.add(time.monotonic() - vacant_since)
@@ -234,10 +241,10 @@
         log.info("started leading: term=%d reason=%s", term, reason)
         self.leader_work = self.on_started_leading(election)
 
-    # -- keep, transfer, release ---------------------------------------------------------------------------------
+    # -- keep, transfer, release -------------------------------------------------------------------
 
     async def _keep_or_transfer(self) -> None:
-        """Transfer leadership if this controller may not serve any more, or if another is a better leader."""
+        """Transfer leadership if this controller may not lead any more or another should."""
         if self.election.state is ElectionState.SUSPENDED:
             return
         if not self.context.may_own_and_lead():
@@ -256,7 +263,7 @@
             await self._transfer(successor)
 
     def _should_transfer(self, now: float) -> bool:
-        """Whether a transfer for the sake of load or of the operators' file is due."""
+        """Return whether a transfer due to load or to the operators' file should begin."""
         return (
             self.election.state is ElectionState.LEADER
             and now - self.election.acquired_at > self.transfer_interval_s
@@ -265,7 +272,7 @@
         )
 
     def _successor(self) -> str | None:
-        """The controller that should lead in place of this one, if any."""
+        """Return the controller that should lead instead of this one, if any."""
         context = self.context
         others = [label for label in context.eligible_members() if label != context.label]
         if not context.may_own_and_lead():
@@ -275,10 +282,11 @@
         )
 
     async def _transfer(self, successor: str | None) -> None:
-        """Name the successor in the key, which acquires leadership on seeing it; without one, release the key.
+        """Name the successor in the key, or release the key if none can be named.
 
-        The key stays on our store lease until then: should the successor not come, the key goes with that lease, or is
-        deleted before.
+        The successor acquires leadership when it sees its name. Until then the key stays attached
+        to this controller's store lease: if the successor fails, the key is deleted with that lease
+        or by `_release_unclaimed_transfer`, whichever comes first.
         """
         election = self.election
         if successor is None or not self.context.can_name_successor():
@@ -292,7 +300,7 @@
                 lease=self.context.store_lease,
             )
         except CompareFailedError:
-            return  # the watch will tell who leads
+            return  # the watch reports who leads
         self.stop_leading(f"transferred to {successor}")
         self.successor_named_at = time.monotonic()
         self.key_cache.apply_own_write(election.path, value, revision)
@@ -308,7 +316,7 @@
         self.key_cache.apply_own_write(path, None, deleted_at)
 
     async def _release_unclaimed_transfer(self) -> None:
-        """Release the key if the successor that this controller named has not acquired it within a store lease."""
+        """Release the key if the named successor has not acquired it within a store lease."""
         entry = self.entry
         if (
             self.successor_named_at is None
@@ -322,7 +330,7 @@
 
 
 def _acquisition_reason(entry: Entry | None) -> str:
-    """Why the key with this entry may be acquired, for the log."""
+    """Return why a key with this entry may be acquired, for the log."""
     if entry is None:
         return "the key was vacant"
     if entry.value.get("by"):
