--- a/ashdock/election_loop.py
+++ b/ashdock/election_loop.py
@@ -1,4 +1,4 @@
-"""The loop that keeps leadership up to date, woken by whatever leadership rests on."""
+"""The election loop: runs the elector after each relevant change and at a regular interval."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ElectionLoop:
-    """Lets the elector look at the election when something has changed, and now and then."""
+    """Runs the elector when it is woken by a change, and at least once per period."""
 
     def __init__(
         self,
@@ -28,15 +28,15 @@
         may_lead: Callable[[], bool],
         send_statuses: Callable[[], None],
     ) -> None:
-        """Take what is tended and told.
+        """Prepare the loop.
 
         Args:
-            elector: acquires, renews, transfers and gives up leadership.
-            membership: told if its store lease turns out to be lost.
-            term_fence: told of each new leader's term.
-            period_s: the longest time between two looks, in seconds.
-            may_lead: whether what a leader needs is known here.
-            send_statuses: tells the leader how the shards here stand.
+            elector: Acquires, renews, transfers and releases leadership.
+            membership: Is notified if the elector finds that its store lease is lost.
+            term_fence: Is notified of each new leader's term.
+            period_s: The longest time between two runs of the elector.
+            may_lead: Returns whether the state that a leader needs is known here.
+            send_statuses: Sends the status of each shard owned here to the leader.
         """
         self.elector = elector
         self.membership = membership
@@ -48,7 +48,14 @@
         self.wake = self.changed.set
 
     async def run_once(self) -> float:
-        """Wait for a change or the end of the period, then tend the election."""
+        """Wait for a change or the end of the period, then run the elector.
+
+        Returns:
+            Seconds until the next call.
+
+        Raises:
+            StoreUnavailableError: The store did not answer.
+        """
         try:
             async with asyncio.timeout(self.period_s):
                 await self.changed.wait()
@@ -63,9 +70,10 @@
         return 0.0
 
     def leader_key_changed(self, path: str, value: Any, revision: int) -> None:
-        """Take in a change of the key `leader`; `value` is None if it was deleted."""
+        """Handle a change of the leadership key; `value` is `None` if it was deleted."""
         self.wake()
         if value is not None and path == LEADER_KEY:
             self.term_fence.observe(revision)
-            # The leader chooses nothing before it has heard of every shard, and the next beat would be later.
+            # The leader decides nothing before it has the status of every shard, so these do not
+            # wait for the next heartbeat to the peers.
             self.send_statuses()
