--- a/ashdock/cancellation/__init__.py
+++ b/ashdock/cancellation/__init__.py
@@ -1,1 +1,1 @@
-"""Up to when a controller knows every cancellation confirmed to a user, and what it may keep alive by that."""
+"""Tracks which confirmed cancellations a controller knows, to decide which leases it may renew."""
--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -1,4 +1,4 @@
-"""Sends cancellations to the other controllers before any user hears of them from this one, and takes in theirs."""
+"""Exchanges cancellations and watermark echoes with the other controllers."""
 
 from __future__ import annotations
 
@@ -14,32 +14,36 @@
 
 
 class FinishedJobs(Protocol):
-    """What this controller remembers of jobs that are over."""
+    """The final states of jobs that this controller knows."""
 
     def cancellation_received(self, job_id: str, team: str, revision: int, at: float) -> bool:
-        """Remember it; whether it was not known yet."""
+        """Record a peer's cancellation; return whether it was not known yet."""
         ...
 
 
 class CancellationListener(Protocol):
-    """Whoever acts on a cancellation that arrives here."""
+    """Handles the cancellations that peers send."""
 
     @property
     def front(self) -> FinishedJobs:
-        """Where it is remembered for users' questions."""
+        """Records final states and answers users' status requests from them."""
         ...
 
     def job_cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
-        """Stop the job's tasks, if its shard is owned here."""
+        """Stop the job's tasks if its shard is owned here."""
         ...
 
     def job_settled(self, job_id: str, status: str, done_at: float | None) -> None:
-        """Tell the jobs that depend on it."""
+        """Notify the shards owned here whose jobs depend on this job that it is final."""
         ...
 
 
 class CancellationBroadcaster:
-    """One controller's side of the exchange of cancellations and watermark echoes."""
+    """One controller's side of the exchange of cancellations and watermark echoes.
+
+    Attributes:
+        last_received: The last echo number received from each peer, which is sent back to it.
+    """
 
     def __init__(
         self,
@@ -49,30 +53,38 @@
         rng: random.Random,
         listener: CancellationListener,
     ) -> None:
-        """`rng`: draws the first echo number of this process."""
+        """Start with nothing known.
+
+        Args:
+            workers: The settings of workers.
+            mesh: The links to the peers.
+            cluster_version: Tells whether all controllers understand these messages.
+            rng: Draws the first echo number of this process.
+            listener: Handles the cancellations that peers send.
+        """
         self.mesh = mesh
         self.cluster_version = cluster_version
         self.listener = listener
         self.watermark = CancellationWatermark(workers, mesh.peers, rng.getrandbits(48))
-        self.last_received: dict[str, int] = {}  # each peer's last number, to be sent back
+        self.last_received: dict[str, int] = {}
 
     def broadcast(self, job_id: str, team: str, revision: int, at: float) -> None:
-        """Send one durable cancellation to all peers; must precede any answer to a user.
+        """Send a durable cancellation to all peers; must precede any answer to a user.
 
         Args:
             job_id: The cancelled job.
-            team: Its team.
-            revision: Of the job's record that says so.
-            at: Time of day of the cancellation, in seconds.
+            team: The job's team.
+            revision: Revision of the job's record that contains the cancellation.
+            at: When the job was cancelled, in seconds since the epoch.
         """
         if self.cluster_version.broadcasts_cancellations:
             self.mesh.broadcast_without_gaps(CancelledJobs([(job_id, team, revision, at)]))
 
     def on_cancellations(self, cancelled: CancelledJobs) -> None:
-        """Act on a peer's cancellations.
+        """Apply cancellations that a peer sent.
 
-        They are durable, or they would not have been sent: an owner that the store refuses stops just these jobs, and
-        in time.
+        Peers send only durable cancellations, so an owner whose requests the store refuses can stop
+        exactly these jobs, in time, without reading their records.
         """
         listener = self.listener
         for job_id, team, revision, at in cancelled.jobs:
@@ -81,9 +93,10 @@
                 listener.job_settled(job_id, "withdrawn", None)
 
     def send_echoes(self, now: float) -> None:
-        """With each peer heartbeat: send a new number, and each peer's last one back.
+        """Send each peer a new number and echo its last one; called with each peer heartbeat.
 
-        An echo proves that all cancellations this controller had learnt of before went out before it, on the same link.
+        An echo proves to the peer that every cancellation learnt here since the link began was sent
+        before the echo on the same link.
         """
         if self.cluster_version.broadcasts_cancellations:
             number = self.watermark.next_number(now)
@@ -91,6 +104,6 @@
                 self.mesh.send(label, WatermarkEcho(number, self.last_received.get(label, 0)))
 
     def on_echo(self, label: str, echo: WatermarkEcho) -> None:
-        """Keep the peer's number, and advance the watermark by ours that it sent back."""
+        """Record the peer's number and advance the watermark by the number that it echoed."""
         self.last_received[label] = echo.number
         self.watermark.echo_received(label, echo.back, time.monotonic())
--- a/ashdock/cancellation/knowledge.py
+++ b/ashdock/cancellation/knowledge.py
@@ -1,4 +1,4 @@
-"""How much of the cancellations confirmed to users is known here, by the watch on jobs and by the peers."""
+"""Combines the job watch and the peers' echoes into one cancellation watermark."""
 
 from __future__ import annotations
 
@@ -11,25 +11,34 @@
 class JobWatch(Protocol):
     """The watch on the jobs' records."""
 
-    synced_at: float  # all changes up to then have come in, by the steady clock
+    synced_at: float  # monotonic time up to which all changes have been received
 
 
 class CancellationKnowledge:
-    """Joins what the store's watch has brought with what the peers have told."""
+    """Tells up to when every cancellation confirmed to a user is known here."""
 
     def __init__(self, watermark: CancellationWatermark, jobs: JobWatch) -> None:
-        """`watermark`: what the peers have told of; `jobs`: the watch on the jobs' records."""
+        """Combine two sources.
+
+        Args:
+            watermark: Advanced by the peers' echoes.
+            jobs: The watch on the jobs' records.
+        """
         self.watermark = watermark
         self.jobs = jobs
 
     def may_renew(self, read_at: float) -> bool:
-        """Whether agents that run tasks of a shard read at `read_at`, by the steady clock, may be kept alive.
+        """Return whether the leases of agents that run a shard's tasks may be renewed now.
+
+        If so, the tasks of any job whose cancellation is not known here yet still stop in time.
 
-        What could have been cancelled unnoticed then still stops in time.
+        Args:
+            read_at: Monotonic time up to which the shard's records, as read, contain every
+                confirmed cancellation.
         """
         return self.watermark.may_renew(max(read_at, self.jobs.synced_at), time.monotonic())
 
     def age_s(self) -> float:
-        """Seconds since the time up to which every confirmed cancellation is known."""
+        """Return the age of the watermark in seconds."""
         now = time.monotonic()
         return now - self.watermark.known_until(self.jobs.synced_at, now)
--- a/ashdock/cancellation/orphan_leases.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -1,15 +1,18 @@
 """Renews the leases of agents whose shard's owner is gone while the store does not answer.
 
-A controller that crashes in an outage of the store is back at once, but can't claim its shards until the outage is over,
-and nobody else can: the agents of its shards would get no answer, and their leases would expire one after the other. A
-controller that was there before the outage may answer them instead: with the fencing token that the agent has, which
-takes nothing from any owner, and without commands. It starts nothing, stops nothing and proves nothing. What it must not
-do is keep alive what a user was told is cancelled:
-
-- It knows each cancellation that was recorded up to `synced_at`, and renews nothing of a job that it knows to be cancelled.
-- A cancellation recorded later is confirmed later. Renewed before `synced_at` + `cancel_s` - `lease_s`, its tasks are gone
-  in time.
-- One recorded before the watch began (`complete_since`) is older than `cancel_s`, or nothing is renewed at all.
+A controller that crashes during a store outage restarts at once, but neither it nor another
+controller can claim its shards until the outage is over. Without an answer, the leases of all
+agents of these shards would expire. A controller that has been running since before the outage may
+answer instead. It answers with the fencing token that the agent already has, so no owner loses its
+claim, and without commands: it neither starts nor stops tasks, and its answer proves nothing about
+them. It must not keep tasks alive whose cancellation was confirmed to a user:
+
+- It knows every cancellation recorded up to `synced_at`, and renews no lease of an agent that runs
+  tasks of a job that it knows to be cancelled.
+- A cancellation recorded later is also confirmed later. If the lease is renewed before `synced_at`
+  + `cancel_s` - `lease_s`, the tasks are gone within `cancel_s` of the confirmation.
+- A cancellation recorded before the watch began (`complete_since`) is older than `cancel_s`:
+  before that time has passed since the watch began, no lease is renewed.
 """
 
 from __future__ import annotations
@@ -22,33 +25,41 @@
 from ashdock.wire.messages import Heartbeat, split_task
 
 
-class JobsWatch(Protocol):
-    """The watch of the jobs' records. Times are of the steady clock, in seconds."""
+class JobWatch(Protocol):
+    """The watch on the jobs' records. Times are monotonic, in seconds."""
 
-    complete_since: float  # since when it has no gap
-    synced_at: float  # up to when it has told of all changes
+    complete_since: float  # no change has been missed since then
+    synced_at: float  # all changes up to then have been received
 
 
 class OrphanLeaseRenewer:
-    """Decides whose lease may be renewed. Times are of the steady clock, in seconds."""
+    """Decides which leases may be renewed. Times are monotonic, in seconds."""
 
     def __init__(
         self,
         workers: Workers,
-        jobs: JobsWatch,
+        jobs: JobWatch,
         is_cancelled: Callable[[str], bool],
         watermark: CancellationWatermark,
     ) -> None:
-        """`is_cancelled`: whether the job of an id is known to be."""
+        """Create the renewer.
+
+        Args:
+            workers: The settings of workers.
+            jobs: The watch on the jobs' records.
+            is_cancelled: Returns whether the job with an id is known to be cancelled.
+            watermark: Tells how recent the knowledge of cancellations must be.
+        """
         self.workers = workers
         self.jobs = jobs
         self.is_cancelled = is_cancelled
         self.watermark = watermark
 
     def may_renew(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Whether this controller, which does not own the agent's shard, may renew the agent's lease.
+        """Return whether the lease of an agent may be renewed though its shard is not owned here.
 
-        Only what the store has told counts: the peers' echoes say nothing of a start that the owner which is gone had sent.
+        Only the store's watch counts here: the peers' echoes prove nothing about tasks that the
+        missing owner had started.
         """
         if now - self.jobs.complete_since < self.workers.cancel_s:
             return False
