--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -1,7 +1,8 @@
-"""This controller's entry among the members, on a store lease of its own.
+"""Maintains this controller's membership: an entry in the store attached to a lease.
 
-The entry says whether the controller is eligible, that is, whether it may own shards and lead. It is not while it is in a
-crash loop (`ashdock.crash_loop`) or reaches nothing but the store.
+The entry tells whether the controller is eligible, that is, whether it may own shards and lead. A
+controller is not eligible while it is on probation after a crash loop (`ashdock.crash_loop`) or
+while it reaches only the store, and neither another controller nor a worker.
 """
 
 from __future__ import annotations
@@ -24,22 +25,22 @@
 
 MEMBER_PREFIX = "member/"
 RESTARTS_PREFIX = "life/"
-RENEWALS_PER_TTL = 4  # how often the lease is renewed within its lifetime
-RENEWAL_TIMEOUT_TTL = 0.5  # share of the lifetime for which an answer to a renewal is awaited
+RENEWALS_PER_TTL = 4  # renewals within the duration of the lease
+RENEWAL_TIMEOUT_TTLS = 0.5  # timeout of a renewal request, in durations of the lease
 
 
 class MembershipRecord(Struct):
     """The record stored under `member/<label>`."""
 
-    incarnation: int = 0  # of the process, a random number
-    eligible: bool = field(default=True, name="fit")  # records of early versions lack it
+    incarnation: int = 0  # random number of the process
+    eligible: bool = field(default=True, name="fit")  # missing in records of early versions
 
 
 class MembershipContext(Protocol):
-    """What the membership uses of its controller."""
+    """The membership's dependencies on its controller."""
 
     label: str
-    ttl_s: float  # lifetime of the membership's store lease
+    ttl_s: float  # duration of the membership's store lease
     incarnation: int
     store: StoreClient
     members: WatchCache
@@ -47,19 +48,19 @@
     startup_timeline: StartupTimeline
 
     def now(self) -> float:
-        """Time of day, seconds."""
+        """Return the time in seconds since the epoch."""
         ...
 
     def cut_off(self) -> bool:
-        """Whether neither another controller nor a worker is heard."""
+        """Return whether neither another controller nor a worker has been heard recently."""
         ...
 
     def lease_renewed(self) -> None:
-        """Called when the lease was taken or renewed."""
+        """Called when the lease was granted or renewed."""
         ...
 
     def renewal_failed(self) -> None:
-        """Called when the store did not answer a renewal."""
+        """Called when the store did not answer a request of `Membership.maintain`."""
         ...
 
     def membership_lost(self) -> None:
@@ -68,28 +69,43 @@
 
 
 class Membership:
-    """Takes, renews and replaces the lease, and publishes eligibility."""
+    """Acquires, renews and replaces the lease, and publishes eligibility.
+
+    Attributes:
+        store_lease: Id of the lease, or `None` while this controller is not a member.
+        lease_renewed_at: Monotonic time at which the last successful renewal was sent.
+        lease_expires_at: Monotonic time before which the store does not end the lease, if both
+            clocks run at the same rate.
+        published_eligible: Eligibility according to this controller's entry in the store.
+    """
 
     def __init__(self, context: MembershipContext, agent_lease_s: float) -> None:
-        """Starts without a lease; `agent_lease_s` bounds a probation (see `CrashLoopDetector`)."""
+        """Start without a lease.
+
+        Args:
+            context: The controller.
+            agent_lease_s: Duration of an agent's lease; bounds a probation.
+        """
         self.context = context
         self.store_lease: int | None = None
-        # Both by the monotonic clock, in seconds: when the last successful renewal was sent, and until when the
-        # lease lasts at least.
         self.lease_renewed_at = 0.0
         self.lease_expires_at = 0.0
-        self.published_eligible = True  # as our entry says
+        self.published_eligible = True
         self.crash_loop = CrashLoopDetector(context.ttl_s, agent_lease_s)
 
     async def maintain(self) -> float:
-        """Joins, or renews the lease and publishes a change of eligibility.
+        """Join, or renew the lease and publish a change of eligibility.
 
         Returns:
-            Seconds until this is to be called again.
+            Seconds until the next call.
+
+        Raises:
+            CompareFailedError: A record was changed meanwhile.
         """
         context = self.context
         interval_s = context.ttl_s / RENEWALS_PER_TTL
-        await context.cluster_version.known.wait()  # it decides which records are written
+        # The cluster version determines which records are written.
+        await context.cluster_version.known.wait()
         started = time.monotonic()
         try:
             if self.store_lease is None:
@@ -109,16 +125,16 @@
         return interval_s
 
     def lease_lost(self) -> None:
-        """Forgets an expired lease; the next `maintain` joins again."""
+        """Discard an expired lease, so that the next `maintain` joins again."""
         log.info("membership lease expired, joining again")
         self.store_lease = None
         self.context.membership_lost()
 
     def eligible_members(self) -> list[str]:
-        """Labels of the members that may own shards and lead, sorted.
+        """Return the labels of the members that may own shards and lead, sorted.
 
-        If none is eligible all are: otherwise each would take itself for the only candidate, and they would claim
-        every shard from one another.
+        If no member is eligible, all members are returned: otherwise each would consider itself the
+        only candidate, and they would claim every shard from one another.
         """
         eligible_by_label = {
             path.split("/", 1)[1]: _decode(entry.value).eligible
@@ -128,18 +144,18 @@
         return sorted(eligible) or sorted(eligible_by_label)
 
     def may_own_and_lead(self) -> bool:
-        """Whether this controller is among the eligible members."""
+        """Return whether this controller may own shards and lead."""
         return self.published_eligible or self.context.label in self.eligible_members()
 
     async def _renew(self, store_lease: int) -> None:
         context = self.context
-        await context.store.renew_lease(store_lease, timeout=context.ttl_s * RENEWAL_TIMEOUT_TTL)
+        await context.store.renew_lease(store_lease, timeout=context.ttl_s * RENEWAL_TIMEOUT_TTLS)
         self.crash_loop.advance(context.now())
         if self.published_eligible is not self._is_eligible():
             await self._publish_eligibility(not self.published_eligible)
 
     async def _join(self) -> None:
-        """Takes a lease and writes the member's entry and the record of restarts on it."""
+        """Acquire a lease; write the member's entry on it and the restart record without it."""
         context = self.context
         store = context.store
         member_path = MEMBER_PREFIX + context.label
@@ -164,7 +180,7 @@
             writes[restarts_path] = msgspec.to_builtins(record)
         revision = await store.txn(conditions, writes, lease=store_lease, unleased=(restarts_path,))
         context.members.apply_own_write(member_path, writes[member_path], revision)
-        # Only now: a lease without an entry on it does not make this controller a member.
+        # Set only now, since a lease without an entry does not make this controller a member.
         self.store_lease = store_lease
         self.published_eligible = eligible
 
@@ -177,7 +193,7 @@
         if eligible:
             log.info("controller is eligible again to own shards and lead")
         else:
-            log.info("controller is not eligible to own shards or lead: it reaches only the store")
+            log.info("controller reaches only the store, not eligible to own shards or lead")
         value = self._encode(eligible)
         revision = await context.store.txn(
             {path: entry.revision}, {path: value}, lease=self.store_lease
@@ -186,7 +202,7 @@
         self.published_eligible = eligible
 
     def _is_eligible(self) -> bool:
-        """Whether this controller should own shards and lead, as far as it can tell of itself."""
+        """Return whether this controller should own shards and lead, by its own observations."""
         return not self.crash_loop.on_probation and not self.context.cut_off()
 
     def _encode(self, eligible: bool) -> dict[str, Any]:
@@ -197,14 +213,15 @@
     def _log_probation(self) -> None:
         if self.crash_loop.on_probation:
             log.info(
-                "crash loop detected, controller is not eligible to own shards or lead: restarts=%d probation_s=%.1f",
+                "crash loop detected, not eligible to own shards or lead: "
+                "restarts=%d probation_s=%.1f",
                 self.crash_loop.record.restarts,
                 self.crash_loop.probation_s(),
             )
 
 
 def _decode(value: Any) -> MembershipRecord:
-    """Decodes a stored entry; a member whose entry can't be read counts as eligible."""
+    """Decode a stored entry; one that cannot be decoded counts as eligible."""
     try:
         return msgspec.convert(value, MembershipRecord)
     except msgspec.ValidationError:
