--- a/ashdock/crash_loop.py
+++ b/ashdock/crash_loop.py
@@ -1,16 +1,18 @@
-"""Detects that this controller's process restarts again and again, and puts it on probation.
+"""Detects a crash loop of this controller's process and puts the controller on probation.
 
-A process that is back within a fraction of a second takes its shards back before the other controllers have missed it.
-That is right once, and wrong in a crash loop: each time its workers ask elsewhere, its shards are read anew, and nobody
-else serves them. On probation a controller is not eligible to own shards or lead, so that others take over.
+A process that restarts within a fraction of a second reclaims its shards before the other
+controllers notice its absence. That is desirable once, but not in a crash loop: with each restart
+its workers look for another controller, its shards are recovered again, and no other controller
+serves them. On probation a controller is not eligible to own shards or lead, so others take over.
 
-The count of restarts has to outlive the process, so it is kept in the store and written together with the membership
-(`ashdock.membership`). This module does no input or output. Times are passed in as time of day in seconds, since that is
-all that two processes have in common (within the skew that the settings allow).
+The restart count must survive the process, so it is stored in the transaction of the membership
+(`ashdock.membership`). This module does no input or output. Times are passed in as seconds since
+the epoch, the only clock that two processes share (within the skew that the settings allow).
 
-Where other controllers have restarted recently as well there is no probation: the cause goes with the load, or is common
-to all. Shards that were passed on then ended one controller after the other, and cost a failover each time (0.03 to 0.07
-lower on the simulated days `loop2` and `edge`).
+There is no probation if other controllers have restarted recently as well, since then the cause
+moves with the load or is common to all. Shards that were passed on in that case crashed one
+controller after another, with a failover each time, and the simulated days `loop2` and `edge` came
+out 0.03 to 0.07 lower.
 """
 
 from __future__ import annotations
@@ -22,75 +24,77 @@
 import msgspec
 from msgspec import Struct, field
 
-TOLERATED_RESTARTS = (
-    2  # in quick succession: a rolling restart, or an accident and what followed from it
-)
-FORGET_AFTER_LEASES = (
-    2  # agent leases for which a process has to run until one restart is forgotten
-)
-LONGEST_PROBATION_LEASES = 2  # agent leases that a probation lasts at most
-FIRST_PROBATION_TTLS = 2  # lifetimes of a membership lease that a first probation lasts
+# Restarts in quick succession: a rolling restart, or a crash and another one that it caused.
+TOLERATED_RESTARTS = 2
+FORGET_AFTER_LEASES = 2  # run time, in agent leases, after which one restart is forgotten
+MAX_PROBATION_LEASES = 2  # in agent leases
+FIRST_PROBATION_TTLS = 2  # in durations of a membership lease
 PROBATION_GROWTH = 2.0  # factor for each further restart
-MAX_GROWTH_EXPONENT = 32  # keeps the power finite; the upper bound has long been reached by then
+MAX_GROWTH_EXPONENT = 32  # keeps the power finite; the longest probation is reached before
 
 
 class RestartRecord(Struct):
     """The record stored under `life/<label>`."""
 
     restarts: int = field(default=0, name="ends")  # in quick succession, before this process
-    started_at: float = field(default=0.0, name="at")  # of this process: time of day, seconds
+    started_at: float = field(default=0.0, name="at")  # of this process, seconds since the epoch
 
 
 class StabilityState(Enum):
-    """Whether this process is trusted to stay.
+    """Whether this process is expected to keep running.
 
     UNKNOWN -- `process_started`, after too many restarts --> PROBATION
     UNKNOWN -- `process_started`, otherwise --> STEADY
-    PROBATION -- `advance`, its time has come --> STEADY
+    PROBATION -- `advance`, after the end of the probation --> STEADY
     """
 
-    UNKNOWN = "unknown"  # the record of the process before has not been read
-    PROBATION = "probation"  # not eligible to own shards or lead
+    UNKNOWN = "unknown"
+    """The record of the previous process has not been read."""
+
+    PROBATION = "probation"
+    """Not eligible to own shards or lead."""
+
     STEADY = "steady"
+    """Not on probation."""
 
 
 class CrashLoopDetector:
-    """Counts restarts in quick succession and decides how long a probation lasts."""
+    """Counts restarts in quick succession and determines the duration of a probation."""
 
     def __init__(self, membership_ttl_s: float, agent_lease_s: float) -> None:
-        """Starts in UNKNOWN.
+        """Start in UNKNOWN.
 
         Args:
-            membership_ttl_s: lifetime of a member's store lease; the unit of a first probation.
-            agent_lease_s: how long a worker runs on without an answer; bounds the probation.
+            membership_ttl_s: Duration of a member's store lease; the unit of a first probation.
+            agent_lease_s: How long a worker keeps running without an answer; bounds the probation.
         """
         self.first_probation_s = FIRST_PROBATION_TTLS * membership_ttl_s
         self.forget_after_s = FORGET_AFTER_LEASES * agent_lease_s
-        self.longest_probation_s = LONGEST_PROBATION_LEASES * agent_lease_s
+        self.max_probation_s = MAX_PROBATION_LEASES * agent_lease_s
         self.state = StabilityState.UNKNOWN
         self.record = RestartRecord()
-        self.probation_ends_at = 0.0  # time of day, seconds
+        self.probation_ends_at = 0.0  # seconds since the epoch
 
     @property
     def on_probation(self) -> bool:
-        """Whether shards and leadership are to be left to other controllers."""
+        """Whether other controllers should own the shards and lead."""
         return self.state is StabilityState.PROBATION
 
     def probation_s(self) -> float:
-        """How long a process with this many restarts before it has to run until it is eligible."""
+        """Return the duration of a probation after the recorded number of restarts."""
         excess = self.record.restarts - TOLERATED_RESTARTS
         if excess <= 0:
             return 0.0
         growth = PROBATION_GROWTH ** min(excess - 1, MAX_GROWTH_EXPONENT)
-        return min(self.first_probation_s * growth, self.longest_probation_s)
+        return min(self.first_probation_s * growth, self.max_probation_s)
 
     def process_started(self, previous: Any, others: Iterable[Any], now: float) -> RestartRecord:
-        """Leaves UNKNOWN; changes nothing when called again by the same process.
+        """Count the restart and leave UNKNOWN; later calls by the same process have no effect.
 
         Args:
-            previous: the stored record of the process before this one; None if there is none.
-            others: the stored records of the other controllers.
-            now: time of day, seconds.
+            previous: The stored record of the previous process, or `None`.
+            others: The stored records of the other controllers.
+            now: Seconds since the epoch.
 
         Returns:
             The record to store for this process.
@@ -109,13 +113,13 @@
         return self.record
 
     def advance(self, now: float) -> None:
-        """Ends the probation if its time (time of day, seconds) has come."""
+        """End the probation if it is over at `now`, in seconds since the epoch."""
         if self.state is StabilityState.PROBATION and now >= self.probation_ends_at:
             self.state = StabilityState.STEADY
 
     def _restarts_after(self, previous: RestartRecord, now: float) -> int:
-        """The count with the restart that has just happened, less one for each calm interval."""
-        ran_s = max(now - previous.started_at, 0.0)  # below 0: the time of day was set back
+        """Return the count with this restart, less one for each `forget_after_s` of run time."""
+        ran_s = max(now - previous.started_at, 0.0)  # negative if the clock was set back
         forgotten = int(ran_s / self.forget_after_s)
         return max(previous.restarts - forgotten, 0) + 1
 
@@ -127,7 +131,10 @@
 
 
 def _decode(value: Any) -> RestartRecord:
-    """Decodes a stored record; one that can't be read counts as no restart, so that it keeps nobody from serving."""
+    """Decode a stored record; one that cannot be decoded counts as no restart.
+
+    A damaged record therefore never puts a controller on probation.
+    """
     try:
         return msgspec.convert(value, RestartRecord)
     except msgspec.ValidationError:
