--- a/tests/test_crash_loop.py
+++ b/tests/test_crash_loop.py
@@ -1,4 +1,4 @@
-"""The crash loop detector: how restarts are counted, and when a controller is on probation."""
+"""Tests of the crash loop detector: counting of restarts, and probation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MEMBERSHIP_TTL_S = 1.0
 AGENT_LEASE_S = 6.0
-NOW = 1000.0  # time of day, seconds
+NOW = 1000.0  # seconds since the epoch
 
 
 @pytest.mark.parametrize(
@@ -21,10 +21,10 @@
         ([100.0, 3.0, 3.0], 3, 2.0),
         ([2.0] * 4, 4, 4.0),
         ([2.0] * 20, 20, 12.0),
-        ([2.0, 2.0, 2.0, 13.0], 3, 2.0),  # one restart is forgotten after a calm interval
+        ([2.0, 2.0, 2.0, 13.0], 3, 2.0),  # one restart is forgotten after two agent leases
         ([2.0, 2.0, 2.0, 100.0], 1, 0.0),
         ([2.0] * 20 + [120.0], 11, 12.0),
-        ([-5.0, -5.0, -5.0], 3, 2.0),  # the time of day was set back
+        ([-5.0, -5.0, -5.0], 3, 2.0),  # the clock was set back
     ],
 )
 def test_restarts_in_quick_succession_lead_to_probation(
@@ -36,7 +36,7 @@
         detector = CrashLoopDetector(MEMBERSHIP_TTL_S, AGENT_LEASE_S)
         assert not detector.on_probation and detector.state is StabilityState.UNKNOWN
         record = detector.process_started(stored, [], now)
-        # Called again when the membership has expired and the process runs on: nothing changes.
+        # A repeated call has no effect: it occurs when the membership expires during a process.
         assert detector.process_started(stored, [], now + 1) == record
         stored = {"ends": record.restarts, "at": record.started_at}
         now += ran_s
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Leader election: as a model, and in a cluster where machines, controllers and requests fail or come late."""
+"""Tests of the leader election: as a model, and in a cluster with crashes and delayed requests."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 from tests.test_wire import GOOD
 from tests.whole import Service, job
 
-# -- the election, alone ---------------------------------------------------------------------------------------
+# -- the election alone ----------------------------------------------------------------------------
 
 
 def test_no_order_of_events_gives_two_leaders() -> None:
-    """Two controllers, their leases and late effects, exhaustively; three, too many for that, on seeded walks."""
+    """Searches all states of two controllers, and walks randomly through those of three."""
     assert search(Model(2, 2, 1, "write")).violation == ""
     assert search(Model(2, 2, 0, "command")).violation == ""
     for kind in ("write", "command"):
@@ -44,14 +44,14 @@
 
 
 @pytest.mark.parametrize("fence", FENCES)
-def test_the_model_finds_each_fence_that_is_left_out(fence: str) -> None:
+def test_the_model_detects_each_missing_fence(fence: str) -> None:
     kind = "command" if fence == "command_term" else "write"
     assert search(Model(2, 2, 0, kind, without=fence)).violation != ""
 
 
 EVENT_SEQUENCES: list[
     tuple[list[tuple[Any, ...]], ElectionState, bool, bool]
-] = [  # -> state, may act, may decide, at time 10
+] = [  # events -> state, whether term 7 may act and may decide, at time 10
     ([("begin_campaign",), ("fail_campaign",)], ElectionState.FOLLOWER, False, False),
     ([("begin_campaign",), ("acquire", 7, 9.0, 3.0, 9.1)], ElectionState.RECONCILING, True, False),
     (
@@ -111,7 +111,7 @@
         ElectionState.RECONCILING,
         True,
         False,
-    ),  # not before it has reconciled
+    ),  # no transfer before reconciliation
     ([("acquire", 7, 9.0, 3.0, 9.1), ("lose",)], ElectionState.FOLLOWER, False, False),
     (
         [
@@ -123,7 +123,7 @@
         ElectionState.LEADER,
         False,
         False,
-    ),  # another term
+    ),  # elected in another term than 7
 ]
 
 
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fit", "allowed", "load", "ranked", "better"),
+    ("eligible", "allowed", "load", "ranked", "better"),
     [
         (["a", "b", "c"], [], {"a": 9, "b": 4}, ["c", "b", "a"], "c"),
         (["a", "b"], [], {"a": 9, "b": 5}, ["b", "a"], None),
@@ -168,19 +168,23 @@
             {"a": 4, "b": 9},
             ["c", "a", "b"],
             None,
-        ),  # only the most loaded one transfers
+        ),  # only the most loaded leader transfers
     ],
 )
-def test_who_should_lead(
-    fit: list[str], allowed: list[str], load: dict[str, int], ranked: list[str], better: str | None
+def test_ranking_of_candidates(
+    eligible: list[str],
+    allowed: list[str],
+    load: dict[str, int],
+    ranked: list[str],
+    better: str | None,
 ) -> None:
     assert (
-        rank_candidates(fit, allowed, load) == ranked
-        and better_candidate("a", fit, allowed, load) == better
+        rank_candidates(eligible, allowed, load) == ranked
+        and better_candidate("a", eligible, allowed, load) == better
     )
 
 
-def test_commands_carry_their_term_and_lower_ones_are_refused() -> None:
+def test_commands_include_their_term_and_lower_terms_are_refused() -> None:
     for command in (TransferMachine("red", "vm-1", "blue"), TransferShard("red", "n2")):
         packed = frames.pack(FencedCommand(1 << 40, command))
         kind, length = frames.unpack_header(packed[: frames.HEADER.size])
@@ -220,7 +224,9 @@
         ("duties {\n renting = 1\n}\n", "unknown field `renting`"),
     ],
 )
-def test_who_may_lead_is_read_or_refused(text: str, message: str, tmp_path: Path) -> None:
+def test_the_list_of_allowed_leaders_is_read_or_refused(
+    text: str, message: str, tmp_path: Path
+) -> None:
     (tmp_path / "s.toml").write_text(GOOD)
     (tmp_path / "o.hcl").write_text(text)
     if not message:
@@ -234,20 +240,20 @@
     assert "o.hcl" in str(error.value)
 
 
-# -- in a cluster --------------------------------------------------------------------------
+# -- in a cluster ----------------------------------------------------------------------------------
 
 
 async def wait_for_leader(service: Service) -> int:
-    """The number of the controller that leads, once it has reconciled."""
+    """Return the index of the controller that leads, once it has reconciled."""
     while service.now() < 300:
-        for n, controller in service.controllers.items():
+        for index, controller in service.controllers.items():
             if (
                 controller.leader is not None
                 and controller.elector.election.state is ElectionState.LEADER
             ):
-                return n
+                return index
         await asyncio.sleep(0.02)
-    pytest.fail("nobody leads")
+    pytest.fail("no controller leads")
 
 
 JOBS = [
@@ -257,28 +263,31 @@
 ]
 
 
-async def wait_until_all_is_clean(service: Service, within_s: float = 150.0) -> None:
-    """The jobs are done, no machine is left that nobody needs, and nothing in the store without an owner."""
+async def wait_until_idle(service: Service, within_s: float = 150.0) -> None:
+    """Wait until all jobs are done, all machines released, and only permanent keys are stored."""
     assert await service.until_final([submission["id"] for submission in JOBS], within_s) == []
     until = service.now() + within_s
     while service.world.workers and service.now() < until:
         await asyncio.sleep(1.0)
     assert not service.world.workers
     await asyncio.sleep(15)
-    left = {path.split("/")[0] for path in service.state.keys} - {
-        "life"
-    }  # written with the second life
-    assert left == {"catalog", "job", "leader", "member", "part", "upgrade"}
+    # `life/` is written by controllers that join after the cluster version was raised, for example
+    # restarted ones.
+    remaining = {path.split("/")[0] for path in service.state.keys} - {"life"}
+    assert remaining == {"catalog", "job", "leader", "member", "part", "upgrade"}
 
 
 @pytest.mark.parametrize(
     "key", ["charter/", "delete charter/", "machine/", "delete machine/", "leader"]
 )
-@pytest.mark.parametrize(("nth", "back_s"), [(1, 0.05), (2, 0.3), (1, 4.0)])
+@pytest.mark.parametrize(("nth", "restart_after_s"), [(1, 0.05), (2, 0.3), (1, 4.0)])
 def test_the_leader_crashes_at_each_write(
-    key: str, nth: int, back_s: float, monkeypatch: pytest.MonkeyPatch
+    key: str, nth: int, restart_after_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At its nth such write, applied and not answered: what it had begun is carried out once, by the next leader."""
+    """The leader crashes when its nth write of a kind is applied but not answered.
+
+    The next leader must carry out the unfinished work, and only once.
+    """
 
     async def scenario(service: Service) -> None:
         matching_writes = 0
@@ -289,26 +298,32 @@
                 ("" if "set" in write else "delete ") + (write.get("set") or write["delete"])
                 for write in writes
             ]
-            leader = next((n for n, c in service.controllers.items() if c.leader is not None), None)
+            leader = next(
+                (index for index, c in service.controllers.items() if c.leader is not None), None
+            )
             if leader is not None and any(written.startswith(key) for written in keys):
                 matching_writes += 1
                 if matching_writes == nth:
-                    service.crash(leader, back_s)
+                    service.crash(leader, restart_after_s)
 
         service.state.hook = hook
         for submission in JOBS:
             await service.submit(dict(submission))
-        await wait_until_all_is_clean(service)
+        await wait_until_idle(service)
         assert sum(len(names) for names in service.world.charters.values()) <= 8
 
     play(monkeypatch, 61, scenario, machines=2, capacity=8)
 
 
 @pytest.mark.parametrize("paused_s", [1.0, 10.0, 60.0])
-def test_a_leader_that_was_paused_does_nothing_more_of_its_term(
+def test_a_leader_that_was_paused_begins_no_effect_after_its_lease(
     paused_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It wakes with its old memory, in the middle of a call to the cloud, and finds its lease over by its own clock."""
+    """A leader's process is suspended past the end of its lease and resumes with its old state.
+
+    It must refuse to call the cloud, since the lease has expired by its own clock. Once another
+    controller has been elected, its writes must fail by their condition on the leadership key.
+    """
 
     async def scenario(service: Service) -> None:
         await service.submit(dict(JOBS[0]))
@@ -317,8 +332,8 @@
         controller = service.controllers[first]
         leader, election = controller.leader, controller.elector.election
         assert leader is not None
-        before, calls = election.term, len(service.world.charters)
-        # As if the whole process had been paused: its clock has gone on, and nothing of it has run since.
+        term, calls = election.term, len(service.world.charters)
+        # Simulates a suspended process: its clock has advanced, and none of its code has run.
         election.lease_valid_until = time.monotonic() - paused_s
         with pytest.raises(NotLeaderError):
             await controller.cloud.rent("late", "g4", "a", False, 1, leader.leadership.check)
@@ -330,8 +345,8 @@
         leader.allocator.scale_outs.append(scale_out)
         await asyncio.sleep(0.01)
         assert len(service.world.charters) == calls and scale_out not in leader.allocator.scale_outs
-        # Renewed in time, it goes on in its term; replaced, what it still writes fails by its condition on the key.
-        assert await wait_for_leader(service) == first and election.term == before
+        # After a renewal it continues in its term. Then another controller replaces it.
+        assert await wait_for_leader(service) == first and election.term == term
         service.state.keys["leader"] = (
             {"label": "n9", "incarnation": 1},
             service.state.ledger + 1,
@@ -352,7 +367,7 @@
     play(monkeypatch, 62, scenario)
 
 
-def test_leadership_goes_to_the_least_loaded_controller_and_leaves_one_that_operators_do_not_allow(
+def test_leadership_is_transferred_by_load_and_by_the_operators_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(service: Service) -> None:
@@ -365,7 +380,7 @@
         await asyncio.sleep(20)
         leader = await wait_for_leader(service)
         assert not service.controllers[leader].owners, (
-            "two shards, three controllers: the third leads"
+            "with two shards and three controllers, the one without a shard leads"
         )
         for controller in service.controllers.values():
             controller.elector.allowed = [f"n{(leader + 1) % 3}"]
@@ -374,7 +389,7 @@
         named = [i for i in range(1, len(key_writes)) if key_writes[i][1] == key_writes[i - 1][1]]
         assert named and all(
             key_writes[i][0] - key_writes[i - 1][0] < 0.25 for i in named
-        )  # named, and elected at once
+        )  # a named successor acquires leadership at once
         assert await service.until_final(["req-000001", "req-000002"], 120) == []
         page = service.controllers[(leader + 1) % 3].metrics().body.decode()
         assert (
@@ -385,7 +400,7 @@
     play(monkeypatch, 63, scenario)
 
 
-def test_a_successor_that_does_not_come_delays_nothing(
+def test_a_crashed_successor_delays_the_next_leader_by_a_store_lease_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(service: Service) -> None:
@@ -398,13 +413,13 @@
         assert controller.leader is None
         began = service.now()
         await wait_for_leader(service)
-        assert service.now() - began < 3.0  # a store lease, and a round of the election
+        assert service.now() - began < 3.0  # a store lease, and one campaign
         assert await service.until_final(["req-000001"], 60) == []
 
     play(monkeypatch, 64, scenario)
 
 
-def test_three_leaders_crash_in_a_row_and_each_reconciles_intents_of_earlier_terms_before_it_decides(
+def test_each_of_three_crashing_leaders_reconciles_earlier_intents_before_it_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(service: Service) -> None:
@@ -418,19 +433,20 @@
         intents = [path for path in service.state.keys if path.startswith("charter/")]
         assert intents
         service.world.down = False
-        await wait_until_all_is_clean(service)
-        # Each is repeated under its own name, and nothing is scaled out beside what they bring.
+        await wait_until_idle(service)
+        # Each intent is repeated under its own name, and nothing is scaled out in addition.
         assert sum(len(names) for names in service.world.charters.values()) <= 8
 
     play(monkeypatch, 65, scenario, machines=1, capacity=9)
 
 
-def test_a_release_that_arrives_late_hits_nothing_that_is_in_use(
+def test_a_delayed_release_affects_no_machine_in_use(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Every machine that a release names is decommissioned durably before, and that is never undone.
+    """A release request is delayed by ten seconds and delivered while the next leader works.
 
-    Delayed by ten seconds and delivered while the next leader works, it finds machines that nobody else may have.
+    It must not release machines in use: each machine that it names was decommissioned durably
+    before, which is never undone, so no team can be using it.
     """
 
     async def scenario(service: Service) -> None:
@@ -449,7 +465,7 @@
         service.world.server.handler = delay_releases
         for submission in JOBS:
             await service.submit(dict(submission))
-        await wait_until_all_is_clean(service)
+        await wait_until_idle(service)
         assert delayed
 
     play(monkeypatch, 66, scenario, machines=4, capacity=8)
@@ -476,11 +492,11 @@
         )
         owner.frame_dispatcher.dispatch(
             "n9", Reclaim("red", "blue", [name])
-        )  # without a term: of a process of an earlier version that has ended
+        )  # without a term: sent by a process of an earlier version that has ended
         assert shard.machines[name].usable and owner.term_fence.refused_commands == 1
         owner.frame_dispatcher.dispatch("n9", FencedCommand(term, Reclaim("red", "blue", [name])))
         assert not shard.machines[name].usable
-        # The next leader counts the machine that this one reclaimed as on its way.
+        # The next leader counts the reclaimed machine as already on its way to the other team.
         other = next(c for c in service.controllers.values() if c is not owner)
         other.frame_dispatcher.dispatch(
             owner.label, ReclaimsInProgress("red", shard.status_reporter.leaving())
@@ -494,10 +510,13 @@
     play(monkeypatch, 67, scenario)
 
 
-def test_the_cluster_version_waits_for_a_controller_of_the_version_between(
+def test_commands_are_not_fenced_while_a_controller_has_an_intermediate_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Commands carry a term only once all controllers understand it: an older one closes the link on such a frame."""
+    """A controller of an older version closes the link when it receives a command with a term.
+
+    Commands must not contain a term before all controllers understand it.
+    """
 
     async def scenario(service: Service) -> None:
         service.net.kill("10.0.0.2")
