--- a/ashdock/cancellation/orphan_leases.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -58,8 +58,8 @@
     def may_renew(self, heartbeat: Heartbeat, now: float) -> bool:
         """Return whether the lease of an agent may be renewed though its shard is not owned here.
 
-        Only the store's watch counts here: the peers' echoes prove nothing about tasks that the
-        missing owner had started.
+        Only the store's watch counts here: the peers' echoes prove nothing about a run command that
+        the missing owner had sent.
         """
         if now - self.jobs.complete_since < self.workers.cancel_s:
             return False
--- a/ashdock/election/candidates.py
+++ b/ashdock/election/candidates.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Collection, Iterable, Mapping
 
-MIN_TRANSFER_LOAD_RATIO = 2  # load of the leader to load of the successor
+MIN_TRANSFER_LOAD_RATIO = 2  # load of the leader divided by that of its successor
 
 
 def rank_candidates(
--- a/ashdock/election/election.py
+++ b/ashdock/election/election.py
@@ -1,8 +1,8 @@
 """State machine of one controller's leadership, without input or output; times are passed in.
 
-The leader is named by a key in the store, which is attached to that controller's store lease. The
-*term* is the revision of the write that acquired leadership: it only increases, and no two
-processes ever have the same term (docs/leader-election.md).
+A key in the store, attached to the leader's store lease, names the leader. The *term* is the
+revision of the write that acquired leadership: it only increases, and no two processes ever have
+the same term. Its consequences are in docs/leader-election.md.
 """
 
 from __future__ import annotations
@@ -101,7 +101,8 @@
     THIS_CONTROLLER = auto()
     """The key names the controller that reads it.
 
-    Leadership was transferred to it, or its previous process or an expired lease left the key.
+    Leadership was transferred to it, or the key remains from its previous process or from a lease
+    that has expired.
     """
 
     ANOTHER_CONTROLLER = auto()
@@ -204,7 +205,7 @@
         """Record a renewal of the store lease, with arguments as for `acquire`.
 
         The lease counts from the sending of the request and is shortened by the clock drift, so
-        that it ends here before it ends in the store.
+        that it ends here no later than in the store.
         """
         min_lease_s = lease_s * (1 - CLOCK_DRIFT_SHARE)
         self.lease_valid_until = max(self.lease_valid_until, renewal_sent_at + min_lease_s)
