--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -141,11 +141,11 @@
         """When that store lease was last renewed, by the steady clock."""
         return self.membership.lease_renewed_at
 
-    def names_successor(self) -> bool:
+    def can_name_successor(self) -> bool:
         """Whether all controllers understand a leader that names its successor."""
         return self.cluster_version.fences_commands
 
-    def renewed(self) -> None:
+    def lease_renewed(self) -> None:
         """Let the election be looked at: the membership was renewed."""
         self.election_loop.wake()
 
@@ -273,8 +273,8 @@
             self.operators.duties.machines,
             PATIENCE_AGENT_LEASES * self.workers.lease_s,
         )
-        self.doubted = self.elector.check_lease
-        self.terms = TermFence()
+        self.renewal_failed = self.elector.check_lease
+        self.term_fence = TermFence()
 
     def _build_membership(self) -> None:
         """Membership, and whether this controller is connected and ready."""
@@ -286,8 +286,8 @@
         self.heard_worker = self.connectivity.heartbeat_received
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
-        self.fit_members = self.membership.eligible_members
-        self.may_serve = self.membership.may_own_and_lead
+        self.eligible_members = self.membership.eligible_members
+        self.may_own_and_lead = self.membership.may_own_and_lead
         self.readiness = Readiness(
             self.connectivity,
             may_serve=self.membership.may_own_and_lead,
@@ -320,8 +320,8 @@
         self.owned_shard_count = self.shard_owners.count
         self.let_go = self.shard_owners.let_go
         self.jobs_seen = self.shard_owners.job_changed
-        self.cancelled = self.shard_owners.job_cancelled
-        self.settled = self.shard_owners.job_settled
+        self.job_cancelled = self.shard_owners.job_cancelled
+        self.job_settled = self.shard_owners.job_settled
         self.shard_ownership = ShardOwnership(
             tick_s=self.tick_s,
             cluster=self.cluster,
@@ -336,7 +336,7 @@
             cluster=self.cluster,
             cluster_version=self.cluster_version,
             mesh=self.mesh,
-            terms=self.terms,
+            term_fence=self.term_fence,
             now=self.now,
         )
         self.send_shard_command = self.shard_commands.send
@@ -384,7 +384,7 @@
         self.election_loop = ElectionLoop(
             elector=self.elector,
             membership=self.membership,
-            terms=self.terms,
+            term_fence=self.term_fence,
             period_s=self.ttl_s / ELECTION_LOOKS_PER_TTL,
             may_lead=lambda: bool(self.catalog),
             send_statuses=self.owner_gossip.send_statuses,
