--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -9,7 +9,7 @@
 from typing import get_args
 
 from ashdock.admission.control import Admission
-from ashdock.admission.shares import Use
+from ashdock.admission.shares import SocketUse
 from ashdock.background_tasks import BackgroundTasks, TimerLateness, run_periodically
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
 from ashdock.cancellation.knowledge import CancellationKnowledge
@@ -141,11 +141,11 @@
         """When that store lease was last renewed, by the steady clock."""
         return self.membership.lease_renewed_at
 
-    def names_successor(self) -> bool:
+    def can_name_successor(self) -> bool:
         """Whether all controllers understand a leader that names its successor."""
         return self.cluster_version.fences_commands
 
-    def renewed(self) -> None:
+    def lease_renewed(self) -> None:
         """Let the election be looked at: the membership was renewed."""
         self.election_loop.wake()
 
@@ -203,21 +203,21 @@
         self.cluster_version = ClusterVersion(self)
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
-        sockets = self.admission.shares.certain
+        sockets = self.admission.shares.reserved
         self.store = StoreClient(
             *address(settings.outside.state, "outside.state"),
             self.shared,
             self.write_limits,
-            sockets[Use.STATE],
+            sockets[SocketUse.STORE],
             weights,
         )
         self.cloud = CloudClient(
-            *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[Use.CLOUD]
+            *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[SocketUse.CLOUD]
         )
         self.worker_client = WorkerClient(
             self.workers.lease_s / COMMANDS_PER_AGENT_LEASE,
             IDLE_HEARTBEATS * self.workers.report_s,
-            sockets[Use.ORDERS],
+            sockets[SocketUse.COMMANDS],
         )
         self.background_tasks = BackgroundTasks()
         self.background = self.background_tasks.tasks
@@ -273,8 +273,8 @@
             self.operators.duties.machines,
             PATIENCE_AGENT_LEASES * self.workers.lease_s,
         )
-        self.doubted = self.elector.check_lease
-        self.terms = TermFence()
+        self.renewal_failed = self.elector.check_lease
+        self.term_fence = TermFence()
 
     def _build_membership(self) -> None:
         """Membership, and whether this controller is connected and ready."""
@@ -286,8 +286,8 @@
         self.heard_worker = self.connectivity.heartbeat_received
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
-        self.fit_members = self.membership.eligible_members
-        self.may_serve = self.membership.may_own_and_lead
+        self.eligible_members = self.membership.eligible_members
+        self.may_own_and_lead = self.membership.may_own_and_lead
         self.readiness = Readiness(
             self.connectivity,
             may_serve=self.membership.may_own_and_lead,
@@ -320,8 +320,8 @@
         self.owned_shard_count = self.shard_owners.count
         self.let_go = self.shard_owners.let_go
         self.jobs_seen = self.shard_owners.job_changed
-        self.cancelled = self.shard_owners.job_cancelled
-        self.settled = self.shard_owners.job_settled
+        self.job_cancelled = self.shard_owners.job_cancelled
+        self.job_settled = self.shard_owners.job_settled
         self.shard_ownership = ShardOwnership(
             tick_s=self.tick_s,
             cluster=self.cluster,
@@ -336,7 +336,7 @@
             cluster=self.cluster,
             cluster_version=self.cluster_version,
             mesh=self.mesh,
-            terms=self.terms,
+            term_fence=self.term_fence,
             now=self.now,
         )
         self.send_shard_command = self.shard_commands.send
@@ -384,7 +384,7 @@
         self.election_loop = ElectionLoop(
             elector=self.elector,
             membership=self.membership,
-            terms=self.terms,
+            term_fence=self.term_fence,
             period_s=self.ttl_s / ELECTION_LOOKS_PER_TTL,
             may_lead=lambda: bool(self.catalog),
             send_statuses=self.owner_gossip.send_statuses,
@@ -428,8 +428,8 @@
             self.front.handle,
             admission.connections,
             use_of,
-            lambda: refused(admission.no_place(time.monotonic())),
+            lambda: refused(admission.refuse_connection(time.monotonic())),
             admission,
-            lambda: refused(admission.no_memory(time.monotonic())),
-            admission.memory.buffer,
+            lambda: refused(admission.refuse_body(time.monotonic())),
+            admission.memory.buffer_bytes,
         )
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -15,11 +15,11 @@
 from ashdock.core.job import Job
 from ashdock.core.machine import Machine, MachinePhase
 from ashdock.core.preemption_cost import preemption_cost
-from ashdock.core.quota import Usage, guaranteed
+from ashdock.core.quota import Usage, within_guarantee
 from ashdock.core.scheduling_policy import SchedulingPolicy
 from ashdock.core.shard_status import ResourceRequest
 from ashdock.core.status_reporter import StatusReporter
-from ashdock.core.task import Phase, Placement
+from ashdock.core.task import Placement, PlacementPhase
 from ashdock.fairness.classes import Classes
 from ashdock.settings import Shared, Team, Workers
 from ashdock.wire.messages import JobKind, JobSpec, MachineType
@@ -50,7 +50,7 @@
     reserved: set[str]
     seen_revision: int
     scheduled_revision: int
-    stale: bool
+    needs_scheduling: bool
 
     def place(self, job: Job, task: int, machine: Machine, attempt: int, now: float) -> None:
         """Place an attempt of a task on a machine."""
@@ -83,12 +83,12 @@
         self.cached_images: dict[str, dict[str, int]] = {}
         for machine in machines:
             if machine.phase is MachinePhase.UP:
-                if machine.cpus > 1e-6 and machine.memory > 1e-6 and machine.usable:
+                if machine.cpus > 1e-6 and machine.memory_gb > 1e-6 and machine.usable:
                     self.machines.append(machine)
                     for image in machine.images:
                         zones = self.cached_images.setdefault(image, {})
                         zones[machine.zone] = zones.get(machine.zone, 0) + 1
-            elif machine.coming(now):
+            elif machine.is_booting(now):
                 self.pending_capacity.add(machine.shape, machine.zone, machine.spot)
 
     def machines_with_room(self, spec: JobSpec, reserved: set[str]) -> list[Machine]:
@@ -151,14 +151,14 @@
             job
             for job in self.shard.jobs.values()
             if job.active
-            and job.ready
-            and not job.waits
-            and not job.breaking
+            and job.ready_count
+            and not job.awaits_dependencies
+            and not job.gang_stop_reason
             and job.id not in self.shard.orphaned_tasks
-            and (job.spec.kind != JobKind.GANG or job.ready == job.spec.tasks)
+            and (job.spec.kind != JobKind.GANG or job.ready_count == job.spec.tasks)
         ]
         jobs.sort(key=lambda job: self._rank(job, now, cycle))
-        lifted = self.shard.classes.lifted(jobs, self._permitted_job_ids(jobs), now)
+        lifted = self.shard.classes.boosted_job_ids(jobs, self._permitted_job_ids(jobs), now)
         if lifted:
             jobs.sort(key=lambda job: (-job.priority, job.id not in lifted))
         return jobs
@@ -180,9 +180,9 @@
     def slack(self, job: Job, now: float) -> float:
         """Seconds until the job should be running; negative if it is late."""
         spec = job.spec
-        if math.isinf(job.due):
-            return job.since + self.start_target_s(spec) - now
-        return job.due - self.estimates.run_s(spec) - now
+        if math.isinf(job.deadline_at):
+            return job.eligible_at + self.start_target_s(spec) - now
+        return job.deadline_at - self.estimates.run_s(spec) - now
 
     def may_preempt(self, job: Job, now: float) -> bool:
         """Whether work of lower priority may be stopped for the job.
@@ -198,7 +198,7 @@
             (shape.boot_s for shape in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
-        return (job.submitted - job.due) / 2 < self.slack(job, now) < boot_s
+        return (job.submitted_at - job.deadline_at) / 2 < self.slack(job, now) < boot_s
 
     def start_target_s(self, spec: JobSpec) -> float:
         """Seconds within which the job should start.
@@ -232,15 +232,15 @@
         their time.
         """
         spec = job.spec
-        if job.doubtful:
-            return (-job.priority, 9.0, job.since)
-        if spec.kind == JobKind.ARRAY and math.isinf(job.due):
+        if job.likely_faulty:
+            return (-job.priority, 9.0, job.eligible_at)
+        if spec.kind == JobKind.ARRAY and math.isinf(job.deadline_at):
             return (
                 -job.priority,
-                *self.shard.policy.rank(job, self.estimates.run_s(spec), now),
-                job.since,
+                *self.shard.policy.array_rank(job, self.estimates.run_s(spec), now),
+                job.eligible_at,
             )
-        if math.isinf(job.due):
+        if math.isinf(job.deadline_at):
             lead_s = 0.0
             if cycle is not None and cycle.is_image_cached(
                 spec, spec.tasks if spec.kind == JobKind.GANG else 1
@@ -249,9 +249,11 @@
                     spec, next(iter(self.shard.catalog.values()))
                 )
             group, size = self._wait_rank(job, now)
-            return (-job.priority, group, size, job.since - now - lead_s)
-        deadline_s = max(job.due - job.submitted, 1e-3)
-        expected_s = now + self.estimates.run_s(spec) * (1 - self.RUN_TIME_MARGIN) - job.submitted
+            return (-job.priority, group, size, job.eligible_at - now - lead_s)
+        deadline_s = max(job.deadline_at - job.submitted_at, 1e-3)
+        expected_s = (
+            now + self.estimates.run_s(spec) * (1 - self.RUN_TIME_MARGIN) - job.submitted_at
+        )
         factors = sorted(
             o.times
             for o in self.shard.shared.objectives
@@ -263,7 +265,7 @@
         return (
             -job.priority,
             rank,
-            (spec.tasks - job.done) * self.estimates.run_s(spec) * max(spec.gpus, 1.0),
+            (spec.tasks - job.done_count) * self.estimates.run_s(spec) * max(spec.gpus, 1.0),
         )
 
     def _wait_rank(self, job: Job, now: float) -> tuple[float, float]:
@@ -277,7 +279,7 @@
         targets_s = self._class_wait_targets_s(job.spec.job_class)
         if not targets_s:
             return 0.0, 0.0
-        first_s, last_s, waited_s = targets_s[0], targets_s[-1], now - job.since
+        first_s, last_s, waited_s = targets_s[0], targets_s[-1], now - job.eligible_at
         if last_s * 0.6 < waited_s <= last_s or waited_s > 3 * last_s:
             return 0.0, 0.0
         if waited_s <= first_s:
@@ -304,7 +306,7 @@
         It places tasks, reserves machines for gangs, preempts work of lower priority where it has
         to, and replaces the shard's resource requests by what is still lacking.
         """
-        self.shard.stale = False
+        self.shard.needs_scheduling = False
         self.shard.scheduled_revision = self.shard.seen_revision
         unplaced: list[tuple[Job, int, str]] = []
         self.shard.reserved = set()
@@ -313,14 +315,14 @@
         cycle = SchedulingCycle(self.shard.machines.values(), now)
         for job in self.schedulable_jobs(now, cycle):
             missing = self._try_place(job, cycle, now)
-            if job.doubtful:
+            if job.likely_faulty:
                 continue  # runs only where there is room: no preemption, reservation or renting
             zone = ""
             if missing and job.spec.kind == JobKind.GANG and job.spec.tasks > 1:
                 zone, reserved = self._reserve_for_gang(job, cycle)
                 missing -= reserved
-            if now - job.preempted_at < self.shard.workers.lease_s / 2:
-                missing -= job.cleared  # the preempted work is still stopping
+            if now - job.last_preemption_at < self.shard.workers.lease_s / 2:
+                missing -= job.preempted_machines  # the preempted work is still stopping
             if missing > 0:
                 unplaced.append((job, missing, zone))
         lowest = min(
@@ -331,7 +333,7 @@
             # Mostly nothing of lower priority runs; the machines are then not searched.
             if (
                 job.priority > lowest
-                and now - job.preempted_at >= self.shard.workers.lease_s
+                and now - job.last_preemption_at >= self.shard.workers.lease_s
                 and self.may_preempt(job, now)
             ):
                 if job.priority not in preemptible:
@@ -350,8 +352,8 @@
         counts as none.
         """
         spec = job.spec
-        permitted = min(self.shard.usage.room(spec), job.ready)
-        if job.doubtful and spec.kind != JobKind.GANG:
+        permitted = min(self.shard.usage.tasks_permitted(spec), job.ready_count)
+        if job.likely_faulty and spec.kind != JobKind.GANG:
             permitted = min(permitted, 1 - len(job.live))  # one task shows whether the job works
         if (spec.kind == JobKind.GANG and permitted < spec.tasks) or permitted <= 0:
             return 0
@@ -399,7 +401,7 @@
             if not machine.usable or not machine.live or machine.name in self.shard.reserved:
                 continue
             lower = [p for p in machine.live.values() if self.shard.jobs[p.job].priority < priority]
-            if lower and not any(p.phase is Phase.STOPPING for p in machine.live.values()):
+            if lower and not any(p.phase is PlacementPhase.STOPPING for p in machine.live.values()):
                 preemptible.append((machine, lower))
         return preemptible
 
@@ -422,12 +424,12 @@
             if not placing.permits(spec, machine.type, machine.zone, machine.spot):
                 continue
             if (spec.one_zone and zone and machine.zone != zone) or any(
-                p.phase is Phase.STOPPING for p in lower
+                p.phase is PlacementPhase.STOPPING for p in lower
             ):
                 continue
             cpus = machine.cpus + sum(self.shard.jobs[p.job].spec.cpus for p in lower)
             gpus = machine.gpus + sum(self.shard.jobs[p.job].spec.gpus for p in lower)
-            memory = machine.memory + sum(self.shard.jobs[p.job].spec.memory_gb for p in lower)
+            memory = machine.memory_gb + sum(self.shard.jobs[p.job].spec.memory_gb for p in lower)
             if cpus + 1e-6 < spec.cpus or gpus + 1e-6 < spec.gpus or memory + 1e-6 < spec.memory_gb:
                 continue
             # While one machine fetches the image, all tasks of a gang wait.
@@ -441,9 +443,9 @@
             best_zone = max(sorted(set(victim_zones)), key=victim_zones.count, default="")
             victims = [victim for victim in victims if victim[1].zone == best_zone]
         victims.sort(key=lambda victim: (victim[0], victim[1].name))
-        job.cleared = len(victims[:missing])
+        job.preempted_machines = len(victims[:missing])
         for _, machine in victims[:missing]:
-            job.preempted_at = now
+            job.last_preemption_at = now
             log.info("lower-priority work preempted: job=%s machine=%s", job.id, machine.name)
             for placement in list(machine.live.values()):
                 other = self.shard.jobs.get(placement.job)
@@ -500,10 +502,12 @@
         requests: list[ResourceRequest] = []
         for job, missing, zone in unplaced:
             spec = job.spec
-            if not guaranteed(
+            if not within_guarantee(
                 self.shard.team, cpus + spec.cpus * missing, gpus + spec.gpus * missing
             ):
-                missing = min(missing, self.shard.policy.pays(job, self.estimates.run_s(spec)))
+                missing = min(
+                    missing, self.shard.policy.tasks_to_request(job, self.estimates.run_s(spec))
+                )
             cpus += spec.cpus * missing
             gpus += spec.gpus * missing
 
@@ -527,11 +531,12 @@
                         spec.one_zone and spec.tasks > 1,
                         missing,
                         job.priority,
-                        guaranteed(self.shard.team, cpus, gpus),
+                        within_guarantee(self.shard.team, cpus, gpus),
                         self.slack(job, now),
                         spec.image,
                         spec.tasks if spec.one_zone and not spec.zone and zone else 0,
-                        math.isinf(job.due) and not self.shard.policy.promised(spec),
+                        math.isinf(job.deadline_at)
+                        and not self.shard.policy.has_service_level(spec),
                     )
                 )
         return requests
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -1,4 +1,7 @@
-"""The states of a task, and its placement on a machine; each change of state is a method of its own."""
+"""Task states, and the placement of a task on a machine.
+
+Each transition of a placement is a method of its own.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,10 @@
 
 
 class TaskState(IntEnum):
-    """Where a task stands. Kept in one byte a task: an array of 100,000 tasks takes 100 kB."""
+    """State of a task.
+
+    A job keeps one byte for each task, so that an array of 100,000 tasks takes 100 kB.
+    """
 
     READY = 0
     LIVE = 1  # has a placement that counts
@@ -17,65 +23,68 @@
     DONE = 3
 
 
-class Phase(IntEnum):
-    """Where a placement stands.
+class PlacementPhase(IntEnum):
+    """Phase of a placement.
 
-    In every phase it counts towards quotas and the machine's capacity, until the shard drops it on proof
-    that the task does not run.
+    In every phase the placement counts towards quotas and the machine's capacity, until the shard
+    drops it on proof that the task is not, and will not be, on the machine.
     """
 
-    INTENDED = 0  # in memory only: nothing may be sent
-    COMMITTED = 1  # durable: a run command may be sent
-    START_SENT = 2  # a run command was, or may have been, sent
+    INTENDED = 0  # in memory only: its run command must not be sent
+    COMMITTED = 1  # durable: its run command may be sent
+    START_SENT = 2  # its run command was, or may have been, sent
     REPORTED = 3  # its worker reported it
-    STOPPING = 4  # to be stopped; not confirmed yet
+    STOPPING = 4  # to be stopped; its end is not proved yet
 
 
 class Failure(NamedTuple):
     """A task's own failures in its retry episode.
 
     Attributes:
-        times: Number of failures.
-        first: Time of day of the first, in seconds.
-        why: Reason of the last.
-        past: 1 once the episode is beyond its bounds, else 0.
+        failure_count: Number of failures.
+        first_at: Time of day of the first, in seconds.
+        reason: Reason of the last.
+        past_limits: 1 once the episode has exceeded its time or its number of parks, else 0.
     """
 
-    times: int
-    first: float
-    why: str
-    past: int = 0
+    failure_count: int
+    first_at: float
+    reason: str
+    past_limits: int = 0
 
 
 class Placement:
-    """One attempt of a task on one machine, with what is known of it.
+    """One attempt of a task on one machine.
 
     Attributes:
         job: The job's id.
         task: The task's number within its job.
         attempt: Number of the attempt.
         machine: The machine's name.
-        gen: Generation of the task's chunk that has to be durable before a run command is sent.
-        placed_at: Time at which it was placed, in seconds.
-        phase: Where it stands.
-        start_answered: Incarnation and sequence of the heartbeat whose answer carried the run command.
-        seen: Whether its worker has reported it.
-        from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may have
-            sent its run command in an incarnation that this owner does not know of.
-        incarnation: The worker's incarnation in which this owner last commanded or saw it.
+        generation: Generation of the task's chunk that has to be durable before the run command is
+            sent.
+        placed_at: When it was placed, in seconds.
+        phase: Its phase.
+        start_answered: Incarnation and sequence number of the heartbeat whose answer carried the
+            run command.
+        worker_reported: Whether its worker has reported it.
+        from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may
+            have sent its run command in an incarnation that this owner does not know of.
+        incarnation: The worker's incarnation in which this owner last sent its run command or had
+            a report of it.
         status: Status in the last heartbeat; "" before the first.
-        image_ready_at: Time of the first heartbeat that showed its image fetched.
-        running_at: Time of the first heartbeat that showed it running.
-        grace_s: How long it may save when it is stopped, in seconds.
-        why: Why it is being stopped.
-        reclaim_handled: Whether it was already decided what becomes of it on a spot instance that the
+        image_ready_at: When a heartbeat first showed its image as fetched.
+        running_at: When a heartbeat first showed it as running.
+        grace_s: Seconds that it has to save its state when it is stopped.
+        stop_reason: Why it is being stopped.
+        reclaim_handled: Whether it was already decided how it ends on a spot instance that the
             cloud takes back.
     """
 
     __slots__ = (
         "attempt",
         "from_earlier_owner",
-        "gen",
+        "generation",
         "grace_s",
         "image_ready_at",
         "incarnation",
@@ -85,33 +94,33 @@
         "placed_at",
         "reclaim_handled",
         "running_at",
-        "seen",
         "start_answered",
         "status",
+        "stop_reason",
         "task",
-        "why",
+        "worker_reported",
     )
 
     def __init__(
-        self, job: str, task: int, attempt: int, machine: str, gen: int, now: float
+        self, job: str, task: int, attempt: int, machine: str, generation: int, now: float
     ) -> None:
-        """A new placement, which is not durable yet."""
+        """Create a placement that is not durable yet."""
         self.job = job
         self.task = task
         self.attempt = attempt
         self.machine = machine
-        self.gen = gen
+        self.generation = generation
         self.placed_at = now
-        self.phase = Phase.INTENDED
+        self.phase = PlacementPhase.INTENDED
         self.start_answered: tuple[int, int] | None = None
-        self.seen = False
+        self.worker_reported = False
         self.from_earlier_owner = False
         self.incarnation: int | None = None
         self.status = ""
         self.image_ready_at: float | None = None
         self.running_at: float | None = None
         self.grace_s = 0.0
-        self.why = ""
+        self.stop_reason = ""
         self.reclaim_handled = False
 
     @property
@@ -119,59 +128,59 @@
         """Job and number of the task."""
         return self.job, self.task
 
-    def committed(self) -> None:
-        """It is durable."""
-        if self.phase is Phase.INTENDED:
-            self.phase = Phase.COMMITTED
+    def mark_committed(self) -> None:
+        """Record that the placement is durable."""
+        if self.phase is PlacementPhase.INTENDED:
+            self.phase = PlacementPhase.COMMITTED
 
-    def read_back(self) -> None:
-        """It was read from the store: an earlier owner may have sent its run command."""
-        self.phase = Phase.START_SENT
+    def mark_recovered(self) -> None:
+        """Record that it was read from the store; its run command may have been sent before."""
+        self.phase = PlacementPhase.START_SENT
         self.from_earlier_owner = True
 
-    def answered_with_start(self, incarnation: int, sequence: int) -> None:
-        """The answer to that heartbeat carries its run command."""
-        if self.phase is Phase.COMMITTED:
-            self.phase = Phase.START_SENT
+    def start_sent_in_answer(self, incarnation: int, sequence: int) -> None:
+        """Record that the answer to that heartbeat carries its run command."""
+        if self.phase is PlacementPhase.COMMITTED:
+            self.phase = PlacementPhase.START_SENT
         self.start_answered = (incarnation, sequence)
         self.incarnation = incarnation
 
-    def sent_directly(self, incarnation: int) -> None:
-        """Its run command goes straight to that incarnation of its worker."""
+    def start_sent_directly(self, incarnation: int) -> None:
+        """Record that its run command is sent to its worker directly, not in an answer."""
         self.incarnation = incarnation
-        if self.phase is Phase.COMMITTED:
-            self.phase = Phase.START_SENT
+        if self.phase is PlacementPhase.COMMITTED:
+            self.phase = PlacementPhase.START_SENT
 
-    def reported(self, status: str, incarnation: int, now: float) -> None:
-        """A heartbeat of that incarnation has it."""
+    def record_report(self, status: str, incarnation: int, now: float) -> None:
+        """Record a heartbeat of that incarnation that reports it as not ended."""
         self.incarnation = incarnation
-        self.seen = True
+        self.worker_reported = True
         self.status = status
         if status != TaskStatus.PULLING and self.image_ready_at is None:
             self.image_ready_at = now
         if status == TaskStatus.RUNNING and self.running_at is None:
             self.running_at = now
-        if self.phase is not Phase.STOPPING:
-            self.phase = Phase.REPORTED
+        if self.phase is not PlacementPhase.STOPPING:
+            self.phase = PlacementPhase.REPORTED
 
-    def stop(self, why: str, grace_s: float) -> None:
-        """It is to be stopped; a second call can only shorten the grace."""
-        if self.phase is Phase.STOPPING:
+    def stop(self, reason: str, grace_s: float) -> None:
+        """Mark it as to be stopped; a second call can only shorten the grace period."""
+        if self.phase is PlacementPhase.STOPPING:
             if grace_s < self.grace_s:
                 self.grace_s = grace_s
             return
-        self.phase = Phase.STOPPING
-        self.why = why
+        self.phase = PlacementPhase.STOPPING
+        self.stop_reason = reason
         self.grace_s = grace_s
 
     @property
     def never_sent(self) -> bool:
-        """Only this process could have sent the run command, and it has not."""
-        return self.phase <= Phase.COMMITTED
+        """Whether its run command was not sent, and only this owner could have sent it."""
+        return self.phase <= PlacementPhase.COMMITTED
 
 
 def ranges_of(numbers: list[int]) -> list[list[int]]:
-    """Ascending numbers as ascending ranges, each of its first and its last number."""
+    """Return ascending numbers as ranges `[first, last]`, both ends included."""
     ranges: list[list[int]] = []
     for number in numbers:
         if ranges and ranges[-1][1] == number - 1:
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -11,11 +11,11 @@
 from typing import Any, NamedTuple, Protocol
 
 from ashdock.admission.control import Admission, Refusal
-from ashdock.admission.shares import Use
+from ashdock.admission.shares import SocketUse
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
-from ashdock.core.job import fitting, job_record, spec_of_record
+from ashdock.core.job import fit_job_record, job_record, spec_of_record
 from ashdock.core.machine import capacity
-from ashdock.core.quota import can_ever
+from ashdock.core.quota import limit_permits_job
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Answer, Request
 from ashdock.net.mesh import Mesh
@@ -56,15 +56,15 @@
 
 
 def refused(refusal: Refusal) -> Answer:
-    return error(refusal.status, refusal.why, refusal.retry_after)
+    return error(refusal.status, refusal.reason, refusal.retry_after)
 
 
-def use_of(target: str) -> Use:
+def use_of(target: str) -> SocketUse:
     """What a connection is for, by what is asked over it."""
     path = target.partition("?")[0]
     if path == "/checkin":
-        return Use.WORKER
-    return Use.PROBE if path in ("/ready", "/metrics") else Use.USER
+        return SocketUse.WORKER
+    return SocketUse.PROBE if path in ("/ready", "/metrics") else SocketUse.USER
 
 
 class Answering(Protocol):
@@ -144,7 +144,7 @@
         self.reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.looking: set[str] = set()  # jobs that others need, being looked up to tell who asks
         self.status_reader = StatusReader(
-            context.store, ANSWER_S, self.saw, context.admission.memory.jobs
+            context.store, ANSWER_S, self.saw, context.admission.memory.cached_jobs
         )
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
@@ -198,7 +198,7 @@
             return error(503, "the state service does not answer", self._retry_after())
         # More than we can write or compute: said at once, since the user would only wait here for nothing.
         writes = context.store.write_limiter
-        refusal_now = context.admission.submission(
+        refusal_now = context.admission.admit_submission(
             writes.backlog_s(RequestPriority.USER, spec.team),
             time.monotonic(),
             spec.team,
@@ -306,7 +306,7 @@
             return "a task fits no machine type that the job allows"
         if spec.kind == JobKind.GANG and spec.one_zone and spec.spread and spec.tasks > 1:
             return "all tasks must run at once, in one zone, and at most half of them in any zone"
-        if not can_ever(team, spec):
+        if not limit_permits_job(team, spec):
             return f"the job needs more than the limit of team {spec.team!r}"
         return None
 
@@ -319,7 +319,7 @@
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         remembered = self.status_reader.known.get(job_id)
-        behind = self.context.admission.question(
+        behind = self.context.admission.admit_status_request(
             time.monotonic(), remembered.team if remembered else ""
         )
         if behind:
@@ -359,7 +359,7 @@
                     "status": JobStatus.WITHDRAWN,
                     "cancelled_at": round(context.now(), 3),
                 }
-                record = fitting(record, context.write_limits.value_bytes)
+                record = fit_job_record(record, context.write_limits.value_bytes)
                 path = entry.path
                 team = spec_of_record(record).team
                 head = f"work/{team}/{job_id}/job"
@@ -445,7 +445,7 @@
 
     def _over(self, job_id: str, final: Final) -> None:
         self.finals[job_id] = final
-        if len(self.finals) > self.context.admission.memory.jobs:  # the rest are read again
+        if len(self.finals) > self.context.admission.memory.cached_jobs:  # the rest are read again
             self.finals.popitem(last=False)
 
     def is_final(self, job_id: str) -> bool:
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, Protocol
 
-from ashdock.admission.processor import CHOOSING, pause_s
+from ashdock.admission.processor import LEADER_CPU_SHARE, pause_s
 from ashdock.core.allocator import (
     Allocator,
     AssignMachine,
@@ -69,7 +69,7 @@
     def state_fresh(self) -> bool:
         """Whether the watch caches are up to date."""
 
-    def fit_members(self) -> list[str]:
+    def eligible_members(self) -> list[str]:
         """Labels of the controllers that may own shards."""
 
     def owner_label(self, team: str) -> str | None:
@@ -240,9 +240,9 @@
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
         machine_views = self.snapshot.machine_views()
         decisions = self.allocator.decide(machine_views, shard_statuses, now)
-        moves = self.allocator.balance(owners, context.fit_members(), shard_statuses, now)
+        moves = self.allocator.balance(owners, context.eligible_members(), shard_statuses, now)
         self._dispatch(decisions + moves)
-        return max(context.tick_s, pause_s(context.now() - now, CHOOSING))
+        return max(context.tick_s, pause_s(context.now() - now, LEADER_CPU_SHARE))
 
     # -- decisions -----------------------------------------------------------------------------
 
@@ -296,6 +296,6 @@
         shard, they would stay idle for half an agent lease.
         """
         max_count = self.assignments.max_new_assignments()
-        self.allocator.not_assigned(list(assignments)[max_count:])
+        self.allocator.cancel_assignments(list(assignments)[max_count:])
         if max_count:
             self._spawn(self.assignments.assign(dict(list(assignments.items())[:max_count])))
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -14,7 +14,7 @@
 from prometheus_client.registry import Collector
 
 from ashdock.admission.control import Admission
-from ashdock.admission.shares import Use
+from ashdock.admission.shares import SocketUse
 from ashdock.cluster_version import ClusterVersion
 from ashdock.core.duration_histogram import DurationHistogram
 from ashdock.core.shard import Shard
@@ -62,7 +62,7 @@
     cluster_version: ClusterVersion
     worker_client: WorkerClient
     membership: Membership
-    terms: TermFence
+    term_fence: TermFence
 
     @property
     def elector(self) -> Duty: ...
@@ -133,11 +133,19 @@
             tasks.add_metric([team, "placed"], sum(len(job.live) for job in shard.jobs.values()))
             tasks.add_metric(
                 [team, "ready"],
-                sum(job.ready for job in shard.jobs.values() if job.active and not job.waits),
+                sum(
+                    job.ready_count
+                    for job in shard.jobs.values()
+                    if job.active and not job.awaits_dependencies
+                ),
             )
             tasks.add_metric(
                 [team, "waiting"],
-                sum(job.ready for job in shard.jobs.values() if job.active and job.waits),
+                sum(
+                    job.ready_count
+                    for job in shard.jobs.values()
+                    if job.active and job.awaits_dependencies
+                ),
             )
             tasks.add_metric(
                 [team, "parked"], sum(park.high - park.low + 1 for park in shard.parks.items)
@@ -150,26 +158,26 @@
 
     def _duties(self) -> Iterable[Metric]:
         """Of the duties that only one controller may do, as this one has had them."""
-        elector, terms = self.context.elector, self.context.terms
+        elector, term_fence = self.context.elector, self.context.term_fence
         state = GaugeMetricFamily(
             "ashdock_duty_state",
             "1 for the state in which this controller is",
             labels=["duty", "state"],
         )
-        state.add_metric([elector.election.duty, elector.election.state.value], 1.0)
+        state.add_metric([elector.election.name, elector.election.state.value], 1.0)
         term = GaugeMetricFamily("ashdock_duty_term", "the highest that is known", labels=["duty"])
-        term.add_metric([elector.election.duty], float(terms.highest))
+        term.add_metric([elector.election.name], float(term_fence.highest_term))
         refused = CounterMetricFamily(
             "ashdock_duty_words_refused", "of holders that were replaced", labels=["duty"]
         )
-        refused.add_metric([elector.election.duty], terms.refused)
+        refused.add_metric([elector.election.name], term_fence.refused_commands)
         held = HistogramMetricFamily(
             "ashdock_duty_held_seconds",
             "how long this controller held it, each time",
             labels=["duty"],
         )
         held.add_metric(
-            [elector.election.duty],
+            [elector.election.name],
             elector.leading_durations.rows(),
             elector.leading_durations.sum_s,
         )
@@ -179,7 +187,7 @@
             labels=["duty"],
         )
         gap.add_metric(
-            [elector.election.duty],
+            [elector.election.name],
             elector.vacancy_durations.rows(),
             elector.vacancy_durations.sum_s,
         )
@@ -212,14 +220,14 @@
             if owner.shard is None:
                 continue
             classes = owner.shard.classes
-            for (kind, name), row in classes.attainment.rows(owner.shard.clock).items():
+            for (kind, name), row in classes.attainment.counts(owner.shard.current_time).items():
                 if kind == "class":
-                    share.add_metric([team, name], row.share)
+                    share.add_metric([team, name], row.attainment)
                     due.add_metric([team, name], row.due)
-                    rises.add_metric([team, name], float(name in classes.rising))
+                    rises.add_metric([team, name], float(name in classes.boosted))
                 elif kind == "largest":
-                    largest.add_metric([team, name], row.share)
-            for name, spans in classes.attainment.waits.items():
+                    largest.add_metric([team, name], row.attainment)
+            for name, spans in classes.attainment.start_waits.items():
                 waits.add_metric([team, name], classes.attainment.histogram(name), spans.sum_s)
         away = CounterMetricFamily(
             "ashdock_submissions_turned_away", "told to come back, by team", labels=["team"]
@@ -229,8 +237,8 @@
         )
         admission = self.context.admission
         for team in admission.hot_tenants.teams:
-            away.add_metric([team], admission.turned_away[team])
-            hot.add_metric([team], float(admission.hot_tenants.hot(team)))
+            away.add_metric([team], admission.refused_submissions[team])
+            hot.add_metric([team], float(admission.hot_tenants.is_hot(team)))
         yield from (share, due, largest, rises, waits, away, hot)
 
     def _recovery(self) -> Iterable[Metric]:
@@ -259,18 +267,21 @@
             context.admission.connections,
             time.monotonic(),
         )
-        held = {use: connections.count(use) for use in (Use.NEW, Use.USER, Use.PROBE, Use.WORKER)}
+        held = {
+            use: connections.count(use)
+            for use in (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
+        }
         held |= {
-            Use.MESH: len(context.mesh.links)
+            SocketUse.MESH: len(context.mesh.links)
             + sum(peer.writer is not None for peer in context.mesh.peers.values()),
-            Use.STATE: context.store.sockets,
-            Use.CLOUD: context.cloud.client.sockets,
-            Use.ORDERS: context.worker_client.sockets,
+            SocketUse.STORE: context.store.sockets,
+            SocketUse.CLOUD: context.cloud.client.sockets,
+            SocketUse.COMMANDS: context.worker_client.sockets,
         }
         most = {
-            **admission.shares.certain,
-            Use.USER: admission.shares.users_most(),
-            Use.WORKER: admission.shares.workers_most(held[Use.USER]),
+            **admission.shares.reserved,
+            SocketUse.USER: admission.shares.max_user_connections(),
+            SocketUse.WORKER: admission.shares.max_worker_connections(held[SocketUse.USER]),
         }
         sockets = GaugeMetricFamily("ashdock_sockets", "sockets held, by what for", labels=["use"])
         shares = GaugeMetricFamily(
@@ -294,7 +305,7 @@
         refused.add_metric(["order", "sockets"], context.worker_client.deferred)
         short = GaugeMetricFamily("ashdock_short", "1 while something runs short", labels=["of"])
         for of, shortage in admission.shortages.items():
-            short.add_metric([of.value], float(shortage.began is not None))
+            short.add_metric([of.value], float(shortage.began_at is not None))
         behind = GaugeMetricFamily(
             "ashdock_writes_behind_seconds",
             "how long what waits to be written will take",
--- a/ashdock/peer_reports.py
+++ b/ashdock/peer_reports.py
@@ -99,7 +99,7 @@
             for machine in received.reclaims.machines
         ]
         for shard in self.owners.active_shards():
-            leaving += shard.status_reporter.leaving()
+            leaving += shard.status_reporter.leaving_machines()
         return leaving
 
     def task_counts(self, team: str, job_id: str) -> Counts:
@@ -107,6 +107,6 @@
         owner = self.owners.table.get(team)
         if owner and owner.shard and job_id in owner.shard.jobs:
             job = owner.shard.jobs[job_id]
-            return job.done, job.running
+            return job.done_count, job.running_count
         label = self.cluster.owner_label(team)
         return self.counts_by_peer.get(label or "", {}).get(job_id, (0, 0))
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from ashdock.admission.processor import pass_share, pause_s
+from ashdock.admission.processor import pause_s, shard_cpu_share
 from ashdock.command_sender import CommandSender
 from ashdock.concurrency import StaleContextError, ensure_current
 from ashdock.core.shard import Shard
@@ -94,7 +94,7 @@
         """Whether the store has answered lately."""
         ...
 
-    def fit_members(self) -> list[str]:
+    def eligible_members(self) -> list[str]:
         """The labels of the controllers that may own shards."""
         ...
 
@@ -242,10 +242,10 @@
         self.failover_timeline.heartbeat_received(self.context.now())
         # Most heartbeats say nothing new, and call for no iteration.
         if (
-            shard.stale
+            shard.needs_scheduling
             or shard.writer.changed_jobs
             or shard.writer.changed_machines
-            or shard.urgent
+            or shard.urgent_machines
         ):
             self.wake.set()
         return HeartbeatResponse(shard.token(shard.machines[heartbeat.machine]), commands)
@@ -283,7 +283,7 @@
     def _idle_s(self, shard: Shard) -> float:
         """How long to wait for changes before the next iteration; less if a scheduling cycle was put off."""
         tick_s = self.context.tick_s
-        if not shard.stale:
+        if not shard.needs_scheduling:
             return tick_s
         return min(
             tick_s, max(self.next_cycle_at - self.context.now(), tick_s / DEFERRED_CYCLE_CHECKS)
@@ -357,16 +357,16 @@
     def _run_scheduling_cycle(self, shard: Shard, now: float) -> None:
         self.last_cycle_at = now
         shard.scheduler.schedule(now)
-        self.failover_timeline.cycle_ended(shard.placed > 0, self.context.now())
+        self.failover_timeline.cycle_ended(shard.tasks_placed > 0, self.context.now())
         # Cycles get no more than their share of the processor, however large the shard.
         ended_at = self.context.now()
         self.next_cycle_at = ended_at + pause_s(
-            ended_at - now, pass_share(self.context.owned_shard_count())
+            ended_at - now, shard_cpu_share(self.context.owned_shard_count())
         )
 
     def _cycle_due(self, shard: Shard, now: float) -> bool:
         return now >= self.next_cycle_at and (
-            shard.stale or now - self.last_cycle_at > self.context.tick_s
+            shard.needs_scheduling or now - self.last_cycle_at > self.context.tick_s
         )
 
     async def _read_dependencies(self, shard: Shard) -> None:
@@ -392,8 +392,8 @@
     async def _transfer(self, shard: Shard, to: str) -> None:
         """Name the next owner in the shard's key, between two of our own transactions. It claims on seeing that."""
         self.transfer_to = None
-        if to not in self.context.fit_members() or any(
-            machine.sending for machine in shard.machines.values()
+        if to not in self.context.eligible_members() or any(
+            machine.sending_commands for machine in shard.machines.values()
         ):
             return
         path = f"part/{shard.name}"
@@ -421,7 +421,7 @@
                 return
             try:
                 revision = await self.context.store.txn(
-                    transaction.when,
+                    transaction.conditions,
                     transaction.writes,
                     priority=RequestPriority.NORMAL
                     if transaction.urgent
@@ -442,7 +442,7 @@
         for callback in transaction.on_commit:
             callback(revision)
         self._update_caches(transaction.writes, revision)
-        if shard.placed:
+        if shard.tasks_placed:
             self.failover_timeline.placement_committed(self.context.now())
         # Run commands go out between transactions, not after the last of them.
         self._send_urgent(shard)
@@ -492,13 +492,13 @@
                 shard.name,
                 path,
             )
-            shard.writer.take_in_stored(
+            shard.writer.apply_stored_value(
                 path, entry.value if entry else None, revision, self.context.now()
             )
         return True
 
     def _send_urgent(self, shard: Shard) -> None:
         """Send the commands that are not to wait for the next heartbeat."""
-        machine_names, shard.urgent = shard.urgent, {}
+        machine_names, shard.urgent_machines = shard.urgent_machines, {}
         if self.phase is OwnershipPhase.ACTIVE and self._may_renew():
             self.command_sender.send(shard, machine_names)
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -41,9 +41,9 @@
         return peer_messages.ForwardReply(1, answer[0], to_bytes(answer[1])) if answer else None
 
     admission = SimpleNamespace(
-        memory=SimpleNamespace(jobs=10),
-        submission=lambda *words: None,
-        question=lambda *words: None,
+        memory=SimpleNamespace(cached_jobs=10),
+        admit_submission=lambda *words: None,
+        admit_status_request=lambda *words: None,
     )
     home = context(
         store,
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -26,16 +26,18 @@
         name: {
             "phase": JOB_PHASES[job.phase],
             "revision": job.revision,
-            "at": job.submitted,
+            "at": job.submitted_at,
             "reason": job.reason,
             "cancelled_at": job.cancelled_at,
-            "chunks": {job.path(chunk.n): chunk.revision for chunk in job.chunks.values()},
-            "wider": plain(job.wider),
+            "chunks": {
+                job.chunk_path(chunk.index): chunk.revision for chunk in job.chunks.values()
+            },
+            "wider": plain(job.replaced_chunks),
         }
         for name, job in shard.jobs.items()
     }
     machines = {
-        name: [MACHINE_PHASES[machine.phase], machine.why, machine.revision]
+        name: [MACHINE_PHASES[machine.phase], machine.leaving_reason, machine.revision]
         for name, machine in shard.machines.items()
     }
     return {"jobs": jobs, "machines": machines, "parks": shard.parks.revisions}
@@ -80,5 +82,5 @@
     """Keys of which a condition of ours failed, read again: what the shard then holds."""
     shard = loaded_part(values["store"])
     for path, value, revision in values["changes"]:
-        shard.writer.take_in_stored(path, value, revision, NOW)
+        shard.writer.apply_stored_value(path, value, revision, NOW)
     return {"part": part_to_values(shard)}
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -71,8 +71,8 @@
         "others": [Other("n2", "10.0.0.2:8081"), Other("n3", "10.0.0.3:8081")],
         "now": lambda: NOW,
         "cut_off": lambda: False,
-        "fit_members": lambda: ["n1", "n2"],
-        "names_successor": lambda: True,
+        "eligible_members": lambda: ["n1", "n2"],
+        "can_name_successor": lambda: True,
     }
     return SimpleNamespace(**(base | more))
 
@@ -260,7 +260,7 @@
     """Transactions until all is durable."""
     client = store_client(store)
     while (txn := shard.writer.next_transaction()) is not None:
-        revision = await client.txn(txn.when, txn.writes)
+        revision = await client.txn(txn.conditions, txn.writes)
         for callback in txn.on_commit:
             callback(revision)
         for path in txn.writes:
--- a/tests/test_frame_dispatch.py
+++ b/tests/test_frame_dispatch.py
@@ -47,12 +47,12 @@
         self.clock = 100.0
         monkeypatch.setattr(time, "monotonic", lambda: self.clock)
         reporter = SimpleNamespace(
-            shard_status=lambda now: status("blue"), leaving=lambda: [("vm-9", "")]
+            shard_status=lambda now: status("blue"), leaving_machines=lambda: [("vm-9", "")]
         )
         blue = SimpleNamespace(
             name="blue",
             status_reporter=reporter,
-            jobs={"req-2": SimpleNamespace(done=3, running=4)},
+            jobs={"req-2": SimpleNamespace(done_count=3, running_count=4)},
         )
         owners: Any = SimpleNamespace(
             table={"blue": SimpleNamespace(shard=blue)}, active_shards=lambda: [blue]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -15,10 +15,10 @@
 
 from ashdock.cluster_version import SUPPORTED_VERSION
 from ashdock.core.dependency_graph import NO_URGENCY, DependencyGraph, Urgency
-from ashdock.core.job import JobPhase, fitting
+from ashdock.core.job import JobPhase, fit_job_record
 from ashdock.core.park import Parks
 from ashdock.core.shard import Shard
-from ashdock.core.task import Failure, Phase, TaskState
+from ashdock.core.task import Failure, PlacementPhase, TaskState
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.http import Client
 from ashdock.settings import NextLimits, Operators, StateLimits
@@ -34,7 +34,7 @@
 )
 from tests import simtime, test_whole
 from tests.simtime import spawn
-from tests.test_core import G4, commit, queued, report, shard_with, spec
+from tests.test_core import G4, commit, heartbeat, queued_record, shard_with, spec
 from tests.test_whole import crash_all, quiet, roll, state_down
 from tests.whole import Service, job, shared
 
@@ -167,12 +167,16 @@
             spec(2, awaits=["req-000001", "req-000009"], shares=8, urgency="high", due_s=60.0),
         ]
     )
-    shard.machines["vm-0"].came_up("x")
-    shard.machines["vm-1"].came_up("x")
+    shard.machines["vm-0"].mark_up("x")
+    shard.machines["vm-1"].mark_up("x")
     shard.tick(1.0)
     assert list(shard.dependency_tracker.unread) == ["req-000009"]
     first, last = shard.jobs["req-000001"], shard.jobs["req-000002"]
-    assert last.waits and first.priority == last.spec.priority and first.due < last.due == 60.0
+    assert (
+        last.awaits_dependencies
+        and first.priority == last.spec.priority
+        and first.deadline_at < last.deadline_at == 60.0
+    )
     shard.dependency_tracker.settled("req-000009", "done", 3.0, 3.5)
     shard.scheduler.schedule(4.0)
     assert (
@@ -180,22 +184,22 @@
         and not last.live
         and shard.usage.gpus == 4
         and not shard.resource_requests
-        and shard.status_reporter.shard_status(4.0).waiting == 0
+        and shard.status_reporter.shard_status(4.0).waiting_tasks == 0
     )
     commit(shard, 20)
     for name in ("vm-0", "vm-1"):
-        shard.reconciler.on_heartbeat(report(name, 1), 5.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 5.0, checkin=True)
         ended = [
             (f"{p.job}/{p.task}", p.attempt, "ended", "done")
             for p in first.live.values()
             if p.machine == name
         ]
-        shard.reconciler.on_heartbeat(report(name, 2, ended), 6.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 2, ended), 6.0, checkin=True)
     shard.scheduler.schedule(6.5)
     assert first.phase is JobPhase.OVER and not last.live  # its dependency is done in memory only
     commit(shard, 21)
     shard.scheduler.schedule(7.0)
-    assert not last.waits and len(last.live) == 8 and last.since >= 3.0
+    assert not last.awaits_dependencies and len(last.live) == 8 and last.eligible_at >= 3.0
 
 
 def test_a_cancelled_job_cancels_its_dependents() -> None:
@@ -219,7 +223,7 @@
         )
     assert list(shard.jobs) == ["req-000004"]
     # A job that is submitted later and needs one of them is cancelled once their record was read.
-    shard.add_job(queued(spec(5, awaits=["req-000003"]), 6.0), 40)
+    shard.add_job(queued_record(spec(5, awaits=["req-000003"]), 6.0), 40)
     shard.tick(7.0)
     assert list(shard.dependency_tracker.unread) == ["req-000003"]
     shard.dependency_tracker.settled("req-000003", "withdrawn", None, 7.0)
@@ -233,13 +237,13 @@
     withdrawn = shard.jobs["req-000002"].record() | {"cancelled_at": 5.0}
     if first == "user":
         assert shard.writer.next_transaction() is not None  # is sent, and its conditions fail
-        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
-        shard.writer.take_in_stored("work/red/req-000002/job", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("work/red/req-000002/job", withdrawn, 50, 6.0)
         assert commit(shard, 60) == {"work/red/req-000002/job": None}
     else:
         assert shard.writer.next_transaction() is not None  # is applied, and its answer lost
-        shard.writer.take_in_stored("job/req-000002", withdrawn, 50, 6.0)
-        shard.writer.take_in_stored("work/red/req-000002/job", None, 0, 6.0)
+        shard.writer.apply_stored_value("job/req-000002", withdrawn, 50, 6.0)
+        shard.writer.apply_stored_value("work/red/req-000002/job", None, 0, 6.0)
     assert not shard.jobs and shard.writer.next_transaction() is None
 
 
@@ -390,7 +394,8 @@
     def apply(self, txn: Any) -> bool:
         """Apply a transaction unless a revision differs from the expected one; whether it was."""
         if any(
-            self.keys.get(path, (None, 0))[1] != revision for path, revision in txn.when.items()
+            self.keys.get(path, (None, 0))[1] != revision
+            for path, revision in txn.conditions.items()
         ):
             return False
         assert len(txn.writes) <= self.ops and all(
@@ -430,7 +435,7 @@
         job.id: (
             bytes(job.states),
             sorted((p.task, p.machine, p.attempt) for p in job.live.values()),
-            sorted(job.fails.items()),
+            sorted(job.failures.items()),
             job.phase,
         )
         for job in shard.jobs.values()
@@ -457,8 +462,15 @@
         TaskState.PARKED,
         TaskState.READY,
     ]
-    assert one.fails[11].times == 1 and one.live[3].attempt == 2 and one.reason and not one.waits
-    assert all(p.phase is Phase.STOPPING for p in (*gang.live.values(), *gone.live.values()))
+    assert (
+        one.failures[11].failure_count == 1
+        and one.live[3].attempt == 2
+        and one.reason
+        and not one.awaits_dependencies
+    )
+    assert all(
+        p.phase is PlacementPhase.STOPPING for p in (*gang.live.values(), *gone.live.values())
+    )
     assert new.usage.gpus == 2.0 and new.machines["vm-000001"].incarnation == 2
     # Before the new cluster version is in force, the same is written as by the previous version.
     one = old.jobs["req-000001"]
@@ -467,10 +479,10 @@
     ]
     assert (
         json.loads(encode(one.record())) == OLD_RECORDS["work/red/req-000001/job"]
-        and one.path(2) == "work/red/req-000001/2"
+        and one.chunk_path(2) == "work/red/req-000001/2"
     )
     machine = old.machines["vm-000001"]
-    assert machine.value("red") == OLD_RECORDS["machine/vm-000001"] | {
+    assert machine.record("red") == OLD_RECORDS["machine/vm-000001"] | {
         "i": [["img", 2.0], ["old", 0.0]]
     }
 
@@ -564,7 +576,7 @@
     keys = old_records_of("req-000001")
     store = Store(keys)
     old = store.load_into(shard_with([], "", revision=9))
-    old.machines["vm-000001"].came_up("x")
+    old.machines["vm-000001"].mark_up("x")
     old.scheduler.schedule(20.0)
     late = old.writer.next_transaction()
     assert late is not None and any(path.endswith("/0") for path in late.writes)
@@ -583,12 +595,12 @@
         }
     store = Store(keys)
     shard = store.load_into(upgraded_shard(value_kb=8.0))
-    shard.machines["vm-000001"].came_up("x")
+    shard.machines["vm-000001"].mark_up("x")
     shard.scheduler.schedule(21.0)
     late = shard.writer.next_transaction()
     assert late is not None and any(path.endswith("/1") for path in late.writes)
     expected = states(shard)
-    shard.jobs["req-000001"].narrow(20)
+    shard.jobs["req-000001"].narrow_chunks(20)
     while store.commit(shard):
         pass
     assert store.apply(late) is not chunks  # a chunk that was not stored yet can still be created
@@ -606,30 +618,35 @@
         [],
         0.0,
     )
-    shard.add_job(queued(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7)
+    shard.add_job(
+        queued_record(spec(1, shape="ensemble", shares=120, cpus=2.0, accelerators=0.0), 0.0), 7
+    )
     job = shard.jobs["req-000001"]
-    job.narrow(8)
+    job.narrow_chunks(8)
     shard.scheduler.schedule(1.0)
     assert len(job.live) == 120
     store = Store({}, value_bytes=512, ops=4)
     store.keys |= {
         "part/red": ({}, 10),
         "job/req-000001": ({}, 7),
-        "work/red/req-000001/job": (queued(job.spec, 0.0), 7),
+        "work/red/req-000001/job": (queued_record(job.spec, 0.0), 7),
     }
     steps = 0
     while (txn := shard.writer.next_transaction()) is not None:
-        assert store.apply(txn) and not any(p.phase is Phase.COMMITTED for p in job.live.values())
+        assert store.apply(txn) and not any(
+            p.phase is PlacementPhase.COMMITTED for p in job.live.values()
+        )
         for callback in txn.on_commit:
             callback(store.revision)
         steps += 1
         successor = store.load_into(upgraded_shard(ops=4))
         if successor.jobs["req-000001"].live:
             stopped = all(
-                p.phase is Phase.STOPPING for p in successor.jobs["req-000001"].live.values()
+                p.phase is PlacementPhase.STOPPING
+                for p in successor.jobs["req-000001"].live.values()
             )
             assert stopped == (len(successor.jobs["req-000001"].live) < 120)
-    assert steps == 4 and all(p.phase is Phase.COMMITTED for p in job.live.values())
+    assert steps == 4 and all(p.phase is PlacementPhase.COMMITTED for p in job.live.values())
     # The chunks hold placements of two different attempts, so the gang is not whole.
     value, revision = store.keys["work/red/req-000001/3w8"]
     store.keys["work/red/req-000001/3w8"] = (
@@ -637,7 +654,7 @@
         revision,
     )
     assert all(
-        p.phase is Phase.STOPPING
+        p.phase is PlacementPhase.STOPPING
         for p in store.load_into(upgraded_shard()).jobs["req-000001"].live.values()
     )
 
@@ -646,11 +663,11 @@
     parks = Parks("red", 4000)
     for n in range(30):
         parks.add(f"req-{n:06d}", [[0, 3]], 100.0 + n, Failure(2, 50.0, "error on vm-1"))
-    (first,) = parks.writes()
+    (first,) = parks.pending_writes()
     stored = dict([first])
-    parks.wrote(*first, 5)
-    parks.fit(400)
-    writes = parks.writes()
+    parks.set_written(*first, 5)
+    parks.set_value_bytes(400)
+    writes = parks.pending_writes()
     assert all(len(encode(value)) <= 400 for _, value in writes) and len(writes) > 3
     for n, value in writes:  # each in a transaction of its own, at worst
         stored[n] = value
@@ -672,10 +689,10 @@
     assert write_limits.value_bytes == 512
     shard = upgraded_shard()
     large_spec = spec(1, hulls=["g4", *(f"type-{n:03d}" for n in range(100))])
-    shard.add_job(queued(large_spec, 0.0), 7)
+    shard.add_job(queued_record(large_spec, 0.0), 7)
     assert len(encode(shard.jobs["req-000001"].record())) > 1000
     shard.cancel("req-000001", 1.0, 8, 1.0)
-    trimmed = fitting(shard.jobs["req-000001"].record(), 512)
+    trimmed = fit_job_record(shard.jobs["req-000001"].record(), 512)
     assert (
         len(encode(trimmed)) <= 512
         and trimmed["status"] == "withdrawn"
@@ -1034,11 +1051,11 @@
         monkeypatch.setattr(shard.scheduler, "schedule", recording_schedule)
         for one in shard.jobs.values():
             for chunk in one.chunks.values():
-                chunk.placed = chunk.touch()
-                one.changed()
-        shard.stale = True
+                chunk.placed_generation = chunk.mark_changed()
+                one.mark_changed()
+        shard.needs_scheduling = True
         await asyncio.sleep(0.5)
-        shard.stale = True
+        shard.needs_scheduling = True
         await asyncio.sleep(6)
         assert max(b - a for a, b in itertools.pairwise([*cycles, service.now()])) < 1.2
         assert await service.until_final([f"req-{n:06d}" for n in range(1, 25)], 240) == []
@@ -1065,32 +1082,35 @@
         "ab",
     )
     for name in shard.machines:
-        shard.machines[name].came_up("x")
+        shard.machines[name].mark_up("x")
     shard.scheduler.schedule(0.5)
     commit(shard, 20)
     for name in shard.machines:
-        shard.reconciler.on_heartbeat(report(name, 1), 1.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 1), 1.0, checkin=True)
         running = [
             (f"{p.job}/{p.task}", p.attempt, "running", None)
             for p in shard.jobs["req-000001"].live.values()
             if p.machine == name
         ]
-        shard.reconciler.on_heartbeat(report(name, 2, running), 2.0, checkin=True)
+        shard.reconciler.on_heartbeat(heartbeat(name, 2, running), 2.0, checkin=True)
     shard.add_job(
-        queued(
+        queued_record(
             spec(2, shares=2, cpus=16.0, accelerators=0.0, urgency="best_effort", expect_s=8.0), 0.0
         ),
         30,
     )
     shard.add_job(
-        queued(
+        queued_record(
             spec(3, shares=1, awaits=["req-000002"], urgency="high", expect_s=8.0, due_s=150.0), 0.0
         ),
         31,
     )
     assert shard.jobs["req-000002"].priority == 2
     shard.scheduler.schedule(now)
-    assert sum(p.phase is Phase.STOPPING for p in shard.jobs["req-000001"].live.values()) == stopped
+    assert (
+        sum(p.phase is PlacementPhase.STOPPING for p in shard.jobs["req-000001"].live.values())
+        == stopped
+    )
 
 
 @pytest.mark.parametrize(("short", "most"), [(False, 18), (True, 6)])
@@ -1099,11 +1119,13 @@
 ) -> None:
     shard = upgraded_shard(value_kb=0.3, ops=48)
     shard.shared.state.write_rps = shard.write_limits.write_rps = 54.0
-    shard.add_job(queued(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7)
+    shard.add_job(
+        queued_record(spec(1, shares=400, cpus=0.01, accelerators=0.0, ram_gb=0.01), 0.0), 7
+    )
     job = shard.jobs["req-000001"]
     for task in range(400):
         job.finish(task) if task < 399 else None
-    assert len(job.chunks) > 20 and not job.pressing
+    assert len(job.chunks) > 20 and not job.is_urgent
     shard.add_machine("vm-1", {"t": "g4", "z": "a", "s": False, "p": "red"}, 5, 0.0)
     shard.decommission(shard.machines["vm-1"], "silent")  # this cannot wait
     txn = shard.writer.next_transaction(short)
