--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -305,7 +305,7 @@
             self.cancellations.watermark,
         )
         self.front: Front = Front(self)
-        self.jobs_known = self.front
+        self.known_jobs = self.front
 
     def _build_shard_ownership(self) -> None:
         """The shards owned here, what claims them, and what the leader and a short processor ask of them."""
@@ -314,7 +314,7 @@
             table=self.owners,
             create=lambda team, revision: ShardOwner(self, team, revision),
             shards=self.shards,
-            job_memory=self.front,
+            known_jobs=self.front,
             now=self.now,
         )
         self.owned_shard_count = self.shard_owners.count
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -44,7 +44,7 @@
     LOST = "lost"
 
 
-class JobsKnown(Protocol):
+class KnownJobs(Protocol):
     """What this controller remembers of jobs, whoever owns them."""
 
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
@@ -78,7 +78,7 @@
     worker_client: WorkerClient
 
     @property
-    def jobs_known(self) -> JobsKnown:
+    def known_jobs(self) -> KnownJobs:
         """The controller's memory of jobs."""
         ...
 
@@ -330,7 +330,7 @@
         shard.load(assigned, list(work), list(parks), self.context.now())
         for job in shard.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
-                self.context.jobs_known.saw(job.id, job.record(), job.revision)
+                self.context.known_jobs.saw(job.id, job.record(), job.revision)
         shard.seen_revision = max(shard.seen_revision, watermark)
 
     # -- one iteration -------------------------------------------------------------------------
@@ -375,7 +375,7 @@
         An outcome is final, so what is read here holds whatever the watch brings meanwhile. What is left when the store
         does not answer is read after a later iteration.
         """
-        jobs = self.context.jobs_known
+        jobs = self.context.known_jobs
         unread = shard.dependency_tracker.unread
         while unread and self.phase is OwnershipPhase.ACTIVE:
             job_ids = list(unread)[:DEPENDENCY_READS_AT_ONCE]
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -13,7 +13,7 @@
 from ashdock.wire.peer_messages import OwnershipClaims, PriorityInheritance
 
 
-class JobMemory(Protocol):
+class KnownJobs(Protocol):
     """What a controller remembers of jobs, whoever owns them."""
 
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
@@ -35,7 +35,7 @@
         table: dict[str, ShardOwner],
         create: Callable[[Team, int], ShardOwner],
         shards: WatchCache,
-        job_memory: JobMemory,
+        known_jobs: KnownJobs,
         now: Callable[[], float],
     ) -> None:
         """Start with the owners in `table`, which is kept up to date in place.
@@ -45,14 +45,14 @@
             table: owners by team.
             create: starts an owner, given its team and the revision of the claim to be replaced.
             shards: the records of all shards' claims.
-            job_memory: told of every change of a job.
+            known_jobs: told of every change of a job.
             now: the controller's clock, in seconds since the epoch.
         """
         self.label = label
         self.table = table
         self.create = create
         self.shards = shards
-        self.job_memory = job_memory
+        self.known_jobs = known_jobs
         self.now = now
 
     def claim(self, team: Team, revision: int) -> None:
@@ -95,7 +95,7 @@
         if value is None:
             return
         job_id = path.split("/", 1)[1]
-        self.job_memory.saw(job_id, value, revision)
+        self.known_jobs.saw(job_id, value, revision)
         team = spec_of_record(value).team
         owner = self.table.get(team)
         status = value["status"]
@@ -123,7 +123,7 @@
                 )
 
     def _add_job(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
-        if job_id not in shard.jobs and not self.job_memory.is_final(job_id):
+        if job_id not in shard.jobs and not self.known_jobs.is_final(job_id):
             shard.status_reporter.record_arrival(shard.add_job(value, revision), self.now())
 
     def inherit_priorities(self, inheritance: PriorityInheritance) -> None:
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -29,7 +29,7 @@
             catalog={"g4": machine_type("g4")},
             rng=SimpleNamespace(random=lambda: 0.5),
             shards=replica([]),
-            jobs_known=SimpleNamespace(
+            known_jobs=SimpleNamespace(
                 saw=lambda job, record, revision: seen.append([job, revision])
             ),
             send_claims=lambda: None,
