--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -318,7 +318,7 @@
             now=self.now,
         )
         self.owned_shard_count = self.shard_owners.count
-        self.let_go = self.shard_owners.let_go
+        self.forget_owner = self.shard_owners.forget_owner
         self.jobs_seen = self.shard_owners.job_changed
         self.cancelled = self.shard_owners.job_cancelled
         self.settled = self.shard_owners.job_settled
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -102,7 +102,7 @@
         """How many shards this controller owns."""
         ...
 
-    def let_go(self, owner: ShardOwner) -> None:
+    def forget_owner(self, owner: ShardOwner) -> None:
         """Forget an owner that has given up its shard."""
         ...
 
@@ -191,7 +191,7 @@
             return
         log.info("shard no longer owned: shard=%s reason=%s", self.team.name, reason)
         self.phase = OwnershipPhase.LOST
-        self.context.let_go(self)
+        self.context.forget_owner(self)
         self.wake.set()
 
     # -- input from outside --------------------------------------------------------------------
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -63,7 +63,7 @@
         """How many shards are owned here, those being claimed or read among them."""
         return len(self.table)
 
-    def let_go(self, owner: ShardOwner) -> None:
+    def forget_owner(self, owner: ShardOwner) -> None:
         """Forget an owner, unless another has taken its place."""
         if self.table.get(owner.team.name) is owner:
             del self.table[owner.team.name]
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -149,7 +149,7 @@
     owner: Any = ShardOwner.__new__(ShardOwner)
     owner.team, owner.claimed_from = Team("red"), values["revision"]
     owner.phase = OwnershipPhase.LOST  # the claim is written, and the shard is not read
-    owner.context = context(store, shards=replica([]), let_go=lambda owner: None)
+    owner.context = context(store, shards=replica([]), forget_owner=lambda owner: None)
     try:
         await owner._claim()
     except Exception as error:
