--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -360,7 +360,7 @@
             now=self.now,
         )
         self.send_claims = self.owner_gossip.send_claims
-        self.tell_leader = self.owner_gossip.send_status_if_urgent
+        self.send_status_if_urgent = self.owner_gossip.send_status_if_urgent
         self.gossip = Gossip(
             mesh=self.mesh,
             heartbeats=HeartbeatSource(
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -114,7 +114,7 @@
         """Tell the other controllers which shards are owned here."""
         ...
 
-    def tell_leader(self, shard: Shard) -> None:
+    def send_status_if_urgent(self, shard: Shard) -> None:
         """Send the leader the shard's status, if it has changed in what cannot wait."""
         ...
 
@@ -350,7 +350,7 @@
             shard.resource_requests = []
         elif self._cycle_due(shard, now):
             self._run_scheduling_cycle(shard, now)
-        self.context.tell_leader(shard)
+        self.context.send_status_if_urgent(shard)
         await self._write_changes(shard)
         self._send_urgent(shard)
 
