--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -319,7 +319,7 @@
         )
         self.owned_shard_count = self.shard_owners.count
         self.forget_owner = self.shard_owners.forget_owner
-        self.jobs_seen = self.shard_owners.job_changed
+        self.job_changed = self.shard_owners.job_changed
         self.cancelled = self.shard_owners.job_cancelled
         self.settled = self.shard_owners.job_settled
         self.shard_ownership = ShardOwnership(
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -124,7 +124,7 @@
 
     def heard_worker(self) -> None: ...
 
-    def jobs_seen(self, path: str, value: Any, revision: int) -> None: ...
+    def job_changed(self, path: str, value: Any, revision: int) -> None: ...
 
     def counts(self, team: str, job: str) -> tuple[int, int]: ...
 
@@ -259,7 +259,7 @@
             spec.tasks,
             spec.priority,
         )
-        context.jobs_seen(path, record, revision)
+        context.job_changed(path, record, revision)
         return Answer(201, messages.encode({"id": spec.id, "status": JobStatus.QUEUED}))
 
     async def _needs_refused(self, spec: JobSpec) -> Answer | None:
@@ -373,7 +373,7 @@
                     )
                 )
                 log.info("job %s withdrawn", job_id)
-                context.jobs_seen(path, record, revision)
+                context.job_changed(path, record, revision)
             except CompareFailedError:
                 continue
             except StoreUnavailableError:
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -106,7 +106,7 @@
         """Forget an owner that has given up its shard."""
         ...
 
-    def jobs_seen(self, path: str, value: Any, revision: int) -> None:
+    def job_changed(self, path: str, value: Any, revision: int) -> None:
         """Take in a job's record as if the watch had brought it."""
         ...
 
@@ -463,7 +463,7 @@
             if path.startswith("machine/"):
                 self.context.machines.apply_own_write(path, value, revision)
             elif path.startswith("job/"):
-                self.context.jobs_seen(path, value, revision)
+                self.context.job_changed(path, value, revision)
 
     async def _resolve_conflict(self, shard: Shard, failed: list[str]) -> bool:
         """Read the keys whose condition failed and take their values in.
