--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -105,7 +105,7 @@
         self.now = self.clock.now
         self.ttl_s = max(self.workers.lease_s / TTLS_PER_AGENT_LEASE, MIN_TTL_S)
         self.tick_s = min(self.workers.report_s / TICKS_PER_HEARTBEAT, self.ttl_s / TICKS_PER_TTL)
-        self.gather_s = self.tick_s / GATHERINGS_PER_TICK
+        self.batching_delay_s = self.tick_s / GATHERINGS_PER_TICK
         self.catalog: dict[str, MachineType] = {}
         self.owners: dict[str, ShardOwner] = {}
         self.intent_count = 0  # over all times this process has led, since names are never reused
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -68,7 +68,7 @@
     operators: Operators
     workers: Workers
     tick_s: float
-    gather_s: float
+    batching_delay_s: float
     rng: random.Random
     write_limits: WriteLimits
     catalog: dict[str, MachineType]
@@ -276,7 +276,7 @@
             async with asyncio.timeout(self._idle_s(shard)):
                 await self.wake.wait()
                 # Changes come in bursts: what arrives together is decided and written together.
-                await asyncio.sleep(self.context.gather_s)
+                await asyncio.sleep(self.context.batching_delay_s)
         except TimeoutError:
             pass
 
