--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -311,7 +311,7 @@
         """The shards owned here, what claims them, and what the leader and a short processor ask of them."""
         self.shard_owners = ShardOwners(
             label=self.label,
-            table=self.owners,
+            by_team=self.owners,
             create=lambda team, revision: ShardOwner(self, team, revision),
             shards=self.shards,
             known_jobs=self.front,
--- a/ashdock/load_handover.py
+++ b/ashdock/load_handover.py
@@ -63,7 +63,7 @@
     def _work_by_team(self) -> dict[str, int]:
         return {
             team: len(owner.shard.machines) + len(owner.shard.jobs)
-            for team, owner in self.commands.owners.table.items()
+            for team, owner in self.commands.owners.by_team.items()
             if owner.shard
         }
 
--- a/ashdock/peer_reports.py
+++ b/ashdock/peer_reports.py
@@ -104,7 +104,7 @@
 
     def task_counts(self, team: str, job_id: str) -> Counts:
         """How many tasks of a job are done and running, as far as is known here."""
-        owner = self.owners.table.get(team)
+        owner = self.owners.by_team.get(team)
         if owner and owner.shard and job_id in owner.shard.jobs:
             job = owner.shard.jobs[job_id]
             return job.done, job.running
--- a/ashdock/shard_commands.py
+++ b/ashdock/shard_commands.py
@@ -49,7 +49,7 @@
     def send(self, team: str, command: ShardCommand, term: int) -> None:
         """Send a command of the leader here to the owner of a team's shard, under its term."""
         label = self.cluster.owner_label(team)
-        if team in self.owners.table:
+        if team in self.owners.by_team:
             self.receive(term, command)
         elif label:
             fenced = self.cluster_version.fences_commands
@@ -81,7 +81,7 @@
 
     def execute(self, command: ShardCommand) -> None:
         """Hand a command to the shard's owner, if it is here."""
-        owner = self.owners.table.get(command.shard)
+        owner = self.owners.by_team.get(command.shard)
         if owner is None:
             return
         match command:
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -32,24 +32,24 @@
         self,
         *,
         label: str,
-        table: dict[str, ShardOwner],
+        by_team: dict[str, ShardOwner],
         create: Callable[[Team, int], ShardOwner],
         shards: WatchCache,
         known_jobs: KnownJobs,
         now: Callable[[], float],
     ) -> None:
-        """Start with the owners in `table`, which is kept up to date in place.
+        """Start with the owners in `by_team`, which is kept up to date in place.
 
         Args:
             label: of this controller.
-            table: owners by team.
+            by_team: owners by team.
             create: starts an owner, given its team and the revision of the claim to be replaced.
             shards: the records of all shards' claims.
             known_jobs: told of every change of a job.
             now: the controller's clock, in seconds since the epoch.
         """
         self.label = label
-        self.table = table
+        self.by_team = by_team
         self.create = create
         self.shards = shards
         self.known_jobs = known_jobs
@@ -57,29 +57,29 @@
 
     def claim(self, team: Team, revision: int) -> None:
         """Start to own a team's shard. `revision`: that of the claim to be replaced, 0 if there is none."""
-        self.table[team.name] = self.create(team, revision)
+        self.by_team[team.name] = self.create(team, revision)
 
     def count(self) -> int:
         """How many shards are owned here, those being claimed or read among them."""
-        return len(self.table)
+        return len(self.by_team)
 
     def forget_owner(self, owner: ShardOwner) -> None:
         """Forget an owner, unless another has taken its place."""
-        if self.table.get(owner.team.name) is owner:
-            del self.table[owner.team.name]
+        if self.by_team.get(owner.team.name) is owner:
+            del self.by_team[owner.team.name]
 
     def active_shards(self) -> list[Shard]:
         """The shards owned here that have been read."""
         return [
             owner.shard
-            for owner in self.table.values()
+            for owner in self.by_team.values()
             if owner.phase is OwnershipPhase.ACTIVE and owner.shard
         ]
 
     def machine_changed(self, path: str, value: Any, revision: int) -> None:
         """Take in a change of `machine/<name>`; `value` is None if the record was deleted."""
         name = path.split("/", 1)[1]
-        for owner in list(self.table.values()):
+        for owner in list(self.by_team.values()):
             if value is None:
                 owner.apply(lambda shard: shard.remove_machine(name, self.now()))
             elif value["p"] == owner.team.name:
@@ -87,7 +87,7 @@
 
     def job_changes_missed(self) -> None:
         """Give up all shards, to be claimed and read again: jobs may have been accepted unnoticed."""
-        for owner in list(self.table.values()):
+        for owner in list(self.by_team.values()):
             owner.release("changes to jobs were missed")
 
     def job_changed(self, path: str, value: Any, revision: int) -> None:
@@ -97,7 +97,7 @@
         job_id = path.split("/", 1)[1]
         self.known_jobs.saw(job_id, value, revision)
         team = spec_of_record(value).team
-        owner = self.table.get(team)
+        owner = self.by_team.get(team)
         status = value["status"]
         if status == "withdrawn":
             self.job_cancelled(job_id, team, revision, value.get("cancelled_at", self.now()))
@@ -108,13 +108,13 @@
 
     def job_cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
         """Let the shard's owner, if it is here, stop a job that was cancelled at `at`."""
-        owner = self.table.get(team)
+        owner = self.by_team.get(team)
         if owner is not None:
             owner.apply(lambda shard: shard.cancel(job_id, at, revision, self.now()))
 
     def job_settled(self, job_id: str, status: str, done_at: float | None) -> None:
         """Tell the owners whose jobs depend on a job that it is over."""
-        for owner in list(self.table.values()):
+        for owner in list(self.by_team.values()):
             if owner.waits_for(job_id):
                 owner.apply(
                     lambda shard: shard.dependency_tracker.settled(
@@ -128,7 +128,7 @@
 
     def inherit_priorities(self, inheritance: PriorityInheritance) -> None:
         """Take in what another shard's jobs pass on to the jobs of shards here that they depend on."""
-        for team, owner in self.table.items():
+        for team, owner in self.by_team.items():
             if team != inheritance.shard:
                 owner.apply(
                     lambda shard: shard.dependency_tracker.receive_inheritance(*inheritance)
@@ -145,6 +145,6 @@
             known = self.shards.entries.get(path)
             if known is None or known.revision < revision:
                 self.shards.apply_own_write(path, {"owner": label}, revision)
-            ours = self.table.get(team)
+            ours = self.by_team.get(team)
             if ours is not None and ours.shard and ours.shard.revision < revision:
                 ours.release(f"claimed by {label}, as it says itself")
--- a/ashdock/shard_ownership.py
+++ b/ashdock/shard_ownership.py
@@ -59,7 +59,7 @@
         due = shards_to_own(self._snapshot())
         for team in self.cluster.teams:
             entry = self.cluster.shards.entries.get(f"part/{team.name}")
-            owner = self.owners.table.get(team.name)
+            owner = self.owners.by_team.get(team.name)
             if owner is not None:
                 claim = owner.shard.revision if owner.shard else 0
                 if claim and entry and entry.revision > claim:
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -65,7 +65,7 @@
     told: list[Plain] = []
     owner = SimpleNamespace(team=SimpleNamespace(name="red"), apply=lambda change: change(shard))
     owners: Any = ShardOwners.__new__(ShardOwners)
-    owners.table = {"red": owner}
+    owners.by_team = {"red": owner}
     owners.known_jobs = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
     owners.now = lambda: NOW
     owners.job_cancelled = lambda *words: told.append(["cancelled", *plain(words)])
--- a/tests/test_frame_dispatch.py
+++ b/tests/test_frame_dispatch.py
@@ -55,7 +55,7 @@
             jobs={"req-2": SimpleNamespace(done=3, running=4)},
         )
         owners: Any = SimpleNamespace(
-            table={"blue": SimpleNamespace(shard=blue)}, active_shards=lambda: [blue]
+            by_team={"blue": SimpleNamespace(shard=blue)}, active_shards=lambda: [blue]
         )
         cluster: Any = SimpleNamespace(owner_label={"red": "b", "blue": "a"}.get)
         self.reports = PeerReports(
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -180,7 +180,7 @@
 
 def commands(mesh: SentFrames, fenced: bool = True) -> tuple[ShardCommands, Any]:
     owner = SimpleNamespace(transfer_to=None, wake=asyncio.Event())
-    owners: Any = SimpleNamespace(table={"red": owner})
+    owners: Any = SimpleNamespace(by_team={"red": owner})
     cluster: Any = SimpleNamespace(owner_label={"red": "a", "blue": "b"}.get)
     version: Any = SimpleNamespace(fences_commands=fenced)
     a_mesh: Any = mesh
--- a/tests/test_load_handover.py
+++ b/tests/test_load_handover.py
@@ -31,8 +31,8 @@
     def shard(machines: int) -> Any:
         return SimpleNamespace(shard=SimpleNamespace(machines=range(machines), jobs=[]))
 
-    table = {"red": shard(9), "blue": shard(2), "gray": SimpleNamespace(shard=None)}
-    commands: Any = SimpleNamespace(owners=SimpleNamespace(table=table), execute=given.append)
+    by_team = {"red": shard(9), "blue": shard(2), "gray": SimpleNamespace(shard=None)}
+    commands: Any = SimpleNamespace(owners=SimpleNamespace(by_team=by_team), execute=given.append)
     mesh: Any = SimpleNamespace(heartbeat_interval_s=BEAT_S, peers=peers)
     cluster: Any = SimpleNamespace(
         shards=SimpleNamespace(
