--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -329,7 +329,7 @@
             membership=self.membership,
             connectivity=self.connectivity,
             startup_timeline=self.startup_timeline,
-            prepared=lambda: bool(self.catalog) and self.cluster_version.is_known,
+            prerequisites_known=lambda: bool(self.catalog) and self.cluster_version.is_known,
         )
         self.shard_commands = ShardCommands(
             owners=self.shard_owners,
@@ -395,12 +395,12 @@
         self.peer_reports = PeerReports(
             owners=self.shard_owners,
             cluster=self.cluster,
-            beat_s=self.mesh.heartbeat_interval_s,
+            heartbeat_interval_s=self.mesh.heartbeat_interval_s,
             ttl_s=self.ttl_s,
             now=self.now,
         )
         self.shard_statuses = self.peer_reports.shard_statuses
-        self.leaving = self.peer_reports.leaving
+        self.leaving_machines = self.peer_reports.leaving_machines
         self.counts = self.peer_reports.task_counts
 
     def _register_frame_handlers(self) -> None:
--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -196,7 +196,7 @@
     async def beat(self) -> float:
         """Send what is due with a beat, in this order; returns the seconds until the next."""
         now = time.monotonic()
-        self.load_handover.on_beat(now)
+        self.load_handover.on_heartbeat(now)
         self.store_limits.divide()
         self.mesh.broadcast(self.heartbeats.heartbeat(now))
         self.cancellations.send_echoes(now)
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -78,7 +78,7 @@
     def shard_statuses(self) -> dict[str, ShardStatus]:
         """The latest status of each shard, by team, as far as received."""
 
-    def leaving(self) -> list[tuple[str, str]]:
+    def leaving_machines(self) -> list[tuple[str, str]]:
         """Machines that are being reclaimed, each with the team that gets it."""
 
     def send_shard_command(self, team: str, command: ShardCommand, term: int, /) -> None:
@@ -236,7 +236,7 @@
             return context.tick_s * MAY_DECIDE_POLL_TICKS
         shard_statuses = context.shard_statuses()
         if self.leadership.term_age_s() < context.workers.lease_s:
-            self.allocator.note_reclaims(context.leaving(), now)
+            self.allocator.note_reclaims(context.leaving_machines(), now)
         owners = {team.name: context.owner_label(team.name) or "" for team in context.shared.teams}
         machine_views = self.snapshot.machine_views()
         decisions = self.allocator.decide(machine_views, shard_statuses, now)
--- a/ashdock/load_handover.py
+++ b/ashdock/load_handover.py
@@ -49,7 +49,7 @@
         self.heartbeat_lag = HeartbeatLag(mesh.heartbeat_interval_s)
         self.load_shedder = LoadShedder(mesh.heartbeat_interval_s, patience_s)
 
-    def on_beat(self, now: float) -> None:
+    def on_heartbeat(self, now: float) -> None:
         """Note a beat of this controller, and hand a shard over if it is due. `now`: by the steady clock."""
         self.heartbeat_lag.beat(now)
         handover = self.load_shedder.hand_on(
--- a/ashdock/peer_reports.py
+++ b/ashdock/peer_reports.py
@@ -12,8 +12,8 @@
 from ashdock.shard_owners import ShardOwners
 from ashdock.wire.peer_messages import ReclaimsInProgress, TaskCounts
 
-MOST_JOBS = 20 * JOBS_PER_FRAME  # kept of one peer
-RECLAIMS_VALID_BEATS = 2  # how many beats what a shard is vacating is taken to be true
+MAX_JOBS_PER_PEER = 20 * JOBS_PER_FRAME  # kept of one peer
+RECLAIMS_VALID_HEARTBEATS = 2  # how many beats what a shard is vacating is taken to be true
 
 Counts = tuple[int, int]  # tasks done, running; as in the frame: thousands of them come with a beat
 
@@ -40,7 +40,7 @@
         *,
         owners: ShardOwners,
         cluster: ClusterState,
-        beat_s: float,
+        heartbeat_interval_s: float,
         ttl_s: float,
         now: Callable[[], float],
     ) -> None:
@@ -49,13 +49,13 @@
         Args:
             owners: the shards owned here, whose state is at hand.
             cluster: who owns the others.
-            beat_s: seconds between two beats of a controller.
+            heartbeat_interval_s: seconds between two beats of a controller.
             ttl_s: how long a shard's status is valid, in seconds.
             now: the controller's clock, in seconds since the epoch.
         """
         self.owners = owners
         self.cluster = cluster
-        self.beat_s = beat_s
+        self.heartbeat_interval_s = heartbeat_interval_s
         self.ttl_s = ttl_s
         self.now = now
         self.statuses: dict[str, ReceivedStatus] = {}  # by team
@@ -73,7 +73,7 @@
     def counts_received(self, label: str, frame: TaskCounts) -> None:
         """Keep the task counts of a peer's jobs."""
         known = self.counts_by_peer.setdefault(label, {})
-        if len(known) > MOST_JOBS:
+        if len(known) > MAX_JOBS_PER_PEER:
             known.clear()  # of jobs long over: the next beat names all that are not
         known.update((job, (done, running)) for job, done, running in frame.jobs)
 
@@ -89,13 +89,13 @@
             statuses[shard.name] = shard.status_reporter.shard_status(self.now())
         return statuses
 
-    def leaving(self) -> list[tuple[str, str]]:
+    def leaving_machines(self) -> list[tuple[str, str]]:
         """The machines that are being vacated in all shards, each with the team it is for."""
         now = time.monotonic()
         leaving = [
             machine
             for received in self.reclaims.values()
-            if now - received.at < self.beat_s * RECLAIMS_VALID_BEATS
+            if now - received.at < self.heartbeat_interval_s * RECLAIMS_VALID_HEARTBEATS
             for machine in received.reclaims.machines
         ]
         for shard in self.owners.active_shards():
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -132,7 +132,7 @@
         """
         self.context = context
         self.team = team
-        self.claimed_from = revision
+        self.expected_revision = revision
         self.phase = OwnershipPhase.CLAIMING
         self.shard: Shard | None = None
         self.wake = asyncio.Event()
@@ -302,7 +302,7 @@
         name = self.team.name
         path = f"part/{name}"
         value = {"owner": self.context.label}
-        revision = await self.context.store.txn({path: self.claimed_from}, {path: value})
+        revision = await self.context.store.txn({path: self.expected_revision}, {path: value})
         self.context.shards.apply_own_write(path, value, revision)
         ensure_current(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
         shard = self._begin_loading(revision)
--- a/ashdock/shard_ownership.py
+++ b/ashdock/shard_ownership.py
@@ -25,7 +25,7 @@
         membership: Membership,
         connectivity: Connectivity,
         startup_timeline: StartupTimeline,
-        prepared: Callable[[], bool],
+        prerequisites_known: Callable[[], bool],
     ) -> None:
         """Take what the decision rests on.
 
@@ -36,7 +36,7 @@
             membership: of this controller, and who else is fit.
             connectivity: of this controller; nothing is claimed while the state is not fresh.
             startup_timeline: told when everything needed has been read.
-            prepared: whether what else an owner needs is known: machine types and the cluster version.
+            prerequisites_known: whether what else an owner needs is known: machine types and the cluster version.
         """
         self.tick_s = tick_s
         self.cluster = cluster
@@ -44,11 +44,11 @@
         self.membership = membership
         self.connectivity = connectivity
         self.startup_timeline = startup_timeline
-        self.prepared = prepared
+        self.prerequisites_known = prerequisites_known
 
     async def run_once(self) -> float:
         """Claim and give up shards as due; returns the seconds until the next call."""
-        if not self.prepared() or not self._state_read():
+        if not self.prerequisites_known() or not self._state_read():
             return self.tick_s / 4
         if (
             self.membership.store_lease is None
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -36,7 +36,9 @@
         )
         owner: Any = ShardOwner.__new__(ShardOwner)
         owner.context, owner.team, owner.phase = home, Team("red"), OwnershipPhase.CLAIMING
-        owner.claimed_from = next(revision for path, _, revision in entries if path == "part/red")
+        owner.expected_revision = next(
+            revision for path, _, revision in entries if path == "part/red"
+        )
         owner.buffered_changes, owner.failover_timeline = [], FailoverTimeline("red", NOW)
         owner.ready = SimpleNamespace(set=lambda: None)
         await owner._claim()
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -147,7 +147,7 @@
 async def write_claim(store: Store, values: Plain) -> None:
     """Claim a shard, and give it to another controller."""
     owner: Any = ShardOwner.__new__(ShardOwner)
-    owner.team, owner.claimed_from = Team("red"), values["revision"]
+    owner.team, owner.expected_revision = Team("red"), values["revision"]
     owner.phase = OwnershipPhase.LOST  # the claim is written, and the shard is not read
     owner.context = context(store, shards=replica([]), forget_owner=lambda owner: None)
     try:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -486,8 +486,8 @@
             owner.label, ReclaimsInProgress("red", shard.status_reporter.leaving_machines())
         )
         leader = service.controllers[await wait_for_leader(service)].leader
-        assert leader is not None and (name, "blue") in other.leaving()
-        leader.allocator.note_reclaims(other.leaving(), leader.context.now())
+        assert leader is not None and (name, "blue") in other.leaving_machines()
+        leader.allocator.note_reclaims(other.leaving_machines(), leader.context.now())
         assert leader.allocator.reclaiming[name][0] == "blue"
         assert await service.until_final(["req-000001"], 120) == []
 
--- a/tests/test_frame_dispatch.py
+++ b/tests/test_frame_dispatch.py
@@ -10,7 +10,7 @@
 
 from ashdock.core.shard_status import ShardStatus
 from ashdock.frame_dispatch import FrameDispatcher
-from ashdock.peer_reports import MOST_JOBS, PeerReports
+from ashdock.peer_reports import MAX_JOBS_PER_PEER, PeerReports
 from ashdock.wire.peer_messages import (
     CancelledJobs,
     ForwardReply,
@@ -59,7 +59,11 @@
         )
         cluster: Any = SimpleNamespace(owner_label={"red": "b", "blue": "a"}.get)
         self.reports = PeerReports(
-            owners=owners, cluster=cluster, beat_s=BEAT_S, ttl_s=TTL_S, now=lambda: 0.0
+            owners=owners,
+            cluster=cluster,
+            heartbeat_interval_s=BEAT_S,
+            ttl_s=TTL_S,
+            now=lambda: 0.0,
         )
 
 
@@ -80,9 +84,9 @@
     given = Reports(monkeypatch)
     given.reports.reclaims_received("b", ReclaimsInProgress("red", [("vm-1", "blue")]))
     given.clock += 2 * BEAT_S - 0.1
-    assert given.reports.leaving() == [("vm-1", "blue"), ("vm-9", "")]
+    assert given.reports.leaving_machines() == [("vm-1", "blue"), ("vm-9", "")]
     given.clock += 0.1
-    assert given.reports.leaving() == [("vm-9", "")]
+    assert given.reports.leaving_machines() == [("vm-9", "")]
 
 
 def test_counts_of_the_shard_here_or_of_the_owners_last_frame(
@@ -101,6 +105,8 @@
 
 def test_counts_of_jobs_long_over_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     reports = Reports(monkeypatch).reports
-    reports.counts_received("b", TaskCounts([(f"req-{n}", 1, 0) for n in range(MOST_JOBS + 1)]))
+    reports.counts_received(
+        "b", TaskCounts([(f"req-{n}", 1, 0) for n in range(MAX_JOBS_PER_PEER + 1)])
+    )
     reports.counts_received("b", TaskCounts([("new", 1, 2)]))
     assert reports.counts_by_peer["b"] == {"new": (1, 2)}
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -170,11 +170,11 @@
         store_limits=noted("divide"),
         cancellations=noted("send_echoes"),
         owner_gossip=noted("send_claims", "send_statuses_and_counts"),
-        load_handover=noted("on_beat"),
+        load_handover=noted("on_heartbeat"),
         worker_client=noted("close_idle"),
     )
     assert asyncio.run(gossip.beat()) == 0.25
-    expected = ["on_beat", "divide", "heartbeat", "broadcast", "send_echoes"]
+    expected = ["on_heartbeat", "divide", "heartbeat", "broadcast", "send_echoes"]
     assert order == [*expected, "send_claims", "send_statuses_and_counts", "close_idle"]
 
 
--- a/tests/test_load_handover.py
+++ b/tests/test_load_handover.py
@@ -51,7 +51,7 @@
     )
     now = 0.0
     while not given and now < 100 * BEAT_S:
-        handover.on_beat(now)
+        handover.on_heartbeat(now)
         now += gap_s
     return given
 
