--- a/ashdock/cluster_state.py
+++ b/ashdock/cluster_state.py
@@ -1,4 +1,4 @@
-"""The cluster as the store describes it: watch caches of the shared keys, and look-ups in them."""
+"""The state of the cluster as recorded in the store: watch caches and look-ups in them."""
 
 from __future__ import annotations
 
@@ -9,24 +9,40 @@
 from ashdock.net.watch_cache import WatchCache
 from ashdock.settings import Team, Workers
 
-NO_TOKEN = 1 << 64  # larger than any fencing token, so that no worker's token reaches it
-JOB_WATCHES_PER_CANCELLATION = 8  # watch requests that fit into the time a cancellation may take
+UNKNOWN_TOKEN = 1 << 64  # higher than any fencing token that a worker can report
+# Job watch requests that fit into the part of `cancel_s` that remains after an agent lease.
+JOB_WATCHES_PER_CANCELLATION = 8
 
 
 class ClusterState:
     """Watch caches of machines, shards, members, leadership and jobs.
 
-    Behind the store by a few milliseconds, or by an outage.
+    They lag behind the store by a few milliseconds, or by the length of an outage.
+
+    Attributes:
+        teams: The teams of the deployment; each has one shard.
+        machines: Records of the machines, each with the team whose shard it is assigned to.
+        shards: Claims of the shards, each with the label of its owner.
+        members: Records of the controllers that are members.
+        leaders: The leadership key.
+        jobs: Changes of job records; the records themselves are not kept.
     """
 
     def __init__(self, store: StoreClient, workers: Workers, teams: Iterable[Team]) -> None:
-        """Build the caches; each is filled once its `run` is started."""
+        """Create the caches; each is filled once its `run` is started.
+
+        Args:
+            store: Client of the store that is watched.
+            workers: Settings that bound how long a cancellation may take.
+            teams: The teams of the deployment.
+        """
         self.teams = list(teams)
         self.machines = WatchCache(store, "machine/")
         self.shards = WatchCache(store, "part/")
         self.members = WatchCache(store, "member/")
         self.leaders = WatchCache(store, "leader")
-        # Watches of jobs are short, so that at the beginning of an outage the jobs' state of a moment before is known.
+        # Each answered watch request confirms that all changes so far are known. Watch requests for
+        # jobs are short, so that this was confirmed shortly before an outage begins.
         self.jobs = WatchCache(
             store,
             "job/",
@@ -40,25 +56,28 @@
         return (self.machines, self.shards, self.members, self.leaders, self.jobs)
 
     def owner_label(self, team: str) -> str | None:
-        """Label of the controller that owns a team's shard; None if no record names one."""
+        """Label of the controller that owns a team's shard; None if no claim is known."""
         entry = self.shards.entries.get(f"part/{team}")
         return entry.value["owner"] if entry else None
 
     def leader_label(self) -> str | None:
-        """Label of the controller that leads; None if there is no leader."""
+        """Label of the leader; None if there is none."""
         entry = self.leaders.entries.get("leader")
         return entry.value["label"] if entry else None
 
     def token_of(self, machine: str) -> int:
-        """The fencing token of a machine's owner, as far as this controller knows; `NO_TOKEN` if unknown."""
+        """Latest known fencing token of a machine; `UNKNOWN_TOKEN` without its record or claim."""
         entry = self.machines.entries.get(f"machine/{machine}")
         shard = self.shards.entries.get(f"part/{entry.value['p']}") if entry else None
-        return max(entry.revision, shard.revision) if entry and shard else NO_TOKEN
+        return max(entry.revision, shard.revision) if entry and shard else UNKNOWN_TOKEN
 
     def load(self) -> dict[str, int]:
-        """Machines held by the shards of each controller, by its label; each shard counts as one more."""
-        machines = Counter(entry.value["p"] for entry in self.machines.entries.values())
+        """Load of each controller, by its label: one per shard and one per machine of its shards.
+
+        Shards without a known owner are counted under the empty label.
+        """
+        machine_counts = Counter(entry.value["p"] for entry in self.machines.entries.values())
         load: Counter[str] = Counter()
         for team in self.teams:
-            load[self.owner_label(team.name) or ""] += machines[team.name] + 1
+            load[self.owner_label(team.name) or ""] += machine_counts[team.name] + 1
         return load
