--- a/ashdock/command_sender.py
+++ b/ashdock/command_sender.py
@@ -1,4 +1,4 @@
-"""Sends task commands straight to workers, in place of with the answer to their next heartbeat."""
+"""Sends task commands directly to workers, without waiting for their next heartbeat."""
 
 from __future__ import annotations
 
@@ -16,23 +16,28 @@
 
 log = logging.getLogger("ashdock.shard_owner")
 
-# The worker itself answered: it has carried the commands out, or refused them for good. Any other status may
-# come from something in between, and the worker may still receive the commands.
-STATUSES_OF_WORKER = (HTTPStatus.OK, HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT)
+# With these statuses the worker itself answered: it carried out the commands or refused them
+# permanently. Any other status may come from an intermediary, and the worker may still receive the
+# commands.
+WORKER_STATUSES = (HTTPStatus.OK, HTTPStatus.BAD_REQUEST, HTTPStatus.CONFLICT)
 
 
 class CommandSenderContext(Protocol):
-    """What the sender needs of the controller."""
+    """What the sender uses of its controller.
+
+    Attributes:
+        worker_client: Client for requests to workers.
+    """
 
     worker_client: WorkerClient
 
     def now(self) -> float:
-        """The time of day in seconds, as all that is stored counts it."""
+        """Current time, in seconds since the epoch."""
         ...
 
 
 class CommandSender:
-    """One shard's direct commands to its workers; at most one message at a time to each of them."""
+    """Sends a shard's direct commands, with at most one request in flight per worker."""
 
     def __init__(
         self,
@@ -40,12 +45,12 @@
         is_active: Callable[[], bool],
         wake: asyncio.Event,
     ) -> None:
-        """Prepare to send.
+        """Start without requests in flight.
 
         Args:
-            context: the controller.
-            is_active: whether the shard is still owned here and loaded.
-            wake: set after each exchange, since its result may call for a transaction.
+            context: The controller.
+            is_active: Whether the shard is still owned here and loaded.
+            wake: Event set after each request, since its result may require a transaction.
         """
         self.context = context
         self.is_active = is_active
@@ -53,7 +58,11 @@
         self.in_flight: set[asyncio.Task[None]] = set()
 
     def send(self, shard: Shard, machine_names: Iterable[str]) -> None:
-        """Start a message to each of the machines; one that has a message under way is left for the next call."""
+        """Start a request to each of the machines that have commands.
+
+        Machines with a request in flight are entered in `urgent_machines` again, for the next call.
+        Machines that the shard no longer has are skipped.
+        """
         for name in machine_names:
             machine = shard.machines.get(name)
             if machine is None:
@@ -73,20 +82,21 @@
     async def _exchange(
         self, shard: Shard, machine: Machine, commands: list[TaskCommand], token: int
     ) -> None:
-        """Send one message and take in its answer.
+        """Send one request and apply its response.
 
-        The token is the one that the run commands were recorded with. The machine's may rise before this coroutine
-        runs; a run command sent under the higher one could arrive late and be accepted, though it counted as fenced.
+        The token is the one that the run commands were recorded with. The machine's token may rise
+        before this coroutine runs. A run command sent with the higher token could arrive late and
+        be accepted although it counts as fenced.
         """
         try:
             status, heartbeat = await self.context.worker_client.send_commands(
                 machine.address, token, machine.incarnation, commands
             )
-            if status in STATUSES_OF_WORKER:
+            if status in WORKER_STATUSES:
                 shard.commands.direct_answered(machine, commands)
             else:
                 shard.commands.direct_unanswered(machine, commands)
-            self._take_in(shard, machine, heartbeat)
+            self._reconcile_response(shard, machine, heartbeat)
             if status != HTTPStatus.OK:
                 log.debug("direct commands refused: machine=%s status=%d", machine.name, status)
         except NoAnswer as error:
@@ -99,8 +109,10 @@
             machine.sending = False
             self.wake.set()
 
-    def _take_in(self, shard: Shard, machine: Machine, heartbeat: Heartbeat | None) -> None:
-        """Reconcile the status that the worker answered with, unless it is another machine's."""
+    def _reconcile_response(
+        self, shard: Shard, machine: Machine, heartbeat: Heartbeat | None
+    ) -> None:
+        """Reconcile the status in the worker's response, unless it is that of another machine."""
         if heartbeat is None or heartbeat.machine != machine.name or not self.is_active():
             return
         shard.reconciler.on_heartbeat(heartbeat, self.context.now(), checkin=False)
