--- a/ashdock/shard_commands.py
+++ b/ashdock/shard_commands.py
@@ -1,4 +1,4 @@
-"""What the leader asks of the owners of shards: sent to them under its term, and carried out here."""
+"""Commands of the leader to shard owners: sent with its term, and executed by the owner."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ShardCommands:
-    """Commands of the leader for owners of shards, here or at a peer."""
+    """Sends the leader's commands to shard owners, and executes those for shards owned here."""
 
     def __init__(
         self,
@@ -29,15 +29,15 @@
         terms: TermFence,
         now: Callable[[], float],
     ) -> None:
-        """Take what commands are sent with and act on.
+        """Store the collaborators.
 
         Args:
-            owners: the shards owned here.
-            cluster: who owns the others.
-            cluster_version: whether all controllers understand commands with a term.
-            mesh: carries commands to peers.
-            terms: refuses commands of a leader that has been replaced.
-            now: the controller's clock, in seconds since the epoch.
+            owners: Owners of the shards that this controller owns.
+            cluster: Tells which controller owns any other shard.
+            cluster_version: Tells whether all controllers understand commands with a term.
+            mesh: Sends commands to peers.
+            terms: Fence that refuses commands of a replaced leader.
+            now: Current time, in seconds since the epoch.
         """
         self.owners = owners
         self.cluster = cluster
@@ -47,7 +47,15 @@
         self.now = now
 
     def send(self, team: str, command: ShardCommand, term: int) -> None:
-        """Send a command of the leader here to the owner of a team's shard, under its term."""
+        """Send a command of this controller's leader to the owner of a team's shard.
+
+        It is executed at once if the shard is owned here, and dropped if no owner is known.
+
+        Args:
+            team: Name of the team.
+            command: The command.
+            term: Term of the leader.
+        """
         label = self.cluster.owner_label(team)
         if team in self.owners.by_team:
             self.receive(term, command)
@@ -56,9 +64,9 @@
             self.mesh.send(label, FencedCommand(term, command) if fenced else command)
 
     def receive(self, term: int, command: ShardCommand) -> None:
-        """Carry out a command unless a later term is known.
+        """Execute a command, unless a later term is known.
 
-        One that a leader decided before it was replaced has reached an owner after its successor's.
+        A command of a replaced leader has reached an owner after one of the leader's successor.
         """
         if self.terms.admit(term):
             self.execute(command)
@@ -71,16 +79,16 @@
             )
 
     def fenced_received(self, _label: str, frame: FencedCommand) -> None:
-        """Take in a command with a term from a peer."""
+        """Handle a command with a term from a peer."""
         self.receive(frame.term, frame.command)
 
     def unfenced_received(self, _label: str, command: ShardCommand) -> None:
-        """Take in a command without a term: only while some controllers cannot send one."""
+        """Handle a command without a term; ignored once all controllers send commands with one."""
         if not self.cluster_version.fences_commands:
             self.execute(command)
 
     def execute(self, command: ShardCommand) -> None:
-        """Hand a command to the shard's owner, if it is here."""
+        """Apply a command to its shard; ignored if the shard is not owned here."""
         owner = self.owners.by_team.get(command.shard)
         if owner is None:
             return
