--- a/ashdock/load_handover.py
+++ b/ashdock/load_handover.py
@@ -1,4 +1,4 @@
-"""A controller that is short of its processor hands a shard to one that is not."""
+"""Load shedding: a controller that lacks processor time transfers a shard to another one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LoadHandover:
-    """Watches how late this controller's own beats are, and hands a shard over when they stay late."""
+    """Transfers a shard when this controller's own heartbeats to its peers stay late."""
 
     def __init__(
         self,
@@ -29,16 +29,17 @@
         ttl_s: float,
         patience_s: float,
     ) -> None:
-        """Take what the choice rests on.
+        """Start without any heartbeat.
 
         Args:
-            mesh: its beat, and how late the peers' beats are.
-            cluster: how many shards the peers own.
-            membership: who may own shards.
-            commands: hand the shard over, as if the leader had asked for it.
-            leads: whether this controller leads, which counts as a shard.
-            ttl_s: how long after its last beat a peer counts as reachable, in seconds.
-            patience_s: how long this controller has to be late, in seconds, and the pause between two handovers.
+            mesh: Tells the interval of heartbeats and the heartbeat lag of the peers.
+            cluster: Tells how many shards each peer owns.
+            membership: Tells which controllers may own shards.
+            commands: Executes the transfer like a command of the leader.
+            leads: Whether this controller leads; leading counts as a shard.
+            ttl_s: Time for which a peer counts as reachable after its last heartbeat, in seconds.
+            patience_s: Time for which heartbeats have to stay late before a shard is transferred,
+                and minimum time between two transfers, in seconds.
         """
         self.mesh = mesh
         self.cluster = cluster
@@ -50,14 +51,18 @@
         self.load_shedder = LoadShedder(mesh.heartbeat_interval_s, patience_s)
 
     def on_heartbeat(self, now: float) -> None:
-        """Note a beat of this controller, and hand a shard over if it is due. `now`: by the steady clock."""
+        """Record a heartbeat of this controller, and transfer a shard if that is due.
+
+        Args:
+            now: Monotonic time, in seconds.
+        """
         self.heartbeat_lag.beat(now)
         handover = self.load_shedder.hand_on(
             self.heartbeat_lag.gap_s, self._work_by_team(), self.leads(), self._peer_loads(), now
         )
         if handover is not None:
             team, label = handover
-            log.info("shard handed over, short of processor: shard=%s to=%s", team, label)
+            log.info("shard transferred for lack of processor time: shard=%s to=%s", team, label)
             self.commands.execute(TransferShard(team, label))
 
     def _work_by_team(self) -> dict[str, int]:
@@ -68,8 +73,8 @@
         }
 
     def _peer_loads(self) -> dict[str, PeerLoad]:
-        """The peers that may take a shard, by label."""
-        fit = set(self.membership.eligible_members())
+        """Loads of the peers that may take a shard, by label."""
+        eligible = set(self.membership.eligible_members())
         claims = self.cluster.shards.entries
         return {
             label: PeerLoad(
@@ -78,7 +83,7 @@
                 peer.heartbeat.leader,
             )
             for label, peer in self.mesh.peers.items()
-            if label in fit
+            if label in eligible
             and peer.heartbeat is not None
             and peer.heartbeat.ready
             and peer.seen_within(self.ttl_s)
