--- a/ashdock/peer_reports.py
+++ b/ashdock/peer_reports.py
@@ -1,4 +1,4 @@
-"""What the other controllers have told this one of their shards and jobs, and how that adds to what is owned here."""
+"""Reports of the other controllers on their shards and jobs, merged with the shards owned here."""
 
 from __future__ import annotations
 
@@ -12,28 +12,36 @@
 from ashdock.shard_owners import ShardOwners
 from ashdock.wire.peer_messages import ReclaimsInProgress, TaskCounts
 
-MAX_JOBS_PER_PEER = 20 * JOBS_PER_FRAME  # kept of one peer
-RECLAIMS_VALID_HEARTBEATS = 2  # how many beats what a shard is vacating is taken to be true
+MAX_JOBS_PER_PEER = 20 * JOBS_PER_FRAME  # whose task counts are kept
+RECLAIMS_VALID_HEARTBEATS = 2  # heartbeat intervals for which a report on reclaims is valid
 
-Counts = tuple[int, int]  # tasks done, running; as in the frame: thousands of them come with a beat
+# Number of tasks done and running. A plain tuple, as in the frame, since thousands of them arrive
+# with each heartbeat.
+DoneAndRunning = tuple[int, int]
 
 
 class ReceivedStatus(NamedTuple):
-    """A shard's status, and when it came in by the steady clock."""
+    """The status of a shard, and the monotonic time at which it was received."""
 
-    at: float
+    received_at: float
     status: ShardStatus
 
 
 class ReceivedReclaims(NamedTuple):
-    """What a shard is vacating, and when that came in by the steady clock."""
+    """The reclaims in progress of a shard, and the monotonic time at which they were received."""
 
-    at: float
+    received_at: float
     reclaims: ReclaimsInProgress
 
 
 class PeerReports:
-    """The last report of each kind, by shard or by peer."""
+    """Keeps the last report of each kind.
+
+    Attributes:
+        statuses: Statuses of shards, by team.
+        reclaims: Reclaims in progress, by the team whose shard gives the machines up.
+        counts_by_peer: Task counts by job id, by label of the peer that reported them.
+    """
 
     def __init__(
         self,
@@ -44,66 +52,67 @@
         ttl_s: float,
         now: Callable[[], float],
     ) -> None:
-        """Start with nothing reported.
+        """Start without reports.
 
         Args:
-            owners: the shards owned here, whose state is at hand.
-            cluster: who owns the others.
-            heartbeat_interval_s: seconds between two beats of a controller.
-            ttl_s: how long a shard's status is valid, in seconds.
-            now: the controller's clock, in seconds since the epoch.
+            owners: Owners of the shards that this controller owns, which need no reports.
+            cluster: Tells which controller owns any other shard.
+            heartbeat_interval_s: Interval of a controller's heartbeats to its peers, in seconds.
+            ttl_s: Time for which the status of a shard is valid, in seconds.
+            now: Current time, in seconds since the epoch.
         """
         self.owners = owners
         self.cluster = cluster
         self.heartbeat_interval_s = heartbeat_interval_s
         self.ttl_s = ttl_s
         self.now = now
-        self.statuses: dict[str, ReceivedStatus] = {}  # by team
-        self.reclaims: dict[str, ReceivedReclaims] = {}  # by team
-        self.counts_by_peer: dict[str, dict[str, Counts]] = {}  # by peer's label, then by job
+        self.statuses: dict[str, ReceivedStatus] = {}
+        self.reclaims: dict[str, ReceivedReclaims] = {}
+        self.counts_by_peer: dict[str, dict[str, DoneAndRunning]] = {}
 
     def status_received(self, _label: str, status: ShardStatus) -> None:
-        """Keep the status of a shard."""
+        """Store the status of a shard."""
         self.statuses[status.team] = ReceivedStatus(time.monotonic(), status)
 
     def reclaims_received(self, _label: str, reclaims: ReclaimsInProgress) -> None:
-        """Keep what a shard is vacating."""
+        """Store the reclaims in progress of a shard."""
         self.reclaims[reclaims.shard] = ReceivedReclaims(time.monotonic(), reclaims)
 
     def counts_received(self, label: str, frame: TaskCounts) -> None:
-        """Keep the task counts of a peer's jobs."""
+        """Store the task counts of a peer's jobs."""
         known = self.counts_by_peer.setdefault(label, {})
         if len(known) > MAX_JOBS_PER_PEER:
-            known.clear()  # of jobs long over: the next beat names all that are not
+            # Most are of ended jobs; the next heartbeat reports all jobs that have not ended.
+            known.clear()
         known.update((job, (done, running)) for job, done, running in frame.jobs)
 
     def shard_statuses(self) -> dict[str, ShardStatus]:
-        """How all shards stand, by team: those of peers as lately received."""
+        """Return the statuses of all shards by team; those of peers only while they are valid."""
         now = time.monotonic()
         statuses = {
             team: received.status
             for team, received in self.statuses.items()
-            if now - received.at < self.ttl_s
+            if now - received.received_at < self.ttl_s
         }
         for shard in self.owners.active_shards():
             statuses[shard.name] = shard.status_reporter.shard_status(self.now())
         return statuses
 
     def leaving_machines(self) -> list[tuple[str, str]]:
-        """The machines that are being vacated in all shards, each with the team it is for."""
+        """Return the machines being vacated in all shards, each with the team that is to get it."""
         now = time.monotonic()
         leaving = [
             machine
             for received in self.reclaims.values()
-            if now - received.at < self.heartbeat_interval_s * RECLAIMS_VALID_HEARTBEATS
+            if now - received.received_at < self.heartbeat_interval_s * RECLAIMS_VALID_HEARTBEATS
             for machine in received.reclaims.machines
         ]
         for shard in self.owners.active_shards():
             leaving += shard.status_reporter.leaving_machines()
         return leaving
 
-    def task_counts(self, team: str, job_id: str) -> Counts:
-        """How many tasks of a job are done and running, as far as is known here."""
+    def task_counts(self, team: str, job_id: str) -> DoneAndRunning:
+        """Return how many tasks of a job are done and running; zeros if nothing is known of it."""
         owner = self.owners.by_team.get(team)
         if owner and owner.shard and job_id in owner.shard.jobs:
             job = owner.shard.jobs[job_id]
