--- a/ashdock/shard_ownership.py
+++ b/ashdock/shard_ownership.py
@@ -1,4 +1,4 @@
-"""The loop that claims shards for this controller and gives up those that another has claimed."""
+"""Claims shards for this controller and releases those that another controller has claimed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ShardOwnership:
-    """Decides again and again which shards are owned here."""
+    """Decides periodically which shards this controller owns."""
 
     def __init__(
         self,
@@ -27,16 +27,17 @@
         startup_timeline: StartupTimeline,
         prerequisites_known: Callable[[], bool],
     ) -> None:
-        """Take what the decision rests on.
+        """Store the collaborators.
 
         Args:
-            tick_s: seconds from one decision to the next.
-            cluster: who owns what, by the store's records.
-            owners: the shards owned here.
-            membership: of this controller, and who else is fit.
-            connectivity: of this controller; nothing is claimed while the state is not fresh.
-            startup_timeline: told when everything needed has been read.
-            prerequisites_known: whether what else an owner needs is known: machine types and the cluster version.
+            tick_s: Interval of the decisions, in seconds.
+            cluster: Tells which controller owns a shard according to the store.
+            owners: Owners of the shards that this controller owns.
+            membership: Tells whether this controller is a member and which members are eligible.
+            connectivity: Tells whether the store answers; no shard is claimed unless it does.
+            startup_timeline: Records when the caches were filled and the membership valid.
+            prerequisites_known: Whether the machine types and the cluster version are known, which
+                an owner needs.
         """
         self.tick_s = tick_s
         self.cluster = cluster
@@ -47,8 +48,8 @@
         self.prerequisites_known = prerequisites_known
 
     async def run_once(self) -> float:
-        """Claim and give up shards as due; returns the seconds until the next call."""
-        if not self.prerequisites_known() or not self._state_read():
+        """Claim and release shards as due, and return the seconds until the next call."""
+        if not self.prerequisites_known() or not self._caches_ready():
             return self.tick_s / 4
         if (
             self.membership.store_lease is None
@@ -56,20 +57,21 @@
         ):
             return self.tick_s
         self.startup_timeline.synced(time.monotonic())
-        due = shards_to_own(self._snapshot())
+        to_own = shards_to_own(self._snapshot())
         for team in self.cluster.teams:
             entry = self.cluster.shards.entries.get(f"part/{team.name}")
             owner = self.owners.by_team.get(team.name)
             if owner is not None:
-                claim = owner.shard.revision if owner.shard else 0
-                if claim and entry and entry.revision > claim:
+                claim_revision = owner.shard.revision if owner.shard else 0
+                if claim_revision and entry and entry.revision > claim_revision:
                     owner.release(f"claimed by {entry.value['owner']}")
-            elif team.name in due and self.connectivity.state_fresh():
+            elif team.name in to_own and self.connectivity.state_fresh():
                 self.owners.claim(team, entry.revision if entry else 0)
         return self.tick_s
 
-    def _state_read(self) -> bool:
-        # The jobs too: a shard read before their watch has begun would miss what is accepted in between.
+    def _caches_ready(self) -> bool:
+        # Includes the watch on jobs: a shard that is loaded before it starts would miss the jobs that
+        # are accepted in between.
         cluster = self.cluster
         caches = (cluster.shards, cluster.members, cluster.machines, cluster.jobs)
         return all(cache.ready.is_set() for cache in caches)
