--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -204,7 +204,7 @@
         elif self.phase is not OwnershipPhase.LOST:
             self.buffered_changes.append(change)
 
-    def waits_for(self, job_id: str) -> bool:
+    def may_depend_on(self, job_id: str) -> bool:
         """Whether a job here may depend on the given one; yes as long as the shard has not been read."""
         return (
             self.shard is None
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -1,4 +1,4 @@
-"""The shards that this controller owns, and what their owners are told of changes in the store and by peers."""
+"""The shards owned by this controller, and the changes and messages that are passed to them."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class KnownJobs(Protocol):
-    """What a controller remembers of jobs, whoever owns them."""
+    """What this controller knows of the jobs of all shards."""
 
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
-        """Take in a job's record."""
+        """Store the record of a job as of a revision."""
         ...
 
     def is_final(self, job_id: str) -> bool:
-        """Whether the job is known to be over."""
+        """Whether the job is known to have ended."""
         ...
 
 
 class ShardOwners:
-    """The owners of the shards that are owned here, by team."""
+    """The owners of the shards that this controller owns, or is claiming, by team."""
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
         """Start with the owners in `by_team`, which is kept up to date in place.
 
         Args:
-            label: of this controller.
-            by_team: owners by team.
-            create: starts an owner, given its team and the revision of the claim to be replaced.
-            shards: the records of all shards' claims.
-            known_jobs: told of every change of a job.
-            now: the controller's clock, in seconds since the epoch.
+            label: Label of this controller.
+            by_team: Owners by name of the team.
+            create: Starts an owner, given its team and the revision of the claim that it replaces.
+            shards: Claims of all shards.
+            known_jobs: Receives every change of a job record.
+            now: Current time, in seconds since the epoch.
         """
         self.label = label
         self.by_team = by_team
@@ -56,20 +56,25 @@
         self.now = now
 
     def claim(self, team: Team, revision: int) -> None:
-        """Start to own a team's shard. `revision`: that of the claim to be replaced, 0 if there is none."""
+        """Start to claim a team's shard.
+
+        Args:
+            team: The team.
+            revision: Revision of the claim to replace; 0 if there is none.
+        """
         self.by_team[team.name] = self.create(team, revision)
 
     def count(self) -> int:
-        """How many shards are owned here, those being claimed or read among them."""
+        """Return the number of shards owned here, including those being claimed or loaded."""
         return len(self.by_team)
 
     def forget_owner(self, owner: ShardOwner) -> None:
-        """Forget an owner, unless another has taken its place."""
+        """Remove an owner, unless another one has replaced it."""
         if self.by_team.get(owner.team.name) is owner:
             del self.by_team[owner.team.name]
 
     def active_shards(self) -> list[Shard]:
-        """The shards owned here that have been read."""
+        """Return the shards owned here that have been loaded."""
         return [
             owner.shard
             for owner in self.by_team.values()
@@ -77,7 +82,7 @@
         ]
 
     def machine_changed(self, path: str, value: Any, revision: int) -> None:
-        """Take in a change of `machine/<name>`; `value` is None if the record was deleted."""
+        """Handle a change of `machine/<name>`; `value` is None if the record was deleted."""
         name = path.split("/", 1)[1]
         for owner in list(self.by_team.values()):
             if value is None:
@@ -86,12 +91,15 @@
                 owner.apply(lambda shard: shard.add_machine(name, value, revision, self.now()))
 
     def job_changes_missed(self) -> None:
-        """Give up all shards, to be claimed and read again: jobs may have been accepted unnoticed."""
+        """Release all shards, since jobs may have been accepted unnoticed.
+
+        They are then claimed and loaded again.
+        """
         for owner in list(self.by_team.values()):
-            owner.release("changes to jobs were missed")
+            owner.release("changes of job records were missed")
 
     def job_changed(self, path: str, value: Any, revision: int) -> None:
-        """Take in a change of `job/<id>`: new, cancelled, done, or with a reason."""
+        """Handle a change of `job/<id>`: accepted, cancelled, done, or with a new reason."""
         if value is None:
             return
         job_id = path.split("/", 1)[1]
@@ -107,15 +115,22 @@
             self.job_settled(job_id, status, value.get("done_at"))
 
     def job_cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
-        """Let the shard's owner, if it is here, stop a job that was cancelled at `at`."""
+        """Stop a job whose cancellation was recorded, if its shard is owned here.
+
+        Args:
+            job_id: Id of the job.
+            team: Name of its team.
+            revision: Revision of the job record.
+            at: Time of the cancellation, in seconds since the epoch.
+        """
         owner = self.by_team.get(team)
         if owner is not None:
             owner.apply(lambda shard: shard.cancel(job_id, at, revision, self.now()))
 
     def job_settled(self, job_id: str, status: str, done_at: float | None) -> None:
-        """Tell the owners whose jobs depend on a job that it is over."""
+        """Pass the final status of a job to the owners whose jobs may depend on it."""
         for owner in list(self.by_team.values()):
-            if owner.waits_for(job_id):
+            if owner.may_depend_on(job_id):
                 owner.apply(
                     lambda shard: shard.dependency_tracker.settled(
                         job_id, status, done_at, self.now()
@@ -127,7 +142,7 @@
             shard.status_reporter.record_arrival(shard.add_job(value, revision), self.now())
 
     def inherit_priorities(self, inheritance: PriorityInheritance) -> None:
-        """Take in what another shard's jobs pass on to the jobs of shards here that they depend on."""
+        """Apply the priorities that jobs here inherit from their dependents in another shard."""
         for team, owner in self.by_team.items():
             if team != inheritance.shard:
                 owner.apply(
@@ -135,16 +150,17 @@
                 )
 
     def claims_received(self, label: str, claims: OwnershipClaims) -> None:
-        """Take in claims of a peer that the store did not tell us of.
+        """Handle the claims that a peer reports, which this controller's watch may have missed.
 
-        One controller that the store refused alone went on answering the workers of a shard that had gone to
-        another; that one heard none of them and gave up their machines.
+        A controller that was the only one refused by the store kept answering the workers of a
+        shard that another controller had claimed. The new owner got no heartbeats from them and gave
+        up their machines.
         """
         for team, revision in claims.shards:
             path = f"part/{team}"
             known = self.shards.entries.get(path)
             if known is None or known.revision < revision:
                 self.shards.apply_own_write(path, {"owner": label}, revision)
-            ours = self.by_team.get(team)
-            if ours is not None and ours.shard and ours.shard.revision < revision:
-                ours.release(f"claimed by {label}, as it says itself")
+            owner = self.by_team.get(team)
+            if owner is not None and owner.shard and owner.shard.revision < revision:
+                owner.release(f"claimed by {label} according to its own report")
