--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -144,7 +144,7 @@
         self.reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.looking: set[str] = set()  # jobs that others need, being looked up to tell who asks
         self.status_reader = StatusReader(
-            context.store, ANSWER_S, self.saw, context.admission.memory.jobs
+            context.store, ANSWER_S, self.observe_job, context.admission.memory.jobs
         )
         self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
         self.relaying: dict[str, Sent] = {}  # worker: relayed for since
@@ -276,7 +276,7 @@
                     entry = await self._read(need) if need != spec.id else None
                 if entry is None:
                     return f"{need} was never accepted"
-                self.saw(need, entry.value, entry.revision)
+                self.observe_job(need, entry.value, entry.revision)
                 if entry.value["status"] != JobStatus.QUEUED:
                     return None
                 known = known_job_of(entry.value, entry.revision)
@@ -352,7 +352,7 @@
                 if entry is None:
                     return error(404, "no such job")
                 if entry.value["status"] != JobStatus.QUEUED:
-                    self.saw(job_id, entry.value, entry.revision)
+                    self.observe_job(job_id, entry.value, entry.revision)
                     continue
                 record = {
                     **entry.value,
@@ -416,7 +416,7 @@
         self.reads.pop(job_id, None)
         return await self.context.store.get(f"job/{job_id}", priority=RequestPriority.USER)
 
-    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+    def observe_job(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """A record of it came by."""
         self.status_reader.learn(job_id, value, revision)
         if value["status"] in (JobStatus.DONE, JobStatus.WITHDRAWN):
@@ -461,7 +461,7 @@
         if final is None:
             entry = await self.context.store.get(f"job/{job_id}")
             if entry is not None:
-                self.saw(job_id, entry.value, entry.revision)
+                self.observe_job(job_id, entry.value, entry.revision)
             final = self.finals.get(job_id)
         return (final.status, final.done_at) if final else None
 
@@ -475,7 +475,7 @@
         )
 
     def _state(self, job_id: str, entry: Entry) -> bytes:
-        self.saw(job_id, entry.value, entry.revision)
+        self.observe_job(job_id, entry.value, entry.revision)
         final = self.finals.get(job_id)
         return (
             self._final(job_id, final)
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -16,7 +16,7 @@
 class KnownJobs(Protocol):
     """What this controller knows of the jobs of all shards."""
 
-    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+    def observe_job(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """Store the record of a job as of a revision."""
         ...
 
@@ -103,7 +103,7 @@
         if value is None:
             return
         job_id = path.split("/", 1)[1]
-        self.known_jobs.saw(job_id, value, revision)
+        self.known_jobs.observe_job(job_id, value, revision)
         team = spec_of_record(value).team
         owner = self.by_team.get(team)
         status = value["status"]
@@ -153,8 +153,8 @@
         """Handle the claims that a peer reports, which this controller's watch may have missed.
 
         A controller that was the only one refused by the store kept answering the workers of a
-        shard that another controller had claimed. The new owner got no heartbeats from them and gave
-        up their machines.
+        shard that another controller had claimed. The new owner got no heartbeats from them and
+        gave up their machines.
         """
         for team, revision in claims.shards:
             path = f"part/{team}"
--- a/ashdock/shard_ownership.py
+++ b/ashdock/shard_ownership.py
@@ -70,8 +70,8 @@
         return self.tick_s
 
     def _caches_ready(self) -> bool:
-        # Includes the watch on jobs: a shard that is loaded before it starts would miss the jobs that
-        # are accepted in between.
+        # Includes the watch on jobs: a shard that is loaded before it starts would miss the jobs
+        # that are accepted in between.
         cluster = self.cluster
         caches = (cluster.shards, cluster.members, cluster.machines, cluster.jobs)
         return all(cache.ready.is_set() for cache in caches)
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -66,7 +66,9 @@
     owner = SimpleNamespace(team=SimpleNamespace(name="red"), apply=lambda change: change(shard))
     owners: Any = ShardOwners.__new__(ShardOwners)
     owners.by_team = {"red": owner}
-    owners.known_jobs = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
+    owners.known_jobs = SimpleNamespace(
+        observe_job=lambda *words: None, is_final=lambda job_id: False
+    )
     owners.now = lambda: NOW
     owners.job_cancelled = lambda *words: told.append(["cancelled", *plain(words)])
     owners.job_settled = lambda *words: told.append(["settled", *plain(words)])
