--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -1,4 +1,8 @@
-"""Owns one shard: claims it, reads it back, runs it, and gives it up when the claim is lost or transferred."""
+"""Ownership of one shard by this controller.
+
+The owner claims the shard, loads it from the store, runs it, and releases it when the claim is lost
+or transferred.
+"""
 
 from __future__ import annotations
 
@@ -27,16 +31,15 @@
 
 log = logging.getLogger("ashdock.shard_owner")
 
-DEPENDENCY_READS_AT_ONCE = 8  # reads of the store under way for the outcomes of dependencies
-TRANSACTIONS_PER_ITERATION = 16  # so that changes from outside are looked at in between
-# A scheduling cycle that was put off is looked at again this many times as often as one is due.
-DEFERRED_CYCLE_CHECKS = 16
+MAX_CONCURRENT_DEPENDENCY_READS = 8
+MAX_TRANSACTIONS_PER_ITERATION = 16  # so that external changes are handled in between
+DEFERRED_CYCLE_CHECKS_PER_TICK = 16  # of whether a deferred scheduling cycle is due
 
 ShardChange = Callable[[Shard], None]
 
 
 class OwnershipPhase(Enum):
-    """How far the ownership of a shard has come."""
+    """Phases in the ownership of a shard."""
 
     CLAIMING = "claiming"
     LOADING = "loading"
@@ -45,23 +48,39 @@
 
 
 class KnownJobs(Protocol):
-    """What this controller remembers of jobs, whoever owns them."""
+    """What this controller knows of the jobs of all shards."""
 
     def observe_job(self, job_id: str, value: dict[str, Any], revision: int) -> None:
-        """Remember a job's record of the given revision."""
+        """Store the record of a job as of a revision."""
         ...
 
     async def outcome(self, job_id: str) -> tuple[str, float | None] | None:
-        """The status and time of the end of a job; None while it has none.
+        """Return the final status of a job and when it was done; None while it has not ended.
 
         Raises:
-            StoreUnavailableError: it has to be read, and the store does not answer.
+            StoreUnavailableError: The job record has to be read and the store does not answer.
         """
         ...
 
 
 class ShardOwnerContext(Protocol):
-    """What the owner of a shard needs of its controller."""
+    """What the owner of a shard uses of its controller.
+
+    Attributes:
+        label: Label of the controller.
+        shared: The deployment's settings.
+        operators: The operators' configuration.
+        workers: Settings for workers.
+        tick_s: Longest time between two iterations of a shard without changes, in seconds.
+        batching_delay_s: Time to wait for more changes after the first, in seconds.
+        rng: Source of random numbers.
+        write_limits: Limits of the store for transactions and values.
+        catalog: Machine types by name.
+        store: Client of the store.
+        machines: Records of all machines.
+        shards: Claims of all shards.
+        worker_client: Client for requests to workers.
+    """
 
     label: str
     shared: Shared
@@ -79,56 +98,77 @@
 
     @property
     def known_jobs(self) -> KnownJobs:
-        """The controller's memory of jobs."""
+        """What the controller knows of jobs."""
         ...
 
     def now(self) -> float:
-        """The time of day in seconds, as all that is stored counts it."""
+        """Current time, in seconds since the epoch."""
         ...
 
     def may_renew(self, read_at: float) -> bool:
-        """Whether agent leases may be renewed for a shard that was read at `read_at`, by the monotonic clock."""
+        """Whether agent leases may be renewed for a shard.
+
+        Args:
+            read_at: Monotonic time at which the shard was loaded, in seconds.
+        """
         ...
 
     def state_fresh(self) -> bool:
-        """Whether the store has answered lately."""
+        """Whether the store has answered recently."""
         ...
 
     def fit_members(self) -> list[str]:
-        """The labels of the controllers that may own shards."""
+        """Labels of the controllers that may own shards."""
         ...
 
     def owned_shard_count(self) -> int:
-        """How many shards this controller owns."""
+        """Number of shards owned by this controller."""
         ...
 
     def forget_owner(self, owner: ShardOwner) -> None:
-        """Forget an owner that has given up its shard."""
+        """Remove an owner that has released its shard."""
         ...
 
     def job_changed(self, path: str, value: Any, revision: int) -> None:
-        """Take in a job's record as if the watch had brought it."""
+        """Handle a job record like a change reported by the watch."""
         ...
 
     def send_claims(self) -> None:
-        """Tell the other controllers which shards are owned here."""
+        """Report the shards owned here to the other controllers."""
         ...
 
     def send_status_if_urgent(self, shard: Shard) -> None:
-        """Send the leader the shard's status, if it has changed in what cannot wait."""
+        """Send the shard's status to the leader if the shard has begun to lack capacity."""
         ...
 
 
 class ShardOwner:
-    """The one controller's actor for a shard, from the claim on. A task of its own runs from construction to the end."""
+    """Claims a shard and runs it until the shard is released.
+
+    An asyncio task of its own runs from construction to the release.
+
+    Attributes:
+        expected_revision: Revision of the shard's key that the claim replaces; 0: there is no key.
+        shard: The shard; None until it has been claimed.
+        wake: Event that starts the next iteration before its time.
+        ready: Event set once the shard has been loaded.
+        transfer_to: Label of the controller to which the leader wants to transfer the shard.
+        read_at: Monotonic time at which loading began. Every cancellation confirmed until then is
+            part of what was loaded.
+        renews_agent_leases: Whether agent leases are renewed, as last logged.
+        buffered_changes: Changes received before the shard was loaded.
+        last_cycle_at: When the last scheduling cycle began.
+        next_cycle_at: Earliest time of the next scheduling cycle. A cycle that took long is not
+            followed by another one at once.
+    """
 
     def __init__(self, context: ShardOwnerContext, team: Team, revision: int) -> None:
-        """Start to claim.
+        """Start the task that claims the shard.
 
         Args:
-            context: the controller.
-            team: the team that the shard belongs to.
-            revision: of the shard's key as found; the claim replaces that revision only. 0: there is no key.
+            context: The controller.
+            team: Team of the shard.
+            revision: Revision of the shard's key that the claim replaces; 0 if there is no key.
         """
         self.context = context
         self.team = team
@@ -137,16 +177,15 @@
         self.shard: Shard | None = None
         self.wake = asyncio.Event()
         self.ready = asyncio.Event()
-        self.transfer_to: str | None = None  # the controller that the leader wants to own the shard
-        # By the monotonic clock: each cancellation that was confirmed until then was read with the shard.
+        self.transfer_to: str | None = None
         self.read_at = -math.inf
-        self.renewing = True  # whether agent leases are renewed, as last logged
-        self.buffered_changes: list[ShardChange] = []  # seen while the shard was being read
+        self.renews_agent_leases = True
+        self.buffered_changes: list[ShardChange] = []
         self.command_sender = CommandSender(context, self._is_active, self.wake)
         self.dependency_reader: asyncio.Task[None] | None = None
-        self.last_cycle_at = -math.inf  # when the last scheduling cycle began
+        self.last_cycle_at = -math.inf
         self.iteration_began_at = -math.inf
-        self.next_cycle_at = 0.0  # a cycle that took long is not followed by another at once
+        self.next_cycle_at = 0.0
         self.failover_timeline = FailoverTimeline(team.name, context.now())
         self.task = asyncio.create_task(self._run())
 
@@ -177,7 +216,7 @@
         self.buffered_changes.clear()
         self.ready.set()
         log.info(
-            "shard claimed and read back: shard=%s token=%d jobs=%d machines=%d parks=%d",
+            "shard claimed and loaded: shard=%s token=%d jobs=%d machines=%d parks=%d",
             self.team.name,
             shard.revision,
             len(shard.jobs),
@@ -186,7 +225,11 @@
         )
 
     def release(self, reason: str) -> None:
-        """Stop acting for the shard; the claim is lost, transferred, or of no more use. Once only."""
+        """Stop acting for the shard; does nothing if it has been released before.
+
+        Args:
+            reason: Reason for the log.
+        """
         if self.phase is OwnershipPhase.LOST:
             return
         log.info("shard no longer owned: shard=%s reason=%s", self.team.name, reason)
@@ -194,10 +237,10 @@
         self.context.forget_owner(self)
         self.wake.set()
 
-    # -- input from outside --------------------------------------------------------------------
+    # -- external input ------------------------------------------------------------------------
 
     def apply(self, change: ShardChange) -> None:
-        """Apply a change to the shard, now or as soon as it has been read."""
+        """Apply a change to the shard, at once or when it has been loaded."""
         if self.phase is OwnershipPhase.ACTIVE and self.shard:
             change(self.shard)
             self.wake.set()
@@ -205,7 +248,7 @@
             self.buffered_changes.append(change)
 
     def may_depend_on(self, job_id: str) -> bool:
-        """Whether a job here may depend on the given one; yes as long as the shard has not been read."""
+        """Whether a job here may depend on the given one; true until the shard has been loaded."""
         return (
             self.shard is None
             or self.phase is not OwnershipPhase.ACTIVE
@@ -214,19 +257,25 @@
 
     def _may_renew(self) -> bool:
         may_renew = self.context.may_renew(self.read_at)
-        if may_renew is not self.renewing:
-            self.renewing = may_renew
+        if may_renew is not self.renews_agent_leases:
+            self.renews_agent_leases = may_renew
             if may_renew:
-                log.info("agent leases renewed again: shard=%s", self.team.name)
+                log.info("agent leases are renewed again: shard=%s", self.team.name)
             else:
                 log.info(
-                    "agent leases not renewed, cancellations may be unknown: shard=%s",
+                    "agent leases are not renewed since cancellations may be unknown: shard=%s",
                     self.team.name,
                 )
         return may_renew
 
     async def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """Take a worker's heartbeat in. None: it may not be answered from here, or not yet."""
+        """Handle a worker's heartbeat.
+
+        Waits for the shard to be loaded, but at most for half the workers' heartbeat interval.
+
+        Returns:
+            The response; None if the heartbeat must not be answered by this controller, or not yet.
+        """
         if self.phase is not OwnershipPhase.ACTIVE:
             try:
                 async with asyncio.timeout(self.context.workers.report_s / 2):
@@ -240,7 +289,7 @@
         if commands is None:
             return None
         self.failover_timeline.heartbeat_received(self.context.now())
-        # Most heartbeats say nothing new, and call for no iteration.
+        # Most heartbeats report nothing new and require no iteration.
         if (
             shard.needs_scheduling
             or shard.writer.changed_jobs
@@ -250,7 +299,7 @@
             self.wake.set()
         return HeartbeatResponse(shard.token(shard.machines[heartbeat.machine]), commands)
 
-    # -- the task ------------------------------------------------------------------------------
+    # -- main loop -----------------------------------------------------------------------------
 
     async def _run(self) -> None:
         try:
@@ -260,51 +309,51 @@
                 await self._run_iteration(shard)
                 await self._wait_for_changes(shard)
         except CompareFailedError as error:
-            self.release(f"claimed by another ({error})")
+            self.release(f"claimed by another controller ({error})")
         except StoreUnavailableError as error:
-            self.release(f"the store: {error}")
+            self.release(f"store unavailable: {error}")
         except StaleContextError as error:
             log.debug("shard owner ends: shard=%s reason=%s", self.team.name, error)
-        except (
-            Exception
-        ):  # the top of a task: whatever it is, another controller must be able to claim
+        # Whatever the error, the shard is released so that it can be claimed again.
+        except Exception:
             log.exception("shard owner failed: shard=%s", self.team.name)
-            self.release("an error of ours")
+            self.release("internal error")
 
     async def _wait_for_changes(self, shard: Shard) -> None:
         try:
             async with asyncio.timeout(self._idle_s(shard)):
                 await self.wake.wait()
-                # Changes come in bursts: what arrives together is decided and written together.
+                # Changes come in bursts; what arrives together is scheduled and written together.
                 await asyncio.sleep(self.context.batching_delay_s)
         except TimeoutError:
             pass
 
     def _idle_s(self, shard: Shard) -> float:
-        """How long to wait for changes before the next iteration; less if a scheduling cycle was put off."""
+        """Return how long to wait for changes; less if a scheduling cycle was deferred."""
         tick_s = self.context.tick_s
         if not shard.needs_scheduling:
             return tick_s
         return min(
-            tick_s, max(self.next_cycle_at - self.context.now(), tick_s / DEFERRED_CYCLE_CHECKS)
+            tick_s,
+            max(self.next_cycle_at - self.context.now(), tick_s / DEFERRED_CYCLE_CHECKS_PER_TICK),
         )
 
-    # -- claiming and reading back -------------------------------------------------------------
+    # -- claiming and loading ------------------------------------------------------------------
 
     async def _claim(self) -> Shard:
-        """Claim the shard and read it back.
+        """Claim the shard and load it.
 
         Raises:
-            CompareFailedError: another controller has claimed it first.
-            StoreUnavailableError: the store does not answer.
-            StaleContextError: it was given up meanwhile.
+            CompareFailedError: Another controller claimed it first.
+            StoreUnavailableError: The store does not answer.
+            StaleContextError: The shard was released meanwhile.
         """
         name = self.team.name
         path = f"part/{name}"
         value = {"owner": self.context.label}
         revision = await self.context.store.txn({path: self.expected_revision}, {path: value})
         self.context.shards.apply_own_write(path, value, revision)
-        ensure_current(self.phase is OwnershipPhase.CLAIMING, "given up while it was being claimed")
+        ensure_current(self.phase is OwnershipPhase.CLAIMING, "released while being claimed")
         shard = self._begin_loading(revision)
         self.read_at = time.monotonic()
         await self._load(shard)
@@ -313,15 +362,15 @@
         return shard
 
     async def _load(self, shard: Shard) -> None:
-        """Read all of the shard; after the claim no earlier owner can write to it any more."""
+        """Load the shard, to which no earlier owner can write any more since the claim."""
         store, name = self.context.store, self.team.name
         (machines, watermark), (work, _), (parks, _) = await asyncio.gather(
             store.list_prefix("machine/"),
             store.list_prefix(f"work/{name}/"),
             store.list_prefix(f"park/{name}/"),
         )
-        # Another may have claimed it meanwhile: an owner that was given up must not become active again.
-        ensure_current(self.phase is OwnershipPhase.LOADING, "given up while it was being read")
+        # The shard may have been released meanwhile; a released owner must not become active again.
+        ensure_current(self.phase is OwnershipPhase.LOADING, "released while being loaded")
         assigned = [
             (entry.path.split("/", 1)[1], entry.value, entry.revision)
             for entry in machines
@@ -329,14 +378,19 @@
         ]
         shard.load(assigned, list(work), list(parks), self.context.now())
         for job in shard.jobs.values():
-            if job.active:  # one whose outcome is still to be written is not over for its user yet
+            # A job whose outcome has not been written has not ended for its user yet.
+            if job.active:
                 self.context.known_jobs.observe_job(job.id, job.record(), job.revision)
         shard.seen_revision = max(shard.seen_revision, watermark)
 
-    # -- one iteration -------------------------------------------------------------------------
+    # -- iteration -----------------------------------------------------------------------------
 
     async def _run_iteration(self, shard: Shard) -> None:
-        """Periodic work, a scheduling cycle if one is due, then the writes and commands that come of it."""
+        """Run one iteration.
+
+        Does the periodic work, runs a scheduling cycle if one is due, and sends the resulting
+        writes and commands. If a transfer was requested, it is attempted instead.
+        """
         if self.transfer_to is not None:
             await self._transfer(shard, self.transfer_to)
             return
@@ -358,7 +412,7 @@
         self.last_cycle_at = now
         shard.scheduler.schedule(now)
         self.failover_timeline.cycle_ended(shard.tasks_placed > 0, self.context.now())
-        # Cycles get no more than their share of the processor, however large the shard.
+        # Limits scheduling cycles to their share of the processor, however large the shard.
         ended_at = self.context.now()
         self.next_cycle_at = ended_at + pause_s(
             ended_at - now, pass_share(self.context.owned_shard_count())
@@ -372,15 +426,15 @@
     async def _read_dependencies(self, shard: Shard) -> None:
         """Look up the outcomes of dependencies that may have ended before the watch began.
 
-        An outcome is final, so what is read here holds whatever the watch brings meanwhile. What is left when the store
-        does not answer is read after a later iteration.
+        An outcome is final, so it holds whatever the watch reports meanwhile. Dependencies that are
+        left when the store does not answer are read in a task of a later iteration.
         """
-        jobs = self.context.known_jobs
+        known_jobs = self.context.known_jobs
         unread = shard.dependency_tracker.unread
         while unread and self.phase is OwnershipPhase.ACTIVE:
-            job_ids = list(unread)[:DEPENDENCY_READS_AT_ONCE]
+            job_ids = list(unread)[:MAX_CONCURRENT_DEPENDENCY_READS]
             try:
-                outcomes = await asyncio.gather(*map(jobs.outcome, job_ids))
+                outcomes = await asyncio.gather(*map(known_jobs.outcome, job_ids))
             except StoreUnavailableError:
                 return
             for job_id, outcome in zip(job_ids, outcomes, strict=True):
@@ -390,7 +444,11 @@
                     self.wake.set()
 
     async def _transfer(self, shard: Shard, to: str) -> None:
-        """Name the next owner in the shard's key, between two of our own transactions. It claims on seeing that."""
+        """Write the next owner's label into the shard's key; that controller then claims the shard.
+
+        Called between two transactions of this owner. Nothing is done if the other controller may
+        not own shards or a direct command is in flight.
+        """
         self.transfer_to = None
         if to not in self.context.fit_members() or any(
             machine.sending for machine in shard.machines.values()
@@ -401,22 +459,23 @@
         try:
             revision = await self.context.store.txn({path: shard.revision}, {path: value})
         except StoreUnavailableError:
-            # It may still be applied. If it was, the condition on the claim fails our next write.
+            # The write may still be applied. If it is, the condition on the claim fails the next
+            # write here.
             return
         self.context.shards.apply_own_write(path, value, revision)
-        self.release(f"given to {to}")
+        self.release(f"transferred to {to}")
 
     # -- writing -------------------------------------------------------------------------------
 
     async def _write_changes(self, shard: Shard) -> None:
-        """Write what is not durable yet, as long as no scheduling cycle is kept waiting by it.
+        """Write what is not durable yet, unless that keeps a scheduling cycle waiting.
 
-        A transaction that was not answered is built again in the next iteration; the revisions show then whether it was
-        applied.
+        A transaction without an answer is built again in the next iteration. Its conditions on
+        revisions then show whether the first one was applied.
         """
-        writes = self.context.store.write_limiter
-        for _ in range(TRANSACTIONS_PER_ITERATION):
-            transaction = shard.writer.next_transaction(writes.scarce, writes.per_s)
+        write_limiter = self.context.store.write_limiter
+        for _ in range(MAX_TRANSACTIONS_PER_ITERATION):
+            transaction = shard.writer.next_transaction(write_limiter.scarce, write_limiter.per_s)
             if transaction is None or self.phase is not OwnershipPhase.ACTIVE:
                 return
             try:
@@ -444,13 +503,14 @@
         self._update_caches(transaction.writes, revision)
         if shard.tasks_placed:
             self.failover_timeline.placement_committed(self.context.now())
-        # Run commands go out between transactions, not after the last of them.
+        # Run commands are sent after each transaction instead of after the last one.
         self._send_urgent(shard)
 
     def _cycle_waits_for_writes(self, shard: Shard) -> bool:
         """Whether a scheduling cycle is due while the writes of this iteration take long.
 
-        Where the store takes few changes a second, sixteen transactions took nine seconds without a cycle in between.
+        With a store that accepts few writes per second, 16 transactions took 9 seconds without a
+        scheduling cycle in between.
         """
         now = self.context.now()
         return (
@@ -465,30 +525,28 @@
             elif path.startswith("job/"):
                 self.context.job_changed(path, value, revision)
 
-    async def _resolve_conflict(self, shard: Shard, failed: list[str]) -> bool:
-        """Read the keys whose condition failed and take their values in.
+    async def _resolve_conflict(self, shard: Shard, failed_keys: list[str]) -> bool:
+        """Read the keys whose condition failed and apply their stored values.
 
         Args:
-            shard: the shard.
-            failed: their paths; empty if the store did not say which.
+            shard: The shard.
+            failed_keys: Paths of the keys; empty if the store did not name them.
 
         Returns:
-            Whether the shard is still ours.
+            Whether the shard is still owned here.
         """
         claim_path = f"part/{shard.name}"
-        for path in failed or [claim_path]:
+        for path in failed_keys or [claim_path]:
             entry = await self.context.store.get(path)
-            ensure_current(
-                self.phase is OwnershipPhase.ACTIVE, "given up while it was being written"
-            )
+            ensure_current(self.phase is OwnershipPhase.ACTIVE, "released while being written")
             revision = entry.revision if entry else 0
             if path == claim_path:
                 if revision != shard.revision:
-                    self.release("claimed by another")
+                    self.release("claimed by another controller")
                     return False
                 continue
             log.info(
-                "stored value changed by another writer, taken in: shard=%s key=%s",
+                "applying stored value changed by another writer: shard=%s key=%s",
                 shard.name,
                 path,
             )
@@ -498,7 +556,7 @@
         return True
 
     def _send_urgent(self, shard: Shard) -> None:
-        """Send the commands that are not to wait for the next heartbeat."""
+        """Send the commands that cannot wait for the next heartbeat."""
         machine_names, shard.urgent_machines = shard.urgent_machines, {}
         if self.phase is OwnershipPhase.ACTIVE and self._may_renew():
             self.command_sender.send(shard, machine_names)
