--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,7 @@
-"""State that was read before an `await` and has changed since: each case ended a loop, or revived what was gone."""
+"""State that was read before an `await` and changed during it.
+
+Each case once ended a background loop or made a released object active again.
+"""
 
 from __future__ import annotations
 
@@ -19,10 +22,10 @@
 from tests.whole import Service, job
 
 SEED = 31
-SETTLE_S = 5.0  # from the start of the cluster until the test begins
+SETTLE_S = 5.0  # from the start of the cluster to the start of the test
 
 
-def test_iterate_live_skips_removed_items_and_yields_present_values() -> None:
+def test_iterate_live_skips_removed_items_and_yields_current_values() -> None:
     table = {"a": 1, "b": 2, "c": 3}
     seen = []
     for key, value in iterate_live(table):
@@ -35,14 +38,19 @@
         ensure_current(False, "gone")
 
 
-def play(monkeypatch: pytest.MonkeyPatch, day: Callable[[Service], Awaitable[Any]]) -> None:
-    """Plays a day, which may end before any task has run, unlike those of `tests.test_whole.play`."""
+def simulate(
+    monkeypatch: pytest.MonkeyPatch, scenario: Callable[[Service], Awaitable[Any]]
+) -> None:
+    """Run a scenario on a simulated cluster.
+
+    Unlike with `tests.test_whole.play`, it may end before any task has run.
+    """
 
     async def main(net: simtime.Net) -> None:
         service = Service(net)
         await service.start()
         await asyncio.sleep(SETTLE_S)
-        await day(service)
+        await scenario(service)
         assert not service.rules.broken
 
     simtime.run(main, SEED, monkeypatch)
@@ -51,9 +59,9 @@
 def test_an_unrecorded_machine_is_assigned_while_others_are_adopted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The leader's loop ended with a KeyError."""
+    """The loop of the leader ended with a KeyError."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1))
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
@@ -61,7 +69,7 @@
 
         async def adopt(name: str, *_: Any) -> None:
             adopted.append(name)
-            # Assigned, and so recorded, while this one was being written.
+            # Assigned to a shard, and thereby recorded, while the first one was being written.
             leader.heartbeats.unrecorded.pop("vm-b", None)
 
         monkeypatch.setattr(leader.inventory, "_adopt", adopt)
@@ -72,21 +80,24 @@
         await leader.inventory.adopt_unrecorded()
         assert adopted == ["vm-a", "vm-c"] and not leader.heartbeats.unrecorded
 
-    play(monkeypatch, day)
+    simulate(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("phase", [OwnershipPhase.CLAIMING, OwnershipPhase.LOADING])
 def test_an_owner_lost_while_claiming_or_loading_stays_lost(
     phase: OwnershipPhase, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Given up while it was claimed or loaded, it became active again beside its successor, in no table."""
+    """An owner that was released while claiming or loading became active again.
 
-    async def day(service: Service) -> None:
+    It ran beside its successor and was no longer among the controller's owners.
+    """
+
+    async def scenario(service: Service) -> None:
         await service.submit(job(1))
         service.state.slow = 0.2
         n = next(n for n, c in service.controllers.items() if "red" in c.owners)
         controller = service.controllers[n]
-        controller.owners["red"].release("for this test")
+        controller.owners["red"].release("released by the test")
         owner = None
         while owner is None or owner.phase is not phase:
             await asyncio.sleep(0.01)
@@ -96,13 +107,13 @@
         assert owner.phase is OwnershipPhase.LOST and owner.task.done()
         assert not await service.until_final(["req-000001"], 60)
 
-    play(monkeypatch, day)
+    simulate(monkeypatch, scenario)
 
 
 def test_a_provisioning_intent_of_this_term_is_not_carried_out_twice(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1))
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
@@ -115,21 +126,23 @@
             f"n9.{revision}.7",
         ):
             service.state.keys[f"charter/{name}"] = (value, 1, None)
-        carried: list[str] = []
+        carried_out: list[str] = []
 
         async def carry_out(intent: ProvisioningIntent, *_: Any, **__: Any) -> None:
-            carried.append(intent.name)
+            carried_out.append(intent.name)
 
         monkeypatch.setattr(leader.provisioner, "_carry_out", carry_out)
         await leader._resume_intents()
         await asyncio.sleep(0.01)
-        # One from before an outage that interrupted our leadership is repeated like any other leader's.
-        assert sorted(carried) == sorted([f"{label}.{revision}.0", f"n9.{revision}.7"])
+        # An intent from before an outage that interrupted this leadership is carried out again like
+        # that of any other leader.
+        assert sorted(carried_out) == sorted([f"{label}.{revision}.0", f"n9.{revision}.7"])
 
-    play(monkeypatch, day)
+    simulate(monkeypatch, scenario)
 
 
-WATCH_EVENTS = [  # our own writes, the watch events after them, the revisions then cached
+# Own writes, the watch events that arrive after them, the revisions that are then cached.
+WATCH_EVENTS = [
     ([("m/1", None, 9)], [("m/1", {"a": 1}, 7)], {}),
     ([("m/1", None, 9)], [("m/1", {"a": 1}, 7), ("m/1", None, 9)], {}),
     ([("m/1", None, 9)], [("m/1", {"a": 1}, 11)], {"m/1": 11}),
@@ -151,33 +164,36 @@
     assert {path: entry.revision for path, entry in watch_cache.entries.items()} == revisions
 
 
-def test_a_run_command_is_sent_under_the_token_it_was_decided_under(
+def test_a_run_command_is_sent_with_the_token_it_was_recorded_with(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Under a higher token a late command would be accepted, although the worker's own token had ruled that out."""
+    """With a higher token a run command that arrives late would not be fenced.
+
+    The worker would accept it although its own token had been raised to refuse it.
+    """
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1))
         await service.until_final(["req-000001"], 60)
         controller = next(c for c in service.controllers.values() if "red" in c.owners)
         owner = controller.owners["red"]
         assert owner.shard is not None
         machine = next(m for m in owner.shard.machines.values() if m.address and m.incarnation)
-        sent: list[int] = []
+        sent_tokens: list[int] = []
 
         async def send_commands(worker_address: str, token: int, *_: Any) -> Any:
-            sent.append(token)
+            sent_tokens.append(token)
             return 200, None
 
         monkeypatch.setattr(controller.worker_client, "send_commands", send_commands)
-        decided_under = owner.shard.token(machine)
+        recorded_token = owner.shard.token(machine)
         monkeypatch.setattr(owner.shard.commands, "direct", lambda *_: [object()])
         monkeypatch.setattr(owner.shard.commands, "direct_answered", lambda *_: None)
         owner.shard.urgent_machines[machine.name] = None
         owner._send_urgent(owner.shard)
-        machine.revision += 1000  # its record was written before the message had left
+        machine.revision += 1000  # its record is written before the request is sent
         await asyncio.sleep(0.01)
         machine.revision -= 1000
-        assert sent == [decided_under]
+        assert sent_tokens == [recorded_token]
 
-    play(monkeypatch, day)
+    simulate(monkeypatch, scenario)
