--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,6 +1,6 @@
 """State that was read before an `await` and changed during it.
 
-Each case once ended a background loop or made a released object active again.
+Each case once ended a background loop or revived something that had been released or removed.
 """
 
 from __future__ import annotations
--- a/tests/test_load_handover.py
+++ b/tests/test_load_handover.py
@@ -93,6 +93,6 @@
     assert transfers(4 * HEARTBEAT_INTERVAL_S, {"b": other}, eligible) == []
 
 
-def test_a_leader_transfers_a_shard_to_a_peer_that_also_leads() -> None:
+def test_leadership_of_this_controller_counts_as_a_shard() -> None:
     executed = transfers(4 * HEARTBEAT_INTERVAL_S, {"b": peer(leader=True)}, ["a", "b"], leads=True)
     assert executed == [TransferShard("blue", "b")]
