--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -1,7 +1,8 @@
-"""The store refuses one controller alone, another confirms cancellations to users, then the store is down for all.
+"""Cancellations that are unknown to a shard's owner because the store refuses only its requests.
 
-The outage is longer than `cancel_s`, while workers go on reporting to the refused controller
-(docs/incidents/refused-alone.md).
+Another controller confirms the cancellations to users. Then the store fails for all controllers,
+for longer than `cancel_s`, while workers keep reporting to the refused owner. The cancelled tasks
+must still end in time (docs/incidents/refused-alone.md).
 """
 
 from __future__ import annotations
@@ -20,16 +21,23 @@
 from tests.whole import Service, job, shared
 
 CANCEL_S, LEASE_S, TTL_S = 20.0, 6.0, 1.0
-BOUND_S = CANCEL_S - LEASE_S
+# Watermark age up to which agent leases may be renewed, before the allowance for clock drift.
+MAX_WATERMARK_AGE_S = CANCEL_S - LEASE_S
 
 
-# -- up to when cancellations are known ------------------------------------------------------------------
+# -- cancellation watermark ----------------------------------------------------------------------
 
 PEERS = ("n1", "n2")
 
 
 class LinkEvent(NamedTuple):
-    """The number sent at `sent_at` is back at `at`, from `label`; None: the peer has made a new link."""
+    """An echo of a number, or a new link.
+
+    Attributes:
+        label: Label of the peer.
+        at: Time of the event, in seconds.
+        sent_at: Time at which the echoed number was sent; None: the peer has made a new link.
+    """
 
     label: str
     at: float
@@ -37,16 +45,17 @@
 
 
 def echoes(label: str, *times: float) -> list[LinkEvent]:
-    """Echoes on one link, each of a number sent a second before."""
+    """Return echoes on one link, each of a number sent one second earlier."""
     return [LinkEvent(label, at, at - 1) for at in times]
 
 
 def new_link(label: str, at: float) -> list[LinkEvent]:
-    """The peer makes a new link."""
+    """Return the event of a new link made by the peer."""
     return [LinkEvent(label, at, None)]
 
 
-KNOWN: list[tuple[str, float, list[LinkEvent], float]] = [
+# Description, time until which the store has reported cancellations, events, watermark.
+WATERMARK_CASES: list[tuple[str, float, list[LinkEvent], float]] = [
     ("no echo", 10, [], 10),
     ("one peer proves nothing for the other", 10, echoes("n1", 5, 50), 10),
     ("both, continuous", 10, echoes("n1", 5, 50) + echoes("n2", 6, 47), 46),
@@ -77,8 +86,10 @@
 ]
 
 
-@pytest.mark.parametrize(("description", "base", "events", "known"), KNOWN)
-def test_known_until(description: str, base: float, events: list[LinkEvent], known: float) -> None:
+@pytest.mark.parametrize(("description", "base", "events", "known_until"), WATERMARK_CASES)
+def test_known_until(
+    description: str, base: float, events: list[LinkEvent], known_until: float
+) -> None:
     watermark = CancellationWatermark(shared().workers, PEERS, 1 << 40)
     numbers: dict[float, int] = {}
     for at, event in sorted(
@@ -92,10 +103,10 @@
             watermark.link_established(event.label)
         else:
             watermark.echo_received(event.label, numbers[event.sent_at], at)
-    assert watermark.known_until(base, 51.0) == known
-    bound = BOUND_S - 0.002 * CANCEL_S
-    assert watermark.may_renew(base, known + bound - 0.001) and not watermark.may_renew(
-        base, known + bound
+    assert watermark.known_until(base, 51.0) == known_until
+    max_age_s = MAX_WATERMARK_AGE_S - 0.002 * CANCEL_S
+    assert watermark.may_renew(base, known_until + max_age_s - 0.001) and not watermark.may_renew(
+        base, known_until + max_age_s
     )
 
 
@@ -107,9 +118,8 @@
         watermark.echo_received(label, number, 11.0)
         watermark.echo_received(label, number, 40.0)
     assert watermark.known_until(10.0, 41.0) == 10.0
-    assert (
-        CancellationWatermark(shared().workers, (), 0).known_until(10.0, 41.0) == 41.0
-    )  # alone, only we confirm
+    # Without peers only this controller confirms cancellations.
+    assert CancellationWatermark(shared().workers, (), 0).known_until(10.0, 41.0) == 41.0
 
 
 def test_old_numbers_are_forgotten() -> None:
@@ -119,82 +129,114 @@
     assert len(watermark.sent_at) <= CANCEL_S + 2
 
 
-# -- a cluster ---------------------------------------------------------------------------
+# -- refused owner in a simulated cluster --------------------------------------------------------
 
 
 class Scenario(NamedTuple):
-    """What happens, and when: times in seconds from when the owner is refused."""
-
-    confirmed: float = 0.3  # when users cancel, through another controller
-    outage: float = 0.5
+    """Faults of one run; times are in seconds from when the store begins to refuse the owner.
+
+    Attributes:
+        cancelled_at: When users cancel jobs through another controller, the confirmer.
+        outage_at: When the store fails for all controllers.
+        outage_s: Duration of the outage.
+        refused_s: Duration of the refusal at most; the end of the outage ends it as well.
+        leads: Whether the owner leads too; None: either.
+        crashes: Which controller crashes right after the cancellations, "confirmer" or "owner".
+        restart_s: Time from the crash to the restart.
+        cut_peers: Whose links to the owner are cut: "confirmer", "third" or "both".
+        workers_cut_at: When workers can no longer reach the owner.
+        response_lost: Whether the response to the transaction of the cancellation is lost, so that
+            a retry finds it applied.
+        refused_again: Whether the owner is refused again after the outage and other jobs are
+            cancelled.
+        in_turn: Whether all three controllers are refused in turn, each for less than a
+            membership's lease.
+        max_timer_delay_s: Longest delay of the owner's timers, from the refusal on.
+        keeps_work: Whether jobs that were not cancelled must have kept running undisturbed.
+    """
+
+    cancelled_at: float = 0.3
+    outage_at: float = 0.5
     outage_s: float = 28.0
-    refused_s: float = 100.0  # at most: the end of the outage ends the refusal as well
-    leads: bool | None = None  # whether the owner leads as well; None: as it comes
-    crashes: str = ""  # who crashes right after the cancellations: "confirmer" or "owner"
-    back_s: float = 0.1
-    cut_peers: str = ""  # whose links to the owner are cut: "confirmer", "third" or "both"
-    workers_cut_at: float | None = None  # when workers can't reach the owner any more
-    answer_lost: bool = False  # of the cancellation's transaction: a second try finds it applied
-    refused_again: bool = False  # once more after the outage, and others are cancelled
-    in_turn: bool = False  # each of the three is refused, for less than a member's lease
-    max_timer_delay_s: float = 0.0  # of the owner's timers, from the refusal on
-    keeps_work: bool = False  # whether what was not cancelled must have gone on untouched
+    refused_s: float = 100.0
+    leads: bool | None = None
+    crashes: str = ""
+    restart_s: float = 0.1
+    cut_peers: str = ""
+    workers_cut_at: float | None = None
+    response_lost: bool = False
+    refused_again: bool = False
+    in_turn: bool = False
+    max_timer_delay_s: float = 0.0
+    keeps_work: bool = False
 
 
 SCENARIOS = {
     "the incident": Scenario(keeps_work=True),
     "leads too": Scenario(leads=True, keeps_work=True),
     "does not lead": Scenario(leads=False, keeps_work=True),
-    "outage 0.2 s after": Scenario(outage=0.5, keeps_work=True),
-    "outage at once": Scenario(outage=0.31, keeps_work=True),
-    "no refusal, outage as it is confirmed": Scenario(refused_s=0.0, outage=0.301, keeps_work=True),
-    "refused 1 s": Scenario(confirmed=0.6, outage=0.9, refused_s=1.0, keeps_work=True),
-    "refused a lease": Scenario(confirmed=2.0, outage=LEASE_S),
-    "refused just under the bound": Scenario(confirmed=3.0, outage=BOUND_S - 0.5),
-    "refused just over the bound": Scenario(confirmed=3.0, outage=BOUND_S + 0.5),
-    "refused cancel_s": Scenario(confirmed=10.0, outage=CANCEL_S),
-    "the confirmer crashes": Scenario(crashes="confirmer", outage=0.35),
-    "the confirmer crashes for long": Scenario(crashes="confirmer", back_s=20.0, outage=0.35),
-    "the owner crashes": Scenario(crashes="owner", outage=0.35),
+    "outage 0.2 s after": Scenario(outage_at=0.5, keeps_work=True),
+    "outage at once": Scenario(outage_at=0.31, keeps_work=True),
+    "no refusal, outage as it is confirmed": Scenario(
+        refused_s=0.0, outage_at=0.301, keeps_work=True
+    ),
+    "refused 1 s": Scenario(cancelled_at=0.6, outage_at=0.9, refused_s=1.0, keeps_work=True),
+    "refused a lease": Scenario(cancelled_at=2.0, outage_at=LEASE_S),
+    "refused just under the bound": Scenario(cancelled_at=3.0, outage_at=MAX_WATERMARK_AGE_S - 0.5),
+    "refused just over the bound": Scenario(cancelled_at=3.0, outage_at=MAX_WATERMARK_AGE_S + 0.5),
+    "refused cancel_s": Scenario(cancelled_at=10.0, outage_at=CANCEL_S),
+    "the confirmer crashes": Scenario(crashes="confirmer", outage_at=0.35),
+    "the confirmer crashes for long": Scenario(crashes="confirmer", restart_s=20.0, outage_at=0.35),
+    "the owner crashes": Scenario(crashes="owner", outage_at=0.35),
     "the third cut off": Scenario(cut_peers="third"),
     "the confirmer cut off": Scenario(cut_peers="confirmer"),
     "both peers cut off": Scenario(cut_peers="both"),
     "workers change controller": Scenario(workers_cut_at=2.0),
     "workers and confirmer gone": Scenario(workers_cut_at=2.0, cut_peers="confirmer"),
-    "cancelled by a transaction that was not answered": Scenario(answer_lost=True, outage=3.0),
+    "cancelled by a transaction that was not answered": Scenario(response_lost=True, outage_at=3.0),
     "refused again after the outage": Scenario(refused_again=True),
-    "three in turn": Scenario(in_turn=True, outage=2.5),
+    "three in turn": Scenario(in_turn=True, outage_at=2.5),
     "the owner's timers are late by up to a second": Scenario(max_timer_delay_s=1.0),
     "the owner's timers are late by up to five seconds": Scenario(max_timer_delay_s=5.0),
     "refused cancel_s, late by up to five seconds": Scenario(
-        confirmed=10.0, outage=CANCEL_S, max_timer_delay_s=5.0
+        cancelled_at=10.0, outage_at=CANCEL_S, max_timer_delay_s=5.0
     ),
     "both peers cut off, late by up to five seconds": Scenario(
         cut_peers="both", max_timer_delay_s=5.0
     ),
-    "an outage under the bound": Scenario(outage_s=BOUND_S - 2, keeps_work=True),
+    "an outage under the bound": Scenario(outage_s=MAX_WATERMARK_AGE_S - 2, keeps_work=True),
 }
 
 
 class RefusedOwner:
-    """One run of a scenario: which controller plays which role, and what happens to them."""
+    """One run of a scenario.
+
+    The store refuses the owner of the shard. The confirmer cancels jobs for users. The third
+    controller is the remaining one.
+    """
 
     def __init__(self, service: Service, scenario: Scenario, owner: int) -> None:
-        """`owner`: the controller that is refused; the other two are the confirmer and the third."""
+        """Assign the roles and start the clock of the scenario.
+
+        Args:
+            service: The simulated cluster.
+            scenario: The faults.
+            owner: Number of the controller that owns the shard.
+        """
         self.service = service
         self.scenario = scenario
         self.owner = owner
         self.confirmer = (owner + 1) % 3
         self.third = (owner + 2) % 3
         self.hosts = [f"10.0.0.{n}" for n in range(3)]
-        self.began = service.now()
+        self.began_at = service.now()
 
     async def sleep_until(self, second: float) -> None:
-        """Wait for a time in seconds from the refusal."""
-        await asyncio.sleep(max(self.began + second - self.service.now(), 0.0))
+        """Sleep until a time in seconds from the refusal."""
+        await asyncio.sleep(max(self.began_at + second - self.service.now(), 0.0))
 
     async def refuse(self) -> None:
-        """The store refuses the owner, or each of the three in turn."""
+        """Have the store refuse the owner, or each of the three controllers in turn."""
         scenario, state = self.scenario, self.service.state
         refused = (self.owner, self.confirmer, self.third) if scenario.in_turn else (self.owner,)
         for n in refused:
@@ -203,29 +245,29 @@
         state.refusing = set()
 
     async def cut_workers(self) -> None:
-        """The workers can't reach the owner any more."""
+        """Cut the workers off from the owner at the scenario's time."""
         if self.scenario.workers_cut_at is not None:
             await self.sleep_until(self.scenario.workers_cut_at)
             workers = self.service.world.workers.values()
             self.service.net.cut(self.hosts[self.owner], *(worker.host for worker in workers))
 
     def begin_faults(self) -> None:
-        """What goes wrong from the refusal on."""
+        """Start the faults that last from the refusal on."""
         service, scenario = self.service, self.scenario
         owner_host = self.hosts[self.owner]
         if scenario.max_timer_delay_s:
             service.net.late = {owner_host: scenario.max_timer_delay_s}
         spawn(service.net, "users", self.refuse())
         spawn(service.net, "users", self.cut_workers())
-        for n, who in ((self.confirmer, "confirmer"), (self.third, "third")):
-            if scenario.cut_peers in (who, "both"):
+        for n, role in ((self.confirmer, "confirmer"), (self.third, "third")):
+            if scenario.cut_peers in (role, "both"):
                 service.net.cut(owner_host, self.hosts[n])
 
     async def cancel(self, *numbers: int) -> None:
-        """Users cancel these jobs through the confirmer."""
+        """Cancel these jobs as their users, through the confirmer."""
         service = self.service
         service.doors = [self.confirmer]
-        if self.scenario.answer_lost:
+        if self.scenario.response_lost:
             service.state.lose_answers = 1.0
             asyncio.get_running_loop().call_later(
                 0.5, lambda: setattr(service.state, "lose_answers", 0.0)
@@ -236,20 +278,20 @@
         assert set(statuses) == {"withdrawn"}
 
     def crash(self) -> None:
-        """Whoever is to crash after the cancellations does."""
+        """Crash the controller that is to crash after the cancellations, if any."""
         if self.scenario.crashes:
             crashing = self.confirmer if self.scenario.crashes == "confirmer" else self.owner
-            self.service.crash(crashing, self.scenario.back_s)
+            self.service.crash(crashing, self.scenario.restart_s)
 
     async def store_outage(self) -> None:
-        """The store is down for all."""
+        """Have the store fail for all controllers."""
         state = self.service.state
         state.down = True
         await asyncio.sleep(self.scenario.outage_s)
         state.down, state.refusing = False, set()
 
     async def refuse_again(self) -> None:
-        """Whoever is the owner by now is refused, others are cancelled, and the store is down once more."""
+        """Refuse the current owner, cancel other jobs, and have the store fail once more."""
         await asyncio.sleep(8)
         self.service.state.refusing = {self.hosts[await owned(self.service)]}
         await self.cancel(3, 4)
@@ -257,7 +299,7 @@
 
 
 async def elect(service: Service, owner: int, leads: bool) -> None:
-    """Have the owner lead, or another controller."""
+    """Make the owner or another controller the leader."""
     for controller in service.controllers.values():
         controller.elector.allowed = [f"n{owner if leads else (owner + 1) % 3}"]
     await asyncio.sleep(3 * LEASE_S)
@@ -265,12 +307,12 @@
 
 
 def incarnations(service: Service) -> dict[str, int]:
-    """Of each worker's agent."""
+    """Return the incarnation of each worker's agent, by the worker's name."""
     return {name: worker.tenure for name, worker in service.world.workers.items()}
 
 
 async def owner_refused_alone(service: Service, scenario: Scenario) -> None:
-    """The owner is refused, jobs are cancelled through another controller, and the store is down for all."""
+    """Refuse the owner, cancel jobs through another controller, and have the store fail for all."""
     for number in range(1, 7):
         await service.submit(
             job(number, shape="daemon" if number % 2 else "sweep", shares=1, expect_s=400.0)
@@ -279,20 +321,20 @@
     owner = await owned(service)
     if scenario.leads is not None:
         await elect(service, owner, scenario.leads)
-    before = incarnations(service)
+    incarnations_before = incarnations(service)
     run = RefusedOwner(service, scenario, owner)
     run.begin_faults()
-    await run.sleep_until(scenario.confirmed - 0.01)
+    await run.sleep_until(scenario.cancelled_at - 0.01)
     await run.cancel(1, 2)
     run.crash()
-    await run.sleep_until(scenario.outage)
+    await run.sleep_until(scenario.outage_at)
     await run.store_outage()
     service.net.heal()
     service.net.late = {}
     if scenario.refused_again:
         await run.refuse_again()
     if scenario.keeps_work:
-        assert incarnations(service) == before
+        assert incarnations(service) == incarnations_before
         assert all(service.rules.on.get((f"req-{number:06d}", 0)) for number in (3, 4, 5, 6))
     service.doors = [0, 1, 2]
     await asyncio.sleep(LEASE_S)
@@ -301,7 +343,7 @@
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_cancelled_tasks_are_gone_in_time(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancelled_tasks_end_in_time(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     play(
         monkeypatch,
         61,
@@ -311,11 +353,11 @@
     )
 
 
-# -- sent before it is answered, and over the same link ------------------------------------------------------------
+# -- cancellations are sent to peers before they are confirmed -----------------------------------
 
 
-async def running(service: Service, number: int) -> int:
-    """A long job runs; its owner."""
+async def start_long_job(service: Service, number: int) -> int:
+    """Submit a long job, wait until it runs, and return the number of its shard's owner."""
     await service.submit(job(number, shape="daemon", shares=1))
     while not service.rules.on.get((f"req-{number:06d}", 0)):
         await asyncio.sleep(0.2)
@@ -326,21 +368,26 @@
 def test_a_cancellation_that_could_not_be_sent_ends_the_link(
     lost: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Sent in full, or the link's end shows that something is missing: the next link extends nothing from before."""
+    """A cancellation is sent in full, or the link ends and so shows that something is missing.
+
+    The next link does not extend an interval of the earlier one.
+    """
 
     async def scenario(service: Service) -> None:
-        owner = await running(service, 1)
+        owner = await start_long_job(service, 1)
         await asyncio.sleep(8)
         receiver, sender = service.controllers[owner], service.controllers[(owner + 1) % 3]
         link = receiver.cancellations.watermark.links[sender.label]
-        intervals = len(link.intervals)
+        interval_count = len(link.intervals)
         writer = sender.mesh.peers[receiver.label].writer
-        assert writer is not None and intervals == 1
+        assert writer is not None and interval_count == 1
         service.state.refusing = {f"10.0.0.{owner}"}
-        known = receiver.jobs.synced_at
+        synced_at = receiver.jobs.synced_at
         if lost == "full":
-            # For this moment only: a link that stays full is given up all the same, later.
-            writer.transport.get_write_buffer_size = lambda: MAX_UNSENT_BYTES + 1  # type: ignore[method-assign]
+            # Only while the cancellation is sent; a link that stays full is closed later anyway.
+            writer.transport.get_write_buffer_size = (  # type: ignore[method-assign]
+                lambda: MAX_UNSENT_BYTES + 1
+            )
         elif lost == "closed":
             writer.close()
         service.doors = [(owner + 1) % 3]
@@ -348,17 +395,17 @@
         if lost == "full":
             writer.transport.get_write_buffer_size = lambda: 0  # type: ignore[method-assign]
         await asyncio.sleep(0.05)
-        assert receiver.front.is_withdrawn("req-000001")  # the third sends it on
+        assert receiver.front.is_withdrawn("req-000001")  # sent on by the third controller
         await asyncio.sleep(3)
-        until = link.known_until(known)
+        known_until = link.known_until(synced_at)
         if lost == "nothing":
             assert (
-                len(link.intervals) == intervals
-                and until > service.now() - 2
+                len(link.intervals) == interval_count
+                and known_until > service.now() - 2
                 and not service.rules.on.get(("req-000001", 0))
             )
         else:
-            assert len(link.intervals) == intervals + 1 and until < service.now() - 2.5
+            assert len(link.intervals) == interval_count + 1 and known_until < service.now() - 2.5
         service.state.refusing = set()
         service.doors = [0, 1, 2]
         await asyncio.sleep(3)
@@ -370,11 +417,11 @@
     play(monkeypatch, 62, scenario)
 
 
-def test_beside_an_earlier_version_nothing_is_sent_and_the_bound_holds(
+def test_with_an_earlier_cluster_version_nothing_is_sent_and_the_deadline_holds(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(service: Service) -> None:
-        owner = await running(service, 1)
+        owner = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
         service.state.refusing = {f"10.0.0.{owner}"}
         service.doors = [(owner + 1) % 3]
@@ -394,17 +441,20 @@
     play(monkeypatch, 63, scenario)
 
 
-# -- a start that is delayed for longer than its job may run -----------------------------------------------------------
+# -- delayed run command -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("delay_s", [2.0, CANCEL_S + 5])
-def test_a_delayed_start_is_not_carried_out_after_its_job_was_cancelled(
+def test_a_delayed_run_command_is_not_carried_out_after_its_job_was_cancelled(
     delay_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is on its way, its job is cancelled, and in the outage that follows the fencing token that would refuse it can't be raised."""
+    """A run command is in flight when its job is cancelled and the store fails.
+
+    During the outage the fencing token that would refuse the command cannot be raised.
+    """
 
     async def scenario(service: Service) -> None:
-        n = await running(service, 1)
+        n = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
         service.world.held_orders = (1.0, delay_s, delay_s)
         await service.submit(job(2, shape="daemon", shares=1))
@@ -426,7 +476,7 @@
     play(monkeypatch, 64, scenario)
 
 
-# -- cut off from the store and the peers, not from its users ----------------------------------------------------
+# -- cut off from the store and the peers, but not from users ------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -442,10 +492,13 @@
 def test_a_controller_that_cannot_answer_users_is_not_ready(
     store_cut: bool, peers_cut: bool, store_down: bool, ready: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Were it ready, it would keep its users' connections, and answer none of their questions while it is cut off."""
+    """A controller that is cut off cannot answer users.
+
+    If it reported itself ready, it would keep their connections without answering their requests.
+    """
 
     async def scenario(service: Service) -> None:
-        n = await running(service, 1)
+        n = await start_long_job(service, 1)
         others = [f"10.0.0.{k}" for k in range(3) if k != n]
         service.net.cut(
             f"10.0.0.{n}", *([STATE] if store_cut else []), *(others if peers_cut else [])
@@ -464,27 +517,31 @@
 def test_a_failover_that_meets_an_outage_leaves_the_workers_with_the_earlier_owner(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The owner is refused for longer than its membership lasts; another claims the shard, and can't read it any more."""
+    """A shard is claimed by another controller, which cannot load it because the store fails.
+
+    The store has refused the owner for longer than the lease of its membership. The workers must
+    keep the leases that the earlier owner renews.
+    """
 
     async def scenario(service: Service) -> None:
-        n = await running(service, 1)
+        n = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
-        before = incarnations(service)
+        incarnations_before = incarnations(service)
 
-        def claimed(writes: list[dict[str, object]]) -> None:
+        def fail_after_claim(writes: list[dict[str, object]]) -> None:
             if any(write.get("set") == "part/red" for write in writes):
                 asyncio.get_running_loop().call_later(
                     0.004, lambda: setattr(service.state, "down", True)
                 )
 
-        service.state.hook = claimed
+        service.state.hook = fail_after_claim
         service.state.refusing = {f"10.0.0.{n}"}
         while not service.state.down:
             await asyncio.sleep(0.05)
         service.state.hook = None
         assert service.state.keys["part/red"][0]["owner"] != f"n{n}"
-        await asyncio.sleep(BOUND_S + 2 * LEASE_S)
-        assert incarnations(service) == before
+        await asyncio.sleep(MAX_WATERMARK_AGE_S + 2 * LEASE_S)
+        assert incarnations(service) == incarnations_before
         service.state.down, service.state.refusing = False, set()
         await asyncio.sleep(2 * LEASE_S)
         assert service.rules.on.get(("req-000001", 0)) and {
