--- a/ashdock/cluster_state.py
+++ b/ashdock/cluster_state.py
@@ -41,8 +41,8 @@
         self.shards = WatchCache(store, "part/")
         self.members = WatchCache(store, "member/")
         self.leaders = WatchCache(store, "leader")
-        # Each answered watch request confirms that all changes so far are known. Watch requests for
-        # jobs are short, so that this was confirmed shortly before an outage begins.
+        # Each answered watch request confirms that all changes up to its start are known. Watch
+        # requests for jobs are short, so that this was confirmed shortly before an outage begins.
         self.jobs = WatchCache(
             store,
             "job/",
--- a/ashdock/peer_reports.py
+++ b/ashdock/peer_reports.py
@@ -12,7 +12,7 @@
 from ashdock.shard_owners import ShardOwners
 from ashdock.wire.peer_messages import ReclaimsInProgress, TaskCounts
 
-MAX_JOBS_PER_PEER = 20 * JOBS_PER_FRAME  # whose task counts are kept
+MAX_JOBS_PER_PEER = 20 * JOBS_PER_FRAME  # beyond that the task counts of a peer are discarded
 RECLAIMS_VALID_HEARTBEATS = 2  # heartbeat intervals for which a report on reclaims is valid
 
 # Number of tasks done and running. A plain tuple, as in the frame, since thousands of them arrive
@@ -82,7 +82,7 @@
         """Store the task counts of a peer's jobs."""
         known = self.counts_by_peer.setdefault(label, {})
         if len(known) > MAX_JOBS_PER_PEER:
-            # Most are of ended jobs; the next heartbeat reports all jobs that have not ended.
+            # Nothing else removes ended jobs; the next heartbeat reports all that have not ended.
             known.clear()
         known.update((job, (done, running)) for job, done, running in frame.jobs)
 
