--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -105,7 +105,7 @@
         self.now = self.clock.now
         self.ttl_s = max(self.workers.lease_s / TTLS_PER_AGENT_LEASE, MIN_TTL_S)
         self.tick_s = min(self.workers.report_s / TICKS_PER_HEARTBEAT, self.ttl_s / TICKS_PER_TTL)
-        self.gather_s = self.tick_s / GATHERINGS_PER_TICK
+        self.batching_delay_s = self.tick_s / GATHERINGS_PER_TICK
         self.catalog: dict[str, MachineType] = {}
         self.owners: dict[str, ShardOwner] = {}
         self.intent_count = 0  # over all times this process has led, since names are never reused
@@ -305,21 +305,21 @@
             self.cancellations.watermark,
         )
         self.front: Front = Front(self)
-        self.jobs_known = self.front
+        self.known_jobs = self.front
 
     def _build_shard_ownership(self) -> None:
         """The shards owned here, what claims them, and what the leader and a short processor ask of them."""
         self.shard_owners = ShardOwners(
             label=self.label,
-            table=self.owners,
+            by_team=self.owners,
             create=lambda team, revision: ShardOwner(self, team, revision),
             shards=self.shards,
-            job_memory=self.front,
+            known_jobs=self.front,
             now=self.now,
         )
         self.owned_shard_count = self.shard_owners.count
-        self.let_go = self.shard_owners.let_go
-        self.jobs_seen = self.shard_owners.job_changed
+        self.forget_owner = self.shard_owners.forget_owner
+        self.job_changed = self.shard_owners.job_changed
         self.job_cancelled = self.shard_owners.job_cancelled
         self.job_settled = self.shard_owners.job_settled
         self.shard_ownership = ShardOwnership(
@@ -329,7 +329,7 @@
             membership=self.membership,
             connectivity=self.connectivity,
             startup_timeline=self.startup_timeline,
-            prepared=lambda: bool(self.catalog) and self.cluster_version.is_known,
+            prerequisites_known=lambda: bool(self.catalog) and self.cluster_version.is_known,
         )
         self.shard_commands = ShardCommands(
             owners=self.shard_owners,
@@ -360,7 +360,7 @@
             now=self.now,
         )
         self.send_claims = self.owner_gossip.send_claims
-        self.tell_leader = self.owner_gossip.send_status_if_urgent
+        self.send_status_if_urgent = self.owner_gossip.send_status_if_urgent
         self.gossip = Gossip(
             mesh=self.mesh,
             heartbeats=HeartbeatSource(
@@ -395,12 +395,12 @@
         self.peer_reports = PeerReports(
             owners=self.shard_owners,
             cluster=self.cluster,
-            beat_s=self.mesh.heartbeat_interval_s,
+            heartbeat_interval_s=self.mesh.heartbeat_interval_s,
             ttl_s=self.ttl_s,
             now=self.now,
         )
         self.shard_statuses = self.peer_reports.shard_statuses
-        self.leaving = self.peer_reports.leaving
+        self.leaving_machines = self.peer_reports.leaving_machines
         self.counts = self.peer_reports.task_counts
 
     def _register_frame_handlers(self) -> None:
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -1,4 +1,4 @@
-"""The shards that this controller owns, and what their owners are told of changes in the store and by peers."""
+"""The shards owned by this controller, and the changes and messages that are passed to them."""
 
 from __future__ import annotations
 
@@ -13,91 +13,99 @@
 from ashdock.wire.peer_messages import OwnershipClaims, PriorityInheritance
 
 
-class JobMemory(Protocol):
-    """What a controller remembers of jobs, whoever owns them."""
+class KnownJobs(Protocol):
+    """What this controller knows of the jobs of all shards."""
 
-    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
-        """Take in a job's record."""
+    def observe_job(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+        """Store the record of a job as of a revision."""
         ...
 
     def is_final(self, job_id: str) -> bool:
-        """Whether the job is known to be over."""
+        """Whether the job is known to have ended."""
         ...
 
 
 class ShardOwners:
-    """The owners of the shards that are owned here, by team."""
+    """The owners of the shards that this controller owns, or is claiming, by team."""
 
     def __init__(
         self,
         *,
         label: str,
-        table: dict[str, ShardOwner],
+        by_team: dict[str, ShardOwner],
         create: Callable[[Team, int], ShardOwner],
         shards: WatchCache,
-        job_memory: JobMemory,
+        known_jobs: KnownJobs,
         now: Callable[[], float],
     ) -> None:
-        """Start with the owners in `table`, which is kept up to date in place.
+        """Start with the owners in `by_team`, which is kept up to date in place.
 
         Args:
-            label: of this controller.
-            table: owners by team.
-            create: starts an owner, given its team and the revision of the claim to be replaced.
-            shards: the records of all shards' claims.
-            job_memory: told of every change of a job.
-            now: the controller's clock, in seconds since the epoch.
+            label: Label of this controller.
+            by_team: Owners by name of the team.
+            create: Starts an owner, given its team and the revision of the claim that it replaces.
+            shards: Claims of all shards.
+            known_jobs: Receives every change of a job record.
+            now: Current time, in seconds since the epoch.
         """
         self.label = label
-        self.table = table
+        self.by_team = by_team
         self.create = create
         self.shards = shards
-        self.job_memory = job_memory
+        self.known_jobs = known_jobs
         self.now = now
 
     def claim(self, team: Team, revision: int) -> None:
-        """Start to own a team's shard. `revision`: that of the claim to be replaced, 0 if there is none."""
-        self.table[team.name] = self.create(team, revision)
+        """Start to claim a team's shard.
+
+        Args:
+            team: The team.
+            revision: Revision of the claim to replace; 0 if there is none.
+        """
+        self.by_team[team.name] = self.create(team, revision)
 
     def count(self) -> int:
-        """How many shards are owned here, those being claimed or read among them."""
-        return len(self.table)
+        """Return the number of shards owned here, including those being claimed or loaded."""
+        return len(self.by_team)
 
-    def let_go(self, owner: ShardOwner) -> None:
-        """Forget an owner, unless another has taken its place."""
-        if self.table.get(owner.team.name) is owner:
-            del self.table[owner.team.name]
+    def forget_owner(self, owner: ShardOwner) -> None:
+        """Remove an owner, unless another one has replaced it."""
+        if self.by_team.get(owner.team.name) is owner:
+            del self.by_team[owner.team.name]
 
     def active_shards(self) -> list[Shard]:
-        """The shards owned here that have been read."""
+        """Return the shards owned here that have been loaded."""
         return [
             owner.shard
-            for owner in self.table.values()
+            for owner in self.by_team.values()
             if owner.phase is OwnershipPhase.ACTIVE and owner.shard
         ]
 
     def machine_changed(self, path: str, value: Any, revision: int) -> None:
-        """Take in a change of `machine/<name>`; `value` is None if the record was deleted."""
+        """Handle a change of `machine/<name>`; `value` is None if the record was deleted."""
         name = path.split("/", 1)[1]
-        for owner in list(self.table.values()):
+        for owner in list(self.by_team.values()):
             if value is None:
                 owner.apply(lambda shard: shard.remove_machine(name, self.now()))
             elif value["p"] == owner.team.name:
                 owner.apply(lambda shard: shard.add_machine(name, value, revision, self.now()))
 
     def job_changes_missed(self) -> None:
-        """Give up all shards, to be claimed and read again: jobs may have been accepted unnoticed."""
-        for owner in list(self.table.values()):
-            owner.release("changes to jobs were missed")
+        """Release all shards, since jobs may have been accepted unnoticed.
+
+        They are then claimed and loaded again.
+        """
+        for owner in list(self.by_team.values()):
+            owner.release("changes of job records were missed")
 
     def job_changed(self, path: str, value: Any, revision: int) -> None:
-        """Take in a change of `job/<id>`: new, cancelled, done, or with a reason."""
+        """Handle a change of `job/<id>`: accepted, cancelled, done, or with a new reason."""
         if value is None:
             return
         job_id = path.split("/", 1)[1]
-        self.job_memory.saw(job_id, value, revision)
+        self.known_jobs.observe_job(job_id, value, revision)
         team = spec_of_record(value).team
-        owner = self.table.get(team)
+        owner = self.by_team.get(team)
         status = value["status"]
         if status == "withdrawn":
             self.job_cancelled(job_id, team, revision, value.get("cancelled_at", self.now()))
@@ -107,15 +115,22 @@
             self.job_settled(job_id, status, value.get("done_at"))
 
     def job_cancelled(self, job_id: str, team: str, revision: int, at: float) -> None:
-        """Let the shard's owner, if it is here, stop a job that was cancelled at `at`."""
-        owner = self.table.get(team)
+        """Stop a job whose cancellation was recorded, if its shard is owned here.
+
+        Args:
+            job_id: Id of the job.
+            team: Name of its team.
+            revision: Revision of the job record.
+            at: Time of the cancellation, in seconds since the epoch.
+        """
+        owner = self.by_team.get(team)
         if owner is not None:
             owner.apply(lambda shard: shard.cancel(job_id, at, revision, self.now()))
 
     def job_settled(self, job_id: str, status: str, done_at: float | None) -> None:
-        """Tell the owners whose jobs depend on a job that it is over."""
-        for owner in list(self.table.values()):
-            if owner.waits_for(job_id):
+        """Pass the final status of a job to the owners whose jobs may depend on it."""
+        for owner in list(self.by_team.values()):
+            if owner.may_depend_on(job_id):
                 owner.apply(
                     lambda shard: shard.dependency_tracker.settled(
                         job_id, status, done_at, self.now()
@@ -123,28 +138,29 @@
                 )
 
     def _add_job(self, shard: Shard, job_id: str, value: Any, revision: int) -> None:
-        if job_id not in shard.jobs and not self.job_memory.is_final(job_id):
+        if job_id not in shard.jobs and not self.known_jobs.is_final(job_id):
             shard.status_reporter.record_arrival(shard.add_job(value, revision), self.now())
 
     def inherit_priorities(self, inheritance: PriorityInheritance) -> None:
-        """Take in what another shard's jobs pass on to the jobs of shards here that they depend on."""
-        for team, owner in self.table.items():
+        """Apply the priorities that jobs here inherit from their dependents in another shard."""
+        for team, owner in self.by_team.items():
             if team != inheritance.shard:
                 owner.apply(
                     lambda shard: shard.dependency_tracker.receive_inheritance(*inheritance)
                 )
 
     def claims_received(self, label: str, claims: OwnershipClaims) -> None:
-        """Take in claims of a peer that the store did not tell us of.
+        """Handle the claims that a peer reports, which this controller's watch may have missed.
 
-        One controller that the store refused alone went on answering the workers of a shard that had gone to
-        another; that one heard none of them and gave up their machines.
+        A controller that was the only one refused by the store kept answering the workers of a
+        shard that another controller had claimed. The new owner got no heartbeats from them and
+        gave up their machines.
         """
         for team, revision in claims.shards:
             path = f"part/{team}"
             known = self.shards.entries.get(path)
             if known is None or known.revision < revision:
                 self.shards.apply_own_write(path, {"owner": label}, revision)
-            ours = self.table.get(team)
-            if ours is not None and ours.shard and ours.shard.revision < revision:
-                ours.release(f"claimed by {label}, as it says itself")
+            owner = self.by_team.get(team)
+            if owner is not None and owner.shard and owner.shard.revision < revision:
+                owner.release(f"claimed by {label} according to its own report")
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -170,17 +170,17 @@
         store_limits=noted("divide"),
         cancellations=noted("send_echoes"),
         owner_gossip=noted("send_claims", "send_statuses_and_counts"),
-        load_handover=noted("on_beat"),
+        load_handover=noted("on_heartbeat"),
         worker_client=noted("close_idle"),
     )
     assert asyncio.run(gossip.beat()) == 0.25
-    expected = ["on_beat", "divide", "heartbeat", "broadcast", "send_echoes"]
+    expected = ["on_heartbeat", "divide", "heartbeat", "broadcast", "send_echoes"]
     assert order == [*expected, "send_claims", "send_statuses_and_counts", "close_idle"]
 
 
 def commands(mesh: SentFrames, fenced: bool = True) -> tuple[ShardCommands, Any]:
     owner = SimpleNamespace(transfer_to=None, wake=asyncio.Event())
-    owners: Any = SimpleNamespace(table={"red": owner})
+    owners: Any = SimpleNamespace(by_team={"red": owner})
     cluster: Any = SimpleNamespace(owner_label={"red": "a", "blue": "b"}.get)
     version: Any = SimpleNamespace(fences_commands=fenced)
     a_mesh: Any = mesh
