--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -14,7 +14,7 @@
 from ashdock.cancellation.broadcaster import CancellationBroadcaster
 from ashdock.cancellation.knowledge import CancellationKnowledge
 from ashdock.cancellation.orphan_leases import OrphanLeaseRenewer
-from ashdock.clock import SteadyWallClock
+from ashdock.clock import MonotonicWallClock
 from ashdock.cluster_state import ClusterState
 from ashdock.cluster_version import ClusterVersion
 from ashdock.connectivity import Connectivity, Readiness
@@ -101,7 +101,7 @@
         self.others = settings.others
         self.operators = settings.operators
         self.rng = rng or random.Random()
-        self.clock = SteadyWallClock()
+        self.clock = MonotonicWallClock()
         self.now = self.clock.now
         self.ttl_s = max(self.workers.lease_s / TTLS_PER_AGENT_LEASE, MIN_TTL_S)
         self.tick_s = min(self.workers.report_s / TICKS_PER_HEARTBEAT, self.ttl_s / TICKS_PER_TTL)
