--- a/ashdock/__init__.py
+++ b/ashdock/__init__.py
@@ -1,3 +1,3 @@
-"""ashdock: a cluster scheduler whose retries survive the processes that made them."""
+"""ashdock: a cluster scheduler whose pending retries survive a crash of the controller."""
 
 __version__ = "0.1.0"
