--- a/ashdock/concurrency.py
+++ b/ashdock/concurrency.py
@@ -1,13 +1,16 @@
 """Checks for state that may have changed during an `await`.
 
-While a coroutine waits others run: what it read before may be gone or replaced by the time it goes on. Relying on it ended the
-leader's loop with a KeyError and revived shard owners that had been given up. So only names and revisions are kept across an
-`await`, and what they stand for is looked up again:
-
-- a loop that awaits iterates by `iterate_live`, never over `list(table.items())`;
-- what is removed after an `await` is removed by `pop(name, None)`, never by `del`;
-- a state machine checks its phase again before it goes on, by `ensure_current` or by its own phase;
-- what was decided together is sent together: a message carries the fencing token under which it was decided.
+Other coroutines run while one waits, so what it read before may have been removed or replaced by
+the time it resumes. Code that relied on such values ended the leader's loop with a KeyError and
+revived shard owners that had been released. Only names and revisions are therefore kept across an
+`await`, and the objects that they stand for are looked up again:
+
+- A loop that awaits iterates with `iterate_live`, never over `list(table.items())`.
+- An entry is removed after an `await` with `pop(name, None)`, never with `del`.
+- A state machine checks its phase again before it continues, either with `ensure_current` or by
+  comparing the phase itself.
+- Values that were decided together are sent together: a message carries the fencing token under
+  which it was decided.
 """
 
 from __future__ import annotations
@@ -20,13 +23,13 @@
 
 
 class StaleContextError(Exception):
-    """What a coroutine worked on ended while it waited: there is nothing left to do."""
+    """The object that a coroutine worked on has ended while it waited; it has no more to do."""
 
 
 def iterate_live(table: dict[Key, Value]) -> Iterator[tuple[Key, Value]]:
-    """Yields each item that is still in the table when its turn comes, with its present value.
+    """Yield each item that is still in the table when its turn comes, with its current value.
 
-    Items added meanwhile are not yielded.
+    Items that are added during the iteration are not yielded.
     """
     for key in list(table):
         if key in table:
@@ -34,10 +37,14 @@
 
 
 def ensure_current(is_current: bool, reason: str) -> None:
-    """Checks after an `await` that what was true before still is.
+    """Check after an `await` that a condition which held before it still holds.
+
+    Args:
+        is_current: Whether the condition still holds.
+        reason: Message of the error.
 
     Raises:
-        StaleContextError: with the `reason`, if it is not.
+        StaleContextError: The condition no longer holds.
     """
     if not is_current:
         raise StaleContextError(reason)
