--- a/ashdock/background_tasks.py
+++ b/ashdock/background_tasks.py
@@ -1,4 +1,4 @@
-"""Work that runs beside everything else: periodic steps, single tasks, and the measure of timers' lateness."""
+"""Background work: periodic steps, one-off tasks and the measurement of timer lateness."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 log = logging.getLogger("ashdock.controller")
 
-Step = Callable[[], Awaitable[float | None]]  # returns the seconds until the next; None: no more
+# Returns the seconds until it is to be called again, or None if it is not.
+Step = Callable[[], Awaitable[float | None]]
 
 
 async def run_periodically(step: Step, retry_s: float) -> None:
-    """Run a step again and again, whatever goes wrong.
+    """Call a step repeatedly, also after errors, until it returns None.
 
     Args:
-        step: what is done each time.
-        retry_s: seconds before it is done again after the store or the cloud could not answer; twice that after a
-            fault of ours.
+        step: The function to call.
+        retry_s: Seconds before the next call after an expected error of the store or the cloud.
+            The pause after any other exception is twice as long.
     """
     name = getattr(step, "__qualname__", repr(step))
     while True:
@@ -35,16 +36,19 @@
         except (StoreUnavailableError, CloudError, CompareFailedError) as error:
             log.debug("step is retried: step=%s error=%s", name, error)
             await asyncio.sleep(retry_s)
-        except Exception:  # the top of a task: a fault in one step must not end the loop
+        except Exception:  # top level of a task: an exception in one call must not end the loop
             log.exception("step failed: step=%s", name)
             await asyncio.sleep(retry_s * 2)
 
 
 class BackgroundTasks:
-    """Single tasks that nobody waits for, kept referenced until they are done."""
+    """One-off tasks that are not awaited; each is referenced until it is done.
+
+    The event loop itself keeps only weak references to its tasks.
+    """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without tasks."""
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
@@ -55,15 +59,23 @@
 
 
 class TimerLateness:
-    """Tells admission how late timers fire, which is how far this process is behind with its work."""
+    """Reports to admission control how late timers fire.
+
+    The lateness of a timer is how far the event loop of this process is behind with its work.
+    """
 
     def __init__(self, admission: Admission, period_s: float) -> None:
-        """`period_s`: seconds between two timers."""
+        """Set up the measurement.
+
+        Args:
+            admission: Receives each measured lateness.
+            period_s: Seconds between two timers.
+        """
         self.admission = admission
         self.period_s = period_s
 
     async def run(self) -> float | None:
-        """Measure for ever."""
+        """Measure until cancelled; never returns."""
         due = time.monotonic()
         while True:
             due += self.period_s
