--- a/ashdock/garbage_collection.py
+++ b/ashdock/garbage_collection.py
@@ -1,8 +1,9 @@
-"""Settings of the interpreter's garbage collector: off while a controller starts, and rare after that.
+"""Settings of the interpreter's garbage collector: off during startup, and infrequent after that.
 
-Hardly any object here is part of a reference cycle, so a collection finds little, and yet scans every table of the fleet. With
-the interpreter's default thresholds the collections of a shard owner took 0.02 to 0.08 of its processor time
-(`python -m tests.scale cost`), most of it in the second after a start, when the shards are read.
+Hardly any object of a controller is part of a reference cycle, so a collection frees little but
+scans every table of the fleet. With the interpreter's default thresholds, collections took 0.02 to
+0.08 of a shard owner's processor time (`python -m tests.scale cost`), most of it in the second
+after a start, when the shards are read.
 """
 
 from __future__ import annotations
@@ -11,15 +12,15 @@
 import gc
 from collections.abc import Callable
 
-GENERATION_0_THRESHOLD = 10_000  # net allocations until a collection: about a megabyte
-OLDER_GENERATION_THRESHOLD = 20  # collections of a generation until the next older one is included
-STARTUP_POLLS = 10  # how often `enable_after_startup` looks whether the controller is ready
+GENERATION_0_THRESHOLD = 10_000  # net allocations before a collection: about a megabyte
+OLDER_GENERATION_THRESHOLD = 20  # collections of a generation before the next older one is included
+STARTUP_POLLS = 10  # maximum number of checks whether the controller is ready, in one agent lease
 
 
 def disable() -> None:
-    """Turns collection off until `enable`; called at the start of a process.
+    """Turn collection off until `enable` is called; meant for the start of a process.
 
-    Objects that exist already, mostly imported modules, are never scanned again.
+    Objects that already exist, mostly imported modules, are never scanned again.
     """
     gc.collect()
     gc.freeze()
@@ -27,13 +28,14 @@
 
 
 async def enable_after_startup(ready: Callable[[], bool], lease_s: float) -> None:
-    """Enables collection one agent lease after the controller is ready, or two after the call if it is not by then.
+    """Enable collection one agent lease after the controller is ready.
 
-    By then its workers are back and its shards read, and the burst of allocations is over.
+    By then its workers have reconnected, its shards are read and the burst of allocations is over.
+    A controller that is not ready within one agent lease of the call counts as ready from then on.
 
     Args:
-        ready: whether the controller is ready.
-        lease_s: the agent lease, seconds.
+        ready: Returns whether the controller is ready.
+        lease_s: Duration of the agent lease, in seconds.
     """
     for _ in range(STARTUP_POLLS):
         if ready():
@@ -44,7 +46,10 @@
 
 
 def enable() -> None:
-    """Turns collection on with higher thresholds; what was read at the start is never scanned again."""
+    """Turn collection on with higher thresholds.
+
+    Objects that exist by now, such as the shards read at startup, are never scanned again.
+    """
     gc.freeze()
     gc.set_threshold(GENERATION_0_THRESHOLD, OLDER_GENERATION_THRESHOLD, OLDER_GENERATION_THRESHOLD)
     gc.enable()
