--- a/ashdock/frame_dispatch.py
+++ b/ashdock/frame_dispatch.py
@@ -1,4 +1,4 @@
-"""Hands each frame that a peer sends to the component that takes frames of its type."""
+"""Dispatch of frames from peers to the component that handles their type."""
 
 from __future__ import annotations
 
@@ -11,18 +11,26 @@
 
 
 class FrameDispatcher:
-    """The handlers of frames, by type."""
+    """Handlers of peer frames, one for each frame type."""
 
     def __init__(self) -> None:
-        """Start without handlers, so that it can be made before the mesh and what answers over it."""
+        """Start without handlers.
+
+        The mesh needs a dispatcher when it is built, and the handlers need the mesh.
+        """
         self.handlers: dict[type, Callable[[str, Any], None]] = {}
 
     def register(self, frame_type: type[FrameT], handler: Callable[[str, FrameT], None]) -> None:
-        """Let `handler` take the frames of a type, each with its sender's label."""
+        """Set the handler of a frame type.
+
+        Args:
+            frame_type: Type of the frames; an earlier handler of this type is replaced.
+            handler: Called with the sender's label and the frame.
+        """
         self.handlers[frame_type] = handler
 
     def dispatch(self, label: str, frame: Frame) -> None:
-        """Hand over a frame of the peer `label`; one of a type without a handler is dropped."""
+        """Pass a frame from the peer `label` to its handler; drop it if its type has none."""
         frame_type = type(frame)
         if frame_type in self.handlers:
             self.handlers[frame_type](label, frame)
