--- a/ashdock/machine_type_catalog.py
+++ b/ashdock/machine_type_catalog.py
@@ -1,4 +1,7 @@
-"""The machine types that the cloud offers; kept in the store as well, for a controller that starts while the cloud is down."""
+"""The catalog of machine types that the cloud offers.
+
+A copy is kept in the store for controllers that start while the cloud is unavailable.
+"""
 
 from __future__ import annotations
 
@@ -12,38 +15,40 @@
 from ashdock.net.store import StoreClient
 from ashdock.wire.messages import MachineType
 
-REFRESH_INTERVAL_S = 60.0  # after an answer of the cloud
-RETRY_TICKS = 4  # of the controller, after a failure
+REFRESH_INTERVAL_S = 60.0  # after the cloud has answered
+RETRY_TICKS = 4  # ticks of the controller before a retry after the cloud has failed
 CATALOG_KEY = "catalog"
 
 
 class CatalogContext(Protocol):
-    """What the catalog uses of its controller."""
+    """The attributes of the controller that the catalog uses."""
 
     tick_s: float
     write_limits: WriteLimits
     cloud: CloudClient
     store: StoreClient
-    catalog: dict[str, MachineType]  # by label; filled here, read by many
+    catalog: dict[str, MachineType]  # by label; updated here, read by other components
 
     @property
     def leader(self) -> object | None:
-        """The leader's work while this controller leads."""
+        """The running leader; None while this controller does not lead."""
         ...
 
 
 class MachineTypeCatalog:
-    """Keeps the controller's catalog up to date, and the copy in the store."""
+    """Keeps the controller's catalog and its copy in the store up to date."""
 
     def __init__(self, context: CatalogContext) -> None:
-        """Reads nothing before the first `refresh`."""
+        """Create the catalog; nothing is read before the first `refresh`."""
         self.context = context
 
     async def refresh(self) -> float:
-        """Asks the cloud, or, if it fails and no machine type is known yet, reads the copy in the store.
+        """Update the catalog from the cloud.
+
+        If the cloud fails and no machine type is known yet, the copy in the store is read instead.
 
         Returns:
-            Seconds until this is to be called again.
+            Seconds until the next call.
         """
         context = self.context
         try:
@@ -67,11 +72,16 @@
 
     async def _save(self) -> None:
         for path, value in self._records().items():
-            # Without a condition: whoever wrote a record last, and however late, it came from the cloud.
+            # Unconditional: every controller writes what the cloud returned, so any version of a
+            # record is valid, even one that arrives late.
             await self.context.store.txn({}, {path: value}, priority=RequestPriority.BACKGROUND)
 
     def _records(self) -> dict[str, Any]:
-        """The values to store by key: one for all types if it is within the write limits, else one for each type."""
+        """Return the values to store, by key.
+
+        They are one value for all types if the write limits allow its size, otherwise one for each
+        type.
+        """
         limits = self.context.write_limits
         types_by_label = msgspec.to_builtins(self.context.catalog)
         if (
