--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -1,10 +1,13 @@
-"""The cluster version: a feature gate that opens once every controller is known to understand a version.
+"""The cluster version: a feature gate that opens once every controller supports a version.
 
-Each controller announces the version that it understands. Whoever sees that all have announced a higher one than is in
-force writes it to the store, once, and it is never taken back. Until then nothing is stored, or sent to another controller,
-that the version in production would not write itself, and jobs with dependencies are refused: an owner of that version
-would start them at once. There is no manual switch: a controller that stays old, or is down and has never been new, keeps
-the gate closed, and the log names it.
+Each controller announces in the store the version that it supports. A controller that finds that
+all have announced a higher version than the cluster version raises the latter, which is never
+lowered. Until then nothing is stored, or sent to another controller, that controllers of the
+earlier version would not write themselves, and jobs with dependencies are refused: an owner of the
+earlier version would start them at once, without waiting for their dependencies.
+
+There is no manual override. A controller that is not upgraded, or that is down and has never run
+the new version, keeps the gate closed, and the log names it.
 """
 
 from __future__ import annotations
@@ -22,96 +25,109 @@
 
 
 class Feature(IntEnum):
-    """What the versions brought, by the version that each needs."""
+    """Features that need a cluster version; the value is the lowest version that has them."""
 
-    DEPENDENCIES = 2  # jobs with dependencies, and chunks within the store's smaller limits
+    DEPENDENCIES = 2  # jobs with dependencies; writes within the store's announced smaller limits
     FENCED_COMMANDS = 3  # commands between controllers carry the term; a leader names its successor
-    CANCELLATION_WATERMARK = 4  # cancellations are broadcast, and watermark echoes sent
+    CANCELLATION_WATERMARK = 4  # cancellations are broadcast, and watermark echoes are sent
 
 
-INITIAL_VERSION = 1  # of controllers that announce nothing
-SUPPORTED_VERSION = int(max(Feature))  # by this program; tests replace it to play an earlier one
+INITIAL_VERSION = 1  # version of controllers that announce none
+# The version that this program supports; tests replace it to simulate an earlier program.
+SUPPORTED_VERSION = int(max(Feature))
 
-PREFIX = "upgrade/"  # earlier versions read nothing there
-ANNOUNCEMENT_PREFIX = f"{PREFIX}node/"  # followed by the label of a controller
+PREFIX = "upgrade/"  # controllers of the initial version do not read these keys
+ANNOUNCEMENT_PREFIX = f"{PREFIX}node/"  # followed by a controller's label
 CLUSTER_VERSION_KEY = f"{PREFIX}mark"
-VERSION_FIELD = "forms"  # of both records
-CONTROLLERS_FIELD = "of"  # of the cluster version's: the controllers that had announced it
+VERSION_FIELD = "forms"  # in announcements and in the cluster version's record
+# In the cluster version's record: labels of the controllers that support that version.
+CONTROLLERS_FIELD = "of"
 
 
 class ClusterVersionContext(Protocol):
-    """What the cluster version uses of its controller."""
+    """The attributes of the controller that the cluster version uses."""
 
     label: str
     others: list[Other]
-    ttl_s: float  # lifetime of a membership lease
+    ttl_s: float  # lifetime of the membership's store lease, in seconds
     write_limits: WriteLimits
     store: StoreClient
 
 
 class ClusterVersion:
-    """What all controllers are known to understand, as this one has read it."""
+    """The version that all controllers are known to support, as this one has read or written it."""
 
     def __init__(self, context: ClusterVersionContext) -> None:
-        """Starts at the initial version, until `negotiate` has read the store."""
+        """Start at the initial version, until `negotiate` has read the store."""
         self.context = context
-        # Set once the store has been read: before that our own write limits may be too large.
+        # Set once the store has been read: until then this controller's write limits may be larger
+        # than what the store accepts.
         self.known = asyncio.Event()
         self.version = INITIAL_VERSION
-        self.missing: list[str] | None = None  # that have not announced ours; None: not looked yet
+        # Labels of the controllers that have not announced the version that this one supports; None
+        # until first computed.
+        self.missing: list[str] | None = None
 
     @property
     def is_known(self) -> bool:
-        """Whether the store has been read."""
+        """Whether the stored version has been read."""
         return self.known.is_set()
 
     @property
     def supports_dependencies(self) -> bool:
-        """Whether jobs with dependencies are accepted and the store's smaller limits kept to."""
+        """Whether jobs with dependencies are accepted and the announced write limits apply."""
         return self.context.write_limits.announced_apply
 
     @property
     def fences_commands(self) -> bool:
-        """Whether commands carry a term, so that those without one are from a process that has ended."""
+        """Whether all controllers send commands with a term.
+
+        A command without one then comes from a process of an earlier version, which has ended.
+        """
         return self.version >= Feature.FENCED_COMMANDS
 
     @property
     def broadcasts_cancellations(self) -> bool:
-        """Whether all controllers tell one another of cancellations."""
+        """Whether all controllers broadcast cancellations to one another."""
         return self.version >= Feature.CANCELLATION_WATERMARK
 
     async def negotiate(self) -> float | None:
-        """Reads the version in force, announces ours, and raises the one in force if all have announced more.
+        """Advance the cluster version as far as all controllers allow.
+
+        Reads the cluster version, announces the version that this controller supports, and raises
+        the cluster version if all controllers have announced a higher one.
 
         Returns:
-            Seconds until this is to be called again; None once the version in force is ours.
+            Seconds until the next call; None once the cluster version is the supported one.
         """
         entries, _ = await self.context.store.list_prefix(PREFIX)
-        found = {entry.path: entry for entry in entries}
-        if CLUSTER_VERSION_KEY in found:
-            self._activate(_version_of(found[CLUSTER_VERSION_KEY]), "stored")
+        entries_by_path = {entry.path: entry for entry in entries}
+        if CLUSTER_VERSION_KEY in entries_by_path:
+            self._activate(_version_of(entries_by_path[CLUSTER_VERSION_KEY]), "stored")
         self.known.set()
         if self.version >= SUPPORTED_VERSION:
             return None
-        if await self._announce(found):
+        if await self._announce(entries_by_path):
             return 0.0
-        announced = self._announcements(found)
-        common = min(
+        announced = self._announcements(entries_by_path)
+        common_version = min(
             _version_of(entry) if entry else INITIAL_VERSION for entry in announced.values()
         )
-        if common > self.version:
-            # The version that all understand, be it lower than ours: two versions after the one in production may
-            # meet as well.
-            await self._raise_version(common, announced, found.get(CLUSTER_VERSION_KEY))
-            if common >= SUPPORTED_VERSION:
+        if common_version > self.version:
+            # The highest version that all support may be lower than the one supported here:
+            # controllers of two new versions may run side by side.
+            await self._raise_version(
+                common_version, announced, entries_by_path.get(CLUSTER_VERSION_KEY)
+            )
+            if common_version >= SUPPORTED_VERSION:
                 return None
         self._log_missing(announced)
         return self.context.ttl_s / 2
 
-    async def _announce(self, found: dict[str, Entry]) -> bool:
-        """Announces the version that we understand; False if that has been done before."""
+    async def _announce(self, entries_by_path: dict[str, Entry]) -> bool:
+        """Announce the supported version; return False if it was announced before."""
         path = ANNOUNCEMENT_PREFIX + self.context.label
-        entry = found.get(path)
+        entry = entries_by_path.get(path)
         if entry is not None and _version_of(entry) >= SUPPORTED_VERSION:
             return False
         await self.context.store.txn(
@@ -120,15 +136,15 @@
         log.info("announced the version of this controller: version=%d", SUPPORTED_VERSION)
         return True
 
-    def _announcements(self, found: dict[str, Entry]) -> dict[str, Entry | None]:
-        """What each controller of the settings has announced, by label, sorted."""
+    def _announcements(self, entries_by_path: dict[str, Entry]) -> dict[str, Entry | None]:
+        """Return the announcement of each controller in the settings, by label, in sorted order."""
         labels = sorted({self.context.label, *(other.label for other in self.context.others)})
-        return {label: found.get(ANNOUNCEMENT_PREFIX + label) for label in labels}
+        return {label: entries_by_path.get(ANNOUNCEMENT_PREFIX + label) for label in labels}
 
     async def _raise_version(
         self, version: int, announced: dict[str, Entry | None], stored: Entry | None
     ) -> None:
-        """Writes a new version in force, provided that no announcement has changed meanwhile."""
+        """Write a new cluster version, provided that no announcement has changed meanwhile."""
         conditions = {entry.path: entry.revision for entry in announced.values() if entry}
         await self.context.store.txn(
             {**conditions, CLUSTER_VERSION_KEY: stored.revision if stored else 0},
@@ -137,7 +153,10 @@
         self._activate(version, "announced by all")
 
     def _activate(self, version: int, source: str) -> None:
-        """Brings a version into force in this process; the other controllers find it when they negotiate next."""
+        """Apply a cluster version in this process.
+
+        The other controllers read it in their next `negotiate`.
+        """
         context = self.context
         if version >= Feature.DEPENDENCIES and not context.write_limits.announced_apply:
             context.write_limits.apply_announced()
@@ -155,7 +174,7 @@
         )
 
     def _log_missing(self, announced: dict[str, Entry | None]) -> None:
-        """Names the controllers that keep the gate closed, whenever they are others than before."""
+        """Log the controllers that keep the gate closed, whenever that list changes."""
         missing = [
             label
             for label, entry in announced.items()
@@ -167,5 +186,5 @@
 
 
 def _version_of(entry: Entry) -> int:
-    """The version in a stored record. Raises KeyError if it has none."""
+    """Return the version in a stored record; raise KeyError if it has none."""
     return int(entry.value[VERSION_FIELD])
