--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -290,7 +290,7 @@
         self.may_serve = self.membership.may_own_and_lead
         self.readiness = Readiness(
             self.connectivity,
-            may_serve=self.membership.may_own_and_lead,
+            may_own_and_lead=self.membership.may_own_and_lead,
             catalog=self.catalog,
             shards_known=self.shards.ready,
         )
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -74,7 +74,7 @@
     ],
 )
 def test_alone_without_the_store(silent_s: float, peers: list[Any], alone: bool) -> None:
-    assert connectivity(silent_s, *peers).alone_without_store() is alone
+    assert connectivity(silent_s, *peers).isolated_from_store() is alone
 
 
 def test_cut_off_once_neither_peers_nor_workers_are_heard(clock: Clock) -> None:
@@ -112,7 +112,7 @@
         clock.now += 2 * HEARTBEAT_S + 0.1
     readiness = Readiness(
         connected,
-        may_serve=lambda: missing not in ("cut off", "may serve"),
+        may_own_and_lead=lambda: missing not in ("cut off", "may serve"),
         catalog={} if missing == "catalog" else {"small": SimpleNamespace()},  # type: ignore[dict-item]
         shards_known=shards_known,
     )
