--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -177,7 +177,7 @@
         steps = [
             self.membership.maintain,
             self.shard_ownership.run_once,
-            self.gossip.beat,
+            self.gossip.run_once,
             self.machine_type_catalog.refresh,
             self.cluster_version.negotiate,
             self.timer_lateness.run,
--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -1,4 +1,4 @@
-"""What a controller sends its peers with each beat, and at once where a beat would be too late."""
+"""Messages between controllers: those sent with each heartbeat, and urgent ones sent at once."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     TaskCounts,
 )
 
-JOBS_PER_FRAME = 2000  # far below a frame's limit, however long the jobs' names are
+JOBS_PER_FRAME = 2000  # stays far below the maximum frame size, whatever the length of job ids
 
 
 class HeartbeatSource:
-    """Makes this controller's heartbeats for its peers."""
+    """Builds the heartbeats that this controller sends to its peers."""
 
     def __init__(
         self,
@@ -39,7 +39,15 @@
         readiness: Readiness,
         leads: Callable[[], bool],
     ) -> None:
-        """Take what a heartbeat says: `incarnation` of this process, its connections and its part as leader."""
+        """Set the sources of a heartbeat's contents.
+
+        Args:
+            incarnation: Random number that identifies this process.
+            store: Client that tells the store's silence and this controller's demand for requests.
+            connectivity: Tells when a worker was last heard.
+            readiness: Tells whether this controller accepts requests.
+            leads: Returns whether this controller leads.
+        """
         self.incarnation = incarnation
         self.store = store
         self.connectivity = connectivity
@@ -47,7 +55,7 @@
         self.leads = leads
 
     def heartbeat(self, now: float) -> PeerHeartbeat:
-        """The heartbeat as of `now`, by the steady clock."""
+        """Return the heartbeat as of the monotonic time `now`."""
         return PeerHeartbeat(
             self.incarnation,
             self.store.silent_for,
@@ -59,20 +67,31 @@
 
 
 class StoreLimitSharing:
-    """Divides the request limits of the store among the controllers that live, by what each asks."""
+    """Divides the store's request limits among the live controllers by their demand."""
 
     def __init__(
         self, *, store: StoreClient, mesh: Mesh, cluster: ClusterState, ttl_s: float
     ) -> None:
-        """`ttl_s`: how long after its last beat a peer's demand counts, in seconds."""
+        """Set up the sharing.
+
+        Args:
+            store: Client whose rates are set; its demand is this controller's.
+            mesh: Links that tell the demands of peers.
+            cluster: Tells which controllers are members.
+            ttl_s: How long a peer's demand counts after its last frame, in seconds.
+        """
         self.store = store
         self.mesh = mesh
         self.members = cluster.members
         self.ttl_s = ttl_s
 
-    def divide(self) -> None:
-        """Set this controller's share anew."""
-        demands: list[Demand | None] = []  # None: a member whose demand is not known
+    def update_share(self) -> None:
+        """Recompute this controller's share of the limits.
+
+        A peer that has not been heard within `ttl_s` counts with an unknown demand while it is a
+        member, or while the members are not known.
+        """
+        demands: list[Demand | None] = []  # None: unknown demand
         for peer in self.mesh.peers.values():
             if peer.heartbeat is not None and peer.seen_within(self.ttl_s):
                 demands.append(Demand(peer.heartbeat.requests, peer.heartbeat.writes))
@@ -82,7 +101,7 @@
 
 
 class OwnerGossip:
-    """What the owners of shards tell the leader and the other controllers."""
+    """Sends the state of the shards owned here to the leader and the other controllers."""
 
     def __init__(
         self,
@@ -93,46 +112,55 @@
         cluster_version: ClusterVersion,
         now: Callable[[], float],
     ) -> None:
-        """Take what is told, and how.
+        """Set the sources and the transport.
 
         Args:
-            owners: the shards owned here.
-            mesh: carries the frames.
-            cluster: who leads.
-            cluster_version: which frames all controllers understand.
-            now: the controller's clock, in seconds since the epoch.
+            owners: The shards owned here.
+            mesh: Links over which frames are sent.
+            cluster: Tells which controller leads.
+            cluster_version: Tells which frames all controllers support.
+            now: The controller's clock, in seconds since the epoch.
         """
         self.owners = owners
         self.mesh = mesh
         self.cluster = cluster
         self.cluster_version = cluster_version
         self.now = now
-        self.inheriting: set[str] = set()  # shards whose last frame passed priorities on
+        # Names of the shards whose last `PriorityInheritance` frame was not empty.
+        self.shards_with_inheritance: set[str] = set()
 
     def send_claims(self) -> None:
-        """Tell the peers which shards are owned and have been read here.
+        """Tell the peers which shards are owned here.
 
-        Not sooner: an owner that the store refuses would let go of its workers at the claim, and if the new one's
-        reading then met an outage nobody could answer them (109 tasks lost on a day of refusals and outages).
-        Until then the replaced owner can write nothing any more.
+        Claims are sent only for shards that have been read. A previous owner whose requests the
+        store refuses learns of its replacement from this frame, and stops answering the shard's
+        workers. If it did so earlier, and a store outage then interrupted the reading, no
+        controller could answer them: 109 tasks were lost that way on a day of refusals and
+        outages. The previous owner cannot write to the shard in the meantime.
         """
         claims = [(shard.name, shard.revision) for shard in self.owners.active_shards()]
         if claims:
             self.mesh.broadcast(OwnershipClaims(claims))
 
     def send_statuses(self) -> None:
-        """Tell the leader how all shards stand."""
+        """Send the leader the status of every shard that is active here."""
         for shard in self.owners.active_shards():
             self.send_status(shard)
 
     def send_status_if_urgent(self, shard: Shard) -> None:
-        """Tell the leader at once that a shard has come to lack room; that it no longer does can wait for a beat."""
+        """Send the leader a shard's status if the shard has begun to request resources.
+
+        The end of its requests can wait for the next heartbeat.
+        """
         if shard.resource_requests and not shard.had_resource_requests:
             self.send_status(shard)
         shard.had_resource_requests = bool(shard.resource_requests)
 
     def send_status(self, shard: Shard) -> None:
-        """Tell the leader, unless it is this controller, how a shard stands and what it is vacating."""
+        """Send the leader a shard's status and the machines that the shard is vacating.
+
+        Nothing is sent if no leader is known or this controller is the leader.
+        """
         leader = self.cluster.leader_label()
         if not leader or leader == self.owners.label:
             return
@@ -144,34 +172,37 @@
             self.mesh.send(leader, ReclaimsInProgress(shard.name, leaving))
 
     def send_statuses_and_counts(self) -> None:
-        """Tell the leader how the shards stand, and all peers the priorities and task counts of their jobs."""
+        """Send statuses to the leader, and inherited priorities and task counts to all peers."""
         counts: list[tuple[str, int, int]] = []
         for shard in self.owners.active_shards():
             counts += shard.status_reporter.task_counts()
             self.send_status(shard)
         self._send_inherited_priorities()
-        # As many frames as it takes: a peer keeps what it was told of the jobs that are not over.
+        # All counts are sent, in several frames if needed: peers keep those of every active job.
         for start in range(0, len(counts), JOBS_PER_FRAME):
             self.mesh.broadcast(TaskCounts(counts[start : start + JOBS_PER_FRAME]))
 
     def _send_inherited_priorities(self) -> None:
-        """Pass on what jobs here mean for jobs of other shards that they depend on.
+        """Send the priorities that jobs of other shards inherit from dependent jobs here.
 
-        Said anew with each beat as long as there is any, and once more when there is none left.
+        A shard's priorities are sent with each heartbeat while there are any, and once more, empty,
+        when there are none left.
         """
         if not self.cluster_version.supports_dependencies:
             return
         for shard in self.owners.active_shards():
             rows = shard.dependency_tracker.graph.inherited_elsewhere(shard.jobs)
-            if rows or shard.name in self.inheriting:
+            if rows or shard.name in self.shards_with_inheritance:
                 inheritance = PriorityInheritance(shard.name, rows[:JOBS_PER_FRAME])
                 self.mesh.broadcast(inheritance)
                 self.owners.inherit_priorities(inheritance)
-            (self.inheriting.add if rows else self.inheriting.discard)(shard.name)
+            (self.shards_with_inheritance.add if rows else self.shards_with_inheritance.discard)(
+                shard.name
+            )
 
 
 class Gossip:
-    """The loop of beats between controllers."""
+    """The loop that sends peer heartbeats, and what goes with each of them."""
 
     def __init__(
         self,
@@ -184,7 +215,17 @@
         load_handover: LoadHandover,
         worker_client: WorkerClient,
     ) -> None:
-        """Take what is done with each beat."""
+        """Set the components that act at each heartbeat.
+
+        Args:
+            mesh: Links to the peers; determines the interval between heartbeats.
+            heartbeats: Builds the heartbeat.
+            store_limits: Recomputes this controller's share of the store's limits.
+            cancellations: Sends the watermark echoes.
+            owner_gossip: Sends the state of the shards owned here.
+            load_handover: Hands a shard over if this controller is overloaded.
+            worker_client: Closes its idle connections.
+        """
         self.mesh = mesh
         self.heartbeats = heartbeats
         self.store_limits = store_limits
@@ -193,11 +234,11 @@
         self.load_handover = load_handover
         self.worker_client = worker_client
 
-    async def beat(self) -> float:
-        """Send what is due with a beat, in this order; returns the seconds until the next."""
+    async def run_once(self) -> float:
+        """Send one heartbeat and all that goes with it; return the seconds until the next."""
         now = time.monotonic()
         self.load_handover.on_beat(now)
-        self.store_limits.divide()
+        self.store_limits.update_share()
         self.mesh.broadcast(self.heartbeats.heartbeat(now))
         self.cancellations.send_echoes(now)
         self.owner_gossip.send_claims()
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -189,7 +189,7 @@
     ("core/preemption_cost.py", "leader's choices"),
     ("machine_type_catalog.py", "leader's choices"),
     ("core/status_reporter.py", "pictures"),
-    ("gossip.py:divide", "watch and state"),
+    ("gossip.py:update_share", "watch and state"),
     ("gossip.py", "mesh"),
     ("frame_dispatch.py", "mesh"),
     ("peer_reports.py", "mesh"),
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -133,7 +133,7 @@
     gossip.send_statuses_and_counts()
     sent = [frame.jobs for to, frame in mesh.sent if to == "*"]
     assert sent == [[("req-1", 3, 0.5)], []]
-    assert gossip.inheriting == set()
+    assert gossip.shards_with_inheritance == set()
 
 
 def test_limits_are_divided_among_members_by_demand() -> None:
@@ -148,9 +148,9 @@
     mesh: Any = SimpleNamespace(peers=peers)
     cluster: Any = SimpleNamespace(members=SimpleNamespace(entries={"member/c": None}, ready=ready))
     sharing = StoreLimitSharing(store=store, mesh=mesh, cluster=cluster, ttl_s=4.0)
-    sharing.divide()
+    sharing.update_share()
     ready.set()
-    sharing.divide()
+    sharing.update_share()
     demand = Demand(3.0, 2.0)
     assert shared == [[demand, None, None], [demand, None]]
 
@@ -167,14 +167,14 @@
     gossip = Gossip(
         mesh=noted("broadcast"),
         heartbeats=noted("heartbeat"),
-        store_limits=noted("divide"),
+        store_limits=noted("update_share"),
         cancellations=noted("send_echoes"),
         owner_gossip=noted("send_claims", "send_statuses_and_counts"),
         load_handover=noted("on_beat"),
         worker_client=noted("close_idle"),
     )
-    assert asyncio.run(gossip.beat()) == 0.25
-    expected = ["on_beat", "divide", "heartbeat", "broadcast", "send_echoes"]
+    assert asyncio.run(gossip.run_once()) == 0.25
+    expected = ["on_beat", "update_share", "heartbeat", "broadcast", "send_echoes"]
     assert order == [*expected, "send_claims", "send_statuses_and_counts", "close_idle"]
 
 
