--- a/ashdock/timelines.py
+++ b/ashdock/timelines.py
@@ -1,7 +1,8 @@
-"""Where the time goes between a controller's start, or a failover, and the first placement.
+"""Timelines of a controller's startup and of the failover of a shard.
 
-Two state machines, whose times in each state become metrics. This module does no input or output; times are passed in, in
-seconds of any one clock. An event that does not fit the present state is ignored, since most of them occur again and again.
+They are two state machines; the time spent in each state is exported as a metric. Callers pass in
+the times, in seconds of any one clock. An event that does not apply to the current state is
+ignored, since most events occur repeatedly.
 """
 
 from __future__ import annotations
@@ -13,59 +14,59 @@
 
 
 class StartupState(Enum):
-    """A controller since its process began; the values are labels of a metric."""
+    """State of a controller's startup; the values are label values of a metric."""
 
-    JOINING = "joining"  # no member yet
-    SYNCING = "learning"  # reads the store, the cluster version and the machine types
+    JOINING = "joining"  # not a member yet
+    SYNCING = "learning"  # reading the store, the cluster version and the machine types
     READY = "owning"  # may claim shards
 
 
 class FailoverState(Enum):
-    """A shard since this controller set out to claim it; the values are labels of a metric."""
+    """State of a shard's failover to this controller; the values are label values of a metric."""
 
     CLAIMING = "claiming"
     LOADING = "reading"
-    AWAITING_HEARTBEAT = "hearing"  # none of its workers has checked in here yet
-    SCHEDULING = "passing"  # no scheduling cycle has ended since
-    PLACING = "placing"  # no placement of ours is durable yet, or there was nothing to place
+    AWAITING_HEARTBEAT = "hearing"  # no heartbeat from its workers yet
+    SCHEDULING = "passing"  # no scheduling cycle completed yet
+    PLACING = "placing"  # no placement durable yet, or nothing to place
     RECOVERED = "recovered"
 
 
 class _Timeline:
-    """The time spent in each state that has been left."""
+    """Records the time spent in each state that has been left."""
 
     def __init__(self, now: float) -> None:
         self.started_at = now
         self.state_entered_at = now
-        self.durations_s: dict[str, float] = {}  # by the state's value
+        self.durations_s: dict[str, float] = {}  # by the value of the state
 
-    def _record(self, left: Enum, now: float) -> None:
-        self.durations_s[left.value] = now - self.state_entered_at
+    def _record(self, state: Enum, now: float) -> None:
+        self.durations_s[state.value] = now - self.state_entered_at
         self.state_entered_at = now
 
     def format_durations(self) -> str:
-        """The seconds in each state, for a log line."""
+        """Format the seconds spent in each state for a log line."""
         return " ".join(f"{state}_s={seconds:.2f}" for state, seconds in self.durations_s.items())
 
 
 class StartupTimeline(_Timeline):
-    """From the start of the process until shards may be claimed.
+    """Timeline from the start of the process until shards may be claimed.
 
     JOINING -- `joined` --> SYNCING -- `synced` --> READY
     """
 
     def __init__(self, now: float) -> None:
-        """Starts in JOINING; `now` is the start of the process."""
+        """Start in JOINING; `now` is when the controller was built."""
         super().__init__(now)
         self.state = StartupState.JOINING
 
     def joined(self, now: float) -> None:
-        """The controller is a member, for the first time or again."""
+        """Record that the controller is a member, for the first time or again."""
         if self.state is StartupState.JOINING:
             self._enter(StartupState.SYNCING, now)
 
     def synced(self, now: float) -> None:
-        """All that a claim rests on has been read."""
+        """Record that everything needed to claim a shard has been read."""
         if self.state is StartupState.SYNCING:
             self._enter(StartupState.READY, now)
             log.info(
@@ -80,28 +81,34 @@
 
 
 class FailoverTimeline(_Timeline):
-    """From the decision to claim a shard until a placement in it is durable.
+    """Timeline from the decision to claim a shard until a placement in it is durable.
 
-    CLAIMING -- `claimed` --> LOADING -- `loaded` --> AWAITING_HEARTBEAT -- `heartbeat_received` --> SCHEDULING
-    -- `cycle_ended` --> PLACING -- `placement_committed` --> RECOVERED
+    CLAIMING -- `claimed` --> LOADING -- `loaded` --> AWAITING_HEARTBEAT
+    -- `heartbeat_received` --> SCHEDULING -- `cycle_ended` --> PLACING
+    -- `placement_committed` --> RECOVERED
 
-    Where no machine was up there is no heartbeat to wait for: LOADING -- `loaded` --> SCHEDULING.
+    If no machine was up there is no heartbeat to wait for: LOADING -- `loaded` --> SCHEDULING.
     """
 
     def __init__(self, team: str, now: float) -> None:
-        """Starts in CLAIMING; `team` names the shard."""
+        """Start in CLAIMING; `team` is the name of the shard."""
         super().__init__(now)
         self.team = team
         self.state = FailoverState.CLAIMING
-        self.machines = 0  # that were up under the owner before
+        self.machines = 0  # number that was up under the previous owner
 
     def claimed(self, now: float) -> None:
-        """The claim has been written."""
+        """Record that the claim has been written."""
         if self.state is FailoverState.CLAIMING:
             self._enter(FailoverState.LOADING, now)
 
     def loaded(self, machines: int, now: float) -> None:
-        """The shard has been read back; `machines` of it were up."""
+        """Record that the shard has been read.
+
+        Args:
+            machines: Number of its machines that were up under the previous owner.
+            now: Current time, in seconds.
+        """
         if self.state is FailoverState.LOADING:
             self.machines = machines
             self._enter(
@@ -109,20 +116,26 @@
             )
 
     def heartbeat_received(self, now: float) -> None:
-        """A worker of the shard has checked in."""
+        """Record that a heartbeat of one of the shard's workers was received."""
         if self.state is FailoverState.AWAITING_HEARTBEAT:
             self._enter(FailoverState.SCHEDULING, now)
 
     def cycle_ended(self, placed: bool, now: float) -> None:
-        """A scheduling cycle has ended; `placed`: it has placed tasks."""
+        """Record the end of a scheduling cycle.
+
+        Args:
+            placed: Whether any task has been placed since the claim.
+            now: Current time, in seconds.
+        """
         if self.state is FailoverState.AWAITING_HEARTBEAT and placed:
-            # Placed before any worker checked in: on machines assigned while up, which need no heartbeat.
+            # Tasks were placed before any heartbeat, on machines that were assigned to the shard
+            # while up: those need none.
             self.heartbeat_received(now)
         if self.state is FailoverState.SCHEDULING:
             self._enter(FailoverState.PLACING, now)
 
     def placement_committed(self, now: float) -> None:
-        """A placement of ours is durable, so its task may start."""
+        """Record that a placement by this owner is durable, so its task may start."""
         if self.state is FailoverState.PLACING:
             self._enter(FailoverState.RECOVERED, now)
             log.info(
