--- a/ashdock/timelines.py
+++ b/ashdock/timelines.py
@@ -27,7 +27,7 @@
     CLAIMING = "claiming"
     LOADING = "reading"
     AWAITING_HEARTBEAT = "hearing"  # no heartbeat from its workers yet
-    SCHEDULING = "passing"  # no scheduling cycle completed yet
+    SCHEDULING = "passing"  # no scheduling cycle completed since
     PLACING = "placing"  # no placement durable yet, or nothing to place
     RECOVERED = "recovered"
 
