--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -1,4 +1,4 @@
-"""The composition root of a controller: builds its components, wires them and runs them."""
+"""Composition root of a controller: builds its components, connects them and runs them."""
 
 from __future__ import annotations
 
@@ -66,33 +66,40 @@
 log = logging.getLogger("ashdock.controller")
 
 
-MIN_TTL_S = 1.0  # of the membership's store lease
-TTLS_PER_AGENT_LEASE = 6  # a controller that is gone is replaced well before its agents stop
-BEATS_PER_TTL = 5  # heartbeats to peers in the lifetime of the membership's store lease
-ELECTION_LOOKS_PER_TTL = 8
-TICKS_PER_TTL = 8  # at least: a tick is the pause between two looks at what is due
-TICKS_PER_HEARTBEAT = 4  # at least, in the period of the workers' heartbeats
-TIMERS_PER_TICK = 2  # that measure lateness
-GATHERINGS_PER_TICK = 16  # how briefly a shard owner waits for more changes to write together
-COMMANDS_PER_AGENT_LEASE = 5  # timeouts of a command to a worker
-IDLE_HEARTBEATS = 10  # periods after which an unused connection to a worker is closed
-PATIENCE_AGENT_LEASES = 2  # before leadership, or a shard for load, moves by choice
+# The TTL is the lifetime of the membership's store lease. A tick is the usual pause of a loop
+# before it checks again what is due.
+MIN_TTL_S = 1.0
+TTLS_PER_AGENT_LEASE = 6  # a failed controller is replaced well before its agents' leases expire
+PEER_HEARTBEATS_PER_TTL = 5
+ELECTION_CHECKS_PER_TTL = 8
+MIN_TICKS_PER_TTL = 8
+MIN_TICKS_PER_WORKER_HEARTBEAT = 4
+LATENESS_TIMERS_PER_TICK = 2
+WRITE_DELAYS_PER_TICK = 16  # a shard owner waits one such delay for more changes to write together
+COMMAND_TIMEOUTS_PER_AGENT_LEASE = 5
+# Worker heartbeat periods after which an unused connection to a worker is closed.
+IDLE_CONNECTION_HEARTBEATS = 10
+# Minimum time before leadership or, to shed load, a shard is transferred voluntarily, and between two
+# such transfers.
+TRANSFER_INTERVAL_AGENT_LEASES = 2
 INCARNATION_BITS = 48
 
 
 class Controller:
     """One controller, built from its settings.
 
-    Components ask their controller, as their `context`, for what their protocols list; those names are bound here to
-    the components that answer, so that no call lies between.
+    Components use the controller as their `context`, through a protocol that lists the attributes
+    they need. Such attributes are bound here directly to the methods of the components that provide
+    them, which saves a call for each use.
     """
 
     def __init__(self, settings: Settings, rng: random.Random | None = None) -> None:
-        """Build and wire all components; nothing runs before `run`.
+        """Build and connect all components; nothing runs before `run`.
 
         Args:
-            settings: of this controller.
-            rng: source of all random choices; its draws depend on the order in which components are built.
+            settings: Settings of this controller.
+            rng: Source of all random choices. Components draw from it while they are built, so the
+                order in which they are built determines the choices.
         """
         self.settings = settings
         self.shared = settings.settings
@@ -104,11 +111,15 @@
         self.clock = MonotonicWallClock()
         self.now = self.clock.now
         self.ttl_s = max(self.workers.lease_s / TTLS_PER_AGENT_LEASE, MIN_TTL_S)
-        self.tick_s = min(self.workers.report_s / TICKS_PER_HEARTBEAT, self.ttl_s / TICKS_PER_TTL)
-        self.gather_s = self.tick_s / GATHERINGS_PER_TICK
+        self.tick_s = min(
+            self.workers.report_s / MIN_TICKS_PER_WORKER_HEARTBEAT, self.ttl_s / MIN_TICKS_PER_TTL
+        )
+        self.gather_s = self.tick_s / WRITE_DELAYS_PER_TICK
         self.catalog: dict[str, MachineType] = {}
         self.owners: dict[str, ShardOwner] = {}
-        self.intent_count = 0  # over all times this process has led, since names are never reused
+        # Counts over all terms that this process leads: names of provisioning intents are never
+        # reused.
+        self.intent_count = 0
         self._build_clients()
         self._build_mesh()
         self._build_cluster_state()
@@ -124,7 +135,7 @@
 
     @property
     def leader(self) -> Leader | None:
-        """What the leader does, while this controller leads."""
+        """The running leader; None while this controller does not lead."""
         return self.elector.leader_work
 
     def leads(self) -> bool:
@@ -133,35 +144,35 @@
 
     @property
     def store_lease(self) -> int | None:
-        """The membership's store lease; None while there is none."""
+        """Id of the membership's store lease; None while there is none."""
         return self.membership.store_lease
 
     @property
     def lease_renewed_at(self) -> float:
-        """When that store lease was last renewed, by the steady clock."""
+        """Monotonic time at which the last successful renewal of that store lease was sent."""
         return self.membership.lease_renewed_at
 
     def names_successor(self) -> bool:
-        """Whether all controllers understand a leader that names its successor."""
+        """Whether all controllers support a leader that names its successor."""
         return self.cluster_version.fences_commands
 
     def renewed(self) -> None:
-        """Let the election be looked at: the membership was renewed."""
+        """Wake the election loop after a renewal of the membership."""
         self.election_loop.wake()
 
     def membership_lost(self) -> None:
-        """Give up leadership, which rests on the membership's store lease."""
+        """Stop leading, since leadership depends on the membership's store lease."""
         self.elector.stop_leading("the membership was lost")
 
     def metrics(self) -> Answer:
-        """The page of metrics."""
-        # Imported with the first request for it: it costs start-up time and memory.
+        """Return the metrics page."""
+        # Imported at the first request, since the import costs startup time and memory.
         from ashdock.net import metrics
 
         return Answer(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Run all components and serve requests until cancelled."""
         self.machines.on_change(self.shard_owners.machine_changed)
         self.jobs.on_change(self.shard_owners.job_changed)
         self.jobs.on_gap = self.shard_owners.job_changes_missed
@@ -197,35 +208,37 @@
             await self.server.stop()
 
     def _build_clients(self) -> None:
-        """Admission, and the clients of the store, the cloud and the workers."""
+        """Build admission control and the clients of the store, the cloud and the workers."""
         settings = self.settings
         self.write_limits = WriteLimits(self.shared.state)
         self.cluster_version = ClusterVersion(self)
         weights = settings.operators.fairness.weights
         self.admission = Admission(self.shared, len(settings.others), weights)
-        sockets = self.admission.shares.reserved
+        reserved_sockets = self.admission.shares.reserved
         self.store = StoreClient(
             *address(settings.outside.state, "outside.state"),
             self.shared,
             self.write_limits,
-            sockets[SocketUse.STORE],
+            reserved_sockets[SocketUse.STORE],
             weights,
         )
         self.cloud = CloudClient(
-            *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[SocketUse.CLOUD]
+            *address(settings.outside.cloud, "outside.cloud"),
+            self.shared,
+            reserved_sockets[SocketUse.CLOUD],
         )
         self.worker_client = WorkerClient(
-            self.workers.lease_s / COMMANDS_PER_AGENT_LEASE,
-            IDLE_HEARTBEATS * self.workers.report_s,
-            sockets[SocketUse.COMMANDS],
+            self.workers.lease_s / COMMAND_TIMEOUTS_PER_AGENT_LEASE,
+            IDLE_CONNECTION_HEARTBEATS * self.workers.report_s,
+            reserved_sockets[SocketUse.COMMANDS],
         )
         self.background_tasks = BackgroundTasks()
         self.background = self.background_tasks.tasks
         self.spawn = self.background_tasks.spawn
-        self.timer_lateness = TimerLateness(self.admission, self.tick_s / TIMERS_PER_TICK)
+        self.timer_lateness = TimerLateness(self.admission, self.tick_s / LATENESS_TIMERS_PER_TICK)
 
     def _build_mesh(self) -> None:
-        """The links to the peers, and the cancellations that are told over them."""
+        """Build the links to the peers, the cancellation broadcast and heartbeat forwarding."""
         peers = [
             PeerAddress(other.label, *address(other.endpoint, "others"))
             for other in self.settings.others
@@ -235,7 +248,7 @@
             self.label,
             peers,
             self.frame_dispatcher.dispatch,
-            heartbeat_interval_s=self.ttl_s / BEATS_PER_TTL,
+            heartbeat_interval_s=self.ttl_s / PEER_HEARTBEATS_PER_TTL,
             on_link=lambda label: self.cancellations.watermark.link_established(label),
         )
         self.cancellations: CancellationBroadcaster = CancellationBroadcaster(
@@ -246,7 +259,7 @@
         self.relay = self.heartbeat_forwarder.forward
 
     def _build_cluster_state(self) -> None:
-        """What the store says of the cluster, and what is known by it."""
+        """Build the caches of the cluster's state in the store, and what depends on them."""
         self.cluster = ClusterState(self.store, self.workers, self.shared.teams)
         self.machines = self.cluster.machines
         self.shards = self.cluster.shards
@@ -263,7 +276,7 @@
         self.cancellations_age = self.cancellation_knowledge.age_s
 
     def _build_election(self) -> None:
-        """Leadership, and the fence against leaders that were replaced."""
+        """Build the leader election and the fence against replaced leaders."""
         self.incarnation = self.rng.getrandbits(INCARNATION_BITS)
         self.elector: LeaderElector[Leader] = LeaderElector(
             self,
@@ -271,13 +284,13 @@
             self.leaders,
             lambda election: Leader(self, election),
             self.operators.duties.machines,
-            PATIENCE_AGENT_LEASES * self.workers.lease_s,
+            TRANSFER_INTERVAL_AGENT_LEASES * self.workers.lease_s,
         )
         self.doubted = self.elector.check_lease
         self.terms = TermFence()
 
     def _build_membership(self) -> None:
-        """Membership, and whether this controller is connected and ready."""
+        """Build membership, connectivity and readiness."""
         self.connectivity = Connectivity(
             self.store, self.mesh, ttl_s=self.ttl_s, heartbeat_s=self.workers.report_s
         )
@@ -297,7 +310,7 @@
         self.ready = self.readiness.ready
 
     def _build_front(self) -> None:
-        """What answers users and workers."""
+        """Build the request handlers for users and workers."""
         self.orphan_leases = OrphanLeaseRenewer(
             self.workers,
             self.jobs,
@@ -308,7 +321,7 @@
         self.jobs_known = self.front
 
     def _build_shard_ownership(self) -> None:
-        """The shards owned here, what claims them, and what the leader and a short processor ask of them."""
+        """Build the ownership of shards, the leader's commands to owners and the load handover."""
         self.shard_owners = ShardOwners(
             label=self.label,
             table=self.owners,
@@ -347,11 +360,11 @@
             commands=self.shard_commands,
             leads=self.leads,
             ttl_s=self.ttl_s,
-            patience_s=PATIENCE_AGENT_LEASES * self.workers.lease_s,
+            patience_s=TRANSFER_INTERVAL_AGENT_LEASES * self.workers.lease_s,
         )
 
     def _build_gossip(self) -> None:
-        """What is sent to the peers with each beat."""
+        """Build what is sent to the peers with each heartbeat."""
         self.owner_gossip = OwnerGossip(
             owners=self.shard_owners,
             mesh=self.mesh,
@@ -380,18 +393,18 @@
         )
 
     def _build_election_loop(self) -> None:
-        """What keeps leadership up to date."""
+        """Build the loop that takes part in the leader election."""
         self.election_loop = ElectionLoop(
             elector=self.elector,
             membership=self.membership,
             terms=self.terms,
-            period_s=self.ttl_s / ELECTION_LOOKS_PER_TTL,
+            period_s=self.ttl_s / ELECTION_CHECKS_PER_TTL,
             may_lead=lambda: bool(self.catalog),
             send_statuses=self.owner_gossip.send_statuses,
         )
 
     def _build_peer_reports(self) -> None:
-        """What the peers have told of their shards and jobs."""
+        """Build what keeps the reports of peers on their shards and jobs."""
         self.peer_reports = PeerReports(
             owners=self.shard_owners,
             cluster=self.cluster,
@@ -404,14 +417,14 @@
         self.counts = self.peer_reports.task_counts
 
     def _register_frame_handlers(self) -> None:
-        """Which component takes which frames of peers."""
+        """Register the component that handles each type of peer frame."""
         register = self.frame_dispatcher.register
         register(ShardStatus, self.peer_reports.status_received)
         register(ReclaimsInProgress, self.peer_reports.reclaims_received)
         register(TaskCounts, self.peer_reports.counts_received)
         register(FencedCommand, self.shard_commands.fenced_received)
-        for command in get_args(ShardCommand):
-            register(command, self.shard_commands.unfenced_received)
+        for command_type in get_args(ShardCommand):
+            register(command_type, self.shard_commands.unfenced_received)
         register(OwnershipClaims, self.shard_owners.claims_received)
         register(
             PriorityInheritance, lambda _label, frame: self.shard_owners.inherit_priorities(frame)
@@ -422,7 +435,7 @@
         register(ForwardReply, lambda _label, frame: self.heartbeat_forwarder.reply_received(frame))
 
     def _build_server(self) -> None:
-        """The HTTP server for users, workers and probes."""
+        """Build the HTTP server for users, workers and probes."""
         admission = self.admission
         self.server = Server(
             self.front.handle,
