--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""What is sent to peers, by whom and in which order; commands of the leader; steps that are repeated."""
+"""Messages to peers and their order, commands of the leader, and periodic steps."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 
 
 class SentFrames:
-    """A mesh that keeps what is sent: to whom ("*": all), and the frame."""
+    """A stand-in for the mesh that records each receiver ("*" for all peers) and frame."""
 
     def __init__(self) -> None:
-        """With nothing sent."""
+        """Start without frames."""
         self.sent: list[tuple[str, Any]] = []
 
     def send(self, label: str, frame: Any) -> bool:
-        """Keep a frame to one peer."""
+        """Record a frame to one peer."""
         self.sent.append((label, frame))
         return True
 
     def broadcast(self, frame: Any) -> None:
-        """Keep a frame to all peers."""
+        """Record a frame to all peers."""
         self.sent.append(("*", frame))
 
 
-def shard_of(name: str, jobs: int = 0, rows: list[Any] | None = None) -> Any:
+def make_shard(name: str, jobs: int = 0, rows: list[Any] | None = None) -> Any:
     reporter = SimpleNamespace(
         task_counts=lambda: [(f"{name}-{n}", 1, 2) for n in range(jobs)],
         shard_status=lambda now: f"status of {name}",
         leaving_machines=lambda: [(f"vm-{name}", "")],
     )
-    graph = SimpleNamespace(inherited_elsewhere=lambda ours: list(rows or []))
+    graph = SimpleNamespace(inherited_elsewhere=lambda own_jobs: list(rows or []))
     return SimpleNamespace(
         name=name,
         revision=7,
@@ -60,7 +60,7 @@
     )
 
 
-def owner_gossip(
+def make_owner_gossip(
     mesh: SentFrames, *shards: Any, leader: str | None = "b", new_version: bool = True
 ) -> OwnerGossip:
     owners: Any = SimpleNamespace(
@@ -70,53 +70,53 @@
     )
     cluster: Any = SimpleNamespace(leader_label=lambda: leader)
     version: Any = SimpleNamespace(supports_dependencies=new_version, fences_commands=new_version)
-    a_mesh: Any = mesh
+    untyped_mesh: Any = mesh
     return OwnerGossip(
-        owners=owners, mesh=a_mesh, cluster=cluster, cluster_version=version, now=lambda: 0.0
+        owners=owners, mesh=untyped_mesh, cluster=cluster, cluster_version=version, now=lambda: 0.0
     )
 
 
 def test_claims_are_sent_to_all_if_there_are_any() -> None:
     mesh = SentFrames()
-    owner_gossip(mesh).send_claims()
+    make_owner_gossip(mesh).send_claims()
     assert mesh.sent == []
-    owner_gossip(mesh, shard_of("red"), shard_of("blue")).send_claims()
+    make_owner_gossip(mesh, make_shard("red"), make_shard("blue")).send_claims()
     assert mesh.sent == [("*", OwnershipClaims([("red", 7), ("blue", 7)]))]
 
 
 @pytest.mark.parametrize("leader", [None, "a"])
 def test_no_status_is_sent_without_another_leader(leader: str | None) -> None:
     mesh = SentFrames()
-    owner_gossip(mesh, shard_of("red"), leader=leader).send_statuses()
+    make_owner_gossip(mesh, make_shard("red"), leader=leader).send_statuses()
     assert mesh.sent == []
 
 
-def test_a_status_goes_to_the_leader_with_what_is_being_vacated() -> None:
+def test_a_status_goes_to_the_leader_with_the_machines_being_vacated() -> None:
     mesh = SentFrames()
-    owner_gossip(mesh, shard_of("red")).send_statuses()
+    make_owner_gossip(mesh, make_shard("red")).send_statuses()
     reclaims = ReclaimsInProgress("red", [("vm-red", "")])
     assert mesh.sent == [("b", "status of red"), ("b", reclaims)]
     mesh.sent.clear()
-    owner_gossip(mesh, shard_of("red"), new_version=False).send_statuses()
+    make_owner_gossip(mesh, make_shard("red"), new_version=False).send_statuses()
     assert mesh.sent == [("b", "status of red")]
 
 
-def test_a_shard_that_comes_to_lack_room_says_so_once() -> None:
+def test_a_status_is_sent_at_once_when_resource_requests_begin() -> None:
     mesh = SentFrames()
-    shard = shard_of("red")
-    gossip = owner_gossip(mesh, shard, new_version=False)
-    for requests in ([], ["room"], ["room"], [], ["room"]):
+    shard = make_shard("red")
+    gossip = make_owner_gossip(mesh, shard, new_version=False)
+    for requests in ([], ["request"], ["request"], [], ["request"]):
         shard.resource_requests = requests
         gossip.send_status_if_urgent(shard)
     assert mesh.sent == [("b", "status of red")] * 2
 
 
-def test_counts_come_after_statuses_and_priorities_in_as_many_frames_as_it_takes() -> None:
+def test_counts_are_sent_after_statuses_and_priorities_and_split_into_frames() -> None:
     mesh = SentFrames()
-    shard = shard_of("red", jobs=JOBS_PER_FRAME + 1, rows=[("req-1", 3, 0.5)])
-    owner_gossip(mesh, shard).send_statuses_and_counts()
+    shard = make_shard("red", jobs=JOBS_PER_FRAME + 1, rows=[("req-1", 3, 0.5)])
+    make_owner_gossip(mesh, shard).send_statuses_and_counts()
     inheritance = PriorityInheritance("red", [("req-1", 3, 0.5)])
-    assert [to for to, _ in mesh.sent] == ["b", "b", "*", "here", "*", "*"]
+    assert [receiver for receiver, _ in mesh.sent] == ["b", "b", "*", "here", "*", "*"]
     assert mesh.sent[2:4] == [("*", inheritance), ("here", inheritance)]
     counts = [frame for _, frame in mesh.sent[4:]]
     assert all(isinstance(frame, TaskCounts) for frame in counts)
@@ -126,25 +126,25 @@
 def test_the_end_of_inherited_priorities_is_sent_once() -> None:
     mesh = SentFrames()
     rows = [("req-1", 3, 0.5)]
-    gossip = owner_gossip(mesh, shard_of("red", rows=rows), leader=None)
+    gossip = make_owner_gossip(mesh, make_shard("red", rows=rows), leader=None)
     gossip.send_statuses_and_counts()
     rows.clear()
     gossip.send_statuses_and_counts()
     gossip.send_statuses_and_counts()
-    sent = [frame.jobs for to, frame in mesh.sent if to == "*"]
+    sent = [frame.jobs for receiver, frame in mesh.sent if receiver == "*"]
     assert sent == [[("req-1", 3, 0.5)], []]
     assert gossip.shards_with_inheritance == set()
 
 
 def test_limits_are_divided_among_members_by_demand() -> None:
     def peer(label: str, heard: bool) -> Any:
-        beat = SimpleNamespace(requests=3.0, writes=2.0) if heard else None
-        return SimpleNamespace(label=label, heartbeat=beat, seen_within=lambda seconds: heard)
+        heartbeat = SimpleNamespace(requests=3.0, writes=2.0) if heard else None
+        return SimpleNamespace(label=label, heartbeat=heartbeat, seen_within=lambda seconds: heard)
 
     peers = {label: peer(label, label == "b") for label in "bcd"}
-    shared: list[Any] = []
+    demand_updates: list[Any] = []
     ready = asyncio.Event()
-    store: Any = SimpleNamespace(update_fair_share=shared.append)
+    store: Any = SimpleNamespace(update_fair_share=demand_updates.append)
     mesh: Any = SimpleNamespace(peers=peers)
     cluster: Any = SimpleNamespace(members=SimpleNamespace(entries={"member/c": None}, ready=ready))
     sharing = StoreLimitSharing(store=store, mesh=mesh, cluster=cluster, ttl_s=4.0)
@@ -152,87 +152,87 @@
     ready.set()
     sharing.update_share()
     demand = Demand(3.0, 2.0)
-    assert shared == [[demand, None, None], [demand, None]]
+    assert demand_updates == [[demand, None, None], [demand, None]]
 
 
-def test_the_order_within_a_beat() -> None:
+def test_the_order_of_actions_at_a_heartbeat() -> None:
     order: list[str] = []
 
-    def noted(*names: str) -> Any:
+    def recorder(*names: str) -> Any:
         return SimpleNamespace(
             **{name: lambda *_, name=name: order.append(name) for name in names},
             heartbeat_interval_s=0.25,
         )
 
     gossip = Gossip(
-        mesh=noted("broadcast"),
-        heartbeats=noted("heartbeat"),
-        store_limits=noted("update_share"),
-        cancellations=noted("send_echoes"),
-        owner_gossip=noted("send_claims", "send_statuses_and_counts"),
-        load_handover=noted("on_beat"),
-        worker_client=noted("close_idle"),
+        mesh=recorder("broadcast"),
+        heartbeats=recorder("heartbeat"),
+        store_limits=recorder("update_share"),
+        cancellations=recorder("send_echoes"),
+        owner_gossip=recorder("send_claims", "send_statuses_and_counts"),
+        load_handover=recorder("on_beat"),
+        worker_client=recorder("close_idle"),
     )
     assert asyncio.run(gossip.run_once()) == 0.25
     expected = ["on_beat", "update_share", "heartbeat", "broadcast", "send_echoes"]
     assert order == [*expected, "send_claims", "send_statuses_and_counts", "close_idle"]
 
 
-def commands(mesh: SentFrames, fenced: bool = True) -> tuple[ShardCommands, Any]:
+def make_shard_commands(mesh: SentFrames, fenced: bool = True) -> tuple[ShardCommands, Any]:
     owner = SimpleNamespace(transfer_to=None, wake=asyncio.Event())
     owners: Any = SimpleNamespace(table={"red": owner})
     cluster: Any = SimpleNamespace(owner_label={"red": "a", "blue": "b"}.get)
     version: Any = SimpleNamespace(fences_commands=fenced)
-    a_mesh: Any = mesh
-    made = ShardCommands(
+    untyped_mesh: Any = mesh
+    shard_commands = ShardCommands(
         owners=owners,
         cluster=cluster,
         cluster_version=version,
-        mesh=a_mesh,
+        mesh=untyped_mesh,
         terms=TermFence(),
         now=lambda: 0.0,
     )
-    return made, owner
+    return shard_commands, owner
 
 
 @pytest.mark.parametrize("fenced", [True, False])
-def test_a_command_goes_to_the_owner_wherever_it_is(fenced: bool) -> None:
+def test_a_command_goes_to_the_local_or_remote_owner(fenced: bool) -> None:
     mesh = SentFrames()
-    made, owner = commands(mesh, fenced)
-    made.send("red", TransferShard("red", "c"), 5)
+    shard_commands, owner = make_shard_commands(mesh, fenced)
+    shard_commands.send("red", TransferShard("red", "c"), 5)
     assert owner.transfer_to == "c" and owner.wake.is_set() and mesh.sent == []
     command = Reclaim("blue", "red", ["vm-1"])
-    made.send("blue", command, 5)
-    made.send("gray", Reclaim("gray", "red", ["vm-2"]), 5)  # nobody owns it
+    shard_commands.send("blue", command, 5)
+    shard_commands.send("gray", Reclaim("gray", "red", ["vm-2"]), 5)  # the shard has no owner
     assert mesh.sent == [("b", FencedCommand(5, command) if fenced else command)]
 
 
 def test_a_command_of_an_earlier_term_is_refused() -> None:
-    made, owner = commands(SentFrames())
-    made.terms.observe(6)
-    made.fenced_received("b", FencedCommand(5, TransferShard("red", "c")))
-    assert owner.transfer_to is None and made.terms.refused == 1
-    made.fenced_received("b", FencedCommand(6, TransferShard("red", "c")))
+    shard_commands, owner = make_shard_commands(SentFrames())
+    shard_commands.terms.observe(6)
+    shard_commands.fenced_received("b", FencedCommand(5, TransferShard("red", "c")))
+    assert owner.transfer_to is None and shard_commands.terms.refused == 1
+    shard_commands.fenced_received("b", FencedCommand(6, TransferShard("red", "c")))
     assert owner.transfer_to == "c"
 
 
-@pytest.mark.parametrize(("fenced", "given_to"), [(True, None), (False, "c")])
-def test_a_command_without_a_term_counts_only_among_old_versions(
-    fenced: bool, given_to: str | None
+@pytest.mark.parametrize(("fenced", "transferred_to"), [(True, None), (False, "c")])
+def test_a_command_without_a_term_is_executed_only_before_fencing(
+    fenced: bool, transferred_to: str | None
 ) -> None:
-    made, owner = commands(SentFrames(), fenced)
-    made.unfenced_received("b", TransferShard("red", "c"))
-    assert owner.transfer_to == given_to
+    shard_commands, owner = make_shard_commands(SentFrames(), fenced)
+    shard_commands.unfenced_received("b", TransferShard("red", "c"))
+    assert owner.transfer_to == transferred_to
 
 
-def test_a_step_is_repeated_whatever_goes_wrong(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_step_is_repeated_after_errors(monkeypatch: pytest.MonkeyPatch) -> None:
     pauses: list[float] = []
 
     async def sleep(seconds: float) -> None:
         pauses.append(seconds)
 
     monkeypatch.setattr(asyncio, "sleep", sleep)
-    results: list[Any] = [0.5, StoreUnavailableError("down"), ValueError("fault"), None]
+    results: list[Any] = [0.5, StoreUnavailableError("down"), ValueError("unexpected"), None]
 
     async def step() -> float | None:
         result = results.pop(0)
