--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -1,4 +1,4 @@
-"""How a controller judges its connections, and whether it is ready."""
+"""Connectivity of a controller and its readiness."""
 
 from __future__ import annotations
 
@@ -12,20 +12,19 @@
 from ashdock.connectivity import Connectivity, Readiness
 
 TTL_S = 4.0
-HEARTBEAT_S = (
-    3.0  # twice that is longer than the TTL: what counts before peers and workers are silent
-)
+# Two periods are longer than the TTL, so they bound how long peers and workers may be silent.
+HEARTBEAT_S = 3.0
 
 
 class Clock:
-    """The steady clock, set by hand."""
+    """A monotonic clock that is set by the test."""
 
     def __init__(self) -> None:
-        """Any time but zero."""
+        """Start at an arbitrary time other than zero."""
         self.now = 1000.0
 
     def __call__(self) -> float:
-        """Seconds, in place of `time.monotonic`."""
+        """Return the seconds, in place of `time.monotonic`."""
         return self.now
 
 
@@ -36,53 +35,54 @@
     return clock
 
 
-def peer(beat_age_s: float | None, store_silent_s: float = 0.0) -> Any:
-    beat = None if beat_age_s is None else SimpleNamespace(state_age=store_silent_s)
+def make_peer(heartbeat_age_s: float | None, store_silence_s: float = 0.0) -> Any:
+    heartbeat = None if heartbeat_age_s is None else SimpleNamespace(state_age=store_silence_s)
     return SimpleNamespace(
-        heartbeat=beat, seen_within=lambda seconds: beat_age_s is not None and beat_age_s < seconds
+        heartbeat=heartbeat,
+        seen_within=lambda seconds: heartbeat_age_s is not None and heartbeat_age_s < seconds,
     )
 
 
-def connectivity(
-    silent_s: float = 0.0, *peers: Any, bad_since: float | None = None
+def make_connectivity(
+    silence_s: float = 0.0, *peers: Any, unavailable_since: float | None = None
 ) -> Connectivity:
-    store: Any = SimpleNamespace(silent_for=silent_s, unavailable_since=bad_since)
-    mesh: Any = SimpleNamespace(peers={str(n): one for n, one in enumerate(peers)})
+    store: Any = SimpleNamespace(silent_for=silence_s, unavailable_since=unavailable_since)
+    mesh: Any = SimpleNamespace(peers={str(n): peer for n, peer in enumerate(peers)})
     return Connectivity(store, mesh, ttl_s=TTL_S, heartbeat_s=HEARTBEAT_S)
 
 
 @pytest.mark.parametrize(
-    ("silent_s", "bad_since", "fresh"),
+    ("silence_s", "unavailable_since", "fresh"),
     [(0.0, None, True), (TTL_S - 0.1, None, True), (TTL_S, None, False), (0.0, 5.0, False)],
 )
 def test_the_state_is_fresh_while_the_store_answers(
-    silent_s: float, bad_since: float | None, fresh: bool
+    silence_s: float, unavailable_since: float | None, fresh: bool
 ) -> None:
-    assert connectivity(silent_s, bad_since=bad_since).state_fresh() is fresh
+    assert make_connectivity(silence_s, unavailable_since=unavailable_since).state_fresh() is fresh
 
 
 @pytest.mark.parametrize(
-    ("silent_s", "peers", "alone"),
+    ("silence_s", "peers", "isolated"),
     [
-        (TTL_S / 2 - 0.1, [peer(0.0)], False),
-        (TTL_S / 2, [peer(0.0)], True),
-        (TTL_S / 2, [peer(0.0, TTL_S / 2)], False),  # the peers do not reach it either
-        (TTL_S / 2, [peer(0.0, TTL_S / 2), peer(0.0)], True),
-        (TTL_S, [peer(None), peer(TTL_S)], False),
-        (TTL_S + 0.1, [peer(None), peer(TTL_S)], True),
-        (TTL_S + 0.1, [], False),  # a single controller has nobody to send users to
+        (TTL_S / 2 - 0.1, [make_peer(0.0)], False),
+        (TTL_S / 2, [make_peer(0.0)], True),
+        (TTL_S / 2, [make_peer(0.0, TTL_S / 2)], False),  # the peer does not reach it either
+        (TTL_S / 2, [make_peer(0.0, TTL_S / 2), make_peer(0.0)], True),
+        (TTL_S, [make_peer(None), make_peer(TTL_S)], False),
+        (TTL_S + 0.1, [make_peer(None), make_peer(TTL_S)], True),
+        (TTL_S + 0.1, [], False),  # a single controller has no peer that could serve users
     ],
 )
-def test_alone_without_the_store(silent_s: float, peers: list[Any], alone: bool) -> None:
-    assert connectivity(silent_s, *peers).isolated_from_store() is alone
+def test_isolated_from_the_store(silence_s: float, peers: list[Any], isolated: bool) -> None:
+    assert make_connectivity(silence_s, *peers).isolated_from_store() is isolated
 
 
 def test_cut_off_once_neither_peers_nor_workers_are_heard(clock: Clock) -> None:
-    quiet_s = 2 * HEARTBEAT_S
-    silent = connectivity(0.0, peer(None), peer(quiet_s))
-    heard = connectivity(0.0, peer(None), peer(quiet_s - 0.1))
-    single = connectivity(0.0)
-    clock.now += quiet_s
+    max_silence_s = 2 * HEARTBEAT_S
+    silent = make_connectivity(0.0, make_peer(None), make_peer(max_silence_s))
+    heard = make_connectivity(0.0, make_peer(None), make_peer(max_silence_s - 0.1))
+    single = make_connectivity(0.0)
+    clock.now += max_silence_s
     assert not silent.cut_off()
     clock.now += 0.1
     assert silent.cut_off()
@@ -93,28 +93,30 @@
 
 
 def test_recently_started(clock: Clock) -> None:
-    started = connectivity()
+    started = make_connectivity()
     clock.now += TTL_S / 2 - 0.1
     assert started.recently_started()
     clock.now += 0.1
     assert not started.recently_started()
 
 
-@pytest.mark.parametrize("missing", [None, "catalog", "shards", "store", "cut off", "may serve"])
+@pytest.mark.parametrize(
+    "missing", [None, "catalog", "shards", "store", "cut off", "may own and lead"]
+)
 def test_ready(clock: Clock, missing: str | None) -> None:
     shards_known = asyncio.Event()
     if missing != "shards":
         shards_known.set()
-    silent_s = TTL_S if missing == "store" else 0.0
-    peers = [peer(None if missing == "cut off" else 0.0)]
-    connected = connectivity(silent_s, *peers)
+    silence_s = TTL_S if missing == "store" else 0.0
+    peers = [make_peer(None if missing == "cut off" else 0.0)]
+    connectivity = make_connectivity(silence_s, *peers)
     if missing == "cut off":
         clock.now += 2 * HEARTBEAT_S + 0.1
     readiness = Readiness(
-        connected,
-        may_own_and_lead=lambda: missing not in ("cut off", "may serve"),
+        connectivity,
+        may_own_and_lead=lambda: missing not in ("cut off", "may own and lead"),
         catalog={} if missing == "catalog" else {"small": SimpleNamespace()},  # type: ignore[dict-item]
         shards_known=shards_known,
     )
-    # One that may not own shards takes requests all the same while it is connected.
-    assert readiness.ready() is (missing in (None, "may serve"))
+    # A controller that may not own shards still accepts requests while it is connected.
+    assert readiness.ready() is (missing in (None, "may own and lead"))
