--- a/tests/test_timelines.py
+++ b/tests/test_timelines.py
@@ -1,4 +1,4 @@
-"""The states of a startup and of a failover, their durations, and that both are logged and exported."""
+"""States and durations of startups and failovers, and their logging and metrics."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         FailoverState.RECOVERED,
         {"claiming": 1, "reading": 2, "hearing": 2, "passing": 1, "placing": 2},
     ),
-    # A machine that was assigned while up needs no heartbeat: tasks are placed there before any has come.
+    # Machines that were assigned while up need no heartbeat, so tasks are placed there before one.
     (
         [("claimed", 1), ("loaded", 5, 3), ("cycle_ended", True, 4), ("placement_committed", 5)],
         FailoverState.RECOVERED,
@@ -63,7 +63,7 @@
 
 def test_a_startup_goes_through_its_states() -> None:
     startup_timeline = StartupTimeline(10.0)
-    startup_timeline.synced(11.0)  # not before it is a member
+    startup_timeline.synced(11.0)  # ignored: not a member yet
     startup_timeline.joined(12.0)
     startup_timeline.joined(13.0)
     startup_timeline.synced(15.0)
@@ -87,7 +87,9 @@
         for n in range(3):
             service.crash(n, 1.0)
         assert not await service.until_final(["req-000001", "req-000002"], 120)
-        owner = next(n for n, c in service.controllers.items() if "red" in c.owners)
+        owner = next(
+            n for n, controller in service.controllers.items() if "red" in controller.owners
+        )
         page = (await Client(f"10.0.0.{owner}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
             1
         ].decode()
@@ -98,8 +100,9 @@
     with caplog.at_level(logging.INFO):
         simtime.run(main, 5, monkeypatch)
     messages = [record.getMessage() for record in caplog.records]
-    assert sum("controller may own shards" in line for line in messages) == 3
+    assert sum("controller may own shards" in message for message in messages) == 3
     assert any(
-        line.startswith("shard places tasks again after failover: team=red ") and "hearing" in line
-        for line in messages
+        message.startswith("shard places tasks again after failover: team=red ")
+        and "hearing" in message
+        for message in messages
     )
