--- a/tests/test_frame_dispatch.py
+++ b/tests/test_frame_dispatch.py
@@ -52,7 +52,7 @@
         blue = SimpleNamespace(
             name="blue",
             status_reporter=reporter,
-            jobs={"req-2": SimpleNamespace(done=3, running=4)},
+            jobs={"req-2": SimpleNamespace(done_count=3, running_count=4)},
         )
         owners: Any = SimpleNamespace(
             table={"blue": SimpleNamespace(shard=blue)}, active_shards=lambda: [blue]
