--- a/tests/test_frame_dispatch.py
+++ b/tests/test_frame_dispatch.py
@@ -1,4 +1,4 @@
-"""Frames from peers: who takes which, and what is kept of them."""
+"""Dispatch of peer frames, and what is kept of the reports in them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     TaskCounts,
 )
 
-BEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 TTL_S = 5.0
 
 
@@ -39,15 +39,15 @@
     dispatcher.dispatch("b", ForwardReply(1, 200, b""))
 
 
-class Reports:
-    """Reports of peers, with a clock set by hand."""
+class ReportsFixture:
+    """Reports of peers, with a monotonic clock that is set by the test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Shards `red` of peer b, and `blue`, owned here, that has been read."""
+        """Set up the shards `red`, owned by peer `b`, and `blue`, owned here and read."""
         self.clock = 100.0
         monkeypatch.setattr(time, "monotonic", lambda: self.clock)
         reporter = SimpleNamespace(
-            shard_status=lambda now: status("blue"), leaving_machines=lambda: [("vm-9", "")]
+            shard_status=lambda now: make_status("blue"), leaving_machines=lambda: [("vm-9", "")]
         )
         blue = SimpleNamespace(
             name="blue",
@@ -59,37 +59,46 @@
         )
         cluster: Any = SimpleNamespace(owner_label={"red": "b", "blue": "a"}.get)
         self.reports = PeerReports(
-            owners=owners, cluster=cluster, beat_s=BEAT_S, ttl_s=TTL_S, now=lambda: 0.0
+            owners=owners,
+            cluster=cluster,
+            beat_s=HEARTBEAT_INTERVAL_S,
+            ttl_s=TTL_S,
+            now=lambda: 0.0,
         )
 
 
-def status(team: str) -> ShardStatus:
+def make_status(team: str) -> ShardStatus:
     return ShardStatus(team, 1, [], [], [], 0, 0, 0)
 
 
-def test_statuses_of_peers_last_as_long_as_a_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    given = Reports(monkeypatch)
-    given.reports.status_received("b", status("red"))
-    given.clock += TTL_S - 0.1
-    assert given.reports.shard_statuses() == {"red": status("red"), "blue": status("blue")}
-    given.clock += 0.1
-    assert given.reports.shard_statuses() == {"blue": status("blue")}
+def test_statuses_of_peers_are_valid_for_a_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    fixture = ReportsFixture(monkeypatch)
+    fixture.reports.status_received("b", make_status("red"))
+    fixture.clock += TTL_S - 0.1
+    assert fixture.reports.shard_statuses() == {
+        "red": make_status("red"),
+        "blue": make_status("blue"),
+    }
+    fixture.clock += 0.1
+    assert fixture.reports.shard_statuses() == {"blue": make_status("blue")}
 
 
-def test_reclaims_of_peers_last_two_beats(monkeypatch: pytest.MonkeyPatch) -> None:
-    given = Reports(monkeypatch)
-    given.reports.reclaims_received("b", ReclaimsInProgress("red", [("vm-1", "blue")]))
-    given.clock += 2 * BEAT_S - 0.1
-    assert given.reports.leaving() == [("vm-1", "blue"), ("vm-9", "")]
-    given.clock += 0.1
-    assert given.reports.leaving() == [("vm-9", "")]
+def test_reclaims_of_peers_are_valid_for_two_heartbeat_intervals(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    fixture = ReportsFixture(monkeypatch)
+    fixture.reports.reclaims_received("b", ReclaimsInProgress("red", [("vm-1", "blue")]))
+    fixture.clock += 2 * HEARTBEAT_INTERVAL_S - 0.1
+    assert fixture.reports.leaving() == [("vm-1", "blue"), ("vm-9", "")]
+    fixture.clock += 0.1
+    assert fixture.reports.leaving() == [("vm-9", "")]
 
 
-def test_counts_of_the_shard_here_or_of_the_owners_last_frame(
+def test_counts_come_from_the_local_shard_or_the_owners_last_frames(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    reports = Reports(monkeypatch).reports
-    reports.counts_received("c", TaskCounts([("req-1", 8, 8)]))  # no longer the owner
+    reports = ReportsFixture(monkeypatch).reports
+    reports.counts_received("c", TaskCounts([("req-1", 8, 8)]))  # not the owner
     assert reports.task_counts("red", "req-1") == (0, 0)
     reports.counts_received("b", TaskCounts([("req-1", 1, 2)]))
     reports.counts_received("b", TaskCounts([("req-3", 5, 6)]))
@@ -99,8 +108,8 @@
     assert reports.task_counts("gray", "req-1") == (0, 0)
 
 
-def test_counts_of_jobs_long_over_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    reports = Reports(monkeypatch).reports
+def test_counts_are_cleared_when_too_many_jobs_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+    reports = ReportsFixture(monkeypatch).reports
     reports.counts_received("b", TaskCounts([(f"req-{n}", 1, 0) for n in range(MOST_JOBS + 1)]))
     reports.counts_received("b", TaskCounts([("new", 1, 2)]))
     assert reports.counts_by_peer["b"] == {"new": (1, 2)}
