--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -79,8 +79,8 @@
 COMMAND_TIMEOUTS_PER_AGENT_LEASE = 5
 # Worker heartbeat periods after which an unused connection to a worker is closed.
 IDLE_CONNECTION_HEARTBEATS = 10
-# Minimum time before leadership or, to shed load, a shard is transferred voluntarily, and between two
-# such transfers.
+# Minimum time before leadership or, to shed load, a shard is transferred voluntarily, and between
+# two such transfers.
 TRANSFER_INTERVAL_AGENT_LEASES = 2
 INCARNATION_BITS = 48
 
