--- a/ashdock/machine_type_catalog.py
+++ b/ashdock/machine_type_catalog.py
@@ -79,8 +79,8 @@
     def _records(self) -> dict[str, Any]:
         """Return the values to store, by key.
 
-        They are one value for all types if the write limits allow its size, otherwise one for each
-        type.
+        There is one value for all types, unless the announced write limits apply and it exceeds
+        them; then there is one for each type.
         """
         limits = self.context.write_limits
         types_by_label = msgspec.to_builtins(self.context.catalog)
