--- a/ashdock/background_tasks.py
+++ b/ashdock/background_tasks.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger("ashdock.controller")
 
-# Returns the seconds until it is to be called again, or None if it is not.
+# Returns the seconds until it is to be called again, or None if it is finished.
 Step = Callable[[], Awaitable[float | None]]
 
 
