--- a/ashdock/timelines.py
+++ b/ashdock/timelines.py
@@ -1,8 +1,8 @@
 """Timelines of a controller's startup and of the failover of a shard.
 
-They are two state machines; the time spent in each state is exported as a metric. Callers pass in
-the times, in seconds of any one clock. An event that does not apply to the current state is
-ignored, since most events occur repeatedly.
+They are two state machines; the time spent in each state is exported as a metric. This module does
+no I/O: callers pass in the times, in seconds of any one clock. An event that does not apply to the
+current state is ignored, since most events occur repeatedly.
 """
 
 from __future__ import annotations
