--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -29,14 +29,16 @@
             catalog={"g4": machine_type("g4")},
             rng=SimpleNamespace(random=lambda: 0.5),
             shards=replica([]),
-            jobs_known=SimpleNamespace(
-                saw=lambda job, record, revision: seen.append([job, revision])
+            known_jobs=SimpleNamespace(
+                observe_job=lambda job, record, revision: seen.append([job, revision])
             ),
             send_claims=lambda: None,
         )
         owner: Any = ShardOwner.__new__(ShardOwner)
         owner.context, owner.team, owner.phase = home, Team("red"), OwnershipPhase.CLAIMING
-        owner.claimed_from = next(revision for path, _, revision in entries if path == "part/red")
+        owner.expected_revision = next(
+            revision for path, _, revision in entries if path == "part/red"
+        )
         owner.buffered_changes, owner.failover_timeline = [], FailoverTimeline("red", NOW)
         owner.ready = SimpleNamespace(set=lambda: None)
         await owner._claim()
