--- a/ashdock/net/__init__.py
+++ b/ashdock/net/__init__.py
@@ -0,0 +1,1 @@
+"""Network servers, clients and links of a controller."""
--- a/ashdock/wire/__init__.py
+++ b/ashdock/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol: its messages, and the frames between controllers."""
+"""Messages of all protocols, and the binary frames that controllers exchange."""
--- a/ashdock/wire/frame_errors.py
+++ b/ashdock/wire/frame_errors.py
@@ -1,4 +1,7 @@
-"""Errors of frames between controllers; the link that a bad frame came on is closed."""
+"""Errors in frames between controllers.
+
+A link that delivers an invalid frame is closed.
+"""
 
 from __future__ import annotations
 
@@ -8,90 +11,118 @@
 
 
 class UnknownMessageError(FrameError):
-    """What is to be packed is no message between controllers."""
+    """The object to be packed is not a message between controllers."""
 
     def __init__(self, message: object) -> None:
-        """Name what was given."""
+        """Include the representation of `message` in the error text."""
         super().__init__(f"no such frame: {message!r}")
 
 
 class FrameTooLongError(FrameError):
-    """The body is longer than a frame may be."""
+    """The body exceeds the maximum size.
+
+    Attributes:
+        body_bytes: Size of the body.
+        max_body_bytes: Maximum size of a body.
+    """
 
-    def __init__(self, length: int, longest: int) -> None:
-        """Keep the body's length and the longest allowed, in bytes."""
+    def __init__(self, body_bytes: int, max_body_bytes: int) -> None:
+        """Store the size of the body and the maximum."""
         super().__init__("too long")
-        self.length = length
-        self.longest = longest
+        self.body_bytes = body_bytes
+        self.max_body_bytes = max_body_bytes
 
 
-class NotAFrameError(FrameError):
-    """The bytes do not begin like a frame."""
+class FrameMagicError(FrameError):
+    """The header does not start with the magic bytes.
+
+    Attributes:
+        found: First bytes of the header.
+        expected: The magic bytes.
+    """
 
     def __init__(self, found: bytes, expected: bytes) -> None:
-        """Keep the first bytes found and expected."""
+        """Store the bytes that were found and those that were expected."""
         super().__init__("not a frame of ours")
         self.found = found
         self.expected = expected
 
 
 class FrameVersionError(FrameError):
-    """The frame is of another version of the format."""
+    """The frame has another version of the format."""
 
     def __init__(self, found: int, expected: int) -> None:
-        """Name both versions."""
+        """Include both versions in the error text."""
         super().__init__(f"version {found}, expected {expected}")
 
 
 class UnknownKindError(FrameError):
-    """No message has the frame's kind."""
+    """No message has the kind that the frame states."""
 
     def __init__(self, kind: int) -> None:
-        """Name the kind."""
+        """Include the kind in the error text."""
         super().__init__(f"kind {kind}")
 
 
 class NotACommandError(FrameError):
-    """What stands under a term is no command of the leader."""
+    """A fenced command contains a message that is not a command of the leader."""
 
     def __init__(self, kind: int) -> None:
-        """Name the kind."""
+        """Include the kind of the contained message in the error text."""
         super().__init__(f"kind {kind} under a term")
 
 
 class TruncatedFrameError(FrameError):
-    """The body ends within a field."""
+    """The body ends within a field.
+
+    Attributes:
+        needed_bytes: Size of the field.
+        remaining_bytes: Bytes that remain in the body.
+    """
 
-    def __init__(self, needed: int, left: int) -> None:
-        """Keep the field's size and what is left of the body, in bytes."""
+    def __init__(self, needed_bytes: int, remaining_bytes: int) -> None:
+        """Store the size of the field and the rest of the body."""
         super().__init__("cut short")
-        self.needed = needed
-        self.left = left
+        self.needed_bytes = needed_bytes
+        self.remaining_bytes = remaining_bytes
 
 
 class RowCountError(FrameError):
-    """A list would have more rows than the body has bytes left."""
+    """A list states more rows than the body has bytes left.
 
-    def __init__(self, count: int, left: int) -> None:
-        """Keep the number of rows and the bytes left."""
+    Attributes:
+        count: Number of rows that the list states.
+        remaining_bytes: Bytes that remain in the body.
+    """
+
+    def __init__(self, count: int, remaining_bytes: int) -> None:
+        """Store the number of rows and the rest of the body."""
         super().__init__("count beyond the frame")
         self.count = count
-        self.left = left
+        self.remaining_bytes = remaining_bytes
 
 
 class TextEncodingError(FrameError):
-    """A text is not UTF-8."""
+    """A string is not valid UTF-8.
+
+    Attributes:
+        encoded: Bytes of the string.
+    """
 
-    def __init__(self, raw: bytes) -> None:
-        """Keep the bytes."""
+    def __init__(self, encoded: bytes) -> None:
+        """Store the bytes of the string."""
         super().__init__("not UTF-8")
-        self.raw = raw
+        self.encoded = encoded
 
 
 class TrailingBytesError(FrameError):
-    """The body goes on after the message."""
+    """The body continues after the message.
+
+    Attributes:
+        remaining_bytes: Bytes after the message.
+    """
 
-    def __init__(self, left: int) -> None:
-        """Keep the number of bytes left."""
+    def __init__(self, remaining_bytes: int) -> None:
+        """Store the number of bytes after the message."""
         super().__init__("bytes left over")
-        self.left = left
+        self.remaining_bytes = remaining_bytes
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -22,10 +22,10 @@
     ShardStatus,
 )
 from ashdock.wire.frame_errors import (
+    FrameMagicError,
     FrameTooLongError,
     FrameVersionError,
     NotACommandError,
-    NotAFrameError,
     RowCountError,
     TextEncodingError,
     TrailingBytesError,
@@ -523,7 +523,7 @@
     """
     magic, version, kind, length = HEADER.unpack(data)
     if magic != MAGIC:
-        raise NotAFrameError(magic, MAGIC)
+        raise FrameMagicError(magic, MAGIC)
     if version != VERSION:
         raise FrameVersionError(version, VERSION)
     if length > MAX_BODY_BYTES:
