--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -1,10 +1,13 @@
-"""The codec of the frames between controllers.
+"""Codec of the frames between controllers.
 
-A frame is a header (magic, version, kind, length of the body) and a body, in network byte order. One table,
-`CODECS`, says of each message its kind on the wire and how its body is packed and unpacked.
+A frame consists of a header (magic, version, kind, size of the body) and a body, in network byte
+order. The table `CODECS` lists each message with its kind on the wire and the functions that pack
+and unpack its body.
 
-In a body, a text is its length in bytes (2 bytes) and UTF-8; a list is its number of rows (4 bytes) and the
-rows. Frames are packed with struct and not as JSON because shard statuses are the bulk of the traffic.
+In a body, a string is its size (2 bytes) followed by UTF-8, a list is its number of rows (4 bytes,
+for machine types 2 bytes) followed by the rows, and an HTTP body is its size (4 bytes) followed by
+its bytes. Frames are packed with struct instead of JSON because shard statuses are the bulk of the
+traffic.
 """
 
 from __future__ import annotations
@@ -53,10 +56,8 @@
 
 MAGIC = b"AD"
 VERSION = 3
-HEADER = struct.Struct("!2sBBI")  # magic, version, kind, length of the body
-MAX_BODY_BYTES = (
-    512 * 1024
-)  # bytes of a body: bounds what a peer can make a controller hold in memory
+HEADER = struct.Struct("!2sBBI")  # magic, version, kind, size of the body
+MAX_BODY_BYTES = 512 * 1024  # limits the memory that a peer can make a controller allocate
 
 U16 = struct.Struct("!H")
 U32 = struct.Struct("!I")
@@ -72,22 +73,22 @@
 RESOURCE_REQUEST = struct.Struct("!dddIB??dBI?H")
 # priority, preemption_cost_s
 BUSY_MACHINE = struct.Struct("!Bd")
-# number, status
+# number, HTTP status
 FORWARD_REPLY = struct.Struct("!IH")
-# done, running
+# done tasks, running tasks
 TASK_COUNT = struct.Struct("!II")
-# number, spot, number of types
+# number of machines, spot, number of types
 REBALANCE = struct.Struct("!I?H")
-# priority, time of day
+# priority, finish_by as time of day in seconds
 INHERITED_PRIORITY = struct.Struct("!bd")
-# revision, time of day
+# revision, cancelled_at as time of day in seconds
 CANCELLED_JOB = struct.Struct("!Qd")
 # number, back
 WATERMARK_ECHO = struct.Struct("!QQ")
 
 
 class FrameKind(IntEnum):
-    """The number of a message on the wire."""
+    """Number that identifies a message type on the wire."""
 
     HELLO = 1
     PEER_HEARTBEAT = 2
@@ -121,71 +122,74 @@
 
 
 class _Reader:
-    """Reads a body from its start; raises a FrameError where it is malformed."""
+    """Reads a body sequentially; raises a FrameError if the body is malformed."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
-
-    def take(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The next fields of that layout."""
-        if self.at + layout.size > len(self.data):
-            raise TruncatedFrameError(layout.size, len(self.data) - self.at)
-        fields = layout.unpack_from(self.data, self.at)
-        self.at += layout.size
+        self.offset = 0
+
+    def fields(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Read the fields of a struct."""
+        if self.offset + layout.size > len(self.data):
+            raise TruncatedFrameError(layout.size, len(self.data) - self.offset)
+        fields = layout.unpack_from(self.data, self.offset)
+        self.offset += layout.size
         return fields
 
     def raw(self, size: int) -> bytes:
-        """The next bytes."""
-        if self.at + size > len(self.data):
-            raise TruncatedFrameError(size, len(self.data) - self.at)
-        found = self.data[self.at : self.at + size]
-        self.at += size
+        """Read `size` bytes."""
+        if self.offset + size > len(self.data):
+            raise TruncatedFrameError(size, len(self.data) - self.offset)
+        found = self.data[self.offset : self.offset + size]
+        self.offset += size
         return found
 
     def text(self) -> str:
-        raw = self.raw(self.take(U16)[0])
+        encoded = self.raw(self.fields(U16)[0])
         try:
-            return raw.decode("utf-8")
+            return encoded.decode("utf-8")
         except UnicodeDecodeError:
-            raise TextEncodingError(raw) from None
-
-    def blob(self) -> bytes:
-        """Bytes behind their length (4 bytes)."""
-        return self.raw(self.take(U32)[0])
-
-    def count(self) -> int:
-        """The number of a list's rows; a row takes a byte at least, so it cannot exceed what is left."""
-        count: int = self.take(U32)[0]
-        left = len(self.data) - self.at
-        if count > left:
-            raise RowCountError(count, left)
+            raise TextEncodingError(encoded) from None
+
+    def sized_bytes(self) -> bytes:
+        """Read bytes that are preceded by their number (4 bytes)."""
+        return self.raw(self.fields(U32)[0])
+
+    def row_count(self) -> int:
+        """Read the number of rows of a list.
+
+        A row takes at least one byte, so a count that exceeds the rest of the body is malformed.
+        """
+        count: int = self.fields(U32)[0]
+        remaining_bytes = len(self.data) - self.offset
+        if count > remaining_bytes:
+            raise RowCountError(count, remaining_bytes)
         return count
 
-    def end(self) -> None:
-        """Nothing may be left."""
-        if self.at != len(self.data):
-            raise TrailingBytesError(len(self.data) - self.at)
+    def expect_end(self) -> None:
+        """Check that nothing follows the message."""
+        if self.offset != len(self.data):
+            raise TrailingBytesError(len(self.data) - self.offset)
 
 
-def _text(value: str) -> bytes:
-    raw = value.encode("utf-8")
-    return U16.pack(len(raw)) + raw
+def _pack_text(value: str) -> bytes:
+    encoded = value.encode("utf-8")
+    return U16.pack(len(encoded)) + encoded
 
 
-def _blob(value: bytes) -> bytes:
+def _pack_sized_bytes(value: bytes) -> bytes:
     return U32.pack(len(value)) + value
 
 
-def _texts(values: Iterable[str]) -> bytes:
-    return b"".join(map(_text, values))
+def _pack_texts(values: Iterable[str]) -> bytes:
+    return b"".join(map(_pack_text, values))
 
 
 # -- messages, in the order of their kinds -------------------------------------------------------
 
 
 def _pack_hello(message: Hello) -> bytes:
-    return _text(message.label)
+    return _pack_text(message.label)
 
 
 def _unpack_hello(reader: _Reader) -> Hello:
@@ -197,30 +201,35 @@
 
 
 def _unpack_peer_heartbeat(reader: _Reader) -> PeerHeartbeat:
-    return PeerHeartbeat(*reader.take(PEER_HEARTBEAT))
+    return PeerHeartbeat(*reader.fields(PEER_HEARTBEAT))
 
 
 def _pack_shard_status(status: ShardStatus) -> bytes:
     fields = SHARD_STATUS.pack(
         status.seen_revision, status.machines, status.waiting_tasks, status.machines_over_guarantee
     )
-    out = [_text(status.team), fields, U32.pack(len(status.resource_requests))]
-    out += map(_pack_resource_request, status.resource_requests)
-    out.append(U32.pack(len(status.idle)))
+    parts = [_pack_text(status.team), fields, U32.pack(len(status.resource_requests))]
+    parts += map(_pack_resource_request, status.resource_requests)
+    parts.append(U32.pack(len(status.idle)))
     for machine, idle_s in status.idle:
-        out += [_text(machine), F64.pack(idle_s)]
-    out.append(U32.pack(len(status.busy)))
+        parts += [_pack_text(machine), F64.pack(idle_s)]
+    parts.append(U32.pack(len(status.busy)))
     for busy in status.busy:
-        out += [_text(busy.machine), BUSY_MACHINE.pack(busy.priority, busy.preemption_cost_s)]
-    return b"".join(out)
+        parts += [
+            _pack_text(busy.machine),
+            BUSY_MACHINE.pack(busy.priority, busy.preemption_cost_s),
+        ]
+    return b"".join(parts)
 
 
 def _unpack_shard_status(reader: _Reader) -> ShardStatus:
     team = reader.text()
-    seen_revision, machines, waiting_tasks, machines_over_guarantee = reader.take(SHARD_STATUS)
-    requests = [_unpack_resource_request(reader) for _ in range(reader.count())]
-    idle = [(reader.text(), float(reader.take(F64)[0])) for _ in range(reader.count())]
-    busy = [BusyMachine(reader.text(), *reader.take(BUSY_MACHINE)) for _ in range(reader.count())]
+    seen_revision, machines, waiting_tasks, machines_over_guarantee = reader.fields(SHARD_STATUS)
+    requests = [_unpack_resource_request(reader) for _ in range(reader.row_count())]
+    idle = [(reader.text(), float(reader.fields(F64)[0])) for _ in range(reader.row_count())]
+    busy = [
+        BusyMachine(reader.text(), *reader.fields(BUSY_MACHINE)) for _ in range(reader.row_count())
+    ]
     return ShardStatus(
         team, seen_revision, requests, idle, busy, machines, waiting_tasks, machines_over_guarantee
     )
@@ -241,7 +250,9 @@
         request.opportunistic,
         len(request.types),
     )
-    return fields + _texts(request.types) + _text(request.zone) + _text(request.image)
+    return (
+        fields + _pack_texts(request.types) + _pack_text(request.zone) + _pack_text(request.image)
+    )
 
 
 def _unpack_resource_request(reader: _Reader) -> ResourceRequest:
@@ -258,7 +269,7 @@
         gang_tasks,
         opportunistic,
         type_count,
-    ) = reader.take(RESOURCE_REQUEST)
+    ) = reader.fields(RESOURCE_REQUEST)
     types = tuple(reader.text() for _ in range(type_count))
     zone = reader.text()
     image = reader.text()
@@ -281,7 +292,7 @@
 
 
 def _pack_transfer_machine(message: TransferMachine) -> bytes:
-    return _text(message.shard) + _text(message.machine) + _text(message.to)
+    return _pack_text(message.shard) + _pack_text(message.machine) + _pack_text(message.to)
 
 
 def _unpack_transfer_machine(reader: _Reader) -> TransferMachine:
@@ -290,41 +301,45 @@
 
 def _pack_reclaim(message: Reclaim) -> bytes:
     count = U32.pack(len(message.machines))
-    return _text(message.shard) + _text(message.to) + count + _texts(message.machines)
+    return (
+        _pack_text(message.shard) + _pack_text(message.to) + count + _pack_texts(message.machines)
+    )
 
 
 def _unpack_reclaim(reader: _Reader) -> Reclaim:
-    return Reclaim(reader.text(), reader.text(), [reader.text() for _ in range(reader.count())])
+    return Reclaim(reader.text(), reader.text(), [reader.text() for _ in range(reader.row_count())])
 
 
 def _pack_forwarded_heartbeat(message: ForwardedHeartbeat) -> bytes:
-    return U32.pack(message.number) + _blob(message.body)
+    return U32.pack(message.number) + _pack_sized_bytes(message.body)
 
 
 def _unpack_forwarded_heartbeat(reader: _Reader) -> ForwardedHeartbeat:
-    return ForwardedHeartbeat(reader.take(U32)[0], reader.blob())
+    return ForwardedHeartbeat(reader.fields(U32)[0], reader.sized_bytes())
 
 
 def _pack_forward_reply(message: ForwardReply) -> bytes:
-    return FORWARD_REPLY.pack(message.number, message.status) + _blob(message.body)
+    return FORWARD_REPLY.pack(message.number, message.status) + _pack_sized_bytes(message.body)
 
 
 def _unpack_forward_reply(reader: _Reader) -> ForwardReply:
-    number, status = reader.take(FORWARD_REPLY)
-    return ForwardReply(number, status, reader.blob())
+    number, status = reader.fields(FORWARD_REPLY)
+    return ForwardReply(number, status, reader.sized_bytes())
 
 
 def _pack_task_counts(message: TaskCounts) -> bytes:
-    rows = [_text(job) + TASK_COUNT.pack(done, running) for job, done, running in message.jobs]
+    rows = [_pack_text(job) + TASK_COUNT.pack(done, running) for job, done, running in message.jobs]
     return U32.pack(len(rows)) + b"".join(rows)
 
 
 def _unpack_task_counts(reader: _Reader) -> TaskCounts:
-    return TaskCounts([(reader.text(), *reader.take(TASK_COUNT)) for _ in range(reader.count())])
+    return TaskCounts(
+        [(reader.text(), *reader.fields(TASK_COUNT)) for _ in range(reader.row_count())]
+    )
 
 
 def _pack_transfer_shard(message: TransferShard) -> bytes:
-    return _text(message.shard) + _text(message.to)
+    return _pack_text(message.shard) + _pack_text(message.to)
 
 
 def _unpack_transfer_shard(reader: _Reader) -> TransferShard:
@@ -333,38 +348,40 @@
 
 def _pack_rebalance(message: Rebalance) -> bytes:
     fields = REBALANCE.pack(message.number, message.spot, len(message.types))
-    names = _text(message.shard) + _text(message.to)
-    return names + fields + _texts(message.types) + _text(message.zone)
+    names = _pack_text(message.shard) + _pack_text(message.to)
+    return names + fields + _pack_texts(message.types) + _pack_text(message.zone)
 
 
 def _unpack_rebalance(reader: _Reader) -> Rebalance:
     shard = reader.text()
     to = reader.text()
-    number, spot, type_count = reader.take(REBALANCE)
+    number, spot, type_count = reader.fields(REBALANCE)
     types = tuple(reader.text() for _ in range(type_count))
     return Rebalance(shard, to, number, types, reader.text(), spot)
 
 
 def _pack_ownership_claims(message: OwnershipClaims) -> bytes:
-    rows = [_text(shard) + U64.pack(revision) for shard, revision in message.shards]
+    rows = [_pack_text(shard) + U64.pack(revision) for shard, revision in message.shards]
     return U32.pack(len(rows)) + b"".join(rows)
 
 
 def _unpack_ownership_claims(reader: _Reader) -> OwnershipClaims:
-    return OwnershipClaims([(reader.text(), reader.take(U64)[0]) for _ in range(reader.count())])
+    return OwnershipClaims(
+        [(reader.text(), reader.fields(U64)[0]) for _ in range(reader.row_count())]
+    )
 
 
 def _pack_priority_inheritance(message: PriorityInheritance) -> bytes:
     rows = [
-        _text(job) + INHERITED_PRIORITY.pack(priority, finish_by)
+        _pack_text(job) + INHERITED_PRIORITY.pack(priority, finish_by)
         for job, priority, finish_by in message.jobs
     ]
-    return _text(message.shard) + U32.pack(len(rows)) + b"".join(rows)
+    return _pack_text(message.shard) + U32.pack(len(rows)) + b"".join(rows)
 
 
 def _unpack_priority_inheritance(reader: _Reader) -> PriorityInheritance:
     shard = reader.text()
-    jobs = [(reader.text(), *reader.take(INHERITED_PRIORITY)) for _ in range(reader.count())]
+    jobs = [(reader.text(), *reader.fields(INHERITED_PRIORITY)) for _ in range(reader.row_count())]
     return PriorityInheritance(shard, jobs)
 
 
@@ -376,31 +393,31 @@
 
 
 def _unpack_fenced_command(reader: _Reader) -> FencedCommand:
-    term = reader.take(U64)[0]
+    term = reader.fields(U64)[0]
     kind = reader.raw(1)[0]
     if kind not in COMMAND_KINDS:
         raise NotACommandError(kind)
-    command = unpack(kind, reader.raw(len(reader.data) - reader.at))
+    command = unpack(kind, reader.raw(len(reader.data) - reader.offset))
     if not isinstance(command, ShardCommand):
         raise NotACommandError(kind)
     return FencedCommand(term, command)
 
 
 def _pack_reclaims_in_progress(message: ReclaimsInProgress) -> bytes:
-    rows = [_text(machine) + _text(to) for machine, to in message.machines]
-    return _text(message.shard) + U32.pack(len(rows)) + b"".join(rows)
+    rows = [_pack_text(machine) + _pack_text(to) for machine, to in message.machines]
+    return _pack_text(message.shard) + U32.pack(len(rows)) + b"".join(rows)
 
 
 def _unpack_reclaims_in_progress(reader: _Reader) -> ReclaimsInProgress:
     shard = reader.text()
     return ReclaimsInProgress(
-        shard, [(reader.text(), reader.text()) for _ in range(reader.count())]
+        shard, [(reader.text(), reader.text()) for _ in range(reader.row_count())]
     )
 
 
 def _pack_cancelled_jobs(message: CancelledJobs) -> bytes:
     rows = [
-        _text(job) + _text(team) + CANCELLED_JOB.pack(revision, cancelled_at)
+        _pack_text(job) + _pack_text(team) + CANCELLED_JOB.pack(revision, cancelled_at)
         for job, team, revision, cancelled_at in message.jobs
     ]
     return U32.pack(len(rows)) + b"".join(rows)
@@ -408,7 +425,10 @@
 
 def _unpack_cancelled_jobs(reader: _Reader) -> CancelledJobs:
     return CancelledJobs(
-        [(reader.text(), reader.text(), *reader.take(CANCELLED_JOB)) for _ in range(reader.count())]
+        [
+            (reader.text(), reader.text(), *reader.fields(CANCELLED_JOB))
+            for _ in range(reader.row_count())
+        ]
     )
 
 
@@ -417,20 +437,20 @@
 
 
 def _unpack_watermark_echo(reader: _Reader) -> WatermarkEcho:
-    return WatermarkEcho(*reader.take(WATERMARK_ECHO))
+    return WatermarkEcho(*reader.fields(WATERMARK_ECHO))
 
 
-# -- the table -----------------------------------------------------------------------------------
+# -- codecs --------------------------------------------------------------------------------------
 
 
 class FrameCodec(NamedTuple):
-    """How one message travels.
+    """Encoding of one message type.
 
     Attributes:
-        kind: Its number on the wire.
-        message: Its type.
-        pack: Its body from the message.
-        unpack: The message from its body.
+        kind: Number on the wire.
+        message: Type of the message.
+        pack: Encodes the body of a message.
+        unpack: Decodes a message from a body.
     """
 
     kind: FrameKind
@@ -500,11 +520,11 @@
 
 
 def pack(message: Frame) -> bytes:
-    """The frame of a message.
+    """Return the frame of a message.
 
     Raises:
-        UnknownMessageError: it is no message between controllers.
-        FrameTooLongError: its body would be longer than a frame's may be.
+        UnknownMessageError: The object is not a message between controllers.
+        FrameTooLongError: The body would exceed `MAX_BODY_BYTES`.
     """
     codec = CODEC_OF_MESSAGE.get(type(message))
     if codec is None:
@@ -516,31 +536,31 @@
 
 
 def unpack_header(data: bytes) -> tuple[int, int]:
-    """Kind, and length of the body in bytes, from a frame's header.
+    """Return the kind and the size of the body in bytes from the header of a frame.
 
     Raises:
-        FrameError: it is not a header of this version, or the body is too long.
+        FrameError: The header is not one of this version, or the body is too long.
     """
-    magic, version, kind, length = HEADER.unpack(data)
+    magic, version, kind, body_bytes = HEADER.unpack(data)
     if magic != MAGIC:
         raise FrameMagicError(magic, MAGIC)
     if version != VERSION:
         raise FrameVersionError(version, VERSION)
-    if length > MAX_BODY_BYTES:
-        raise FrameTooLongError(length, MAX_BODY_BYTES)
-    return kind, length
+    if body_bytes > MAX_BODY_BYTES:
+        raise FrameTooLongError(body_bytes, MAX_BODY_BYTES)
+    return kind, body_bytes
 
 
 def unpack(kind: int, body: bytes) -> Frame:
-    """The message of a frame's body.
+    """Return the message in the body of a frame.
 
     Raises:
-        FrameError: no message has that kind, or the body is malformed.
+        FrameError: No message has this kind, or the body is malformed.
     """
     codec = CODEC_OF_KIND.get(kind)
     if codec is None:
         raise UnknownKindError(kind)
     reader = _Reader(body)
     message = codec.unpack(reader)
-    reader.end()
+    reader.expect_end()
     return message
