--- a/ashdock/wire/peer_messages.py
+++ b/ashdock/wire/peer_messages.py
@@ -1,8 +1,9 @@
-"""The messages that controllers send one another over the mesh.
+"""Messages that controllers send to each other over the mesh.
 
-`ShardStatus`, `Reclaim` and `Rebalance` stand in `ashdock.core.shard_status`, because the core makes and
-reads them; `ashdock.wire.frames` packs them all. Rows of the long lists are plain tuples: a list may hold
-thousands of rows, and a constructor call for each would be most of the cost of unpacking it.
+`ShardStatus`, `Reclaim` and `Rebalance` are defined in `ashdock.core.shard_status`, because the core
+creates and reads them; `ashdock.wire.frames` packs all messages. Rows of long lists are plain
+tuples: a list may contain thousands of rows, and a constructor call for each row would be most of
+the cost of unpacking it.
 """
 
 from __future__ import annotations
@@ -13,26 +14,26 @@
 
 
 class Hello(NamedTuple):
-    """The first message on a link: who opened it.
+    """First message on a link; identifies the controller that opened it.
 
     Attributes:
-        label: The label of the controller that sends on this link.
+        label: Label of the sender.
     """
 
     label: str
 
 
 class PeerHeartbeat(NamedTuple):
-    """Sent to every peer on each beat: that the sender lives, and how it fares.
+    """Liveness and condition of the sender, sent to every peer once per heartbeat interval.
 
     Attributes:
-        incarnation: Start of the sender's process; larger after a restart.
+        incarnation: Random number of the sender's process.
         state_age: Seconds since the store last answered the sender.
         worker_age: Seconds since a worker's heartbeat last reached the sender.
         ready: Whether the sender serves users and workers.
         leader: Whether the sender is the leader.
-        requests: Store requests that the sender wants to make, a second.
-        writes: Store writes that the sender wants to make, a second.
+        requests: Store requests that the sender wants to make per second.
+        writes: Store writes that the sender wants to make per second.
     """
 
     incarnation: int
@@ -45,12 +46,12 @@
 
 
 class TransferMachine(NamedTuple):
-    """The leader asks the owner of `shard` to hand over an idle machine.
+    """Command of the leader to transfer an idle machine to another shard.
 
     Attributes:
-        shard: The shard that the machine is assigned to.
-        machine: The machine's name.
-        to: The shard that gets it; "" leaves it unassigned.
+        shard: Shard that the machine is assigned to.
+        machine: Name of the machine.
+        to: Shard that gets it; "" leaves it unassigned.
     """
 
     shard: str
@@ -62,8 +63,8 @@
     """A worker's heartbeat, forwarded to the owner of its machine's shard.
 
     Attributes:
-        number: Chosen by the sender; the reply carries it.
-        body: The heartbeat as the worker sent it.
+        number: Number that the sender chose to match the reply with the request.
+        body: HTTP body that the worker sent.
     """
 
     number: int
@@ -71,10 +72,10 @@
 
 
 class ForwardReply(NamedTuple):
-    """The owner's answer to a forwarded heartbeat, for its sender to pass back to the worker.
+    """Response of the owner to a forwarded heartbeat, to be returned to the worker.
 
     Attributes:
-        number: The number of the forwarded heartbeat.
+        number: Number of the forwarded heartbeat.
         status: HTTP status.
         body: HTTP body.
     """
@@ -85,21 +86,21 @@
 
 
 class TaskCounts(NamedTuple):
-    """Sent by shard owners to every peer, which answer users' questions from it.
+    """Task counts of active jobs, from which every peer answers status requests of users.
 
     Attributes:
-        jobs: Of each active job its id and the numbers of done and of running tasks.
+        jobs: Id of each active job, with the numbers of its done and running tasks.
     """
 
     jobs: list[tuple[str, int, int]]
 
 
 class TransferShard(NamedTuple):
-    """The leader asks the owner of `shard` to hand the whole shard to another controller.
+    """Command of the leader to transfer the ownership of a shard to another controller.
 
     Attributes:
-        shard: The shard's name.
-        to: The label of its new owner.
+        shard: Name of the shard.
+        to: Label of the new owner.
     """
 
     shard: str
@@ -107,13 +108,14 @@
 
 
 class PriorityInheritance(NamedTuple):
-    """Sent by a shard's owner to every peer: what its jobs pass on to the jobs of other shards that they depend on.
+    """Priorities and deadlines that jobs of a shard pass to their dependencies in other shards.
 
-    Earlier versions do not know it: it is sent only once the cluster version has it.
+    Sent by the owner of the shard to every peer. Earlier versions cannot decode it, so it is sent
+    only once the cluster version includes it.
 
     Attributes:
-        shard: The sender's shard.
-        jobs: Of each job depended on its id, the priority that it inherits, and the time of day in
+        shard: Shard of the dependent jobs.
+        jobs: Id of each dependency, with the priority that it inherits and the time of day in
             seconds by which it should be done.
     """
 
@@ -122,27 +124,27 @@
 
 
 class OwnershipClaims(NamedTuple):
-    """Sent by shard owners to every peer: the shards that the sender owns.
+    """Shards that the sender owns, sent to every peer.
 
     Attributes:
-        shards: Of each shard its name and the revision of the sender's claim.
+        shards: Name of each shard, with the revision of the sender's claim.
     """
 
     shards: list[tuple[str, int]]
 
 
 ShardCommand = TransferMachine | Reclaim | TransferShard | Rebalance
-"""What the leader asks of a shard's owner."""
+"""A command that the leader sends to the owner of a shard."""
 
 
 class FencedCommand(NamedTuple):
-    """A command of the leader with its term: an owner that knows a later term refuses it.
+    """A command of the leader with its term; an owner that knows a later term rejects it.
 
-    Earlier versions do not know it: it is sent only once the cluster version has it.
+    Earlier versions cannot decode it, so it is sent only once the cluster version includes it.
 
     Attributes:
-        term: The term in which the leader sent it.
-        command: What the owner is asked.
+        term: Term of the leader that sent the command.
+        command: The command.
     """
 
     term: int
@@ -150,13 +152,14 @@
 
 
 class ReclaimsInProgress(NamedTuple):
-    """Sent by a shard's owner to the leader, as a new leader has not asked for these itself.
+    """Machines that the owner of a shard is vacating, sent to the leader.
 
-    Sent under the same condition as `FencedCommand`.
+    A new leader needs it because the reclaims may have been ordered by its predecessor. Sent under
+    the same condition as `FencedCommand`.
 
     Attributes:
-        shard: The sender's shard.
-        machines: Of each machine that is being vacated its name and the shard that gets it; "" leaves
+        shard: Shard that gives the machines up.
+        machines: Name of each machine that is being vacated, with the shard that gets it; "" leaves
             it unassigned.
     """
 
@@ -165,27 +168,27 @@
 
 
 class CancelledJobs(NamedTuple):
-    """Sent to every peer as soon as the sender knows, durably, that jobs are cancelled.
+    """Cancelled jobs, sent to every peer as soon as the sender knows that they are durable.
 
-    Earlier versions do not know it: it is sent only once the cluster version has it.
+    Earlier versions cannot decode it, so it is sent only once the cluster version includes it.
 
     Attributes:
-        jobs: Of each job its id, its team, the revision of its record, and the time of day in seconds
-            when it was cancelled.
+        jobs: Id of each job, with its team, the revision of its record, and the time of day in
+            seconds when it was cancelled.
     """
 
     jobs: list[tuple[str, str, int, float]]
 
 
 class WatermarkEcho(NamedTuple):
-    """Sent to every peer on each beat; advances the cancellation watermark.
+    """Sent to every peer once per heartbeat interval; advances the cancellation watermark.
 
-    All cancellations that the sender had learnt of before, since this link began, went out on the link
-    before it. Sent under the same condition as `CancelledJobs`.
+    All cancellations that the sender learned of since the link was established were sent on the
+    link before this message. Sent under the same condition as `CancelledJobs`.
 
     Attributes:
-        number: To be sent back by the receiver.
-        back: The last number that the sender had from the receiver.
+        number: Number that the receiver echoes.
+        back: Last number that the sender received from the receiver.
     """
 
     number: int
@@ -210,4 +213,4 @@
     | CancelledJobs
     | WatermarkEcho
 )
-"""Any message between controllers; each travels in a frame of its own."""
+"""Any message between controllers; each is sent in its own frame."""
