--- a/ashdock/connectivity.py
+++ b/ashdock/connectivity.py
@@ -67,7 +67,7 @@
         ]
         if not heartbeats:
             return bool(self.mesh.peers) and silent > self.ttl_s
-        return any(heartbeat.state_age < self.ttl_s / 2 for heartbeat in heartbeats)
+        return any(heartbeat.store_age_s < self.ttl_s / 2 for heartbeat in heartbeats)
 
     def cut_off(self) -> bool:
         """Whether neither a peer nor a worker is heard, only the store: others had better own our shards."""
--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -75,7 +75,9 @@
         demands: list[Demand | None] = []  # None: a member whose demand is not known
         for peer in self.mesh.peers.values():
             if peer.heartbeat is not None and peer.seen_within(self.ttl_s):
-                demands.append(Demand(peer.heartbeat.requests, peer.heartbeat.writes))
+                demands.append(
+                    Demand(peer.heartbeat.store_requests_per_s, peer.heartbeat.store_writes_per_s)
+                )
             elif f"member/{peer.label}" in self.members.entries or not self.members.ready.is_set():
                 demands.append(None)
         self.store.update_fair_share(demands)
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -64,7 +64,8 @@
 U64 = struct.Struct("!Q")
 F64 = struct.Struct("!d")
 
-# incarnation, state_age, worker_age, ready, leader, requests, writes
+# incarnation, store_age_s, worker_heartbeat_age_s, ready, leader, store_requests_per_s,
+# store_writes_per_s
 PEER_HEARTBEAT = struct.Struct("!Qdd??dd")
 # seen_revision, machines, waiting_tasks, machines_over_guarantee
 SHARD_STATUS = struct.Struct("!QIII")
--- a/ashdock/wire/peer_messages.py
+++ b/ashdock/wire/peer_messages.py
@@ -1,7 +1,7 @@
 """Messages that controllers send to each other over the mesh.
 
-`ShardStatus`, `Reclaim` and `Rebalance` are defined in `ashdock.core.shard_status`, because the core
-creates and reads them; `ashdock.wire.frames` packs all messages. Rows of long lists are plain
+`ShardStatus`, `Reclaim` and `Rebalance` are defined in `ashdock.core.shard_status`, because the
+core creates and reads them; `ashdock.wire.frames` packs all messages. Rows of long lists are plain
 tuples: a list may contain thousands of rows, and a constructor call for each row would be most of
 the cost of unpacking it.
 """
@@ -28,21 +28,21 @@
 
     Attributes:
         incarnation: Random number of the sender's process.
-        state_age: Seconds since the store last answered the sender.
-        worker_age: Seconds since a worker's heartbeat last reached the sender.
+        store_age_s: Seconds since the store last answered the sender.
+        worker_heartbeat_age_s: Seconds since a worker's heartbeat last reached the sender.
         ready: Whether the sender serves users and workers.
         leader: Whether the sender is the leader.
-        requests: Store requests that the sender wants to make per second.
-        writes: Store writes that the sender wants to make per second.
+        store_requests_per_s: Store requests that the sender wants to make per second.
+        store_writes_per_s: Store writes that the sender wants to make per second.
     """
 
     incarnation: int
-    state_age: float
-    worker_age: float
+    store_age_s: float
+    worker_heartbeat_age_s: float
     ready: bool
     leader: bool
-    requests: float = 0.0
-    writes: float = 0.0
+    store_requests_per_s: float = 0.0
+    store_writes_per_s: float = 0.0
 
 
 class TransferMachine(NamedTuple):
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -76,12 +76,12 @@
         peer_messages.PeerHeartbeat,
         (
             ("incarnation", same),
-            ("state_age", same),
-            ("worker_age", same),
+            ("store_age_s", same),
+            ("worker_heartbeat_age_s", same),
             ("ready", same),
             ("leader", same),
-            ("requests", same),
-            ("writes", same),
+            ("store_requests_per_s", same),
+            ("store_writes_per_s", same),
         ),
     ),
     3: (
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -37,7 +37,7 @@
 
 
 def peer(beat_age_s: float | None, store_silent_s: float = 0.0) -> Any:
-    beat = None if beat_age_s is None else SimpleNamespace(state_age=store_silent_s)
+    beat = None if beat_age_s is None else SimpleNamespace(store_age_s=store_silent_s)
     return SimpleNamespace(
         heartbeat=beat, seen_within=lambda seconds: beat_age_s is not None and beat_age_s < seconds
     )
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -138,7 +138,7 @@
 
 def test_limits_are_divided_among_members_by_demand() -> None:
     def peer(label: str, heard: bool) -> Any:
-        beat = SimpleNamespace(requests=3.0, writes=2.0) if heard else None
+        beat = SimpleNamespace(store_requests_per_s=3.0, store_writes_per_s=2.0) if heard else None
         return SimpleNamespace(label=label, heartbeat=beat, seen_within=lambda seconds: heard)
 
     peers = {label: peer(label, label == "b") for label in "bcd"}
