--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -93,4 +93,4 @@
     def on_echo(self, label: str, echo: WatermarkEcho) -> None:
         """Keep the peer's number, and advance the watermark by ours that it sent back."""
         self.last_received[label] = echo.number
-        self.watermark.echo_received(label, echo.back, time.monotonic())
+        self.watermark.echo_received(label, echo.echoed_number, time.monotonic())
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -84,7 +84,7 @@
 INHERITED_PRIORITY = struct.Struct("!bd")
 # revision, cancelled_at as time of day in seconds
 CANCELLED_JOB = struct.Struct("!Qd")
-# number, back
+# number, echoed_number
 WATERMARK_ECHO = struct.Struct("!QQ")
 
 
--- a/ashdock/wire/peer_messages.py
+++ b/ashdock/wire/peer_messages.py
@@ -188,11 +188,11 @@
 
     Attributes:
         number: Number that the receiver echoes.
-        back: Last number that the sender received from the receiver.
+        echoed_number: Last number that the sender received from the receiver.
     """
 
     number: int
-    back: int
+    echoed_number: int
 
 
 Frame = (
--- a/tests/forms/adapter/frames.py
+++ b/tests/forms/adapter/frames.py
@@ -119,7 +119,7 @@
     13: (peer_messages.FencedCommand, (("term", same), ("command", command))),
     14: (peer_messages.ReclaimsInProgress, (("shard", same), ("machines", rows))),
     15: (peer_messages.CancelledJobs, (("jobs", rows),)),
-    16: (peer_messages.WatermarkEcho, (("number", same), ("back", same))),
+    16: (peer_messages.WatermarkEcho, (("number", same), ("echoed_number", same))),
 }
 FRAME_HEAD_BYTES = frames.HEADER.size
 FRAME_BODY_LIMIT = frames.MAX_BODY_BYTES
