--- a/ashdock/wire/messages.py
+++ b/ashdock/wire/messages.py
@@ -1,7 +1,7 @@
-"""The protocol's messages in the field's terms.
+"""Messages exchanged with users, workers and the cloud, and the values that they contain.
 
-The protocol's own names are spelled out here alone: once a field, with `field(name=...)`, or as the
-value of an enum. What is decoded carries our terms; what is encoded carries the protocol's.
+This module maps the names of the protocol to those of the code, with `field(name=...)` or as the
+value of an enum. Decoded messages have the names of the code, encoded ones those of the protocol.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct, UnsetType, field
 
-Count = Annotated[int, Meta(ge=0)]
-Amount = Annotated[float, Meta(ge=0, le=1e9)]
-Text = Annotated[str, Meta(min_length=1, max_length=200)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+Quantity = Annotated[float, Meta(ge=0, le=1e9)]
+NonEmptyText = Annotated[str, Meta(min_length=1, max_length=200)]
 JobId = Annotated[str, Meta(pattern=r"^req-[0-9A-Za-z_.-]{1,100}\Z")]
 
-MAX_TASK_DIGITS = 6  # of a task's number within its job
+MAX_TASK_DIGITS = 6  # decimal digits of a task number
 
 
 class JobKind(StrEnum):
-    """What a job's tasks are to one another; stored in `spec.kind`."""
+    """How the tasks of a job relate to each other; stored in `spec.kind`."""
 
-    ARRAY = "array"  # independent of one another
-    GANG = "gang"  # all run at the same time, or none
-    SERVICE = "service"  # runs until it is cancelled
+    ARRAY = "array"  # tasks are independent
+    GANG = "gang"  # either all tasks run at the same time, or none
+    SERVICE = "service"  # tasks run until the job is cancelled
 
 
 class JobPriority(IntEnum):
-    """The higher goes first; stored in `spec.priority`."""
+    """Priority of a job; higher values go first; stored in `spec.priority`."""
 
     BEST_EFFORT = 0
     STANDARD = 1
@@ -38,7 +38,7 @@
 
 
 class JobStatus(StrEnum):
-    """A job's status as users are told it; all but `RUNNING` are stored in its record."""
+    """Status of a job as reported to users; all but `RUNNING` are stored in the job's record."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -47,28 +47,28 @@
 
 
 class TaskStatus(StrEnum):
-    """Where a task stands at its worker, as far as it makes a difference to us."""
+    """Statuses of a task on its worker that controllers distinguish."""
 
-    PULLING = "pulling"  # its image is being fetched
+    PULLING = "pulling"  # the worker fetches the image
     RUNNING = "running"
     ENDED = "ended"
 
 
 class TaskCause(StrEnum):
-    """Why a task ended, as far as it makes a difference to us."""
+    """Reasons for the end of a task that controllers distinguish."""
 
     DONE = "done"
-    ERROR = "error"  # it failed of its own
-    NO_SUCH = "no_such"  # its image does not exist
-    NO_ROOM = "no_room"  # the machine is fuller than its shard's owner thinks
+    ERROR = "error"  # the task itself failed
+    NO_SUCH = "no_such"  # the image does not exist
+    NO_ROOM = "no_room"  # the machine has less free capacity than the shard's owner assumed
 
 
 class CommandVerb(StrEnum):
-    """What a worker is told to do with an attempt of a task."""
+    """Command to a worker about one attempt of a task."""
 
     RUN = "run"
     KILL = "kill"
-    FORGET = "forget"  # it has ended, and the worker need not report it any more
+    FORGET = "forget"  # stop reporting an attempt that has ended
 
 
 KIND_OF_SHAPE = {"sweep": JobKind.ARRAY, "ensemble": JobKind.GANG, "daemon": JobKind.SERVICE}
@@ -81,40 +81,40 @@
 
 
 class MalformedMessageError(Exception):
-    """A body that is not a message of the protocol; the text says what is wrong and where."""
+    """A body is not a valid message; the text says what is wrong and where."""
 
 
 # -- users ---------------------------------------------------------------------------------------
 
 
 class JobSubmission(Struct):
-    """A job as users submit it (`POST /v2/runs`)."""
+    """A job as submitted by a user (`POST /v2/runs`)."""
 
     id: JobId
-    job_class: Text = field(name="workload")
-    team: Text = field(name="owner")
+    job_class: NonEmptyText = field(name="workload")
+    team: NonEmptyText = field(name="owner")
     kind: Literal["sweep", "ensemble", "daemon"] = field(name="shape")
     priority: Literal["critical", "high", "standard", "best_effort"] = field(name="urgency")
     tasks: Annotated[int, Meta(ge=1, le=100_000)] = field(name="shares")
-    cpus: Amount
-    gpus: Amount = field(name="accelerators")
-    memory_gb: Amount = field(name="ram_gb")
-    image: Text = field(name="bundle")
-    image_gb: Amount = field(name="size_gb")
+    cpus: Quantity
+    gpus: Quantity = field(name="accelerators")
+    memory_gb: Quantity = field(name="ram_gb")
+    image: NonEmptyText = field(name="bundle")
+    image_gb: Quantity = field(name="size_gb")
     one_zone: bool = field(name="same_place")
     spread: bool
     spot: bool = field(name="loaners")
-    estimate_s: Amount = field(name="expect_s")
-    checkpoint_s: Amount = field(name="snapshot_s")
-    save_s: Amount = field(name="flush_s")
-    machine_types: list[Text] | None = field(default=None, name="hulls")
-    zone: Text | None = field(default=None, name="yard")
-    deadline_s: Amount | None = field(default=None, name="due_s")
+    estimate_s: Quantity = field(name="expect_s")
+    checkpoint_s: Quantity = field(name="snapshot_s")
+    save_s: Quantity = field(name="flush_s")
+    machine_types: list[NonEmptyText] | None = field(default=None, name="hulls")
+    zone: NonEmptyText | None = field(default=None, name="yard")
+    deadline_s: Quantity | None = field(default=None, name="due_s")
     dependencies: list[JobId] | None = field(default=None, name="awaits")
 
 
 class JobSpec(Struct):
-    """A job as it is kept in the store, below `spec` of its record."""
+    """A job as stored in the `spec` field of its record."""
 
     id: str
     job_class: str
@@ -136,12 +136,13 @@
     machine_types: list[str] | None = field(default=None, name="types")
     zone: str | None = None
     deadline_s: float | None = None
-    # Jobs that have to be done first. Absent where there are none: versions before wrote no such field.
+    # Ids of the jobs that must be done first. Omitted if there are none, as in records of earlier
+    # versions, which do not have the field.
     dependencies: list[str] | UnsetType = field(default=UNSET, name="needs")
 
 
 def job_spec_of(submission: JobSubmission) -> JobSpec:
-    """The spec of a submitted job."""
+    """Return the spec of a submitted job."""
     dependencies = submission.dependencies
     return JobSpec(
         id=submission.id,
@@ -172,32 +173,32 @@
 
 
 class TaskReport(Struct):
-    """A task as its worker reports it."""
+    """Status of one attempt of a task, as reported by its worker."""
 
     task: str = field(name="share")
-    attempt: Count = field(name="try")
+    attempt: NonNegativeInt = field(name="try")
     status: str
     cause: str | None = None
     saved: bool = field(default=False, name="kept")
 
 
 class Heartbeat(Struct):
-    """A worker's heartbeat with the status of its tasks (`POST /checkin`)."""
+    """Heartbeat of a worker with the status of its tasks (`POST /checkin`)."""
 
-    machine: Text = field(name="berth")
+    machine: NonEmptyText = field(name="berth")
     address: str
     machine_type: str = field(name="hull")
     zone: str = field(name="yard")
-    incarnation: Count = field(name="tenure")
-    sequence: Count = field(name="tally")
-    fencing_token: Count = field(name="warrant")
+    incarnation: NonNegativeInt = field(name="tenure")
+    sequence: NonNegativeInt = field(name="tally")
+    fencing_token: NonNegativeInt = field(name="warrant")
     spot: bool = field(default=False, name="loaners")
     reclaim_in_s: float | None = field(default=None, name="recall_s")
     tasks: list[TaskReport] = field(default_factory=list, name="shares")
 
 
 class TaskCommand(Struct, omit_defaults=True):
-    """What a worker is to do with one attempt of a task."""
+    """Command to a worker about one attempt of a task, with a `CommandVerb` as its verb."""
 
     verb: str
     task: str = field(name="share")
@@ -206,14 +207,14 @@
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a heartbeat, under the fencing token of the shard's owner."""
+    """Response to a heartbeat, with the fencing token of the shard's owner."""
 
     fencing_token: int = field(name="warrant")
     commands: list[TaskCommand] = field(name="orders")
 
 
 class DirectCommands(Struct):
-    """Commands sent straight to a worker (`POST /orders`), for one incarnation of it."""
+    """Commands sent directly to one incarnation of a worker (`POST /orders`)."""
 
     fencing_token: int = field(name="warrant")
     incarnation: int = field(name="tenure")
@@ -224,7 +225,7 @@
 
 
 class MachineType(Struct):
-    """A machine type of the cloud's catalog; prices are per hour."""
+    """A machine type in the catalog of the cloud; prices are per hour."""
 
     label: str
     cpus: float
@@ -239,13 +240,13 @@
 
 
 class Catalog(Struct):
-    """The cloud's catalog (`GET /catalog`)."""
+    """Machine types that the cloud offers (`GET /catalog`)."""
 
     machine_types: list[MachineType] = field(name="hulls")
 
 
 class Host(Struct):
-    """A machine in the cloud's list; `age_s` is its age since it was rented."""
+    """A machine in the list of the cloud; `age_s` counts from the time that it was rented."""
 
     id: str
     address: str
@@ -257,20 +258,23 @@
 
 
 class Hosts(Struct):
-    """A page of the cloud's list (`GET /hosts`)."""
+    """One page of the list of rented machines (`GET /hosts`)."""
 
     machines: list[Host] = field(name="berths")
     truncated: bool = False
 
 
 class Rented(Struct):
-    """The names of rented machines (`POST /hosts`)."""
+    """Response to a rental request (`POST /hosts`): the names of the rented machines."""
 
     machines: list[str] = field(name="berths")
 
 
 class RentalRequest(Struct):
-    """Rents machines of one type, zone and kind (`POST /hosts`); its name is never used again."""
+    """Request to rent machines of one type in one zone, spot or on demand (`POST /hosts`).
+
+    `intent` names the provisioning intent; a name is never reused for another one.
+    """
 
     intent: str = field(name="charter")
     machine_type: str = field(name="hull")
@@ -280,7 +284,7 @@
 
 
 class ReleaseRequest(Struct):
-    """Returns machines (`POST /hosts/release`)."""
+    """Request to return machines to the cloud (`POST /hosts/release`)."""
 
     machines: list[str] = field(name="berths")
 
@@ -293,37 +297,37 @@
 
 
 def decode_submission(body: bytes) -> JobSubmission:
-    """Decode a submission.
+    """Decode a job submission.
 
     Raises:
-        MalformedMessageError: it is not one. A string that JSON allows but UTF-8 does not (a lone
-            surrogate) is refused as well.
+        MalformedMessageError: The body is not a valid submission. A string that is valid in JSON
+            but not in UTF-8 (a lone surrogate) is rejected as well.
     """
     try:
         return _submission_decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeError, RecursionError) as why:
-        raise MalformedMessageError(str(why)) from None
+    except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
+        raise MalformedMessageError(str(error)) from None
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """Decode a worker's heartbeat.
+    """Decode a heartbeat of a worker.
 
     Raises:
-        MalformedMessageError: it is not one.
+        MalformedMessageError: The body is not a valid heartbeat.
     """
     try:
         return _heartbeat_decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeError, RecursionError) as why:
-        raise MalformedMessageError(str(why)) from None
+    except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
+        raise MalformedMessageError(str(error)) from None
 
 
 def task_name(job: str, task: int) -> str:
-    """The protocol's name of a task: `req-000412/3`."""
+    """Return the name of a task in messages, such as `req-000412/3`."""
     return f"{job}/{task}"
 
 
 def split_task(name: str) -> tuple[str, int]:
-    """Job and number of a task; a name that has no number is a job with task -1."""
+    """Return the job id and the task number; if `name` has no task number, `name` and -1."""
     job, _, task = name.rpartition("/")
     if task.isdigit() and len(task) <= MAX_TASK_DIGITS:
         return job, int(task)
@@ -333,8 +337,8 @@
 def status_answer(
     job: str, status: str, done: int = 0, running: int = 0, reason: str | None = None
 ) -> bytes:
-    """The body of `GET /v2/runs/{id}`."""
-    answer: dict[str, Any] = {"id": job, "status": status, "done": done, "running": running}
+    """Encode the response body of `GET /v2/runs/{id}`."""
+    response: dict[str, Any] = {"id": job, "status": status, "done": done, "running": running}
     if reason:
-        answer["reason"] = reason
-    return encode(answer)
+        response["reason"] = reason
+    return encode(response)
