--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -14,11 +14,11 @@
 from ashdock.wire.messages import (
     Catalog,
     Host,
-    Hosts,
+    HostPage,
     MachineType,
     ReleaseRequest,
     RentalRequest,
-    Rented,
+    RentalResponse,
 )
 
 Body = TypeVar("Body")
@@ -35,8 +35,8 @@
 RETRYABLE = frozenset({429, 500, 502, 504})  # the request was not carried out
 
 _catalog_decoder = msgspec.json.Decoder(Catalog)
-_hosts_decoder = msgspec.json.Decoder(Hosts)
-_rented_decoder = msgspec.json.Decoder(Rented)
+_hosts_decoder = msgspec.json.Decoder(HostPage)
+_rented_decoder = msgspec.json.Decoder(RentalResponse)
 
 # Raises if the request is no longer this controller's to make.
 RequestGuard = Callable[[], None]
--- a/ashdock/wire/messages.py
+++ b/ashdock/wire/messages.py
@@ -257,14 +257,14 @@
     age_s: float = 0.0
 
 
-class Hosts(Struct):
+class HostPage(Struct):
     """One page of the list of rented machines (`GET /hosts`)."""
 
     machines: list[Host] = field(name="berths")
     truncated: bool = False
 
 
-class Rented(Struct):
+class RentalResponse(Struct):
     """Response to a rental request (`POST /hosts`): the names of the rented machines."""
 
     machines: list[str] = field(name="berths")
--- a/tests/forms/adapter/bodies.py
+++ b/tests/forms/adapter/bodies.py
@@ -202,7 +202,7 @@
 
 def read_hosts(body: Plain) -> Plain:
     """`GET /hosts` of the cloud: one page of the list."""
-    found = msgspec.json.decode(to_bytes(body), type=messages.Hosts)
+    found = msgspec.json.decode(to_bytes(body), type=messages.HostPage)
     hosts = [attributes_of(item, HOST) for item in found.machines]
     return {"berths": hosts, "truncated": found.truncated}
 
@@ -210,14 +210,14 @@
 def write_hosts(values: Plain) -> Plain:
     """A page's bytes."""
     hosts = [struct_from(messages.Host, HOST, item) for item in values["berths"]]
-    return encoded(messages.Hosts(hosts, values["truncated"]))
+    return encoded(messages.HostPage(hosts, values["truncated"]))
 
 
 def read_rented(body: Plain) -> Plain:
     """The answer to `POST /hosts`: names of machines."""
-    return msgspec.json.decode(to_bytes(body), type=messages.Rented).machines
+    return msgspec.json.decode(to_bytes(body), type=messages.RentalResponse).machines
 
 
 def write_rented(values: Plain) -> Plain:
     """The same bytes."""
-    return encoded(messages.Rented(values))
+    return encoded(messages.RentalResponse(values))
