--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud: what the leader asks of it to scale the fleet out and in."""
+"""Client of the cloud API, which the leader uses to scale the fleet out and in."""
 
 from __future__ import annotations
 
@@ -23,22 +23,24 @@
 
 Body = TypeVar("Body")
 
-USABLE_RATE = 0.8  # of the cloud's limit; the rest is for a controller that does not yet know it leads no more
-SOCKETS = 4  # connections kept open
-REQUESTS_PER_LEASE = 2  # a request may take this fraction of an agent lease
-PAGE_MACHINES = 500  # of the list of machines
-ANSWER_EXCERPT_BYTES = 200  # of an unexpected answer that goes into an error's text
+# Fraction of the cloud's rate limit. The rest is for a former leader that does not know yet that it
+# has lost the leadership.
+USABLE_RATE = 0.8
+MAX_IDLE_CONNECTIONS = 4
+REQUESTS_PER_LEASE = 2  # request timeouts that fit into one agent lease
+PAGE_MACHINES = 500  # machines requested per page of the list
+ANSWER_EXCERPT_BYTES = 200  # part of an unexpected response that error texts include
 
 OK = 200
 SERVICE_UNAVAILABLE = 503
-NO_CAPACITY = b"no capacity"  # in an answer 503 that is no failure of the cloud
-RETRYABLE = frozenset({429, 500, 502, 504})  # the request was not carried out
+NO_CAPACITY = b"no capacity"  # in a 503 response that is not a failure of the cloud
+RETRYABLE = frozenset({429, 500, 502, 504})  # the cloud did not execute the request
 
 _catalog_decoder = msgspec.json.Decoder(Catalog)
-_hosts_decoder = msgspec.json.Decoder(HostPage)
-_rented_decoder = msgspec.json.Decoder(RentalResponse)
+_host_page_decoder = msgspec.json.Decoder(HostPage)
+_rental_decoder = msgspec.json.Decoder(RentalResponse)
 
-# Raises if the request is no longer this controller's to make.
+# Raises if this controller must not make the request any more.
 RequestGuard = Callable[[], None]
 
 
@@ -47,44 +49,44 @@
 
 
 class CloudUnavailableError(CloudError):
-    """The cloud did not answer properly.
+    """The cloud did not respond, or responded with an error or an invalid body.
 
     Attributes:
-        outcome_unknown: whether the request may have been carried out, or may still be.
-        status: the HTTP status, where there was an answer.
+        outcome_unknown: Whether the request may have been executed or may still be.
+        status: HTTP status, or None if the response was missing or its body was invalid.
     """
 
     def __init__(self, reason: str, outcome_unknown: bool, status: int | None = None) -> None:
-        """Keep the reason as the error's text."""
+        """Use the reason as the error text."""
         super().__init__(reason)
         self.outcome_unknown = outcome_unknown
         self.status = status
 
     @classmethod
     def from_status(cls, status: int, answer: bytes | None = None) -> Self:
-        """The error for an unexpected HTTP status, with the start of the answer where it is given."""
+        """Return the error for an unexpected HTTP status, with the start of `answer` if given."""
         excerpt = "" if answer is None else f": {answer[:ANSWER_EXCERPT_BYTES]!r}"
         return cls(f"status {status}{excerpt}", outcome_unknown=False, status=status)
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no machine of this type in this zone at the moment."""
+    """The cloud currently has no machine of the requested type in the requested zone."""
 
 
 class CloudClient:
-    """Lists, rents and releases machines, within the cloud's rate limit."""
+    """Lists, rents and releases machines within the rate limit of the cloud."""
 
     def __init__(self, host: str, port: int, shared: Shared, max_sockets: int = 0) -> None:
-        """Open no connection yet.
+        """Create a client without connections.
 
         Args:
-            host: the cloud's host.
-            port: the cloud's port.
-            shared: the settings that all controllers have in common.
-            max_sockets: bound of the open connections; 0: none.
+            host: Host of the cloud API.
+            port: Port of the cloud API.
+            shared: Settings that all controllers have in common.
+            max_sockets: Maximum number of open connections; 0: unlimited.
         """
-        self.client = Client(host, port, keep=SOCKETS, most=max_sockets)
-        # Not divided among the controllers: the leader alone calls.
+        self.client = Client(host, port, keep=MAX_IDLE_CONNECTIONS, most=max_sockets)
+        # Not divided among the controllers, because only the leader calls the cloud.
         self.rate_limiter = RateLimiter(shared.cloud.rps * USABLE_RATE)
         self.timeout_s = shared.workers.lease_s / REQUESTS_PER_LEASE
 
@@ -96,9 +98,12 @@
         priority: RequestPriority = RequestPriority.NORMAL,
         guard: RequestGuard | None = None,
     ) -> tuple[int, bytes]:
-        """Send a request; its status, if that is no failure of the cloud, and the answer's body.
+        """Send a request and return the HTTP status and the body of the response.
 
-        The guard is called last, since the rate limiter may keep the request for long.
+        The guard is called after the rate limiter, which may delay the request for a long time.
+
+        Raises:
+            CloudUnavailableError: There was no response, or its status is a failure of the cloud.
         """
         await self.rate_limiter.acquire(1, priority)
         if guard is not None:
@@ -121,16 +126,16 @@
             raise CloudUnavailableError(str(error), outcome_unknown) from None
 
     async def catalog(self) -> dict[str, MachineType]:
-        """The machine types that the cloud offers, by name.
+        """Return the machine types that the cloud offers, by name.
 
         Raises:
-            CloudUnavailableError: no proper answer.
+            CloudUnavailableError: The cloud failed to respond properly.
         """
         status, answer = await self._call("GET", "/catalog")
         if status != OK:
             raise CloudUnavailableError.from_status(status)
-        offered = self._decode(_catalog_decoder, answer).machine_types
-        return {machine_type.label: machine_type for machine_type in offered}
+        machine_types = self._decode(_catalog_decoder, answer).machine_types
+        return {machine_type.label: machine_type for machine_type in machine_types}
 
     async def rent(
         self,
@@ -141,22 +146,25 @@
         count: int,
         guard: RequestGuard | None = None,
     ) -> list[str]:
-        """Rent machines. Idempotent: the same intent again is answered with the same machines.
+        """Rent machines.
+
+        The request is idempotent: the cloud returns the same machines if the intent is repeated.
 
         Args:
-            intent: name of the provisioning intent.
-            machine_type: name of the type.
-            zone: where the machines are to be.
-            spot: whether they may be taken back.
-            count: how many.
-            guard: called just before the request is sent.
+            intent: Name of the provisioning intent.
+            machine_type: Name of the machine type.
+            zone: Zone of the machines.
+            spot: Whether to rent spot instances, which the cloud may reclaim.
+            count: Number of machines.
+            guard: Called just before the request is sent.
 
         Returns:
-            The machines' names.
+            Names of the machines.
 
         Raises:
-            NoCapacityError: the cloud has none to rent.
-            CloudUnavailableError: no proper answer; machines may have been rented if `outcome_unknown`.
+            NoCapacityError: The cloud has no such machines at the moment.
+            CloudUnavailableError: The cloud failed to respond properly; machines may have been
+                rented if `outcome_unknown` is set.
         """
         body = msgspec.json.encode(RentalRequest(intent, machine_type, zone, spot, count))
         status, answer = await self._call("POST", "/hosts", body, guard=guard)
@@ -164,17 +172,18 @@
             raise NoCapacityError
         if status != OK:
             raise CloudUnavailableError.from_status(status, answer)
-        return self._decode(_rented_decoder, answer, outcome_unknown=True).machines
+        return self._decode(_rental_decoder, answer, outcome_unknown=True).machines
 
     async def release(self, names: list[str], guard: RequestGuard | None = None) -> None:
         """Return machines to the cloud.
 
         Args:
-            names: of the machines.
-            guard: called just before the request is sent.
+            names: Names of the machines.
+            guard: Called just before the request is sent.
 
         Raises:
-            CloudUnavailableError: no proper answer; they may have been released if `outcome_unknown`.
+            CloudUnavailableError: The cloud failed to respond properly; the machines may have been
+                released if `outcome_unknown` is set.
         """
         body = msgspec.json.encode(ReleaseRequest(names))
         status, answer = await self._call("POST", "/hosts/release", body, guard=guard)
@@ -182,20 +191,20 @@
             raise CloudUnavailableError.from_status(status, answer)
 
     async def list_machines(self) -> list[Host]:
-        """All machines that are rented, as the cloud lists them, page by page.
+        """Return all rented machines, read page by page from the list of the cloud.
 
         Raises:
-            CloudUnavailableError: a page could not be read.
+            CloudUnavailableError: A page could not be read.
         """
         machines: list[Host] = []
-        after = ""
+        last_name = ""
         while True:
-            target = f"/hosts?from={quote(after)}&most={PAGE_MACHINES}"
+            target = f"/hosts?from={quote(last_name)}&most={PAGE_MACHINES}"
             status, answer = await self._call("GET", target, priority=RequestPriority.BACKGROUND)
             if status != OK:
                 raise CloudUnavailableError.from_status(status)
-            page = self._decode(_hosts_decoder, answer)
+            page = self._decode(_host_page_decoder, answer)
             machines += page.machines
             if not page.truncated or not page.machines:
                 return machines
-            after = page.machines[-1].id
+            last_name = page.machines[-1].id
