--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -1,4 +1,4 @@
-"""Client of the workers, for commands that are sent straight to them."""
+"""Client that sends commands directly to workers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class CommandReply(NamedTuple):
-    """What a worker answered to commands.
+    """Response of a worker to commands.
 
     Attributes:
-        status: the HTTP status.
-        heartbeat: the status of its tasks; None if the answer is not a heartbeat.
+        status: HTTP status.
+        heartbeat: Heartbeat in the body; None if the body is not a valid heartbeat.
     """
 
     status: int
@@ -32,20 +32,22 @@
 
 
 class WorkerClient:
-    """Keeps one connection to each worker that commands go to, within a bound for all of them.
+    """Keeps a client for each worker that receives commands, up to a maximum number.
 
     Attributes:
-        clients: by the worker's address, the least recently used first.
-        deferred: how often commands were left to the answer to a heartbeat, as no connection was free.
+        clients: Clients by worker address, the least recently used first.
+        deferred: Number of requests that were not sent because all clients were in use. Their
+            commands wait for the response to the worker's next heartbeat.
     """
 
     def __init__(self, timeout_s: float, idle_s: float, max_sockets: int) -> None:
-        """Open no connection yet.
+        """Create the pool without connections.
 
         Args:
-            timeout_s: of one request.
-            idle_s: after which a connection that is not used is closed.
-            max_sockets: most connections; beyond it the least recently used is closed.
+            timeout_s: Timeout of a request.
+            idle_s: Time after which an unused connection is closed.
+            max_sockets: Maximum number of clients; a further one replaces the least recently used
+                client that has no request in progress.
         """
         self.timeout_s = timeout_s
         self.idle_s = idle_s
@@ -55,7 +57,7 @@
 
     @property
     def sockets(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return sum(client.sockets for client in self.clients.values())
 
     async def send_commands(
@@ -68,16 +70,17 @@
         """Send commands to a worker.
 
         Args:
-            worker_address: host and port.
-            fencing_token: a worker takes no commands under a lower one than it has seen.
-            incarnation: of the agent that the commands are for.
-            commands: what it is to do.
+            worker_address: Host and port of the worker.
+            fencing_token: Token of the shard's owner; a worker rejects commands with a lower token
+                than it has seen.
+            incarnation: Incarnation of the worker that the commands are for.
+            commands: The commands.
 
         Returns:
-            The worker's reply.
+            The response of the worker.
 
         Raises:
-            NoAnswer: none came; its `sent` says whether the commands may still arrive.
+            NoAnswer: There was no response; `sent` tells whether the commands may still arrive.
         """
         client = self._client(worker_address)
         request = DirectCommands(
@@ -102,20 +105,21 @@
     def _new_client(self, worker_address: str) -> Client:
         try:
             host, port = address(worker_address, "worker")
-        except SettingsError as error:  # the worker's heartbeat gave an address that is none
+        except SettingsError as error:  # the address in the heartbeat is malformed
             raise NoAnswer(str(error), sent=False) from None
         return Client(host, port, keep=1, idle_s=self.idle_s)
 
     def _close_least_recently_used(self) -> None:
-        """Make room for one more connection, among those without a request under way.
+        """Close the least recently used connection that has no request in progress.
 
-        Commands to machines that do not answer may occupy all connections until they time out. Others
-        are not given more sockets, which heartbeats need; their commands wait for the next heartbeat.
+        Commands to machines that do not respond may occupy all connections until they time out. No
+        further sockets are opened in this case, because heartbeats need them; the commands to other
+        workers wait for the response to their next heartbeat.
 
         Raises:
-            NoAnswer: all connections are in use.
+            NoAnswer: All clients have a request in progress.
         """
-        idle = next(
+        idle_address = next(
             (
                 worker_address
                 for worker_address, client in self.clients.items()
@@ -123,14 +127,14 @@
             ),
             None,
         )
-        if idle is None:
+        if idle_address is None:
             self.deferred += 1
             reason = "no connection to spare"
             raise NoAnswer(reason, sent=False)
-        self.clients.pop(idle).close()
+        self.clients.pop(idle_address).close()
 
     def close_idle(self) -> None:
-        """Close connections that have not been used for `idle_s` seconds."""
+        """Close connections that have been unused for `idle_s` seconds."""
         now = time.monotonic()
         for worker_address, client in list(self.clients.items()):
             if now - client.last_used > self.idle_s and not client.under_way:
