--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -73,7 +73,7 @@
 
     Attributes:
         peers: The other controllers, by label.
-        links: Open inbound links, with the label of the controller that opened each, or ""
+        inbound_links: Open inbound links, with the label of the controller that opened each, or ""
             until its `Hello` is received.
     """
 
@@ -102,7 +102,7 @@
         self.heartbeat_interval_s = heartbeat_interval_s
         self.server: asyncio.Server | None = None
         self.tasks: list[asyncio.Task[None]] = []
-        self.links: dict[asyncio.StreamWriter, str] = {}
+        self.inbound_links: dict[asyncio.StreamWriter, str] = {}
 
     async def start(self, host: str, port: int) -> None:
         """Accept inbound links and keep an outbound link open to each peer.
@@ -120,7 +120,7 @@
         if self.server:
             self.server.close()
         for writer in [
-            *self.links,
+            *self.inbound_links,
             *(peer.writer for peer in self.peers.values() if peer.writer),
         ]:
             writer.transport.abort()
@@ -218,16 +218,16 @@
                     return
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.links) >= LINKS_PER_CONTROLLER * (len(self.peers) + 1):
+        if len(self.inbound_links) >= LINKS_PER_CONTROLLER * (len(self.peers) + 1):
             writer.close()
             return
-        self.links[writer] = ""
+        self.inbound_links[writer] = ""
         try:
             await self._receive(reader, writer)
         except (OSError, EOFError, TimeoutError):
             pass  # the peer ended, was silent for too long, or will connect again
         finally:
-            self.links.pop(writer, None)
+            self.inbound_links.pop(writer, None)
             writer.close()
 
     async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -247,7 +247,7 @@
                     label = frame.label
                     self._replace_link(writer, label)
                     continue
-                if writer not in self.links:
+                if writer not in self.inbound_links:
                     return  # replaced while this frame was in transit
                 peer = self.peers.get(label)
                 if peer is None:
@@ -271,8 +271,10 @@
         An older link may still deliver frames of an earlier process of the controller, which must
         not overwrite the status and the heartbeats of the current one.
         """
-        for old_link in [old_link for old_link, sender in self.links.items() if sender == label]:
-            del self.links[old_link]
+        for old_link in [
+            old_link for old_link, sender in self.inbound_links.items() if sender == label
+        ]:
+            del self.inbound_links[old_link]
             old_link.transport.abort()
-        self.links[link] = label
+        self.inbound_links[link] = label
         self.on_link(label)
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -272,7 +272,7 @@
             for use in (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
         }
         held |= {
-            SocketUse.MESH: len(context.mesh.links)
+            SocketUse.MESH: len(context.mesh.inbound_links)
             + sum(peer.writer is not None for peer in context.mesh.peers.values()),
             SocketUse.STORE: context.store.sockets,
             SocketUse.CLOUD: context.cloud.client.sockets,
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -211,7 +211,7 @@
             and beat.incarnation == 2
             and controller.shards.entries["part/red"].revision < 1 << 40
         )
-        assert list(controller.mesh.links.values()).count("n1") == 1
+        assert list(controller.mesh.inbound_links.values()).count("n1") == 1
 
     play(monkeypatch, 45, day)
 
