--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -29,7 +29,7 @@
 from tests.election_model import FENCES, Model, random_walks, search
 from tests.simtime import spawn
 from tests.test_whole import play
-from tests.test_wire import GOOD
+from tests.test_wire import VALID_SETTINGS
 from tests.whole import Service, job
 
 # -- the election, alone ---------------------------------------------------------------------------------------
@@ -221,7 +221,7 @@
     ],
 )
 def test_who_may_lead_is_read_or_refused(text: str, message: str, tmp_path: Path) -> None:
-    (tmp_path / "s.toml").write_text(GOOD)
+    (tmp_path / "s.toml").write_text(VALID_SETTINGS)
     (tmp_path / "o.hcl").write_text(text)
     if not message:
         assert load(str(tmp_path / "s.toml"), tmp_path / "o.hcl").operators.duties.machines == [
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -18,7 +18,7 @@
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Objective, SettingsError, load
 from tests import simtime
-from tests.test_wire import GOOD
+from tests.test_wire import VALID_SETTINGS
 from tests.totals import Totals
 
 # For a job of four tasks, submitted at 0: start target and deadline, when each task started, when
@@ -213,7 +213,7 @@
 def test_weights_in_the_settings_of_the_operators(
     text: str, error: str | None, tmp_path: Path
 ) -> None:
-    (tmp_path / "s.toml").write_text(GOOD)
+    (tmp_path / "s.toml").write_text(VALID_SETTINGS)
     (tmp_path / "o.hcl").write_text(text)
     if error is None:
         weights: Any = load(str(tmp_path / "s.toml"), tmp_path / "o.hcl").operators.fairness.weights
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -38,7 +38,7 @@
 from tests import simtime
 from tests.whole import job
 
-GOOD = """
+VALID_SETTINGS = """
 label = "n0"
 area = "a"
 bind = "10.0.0.1:8080"
@@ -126,7 +126,7 @@
     old: str, new: str, named: str | None, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "s.toml"
-    file.write_text(GOOD.replace(old, new) if old else GOOD)
+    file.write_text(VALID_SETTINGS.replace(old, new) if old else VALID_SETTINGS)
     code = cli.main(["check-config", str(file)])
     out = capsys.readouterr()
     assert code == (0 if named is None else 2)
@@ -159,7 +159,7 @@
 
 
 def test_the_operators_file_is_taken_in(tmp_path: Path) -> None:
-    (tmp_path / "s.toml").write_text(GOOD)
+    (tmp_path / "s.toml").write_text(VALID_SETTINGS)
     (tmp_path / "o.hcl").write_text("retry {\n most_parks = 7\n}\n")
     assert load(str(tmp_path / "s.toml"), tmp_path / "o.hcl").operators.retry.most_parks == 7
     assert load(str(tmp_path / "s.toml"), tmp_path / "none.hcl").operators.retry.most_parks == 30
