--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,7 @@
-"""Tables and seeded fuzz on what comes from outside: settings, HTTP messages, reports and mesh frames."""
+"""Tables of cases and seeded fuzzing for all external input.
+
+Covers settings, HTTP messages, bodies of users and workers, and frames between controllers.
+"""
 
 from __future__ import annotations
 
@@ -73,11 +76,13 @@
 """
 
 
-def limits(text: str, named: str | None) -> tuple[str, str, str | None]:
+def machine_limits(text: str, named: str | None) -> tuple[str, str, str | None]:
+    """Return a case of `SETTINGS` that adds a table of machine limits."""
     return "list_lag_s = 4.0", f"list_lag_s = 4.0\n[settings.machine_limits]\n{text}", named
 
 
-SETTINGS = [  # replaced, by what -> what the one line must name
+# Replaced text, replacement, and what the one error line must name; None: the settings are valid.
+SETTINGS = [
     ("", "", None),
     ('label = "n0"', "", "label"),
     ("report_s = 1.0", "report_s = -1.0", "report_s"),
@@ -93,9 +98,9 @@
     ("txn_ops = 48", "txn_ops = 48\n[settings.state.next]\nwrite_rps = 56.0", None),
     ("txn_ops = 48", "txn_ops = 48\n[settings.state.next]\ntxn_ops = 1", "state.next.txn_ops"),
     ("txn_ops = 48", 'txn_ops = 48\n[settings.state.next]\nvalue_kb = "2"', "state.next.value_kb"),
-    # What a start needs: the field, and the least that works.
+    # Minimum resources for a start: the error names the field and the minimum.
     *(
-        limits(text, named)
+        machine_limits(text, named)
         for text, named in [
             ("core_share = 0.324\nram_mb = 110\nmax_connections = 900", None),
             ("core_share = 0.324", None),
@@ -125,6 +130,7 @@
 def test_settings(
     old: str, new: str, named: str | None, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """`check-config` accepts valid settings and reports an invalid one on one line."""
     file = tmp_path / "s.toml"
     file.write_text(VALID_SETTINGS.replace(old, new) if old else VALID_SETTINGS)
     code = cli.main(["check-config", str(file)])
@@ -134,6 +140,7 @@
         assert named in out.err and str(file) in out.err and out.err.count("\n") == 1
 
 
+# Text of the operators' file, and what the error must name; None: the file is valid.
 OPERATORS = [
     ("", None),
     ("retry {\n first_delay_s = 5\n}\n", None),
@@ -148,6 +155,7 @@
 
 @pytest.mark.parametrize(("text", "named"), OPERATORS)
 def test_operators_file(text: str, named: str | None, tmp_path: Path) -> None:
+    """The operators' file is accepted, or rejected with an error that names the cause."""
     file = tmp_path / "ashdock.hcl"
     file.write_text(text)
     if named is None:
@@ -158,7 +166,8 @@
             load_operators(file)
 
 
-def test_the_operators_file_is_taken_in(tmp_path: Path) -> None:
+def test_operators_file_is_loaded(tmp_path: Path) -> None:
+    """`load` applies the operators' file, and defaults if there is none."""
     (tmp_path / "s.toml").write_text(VALID_SETTINGS)
     (tmp_path / "o.hcl").write_text("retry {\n most_parks = 7\n}\n")
     assert load(str(tmp_path / "s.toml"), tmp_path / "o.hcl").operators.retry.most_parks == 7
@@ -198,25 +207,28 @@
 
 
 @pytest.mark.parametrize("frame", FRAMES, ids=lambda frame: type(frame).__name__)
-def test_frames_there_and_back(frame: Any) -> None:
+def test_frames_round_trip(frame: Any) -> None:
+    """A packed frame unpacks to the same message; truncated and longer bodies are rejected."""
     raw = frames.pack(frame)
     kind, length = frames.unpack_header(raw[: frames.HEADER.size])
     body = raw[frames.HEADER.size :]
     assert length == len(body) and frames.unpack(kind, body) == frame
-    for cut in range(len(body)):
+    for size in range(len(body)):
         with pytest.raises(FrameError):
-            frames.unpack(kind, body[:cut])
+            frames.unpack(kind, body[:size])
     with pytest.raises(FrameError):
         frames.unpack(kind, body + b"\0")
 
 
 def test_every_kind_has_one_codec() -> None:
+    """The codec table covers each frame kind and each message type once."""
     assert [codec.kind for codec in frames.CODECS] == list(frames.FrameKind)
     assert len({codec.message for codec in frames.CODECS}) == len(frames.CODECS)
     assert {codec.message for codec in frames.CODECS} == set(get_args(Frame))
 
 
-def test_frames_fuzzed() -> None:
+def test_fuzzed_frames() -> None:
+    """Damaged frames raise no error except `FrameError`."""
     rng = random.Random(5)
     for _ in range(3000):
         raw = bytearray(frames.pack(rng.choice(FRAMES)))
@@ -229,18 +241,20 @@
             pass
 
 
-HEADS = [(b"XX", 1, 1, 0), (b"AD", 1, 1, 0), (b"AD", 1, 1, frames.MAX_BODY_BYTES + 1)]
+INVALID_HEADERS = [(b"XX", 1, 1, 0), (b"AD", 1, 1, 0), (b"AD", 1, 1, frames.MAX_BODY_BYTES + 1)]
 
 
-@pytest.mark.parametrize("head", HEADS)
-def test_heads_refused(head: Any) -> None:
+@pytest.mark.parametrize("header", INVALID_HEADERS)
+def test_invalid_headers_are_rejected(header: Any) -> None:
+    """A header with wrong magic bytes or a wrong version raises `FrameError`."""
     with pytest.raises(FrameError):
-        frames.unpack_header(frames.HEADER.pack(*head))
+        frames.unpack_header(frames.HEADER.pack(*header))
 
 
-def test_bodies_fuzzed() -> None:
+def test_fuzzed_bodies() -> None:
+    """Damaged submissions and heartbeats raise no error except `MalformedMessageError`."""
     rng = random.Random(6)
-    report = {
+    heartbeat = {
         "berth": "vm-1",
         "address": "h:1",
         "hull": "g4",
@@ -250,13 +264,16 @@
         "warrant": 3,
         "shares": [{"share": "req-1/0", "try": 1, "status": "running"}],
     }
-    for decode, good in ((decode_submission, encode(job(1))), (decode_heartbeat, encode(report))):
-        decode(good)
+    for decode, valid_body in (
+        (decode_submission, encode(job(1))),
+        (decode_heartbeat, encode(heartbeat)),
+    ):
+        decode(valid_body)
         for _ in range(2000):
-            raw = bytearray(good)
+            raw = bytearray(valid_body)
             for _ in range(rng.randrange(1, 5)):
-                at = rng.randrange(len(raw))
-                raw[at : at + rng.randrange(3)] = bytes(
+                offset = rng.randrange(len(raw))
+                raw[offset : offset + rng.randrange(3)] = bytes(
                     rng.randrange(256) for _ in range(rng.randrange(3))
                 )
             try:
@@ -265,11 +282,12 @@
                 pass
 
 
-STAYS = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: "
-CLOSES = (
+KEEP_ALIVE_HEAD = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: "
+CLOSE_HEAD = (
     b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\ncontent-length: "
 )
-MESSAGES = [  # bytes sent -> start of what comes back
+# Bytes sent, and the start of the bytes received.
+HTTP_EXCHANGES = [
     (b"nonsense\r\n\r\n", b"HTTP/1.1 400"),
     (b"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", b"HTTP/1.1 400"),
     (b"GET /" + b"a" * 20_000 + b" HTTP/1.1\r\n", b"HTTP/1.1 400"),
@@ -282,23 +300,23 @@
     (b"", b""),
     (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", b"HTTP/1.1 400"),
     (b"POST /boom HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 503"),
-    # Whoever asks for an end of the connection is told of it, and what came with one request is taken for the next.
-    (b"GET / HTTP/1.0\r\n\r\n", CLOSES + b"2\r\n\r\n{}"),
-    (b"HEAD / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", CLOSES + b"2\r\n\r\n"),
+    # The server confirms a requested close. Bytes that follow a request are the next request.
+    (b"GET / HTTP/1.0\r\n\r\n", CLOSE_HEAD + b"2\r\n\r\n{}"),
+    (b"HEAD / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", CLOSE_HEAD + b"2\r\n\r\n"),
     (
         b"GET / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
-        STAYS + b"2\r\n\r\n{}" + CLOSES + b"2\r\n\r\n{}",
+        KEEP_ALIVE_HEAD + b"2\r\n\r\n{}" + CLOSE_HEAD + b"2\r\n\r\n{}",
     ),
 ]
 
 
-@pytest.mark.parametrize(("sent", "expected"), MESSAGES)
+@pytest.mark.parametrize(("sent", "expected"), HTTP_EXCHANGES)
 def test_http_messages(sent: bytes, expected: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also the slow and the silent: closed in time, and nothing of them kept."""
+    """The server responds as expected, and closes incomplete and silent connections in time."""
 
     async def handle(request: Request) -> Answer:
         if request.target == "/boom":
-            raise ValueError("planted")
+            raise ValueError("handler failure")
         return Answer(200, b"{}")
 
     async def main(net: simtime.Net) -> bytes:
@@ -306,16 +324,18 @@
         await server.start("10.0.0.1", 80)
         reader, writer = await net.open_connection("10.0.0.1", 80)
         writer.write(sent)
-        got: bytes = await asyncio.wait_for(reader.read(), 60)
+        received: bytes = await asyncio.wait_for(reader.read(), 60)
         writer.close()
         await asyncio.sleep(60)
         assert not server.open
-        return got
+        return received
 
     assert simtime.run(main, 1, monkeypatch).startswith(expected)
 
 
-def test_a_full_server_says_so_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_server_rejects_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A full server responds with 503, and accepts again once silent connections time out."""
+
     async def handle(request: Request) -> Answer:
         return Answer(200, b"{}")
 
