--- a/ashdock/net/mesh.py
+++ b/ashdock/net/mesh.py
@@ -27,7 +27,7 @@
 
 # Durations in heartbeat intervals.
 CONNECT_TIMEOUT_INTERVALS = 4
-LINK_CHECK_INTERVALS = 8  # an outbound link with unsent bytes at a check is closed
+LINK_CHECK_INTERVALS = 8  # between checks of an outbound link for unsent bytes, which end it
 MAX_SILENCE_INTERVALS = 20  # an inbound link that is silent for longer is dead or half open
 MAX_RETRY_INTERVALS = 4  # limit of the exponential backoff between attempts to connect
 
