--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -316,7 +316,7 @@
 
     async def handle(request: Request) -> Answer:
         if request.target == "/boom":
-            raise ValueError("handler failure")
+            raise ValueError("failure")
         return Answer(200, b"{}")
 
     async def main(net: simtime.Net) -> bytes:
