--- a/ashdock/wire/__init__.py
+++ b/ashdock/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages of all protocols, and the binary frames that controllers exchange."""
+"""Messages between controllers, and with users, workers and the cloud."""
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tables of cases and seeded fuzzing for all external input.
+"""Tables of cases and seeded fuzzing for external input.
 
 Covers settings, HTTP messages, bodies of users and workers, and frames between controllers.
 """
