--- a/ashdock/wire/__init__.py
+++ b/ashdock/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol: its messages, and the frames between controllers."""
+"""Messages between controllers, and with users, workers and the cloud."""
--- a/tests/test_connectivity.py
+++ b/tests/test_connectivity.py
@@ -36,7 +36,7 @@
 
 
 def make_peer(heartbeat_age_s: float | None, store_silence_s: float = 0.0) -> Any:
-    heartbeat = None if heartbeat_age_s is None else SimpleNamespace(state_age=store_silence_s)
+    heartbeat = None if heartbeat_age_s is None else SimpleNamespace(store_age_s=store_silence_s)
     return SimpleNamespace(
         heartbeat=heartbeat,
         seen_within=lambda seconds: heartbeat_age_s is not None and heartbeat_age_s < seconds,
