--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -438,7 +438,7 @@
         does not hear the other may hear us."""
         if job_id in self.finals:
             return False
-        self.status_reader.over(job_id)
+        self.status_reader.forget(job_id)
         self._over(job_id, Final(JobStatus.WITHDRAWN, 0, None, None))
         self.context.broadcast_cancellation(job_id, team, revision, at)
         return True
@@ -485,7 +485,9 @@
 
     def _unfinished(self, job_id: str, known: KnownJob) -> bytes:
         done, running = self.context.counts(known.team, job_id)
-        reason = known.reason or (self._waits(known.needs) if not done and not running else None)
+        reason = known.reason or (
+            self._waits(known.dependencies) if not done and not running else None
+        )
         return messages.status_answer(
             job_id, JobStatus.RUNNING if running else JobStatus.QUEUED, done, running, reason
         )
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -1,9 +1,10 @@
-"""What users ask about jobs, checked in bunches against the state service.
+"""Answers users' status requests, with batched revision checks against the store.
 
-An answer that is not final must rest on something that began after the question. A read for each job asked about cost a
-request a question: users who asked eight times as often used up the state service's limit, and starts and accepts waited
-behind them. A transaction that only compares checks many revisions in one request, so what users ask costs a few requests a
-second however many they are; only what differs from what we hold is read.
+An answer that is not final must rest on a check that began after the request came in. With one read
+for each job asked about, every status request cost one store request: users who asked eight times
+as often used up the store's rate limit, and starts and submissions waited behind them. One
+transaction without writes compares many revisions, so status requests cost a few store requests a
+second however many they are. Only records that differ from what is cached are read.
 """
 
 from __future__ import annotations
@@ -17,21 +18,30 @@
 from ashdock.net.store import CompareFailedError, Entry, StoreClient, StoreUnavailableError
 from ashdock.wire.messages import JobStatus
 
-CALLS_SHARE = 1 / 8  # of our requests to the state service that may go into comparing
-UNDER_WAY = 4  # comparisons, and reads of what differed, at a time
+CHECK_REQUEST_SHARE = 1 / 8  # share of this controller's store requests that checks may use
+MAX_CONCURRENT_CALLS = 4  # of checks, and again of reads of records that differed
 
 
 class KnownJob(NamedTuple):
-    """A job that is not over, as last seen."""
+    """An unfinished job, as of the last record seen.
+
+    Attributes:
+        revision: of the job's record.
+        team: whose job it is.
+        reason: why it is not done, for its user.
+        kind: a `JobKind`.
+        dependencies: ids of the jobs that it depends on, done or not.
+    """
 
     revision: int
     team: str
     reason: str | None
     kind: str
-    needs: tuple[str, ...]  # what it waits for, or has waited for
+    dependencies: tuple[str, ...]
 
 
 def known_job_of(value: dict[str, Any], revision: int) -> KnownJob:
+    """Return what is cached of a job's record, with its spec decoded or not."""
     spec = value["spec"]
     if isinstance(spec, dict):
         return KnownJob(
@@ -47,124 +57,158 @@
 
 
 class StatusReaderBusyError(Exception):
-    """More questions than can be checked while their users wait."""
+    """More jobs wait to be checked than can be within the timeout."""
 
 
 class StatusReader:
-    def __init__(self, store: StoreClient, patience_s: float, seen: Any, most: int) -> None:
-        """`most`: jobs of which the revision is remembered."""
+    """Checks and caches the records of unfinished jobs.
+
+    Attributes:
+        store: where the records are checked and read.
+        timeout_s: how long a status request may wait for its check, in seconds.
+        max_known: most jobs that are cached.
+        on_record: called with each record read: job id, record, revision.
+        known: unfinished jobs, by id; the least recently cached are dropped first.
+        pending: results of jobs whose check has not begun, by job id.
+        next_check_at: when the next check may begin, by the monotonic clock.
+        check_slots: bounds the concurrent checks.
+        read_slots: bounds the concurrent reads.
+        dispatcher: the task that starts the checks, while any job is pending.
+        tasks: checks and reads in progress.
+    """
+
+    def __init__(
+        self, store: StoreClient, timeout_s: float, on_record: Any, max_known: int
+    ) -> None:
+        """Start with no job cached.
+
+        Args:
+            store: where the records are checked and read.
+            timeout_s: how long a status request may wait for its check, in seconds.
+            on_record: called with each record read: job id, record, revision.
+            max_known: most jobs that are cached.
+        """
         self.store = store
-        self.patience_s = patience_s
-        self.most_known = most
-        self.seen = seen  # told of each record read: (job id, record, revision)
+        self.timeout_s = timeout_s
+        self.max_known = max_known
+        self.on_record = on_record
         self.known: OrderedDict[str, KnownJob] = OrderedDict()
-        self.waiting: dict[
-            str, asyncio.Future[KnownJob | None]
-        ] = {}  # asked, and not yet being compared
-        self.next_at = 0.0
-        self.calls = asyncio.Semaphore(UNDER_WAY)
-        self.reads = asyncio.Semaphore(UNDER_WAY)
-        self.pump: asyncio.Task[None] | None = None
+        self.pending: dict[str, asyncio.Future[KnownJob | None]] = {}
+        self.next_check_at = 0.0
+        self.check_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        self.read_slots = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+        self.dispatcher: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
     def learn(self, job_id: str, value: dict[str, Any], revision: int) -> None:
-        """A record came by: from a watch, a read, a takeover or our own write."""
+        """Cache a job's record from a watch, a read, a failover or this controller's own write."""
         known = self.known.get(job_id)
         if known is not None and known.revision >= revision:
             return
         if value["status"] != JobStatus.QUEUED:
-            self.known.pop(job_id, None)  # final answers are kept elsewhere
+            self.known.pop(job_id, None)  # the front caches the final states
             return
         self.known[job_id] = known_job_of(value, revision)
-        if len(self.known) > self.most_known:
+        if len(self.known) > self.max_known:
             self.known.popitem(last=False)
 
-    def over(self, job_id: str) -> None:
-        """It has ended, by another's word."""
+    def forget(self, job_id: str) -> None:
+        """Drop a job that has ended, as another controller has reported."""
         self.known.pop(job_id, None)
 
     @property
-    def most(self) -> int:
+    def max_batch(self) -> int:
+        """Most jobs in one check."""
         return self.store.max_compares
 
     @property
-    def pause_s(self) -> float:
-        return 1 / (CALLS_SHARE * self.store.request_limiter.per_s)
+    def check_interval_s(self) -> float:
+        """Seconds between the starts of two checks, within their share of the request rate."""
+        return 1 / (CHECK_REQUEST_SHARE * self.store.request_limiter.per_s)
 
     async def ask(self, job_id: str) -> KnownJob | None:
-        """How the job stands, by a check that begins from here on; None: there is no such job."""
-        future = self.waiting.get(job_id)
+        """Return the state of a job by a check that begins from now on; None if there is no job.
+
+        A job that has ended is returned as well; the front hears of its end through `on_record`.
+
+        Raises:
+            StatusReaderBusyError: too many jobs are pending.
+            StoreUnavailableError: the store did not answer properly.
+        """
+        future = self.pending.get(job_id)
         if future is None:
-            if len(self.waiting) >= self.most * max(1.0, self.patience_s / self.pause_s):
+            if len(self.pending) >= self.max_batch * max(
+                1.0, self.timeout_s / self.check_interval_s
+            ):
                 raise StatusReaderBusyError
             future = asyncio.get_running_loop().create_future()
-            future.add_done_callback(
-                lambda done: done.cancelled() or done.exception()
-            )  # who asked may have given up
-            self.waiting[job_id] = future
-            if self.pump is None or self.pump.done():
-                self.pump = asyncio.create_task(self._pump())
+            # Retrieves the exception, since whoever asked may have given up.
+            future.add_done_callback(lambda done: done.cancelled() or done.exception())
+            self.pending[job_id] = future
+            if self.dispatcher is None or self.dispatcher.done():
+                self.dispatcher = asyncio.create_task(self._dispatch())
         return await asyncio.shield(future)
 
-    def _spawn(self, job: Any) -> None:
-        task = asyncio.create_task(job)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _pump(self) -> None:
-        while self.waiting:
-            await asyncio.sleep(max(0.0, self.next_at - time.monotonic()))
-            await self.calls.acquire()
-            self.next_at = time.monotonic() + self.pause_s
-            bunch = {job_id: self.waiting.pop(job_id) for job_id in list(self.waiting)[: self.most]}
-            self._spawn(self._check(bunch))
-
-    async def _check(self, bunch: dict[str, asyncio.Future[KnownJob | None]]) -> None:
+    async def _dispatch(self) -> None:
+        while self.pending:
+            await asyncio.sleep(max(0.0, self.next_check_at - time.monotonic()))
+            await self.check_slots.acquire()
+            self.next_check_at = time.monotonic() + self.check_interval_s
+            batch = {
+                job_id: self.pending.pop(job_id) for job_id in list(self.pending)[: self.max_batch]
+            }
+            self._spawn(self._check(batch))
+
+    async def _check(self, batch: dict[str, asyncio.Future[KnownJob | None]]) -> None:
         try:
-            while bunch:
-                held = {job_id: self.known.get(job_id) for job_id in bunch}
-                when = {
+            while batch:
+                cached = {job_id: self.known.get(job_id) for job_id in batch}
+                compare = {
                     f"job/{job_id}": known.revision if known else 0
-                    for job_id, known in held.items()
+                    for job_id, known in cached.items()
                 }
                 try:
-                    await self.store.txn(when, {}, priority=RequestPriority.USER)
-                except CompareFailedError as why:
-                    # What failed says nothing of the rest: that is compared again without.
-                    differ = {path.split("/", 1)[1] for path in why.failed_keys} & bunch.keys()
-                    if not differ:
+                    await self.store.txn(compare, {}, priority=RequestPriority.USER)
+                except CompareFailedError as error:
+                    # A failed comparison says nothing of the other jobs: those are compared again.
+                    changed = {path.split("/", 1)[1] for path in error.failed_keys} & batch.keys()
+                    if not changed:
                         raise StoreUnavailableError(
                             "a comparison failed and did not say where"
                         ) from None
-                    for job_id in differ:
-                        if (
-                            self.known.get(job_id) == held[job_id]
-                        ):  # else the watch has brought it meanwhile
-                            self._spawn(self._read(job_id, bunch.pop(job_id)))
+                    for job_id in changed:
+                        # If the cached record has changed meanwhile, it is compared again.
+                        if self.known.get(job_id) == cached[job_id]:
+                            self._spawn(self._read(job_id, batch.pop(job_id)))
                     continue
-                for job_id, future in bunch.items():
+                for job_id, future in batch.items():
                     if not future.done():
-                        future.set_result(held[job_id])
+                        future.set_result(cached[job_id])
                 return
-        except StoreUnavailableError as why:
-            for future in bunch.values():
+        except StoreUnavailableError as error:
+            for future in batch.values():
                 if not future.done():
-                    future.set_exception(why)
+                    future.set_exception(error)
         finally:
-            self.calls.release()
+            self.check_slots.release()
 
     async def _read(self, job_id: str, future: asyncio.Future[KnownJob | None]) -> None:
         try:
-            async with self.reads:
+            async with self.read_slots:
                 entry: Entry | None = await self.store.get(
                     f"job/{job_id}", priority=RequestPriority.BACKGROUND
                 )
-        except StoreUnavailableError as why:
+        except StoreUnavailableError as error:
             if not future.done():
-                future.set_exception(why)
+                future.set_exception(error)
             return
         if entry is not None:
-            self.seen(job_id, entry.value, entry.revision)
+            self.on_record(job_id, entry.value, entry.revision)
         if not future.done():
             future.set_result(
                 known_job_of(entry.value, entry.revision) if entry is not None else None
