--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -1,4 +1,4 @@
-"""What users, workers and health checks ask of a controller, and how each is answered."""
+"""Handles the HTTP requests of users, workers and health checks at one controller."""
 
 from __future__ import annotations
 
@@ -35,54 +35,79 @@
 
 log = logging.getLogger("ashdock.front")
 
-JOB = re.compile(r"^/v2/runs/([0-9A-Za-z_.-]{1,120})(/withdraw)?$")
-ANSWER_S = 1.5  # a status is given up after this: its user waits 2 s
-RECORD_GROWS = 300  # bytes by which a record may come to be longer: a reason, and when it ended
-NEEDS_AT_ONCE = 8  # reads of what a submission names
-NEEDS_NAMED = 10  # of what a job waits for, to who asks
+JOB_PATH = re.compile(r"^/v2/runs/([0-9A-Za-z_.-]{1,120})(/withdraw)?$")
+ANSWER_TIMEOUT_S = 1.5  # for the store; a user waits 2 s for the answer to a status request
+RECORD_GROWTH_BYTES = 300  # reserved in a job's record for a reason and the time of its end
+MAX_CONCURRENT_LOOKUPS = 8  # reads of the jobs that a job depends on
+MAX_NAMED_DEPENDENCIES = 10  # in the reason given for a job that waits for other jobs
 
 
 class Final(NamedTuple):
-    """A job that is over."""
+    """The final state of a job.
+
+    Attributes:
+        status: done or cancelled, a `JobStatus`.
+        tasks: number of its tasks; 0 if a peer reported the cancellation.
+        reason: as last recorded, for its user.
+        done_at: when it was done, in seconds since the epoch; None if that is not recorded.
+    """
 
     status: str
     tasks: int
     reason: str | None
-    done_at: float | None  # if that was noted
+    done_at: float | None
+
 
+def error(status: int, message: str, retry_after: int | None = None) -> Answer:
+    """Return an answer that reports an error.
 
-def error(status: int, why: str, retry_after: int | None = None) -> Answer:
-    return Answer(status, messages.encode({"error": why}), retry_after)
+    Args:
+        status: HTTP status.
+        message: text for the client.
+        retry_after: seconds after which the client may retry; None: not stated.
+    """
+    return Answer(status, messages.encode({"error": message}), retry_after)
 
 
 def refused(refusal: Refusal) -> Answer:
+    """Return the answer to a request that admission control refuses."""
     return error(refusal.status, refusal.reason, refusal.retry_after)
 
 
 def use_of(target: str) -> SocketUse:
-    """What a connection is for, by what is asked over it."""
+    """Return what a connection is used for, by the target of a request on it."""
     path = target.partition("?")[0]
     if path == "/checkin":
         return SocketUse.WORKER
     return SocketUse.PROBE if path in ("/ready", "/metrics") else SocketUse.USER
 
 
-class Answering(Protocol):
-    """Whoever owns a shard here."""
+class LocalOwner(Protocol):
+    """A shard's owner at this controller."""
 
     async def on_heartbeat(
         self, heartbeat: messages.Heartbeat
-    ) -> messages.HeartbeatResponse | None: ...
+    ) -> messages.HeartbeatResponse | None:
+        """Return the answer to a worker; None if it may not be answered from here, or not yet."""
+        ...
+
 
+class LocalLeader(Protocol):
+    """The leader, at this controller."""
 
-class Adopting(Protocol):
-    """Whoever leads here."""
+    def on_heartbeat(self, heartbeat: messages.Heartbeat, recorded: bool) -> None:
+        """Take in the heartbeat of an unassigned machine; `recorded`: it has a record."""
+        ...
 
-    def on_heartbeat(self, heartbeat: messages.Heartbeat, recorded: bool) -> None: ...
 
+class OwnerRoute(NamedTuple):
+    """Where a worker was redirected to, or its heartbeats are forwarded to.
 
-class Sent(NamedTuple):
-    """Where a worker was sent on to, when, and under which token that one acted."""
+    Attributes:
+        at: since when, by the monotonic clock in seconds.
+        label: of the owner's controller, or of a peer that may reach it.
+        token: the fencing token of the machine's owner at that time.
+    """
 
     at: float
     label: str
@@ -90,7 +115,7 @@
 
 
 class FrontContext(Protocol):
-    """What of its controller the front uses, and no more."""
+    """What the front uses of its controller."""
 
     label: str
     shared: Shared
@@ -105,55 +130,99 @@
     orphan_leases: OrphanLeaseRenewer
 
     @property
-    def owners(self) -> Mapping[str, Answering]: ...
+    def owners(self) -> Mapping[str, LocalOwner]:
+        """Owners of the shards that are owned here, by team."""
+        ...
 
     @property
-    def leader(self) -> Adopting | None: ...
+    def leader(self) -> LocalLeader | None:
+        """The leader; None unless it is this controller."""
+        ...
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """The time of day, in seconds since the epoch."""
+        ...
 
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Whether this controller takes requests."""
+        ...
 
-    def state_fresh(self) -> bool: ...
+    def state_fresh(self) -> bool:
+        """Whether the store has answered lately."""
+        ...
 
-    def leader_label(self) -> str | None: ...
+    def leader_label(self) -> str | None:
+        """Label of the controller that leads; None if there is no leader."""
+        ...
 
-    def owner_label(self, team: str) -> str | None: ...
+    def owner_label(self, team: str) -> str | None:
+        """Label of the controller that owns a team's shard; None if no record names one."""
+        ...
 
-    def token_of(self, machine: str) -> int: ...
+    def token_of(self, machine: str) -> int:
+        """The fencing token of a machine's owner; larger than any if unknown."""
+        ...
 
-    def heard_worker(self) -> None: ...
+    def heard_worker(self) -> None:
+        """Note that a worker has reached this controller."""
+        ...
 
-    def jobs_seen(self, path: str, value: Any, revision: int) -> None: ...
+    def jobs_seen(self, path: str, value: Any, revision: int) -> None:
+        """Take in a job's record as if the watch had brought it."""
+        ...
 
-    def counts(self, team: str, job: str) -> tuple[int, int]: ...
+    def counts(self, team: str, job: str) -> tuple[int, int]:
+        """How many tasks of a job are done and running, as far as is known here."""
+        ...
 
-    def metrics(self) -> Answer: ...
+    def metrics(self) -> Answer:
+        """The answer to a request for the metrics."""
+        ...
 
-    def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None: ...
+    def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None:
+        """Tell all peers of a durable cancellation; `at`: its time, in seconds since the epoch."""
+        ...
 
-    def spawn(self, job: Coroutine[Any, Any, Any]) -> None: ...
+    def spawn(self, job: Coroutine[Any, Any, Any]) -> None:
+        """Run a coroutine as a background task."""
+        ...
 
-    async def relay(self, label: str, body: bytes) -> ForwardReply | None: ...
+    async def relay(self, label: str, body: bytes) -> ForwardReply | None:
+        """Forward a worker's request to a controller; None if no reply came in time."""
+        ...
 
 
 class Front:
+    """Answers HTTP requests, and caches the final states of jobs.
+
+    Attributes:
+        context: the controller.
+        finals: final states of jobs, by id; those cached first are dropped first.
+        unsent_reads: reads of job records that have not been sent, by job id.
+        lookups: dependencies that are being looked up, to be named to the next user who asks.
+        status_reader: checks and caches the records of unfinished jobs.
+        redirected: where each worker was last redirected to, by machine.
+        relaying: where heartbeats of a worker are forwarded to, since when, by machine.
+        answered: when each machine's worker was last answered here, by the monotonic clock.
+        orphans_renewed: machines for which the log has told that an orphan's lease is renewed.
+    """
+
     def __init__(self, context: FrontContext) -> None:
+        """Start with nothing cached."""
         self.context = context
         self.finals: OrderedDict[str, Final] = OrderedDict()
-        self.reads: dict[str, asyncio.Future[Entry | None]] = {}
-        self.looking: set[str] = set()  # jobs that others need, being looked up to tell who asks
+        self.unsent_reads: dict[str, asyncio.Future[Entry | None]] = {}
+        self.lookups: set[str] = set()
         self.status_reader = StatusReader(
-            context.store, ANSWER_S, self.saw, context.admission.memory.cached_jobs
+            context.store, ANSWER_TIMEOUT_S, self.saw, context.admission.memory.cached_jobs
         )
-        self.redirected: dict[str, Sent] = {}  # worker: when we last sent it to its owner
-        self.relaying: dict[str, Sent] = {}  # worker: relayed for since
-        self.answered: dict[str, float] = {}  # worker: when an owner here last answered it
-        self.orphans_renewed: set[str] = (
-            set()
-        )  # workers whose leases were kept for an owner that is gone, as the log has told
+        self.redirected: dict[str, OwnerRoute] = {}
+        self.relaying: dict[str, OwnerRoute] = {}
+        self.answered: dict[str, float] = {}
+        self.orphans_renewed: set[str] = set()
 
     async def handle(self, request: Request) -> Answer:
+        """Return the answer to a request."""
         path = request.target.partition("?")[0]
         if path == "/checkin":
             return (
@@ -171,7 +240,7 @@
             )
         if path == "/metrics":
             return self.context.metrics()
-        match = JOB.match(path)
+        match = JOB_PATH.match(path)
         if match is None:
             return error(404, "no such page")
         job_id, withdraw = match.groups()
@@ -181,62 +250,66 @@
             )
         return await self.status(job_id) if request.method == "GET" else error(405, "GET only")
 
-    # -- submissions ---------------------------------------------------------------------------------------------
+    # -- submissions ---------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Answer:
+        """Accept a job, or answer why not; one accepted before is answered with its state."""
         try:
             spec = messages.job_spec_of(messages.decode_submission(body))
-        except MalformedMessageError as why:
-            return error(400, str(why))
+        except MalformedMessageError as malformed:
+            return error(400, str(malformed))
         context = self.context
         final = self.finals.get(spec.id)
         if final:
-            return Answer(200, self._final(spec.id, final))
+            return Answer(200, self._final_answer(spec.id, final))
         if not context.catalog:
             return error(503, "the machine types are not known yet", 1)
-        if not self._state_usable():
+        if not self._store_usable():
             return error(503, "the state service does not answer", self._retry_after())
-        # More than we can write or compute: said at once, since the user would only wait here for nothing.
-        writes = context.store.write_limiter
-        refusal_now = context.admission.admit_submission(
-            writes.backlog_s(RequestPriority.USER, spec.team),
+        # What exceeds the capacity for writes or processing is refused at once: its user would wait
+        # here in vain.
+        write_limiter = context.store.write_limiter
+        overload_refusal = context.admission.admit_submission(
+            write_limiter.backlog_s(RequestPriority.USER, spec.team),
             time.monotonic(),
             spec.team,
-            writes.service_time_s(2, RequestPriority.USER, spec.team),
+            write_limiter.service_time_s(2, RequestPriority.USER, spec.team),
         )
-        if refusal_now:
-            return refused(refusal_now)
+        if overload_refusal:
+            return refused(overload_refusal)
         now = context.now()
         record = job_record(spec, round(now, 3))
         refusal: Answer | None = None
-        never = self.never(spec)
-        if never:
-            refusal = error(422, never)
+        never_runs = self.unschedulable_reason(spec)
+        if never_runs:
+            refusal = error(422, never_runs)
         elif (
-            len(messages.encode(record)) + RECORD_GROWS
+            len(messages.encode(record)) + RECORD_GROWTH_BYTES
             > context.write_limits.configured_value_bytes
         ):
             refusal = error(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
         elif spec.dependencies and not context.write_limits.announced_apply:
-            # A controller of the version before may own the shard, now or soon, and would start the job at once.
+            # A controller of the previous version may own the shard, now or soon. It ignores
+            # dependencies and would start the job at once.
             refusal = error(
                 503, "jobs that need others are taken once every controller has the new version", 1
             )
         try:
             if refusal is None and spec.dependencies:
-                refusal = await self._bounded(self._needs_refused(spec))
+                refusal = await self._with_timeout(self._refuse_unmet_dependencies(spec))
             if refusal is not None:
-                # A job that was accepted is never refused afterwards, whatever its later copies say.
-                entry = await self._bounded(self._read(spec.id))
-                return Answer(200, self._state(spec.id, entry)) if entry else refusal
+                # A job that was accepted is never refused when it is submitted again, whatever the
+                # later submission says.
+                entry = await self._with_timeout(self._read(spec.id))
+                return Answer(200, self._state_answer(spec.id, entry)) if entry else refusal
         except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
         path = f"job/{spec.id}"
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
-            revision = await self._bounded(
+            revision = await self._with_timeout(
                 context.store.txn(
                     {path: 0}, accepted, priority=RequestPriority.USER, team=spec.team
                 )
@@ -248,11 +321,11 @@
                 return error(503, "the state service does not answer", self._retry_after())
             if entry is None:
                 return error(503, "try again", 1)
-            return Answer(200, self._state(spec.id, entry))
+            return Answer(200, self._state_answer(spec.id, entry))
         except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
         log.info(
-            "job %s of %s accepted: %s of %d, priority %d",
+            "job accepted: job=%s team=%s kind=%s tasks=%d priority=%d",
             spec.id,
             spec.team,
             spec.kind,
@@ -262,47 +335,55 @@
         context.jobs_seen(path, record, revision)
         return Answer(201, messages.encode({"id": spec.id, "status": JobStatus.QUEUED}))
 
-    async def _needs_refused(self, spec: JobSpec) -> Answer | None:
-        """Why a job cannot wait for what it names, if so. That a job exists may be remembered, that it does not may not."""
-        gate = asyncio.Semaphore(NEEDS_AT_ONCE)
+    async def _refuse_unmet_dependencies(self, spec: JobSpec) -> Answer | None:
+        """Return the refusal of a job with a dependency that can't be met, if it has one.
+
+        That a job exists may be taken from the cache; that it does not has to be read.
+        """
+        read_slots = asyncio.Semaphore(MAX_CONCURRENT_LOOKUPS)
 
-        async def why(need: str) -> str | None:
-            final = self.finals.get(need)
+        async def unmet_reason(dependency: str) -> str | None:
+            final = self.finals.get(dependency)
             if final is not None:
                 return None
-            known = self.status_reader.known.get(need)
-            if known is None or known.kind == JobKind.SERVICE:  # one that is withdrawn may be named
-                async with gate:
-                    entry = await self._read(need) if need != spec.id else None
+            known = self.status_reader.known.get(dependency)
+            # A service that is cancelled is an allowed dependency, so a cached one is read again.
+            if known is None or known.kind == JobKind.SERVICE:
+                async with read_slots:
+                    entry = await self._read(dependency) if dependency != spec.id else None
                 if entry is None:
-                    return f"{need} was never accepted"
-                self.saw(need, entry.value, entry.revision)
+                    return f"{dependency} was never accepted"
+                self.saw(dependency, entry.value, entry.revision)
                 if entry.value["status"] != JobStatus.QUEUED:
                     return None
                 known = known_job_of(entry.value, entry.revision)
             return (
-                f"{need} is a service and is never done" if known.kind == JobKind.SERVICE else None
+                f"{dependency} is a service and is never done"
+                if known.kind == JobKind.SERVICE
+                else None
             )
 
-        for reason in await asyncio.gather(*(why(need) for need in spec.dependencies or ())):
+        for reason in await asyncio.gather(
+            *(unmet_reason(dependency) for dependency in spec.dependencies or ())
+        ):
             if reason is not None:
                 return error(422, reason)
         return None
 
-    def never(self, spec: JobSpec) -> str | None:
-        """Why the job can never run, if so."""
+    def unschedulable_reason(self, spec: JobSpec) -> str | None:
+        """Return why the job can never run, or None if it may."""
         context = self.context
         team = next((team for team in context.shared.teams if team.name == spec.team), None)
         if team is None:
             return f"no team {spec.team!r}"
-        fits = [
-            shape
-            for shape in context.catalog.values()
-            if (spec.machine_types is None or shape.label in spec.machine_types)
-            and (spec.zone is None or spec.zone in shape.zones)
-            and capacity(shape, spec.cpus, spec.gpus, spec.memory_gb) > 0
+        suitable_types = [
+            machine_type
+            for machine_type in context.catalog.values()
+            if (spec.machine_types is None or machine_type.label in spec.machine_types)
+            and (spec.zone is None or spec.zone in machine_type.zones)
+            and capacity(machine_type, spec.cpus, spec.gpus, spec.memory_gb) > 0
         ]
-        if not fits:
+        if not suitable_types:
             return "a task fits no machine type that the job allows"
         if spec.kind == JobKind.GANG and spec.one_zone and spec.spread and spec.tasks > 1:
             return "all tasks must run at once, in one zone, and at most half of them in any zone"
@@ -310,45 +391,46 @@
             return f"the job needs more than the limit of team {spec.team!r}"
         return None
 
-    # -- status ----------------------------------------------------------------------------------------------------
+    # -- status --------------------------------------------------------------------
 
     async def status(self, job_id: str) -> Answer:
+        """Return the answer to a user who asks for a job's status."""
         final = self.finals.get(job_id)
         if final:
-            return Answer(200, self._final(job_id, final))
-        if not self._state_usable():
+            return Answer(200, self._final_answer(job_id, final))
+        if not self._store_usable():
             return error(503, "the state service does not answer", self._retry_after())
-        remembered = self.status_reader.known.get(job_id)
-        behind = self.context.admission.admit_status_request(
-            time.monotonic(), remembered.team if remembered else ""
+        cached = self.status_reader.known.get(job_id)
+        overload_refusal = self.context.admission.admit_status_request(
+            time.monotonic(), cached.team if cached else ""
         )
-        if behind:
-            return refused(behind)
+        if overload_refusal:
+            return refused(overload_refusal)
         try:
-            known = await self._bounded(self.status_reader.ask(job_id))
+            known = await self._with_timeout(self.status_reader.ask(job_id))
         except StatusReaderBusyError:
             return error(429, "too many questions at once", self._retry_after())
         except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
-        final = self.finals.get(
-            job_id
-        )  # it may have ended meanwhile, and its user have been told elsewhere
+        # The job may have ended meanwhile, and another controller may have told its user so.
+        final = self.finals.get(job_id)
         if final:
-            return Answer(200, self._final(job_id, final))
+            return Answer(200, self._final_answer(job_id, final))
         if known is None:
             return error(404, "no such job")
-        return Answer(200, self._unfinished(job_id, known))
+        return Answer(200, self._unfinished_answer(job_id, known))
 
     async def withdraw(self, job_id: str) -> Answer:
+        """Cancel a job, and answer with its final status once that is durable."""
         context = self.context
         for _ in range(4):
             final = self.finals.get(job_id)
             if final:
                 return Answer(200, messages.encode({"id": job_id, "status": final[0]}))
-            if not self._state_usable():
+            if not self._store_usable():
                 break
             try:
-                entry = await self._bounded(self._read(job_id))
+                entry = await self._with_timeout(self._read(job_id))
                 if entry is None:
                     return error(404, "no such job")
                 if entry.value["status"] != JobStatus.QUEUED:
@@ -362,17 +444,18 @@
                 record = fit_job_record(record, context.write_limits.value_bytes)
                 path = entry.path
                 team = spec_of_record(record).team
-                head = f"work/{team}/{job_id}/job"
-                # Durable first. Every start names the job's revision, so none can be committed after this.
-                revision = await self._bounded(
+                shard_job_path = f"work/{team}/{job_id}/job"
+                # The cancellation is durable before anybody is told of it. Every placement compares
+                # the job's revision, so none can be committed after this.
+                revision = await self._with_timeout(
                     context.store.txn(
                         {path: entry.revision},
-                        {path: record, head: record},
+                        {path: record, shard_job_path: record},
                         priority=RequestPriority.USER,
                         team=team,
                     )
                 )
-                log.info("job %s withdrawn", job_id)
+                log.info("job cancelled: job=%s", job_id)
                 context.jobs_seen(path, record, revision)
             except CompareFailedError:
                 continue
@@ -380,8 +463,8 @@
                 break
         return error(503, "try again", self._retry_after())
 
-    def _state_usable(self) -> bool:
-        """While the state service is known not to answer, users are told so at once."""
+    def _store_usable(self) -> bool:
+        """Whether requests are tried on the store; in an outage users are told at once."""
         store = self.context.store
         return (
             store.unavailable_since is None
@@ -391,72 +474,82 @@
     def _retry_after(self) -> int:
         return 1 if self.context.state_fresh() else 2
 
-    async def _bounded(self, call: Any) -> Any:
-        """Given up in time for the user to hear of it: a poll waits 2 s."""
+    async def _with_timeout(self, call: Any) -> Any:
+        """Await a store request, up to a timeout that lets the user hear of it in time."""
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return await call
         except TimeoutError:
             raise StoreUnavailableError("no answer in time", outcome_unknown=True) from None
 
     async def _read(self, job_id: str) -> Entry | None:
-        """A read that began after it was asked for... or is shared with others who ask at the same time."""
-        future = self.reads.get(job_id)
+        """Read a job's record, sharing a read that has been asked for but not sent."""
+        future = self.unsent_reads.get(job_id)
         if future is None:
             future = asyncio.ensure_future(self._read_now(job_id))
-            future.add_done_callback(
-                lambda done: done.cancelled() or done.exception()
-            )  # its readers may have given up
-            self.reads[job_id] = future
+            # Retrieves the exception, since all readers may have given up.
+            future.add_done_callback(lambda done: done.cancelled() or done.exception())
+            self.unsent_reads[job_id] = future
         return await asyncio.shield(future)
 
     async def _read_now(self, job_id: str) -> Entry | None:
-        # Only readers who come before the request is sent share it: an answer on its way may be too old.
+        # Only those who ask before the request is sent share it: an answer that is on its way may
+        # be older than the question.
         await asyncio.sleep(0)
-        self.reads.pop(job_id, None)
+        self.unsent_reads.pop(job_id, None)
         return await self.context.store.get(f"job/{job_id}", priority=RequestPriority.USER)
 
     def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
-        """A record of it came by."""
+        """Take in a job's record, and tell the peers of a cancellation that is new here."""
         self.status_reader.learn(job_id, value, revision)
         if value["status"] in (JobStatus.DONE, JobStatus.WITHDRAWN):
             spec = value["spec"]
             team, tasks = (
                 (spec["team"], spec["tasks"]) if isinstance(spec, dict) else (spec.team, spec.tasks)
             )
-            told = job_id in self.finals
-            self._over(
+            was_final = job_id in self.finals
+            self._cache_final(
                 job_id, Final(value["status"], tasks, value.get("reason"), value.get("done_at"))
             )
-            if value["status"] == JobStatus.WITHDRAWN and not told:
+            if value["status"] == JobStatus.WITHDRAWN and not was_final:
                 self.context.broadcast_cancellation(
                     job_id, team, revision, value.get("cancelled_at", self.context.now())
                 )
 
     def cancellation_received(self, job_id: str, team: str, revision: int, at: float) -> bool:
-        """Another controller knows it to be withdrawn; whether that is new to us. We tell it on before a user hears it from us: one who
-        does not hear the other may hear us."""
+        """Take in a cancellation reported by a peer; return whether it is new here.
+
+        It is passed on to all peers before any user hears of it here: a peer that can't be reached
+        by the one that reported it may be reached from here.
+        """
         if job_id in self.finals:
             return False
         self.status_reader.forget(job_id)
-        self._over(job_id, Final(JobStatus.WITHDRAWN, 0, None, None))
+        self._cache_final(job_id, Final(JobStatus.WITHDRAWN, 0, None, None))
         self.context.broadcast_cancellation(job_id, team, revision, at)
         return True
 
-    def _over(self, job_id: str, final: Final) -> None:
+    def _cache_final(self, job_id: str, final: Final) -> None:
         self.finals[job_id] = final
-        if len(self.finals) > self.context.admission.memory.cached_jobs:  # the rest are read again
+        # Jobs that are dropped are read again when asked about.
+        if len(self.finals) > self.context.admission.memory.cached_jobs:
             self.finals.popitem(last=False)
 
     def is_final(self, job_id: str) -> bool:
+        """Whether the job is known to have ended."""
         return job_id in self.finals
 
     def is_withdrawn(self, job_id: str) -> bool:
+        """Whether the job is known to be cancelled."""
         final = self.finals.get(job_id)
         return final is not None and final.status == JobStatus.WITHDRAWN
 
     async def outcome(self, job_id: str) -> tuple[str, float | None] | None:
-        """How a job ended and when, as far as that was noted; None if it has not."""
+        """Return a job's final status and recorded end; None while it is unfinished.
+
+        Raises:
+            StoreUnavailableError: the record has to be read, and the store does not answer.
+        """
         final = self.finals.get(job_id)
         if final is None:
             entry = await self.context.store.get(f"job/{job_id}")
@@ -465,7 +558,7 @@
             final = self.finals.get(job_id)
         return (final.status, final.done_at) if final else None
 
-    def _final(self, job_id: str, final: Final) -> bytes:
+    def _final_answer(self, job_id: str, final: Final) -> bytes:
         return messages.status_answer(
             job_id,
             final.status,
@@ -474,162 +567,197 @@
             final.reason,
         )
 
-    def _state(self, job_id: str, entry: Entry) -> bytes:
+    def _state_answer(self, job_id: str, entry: Entry) -> bytes:
         self.saw(job_id, entry.value, entry.revision)
         final = self.finals.get(job_id)
         return (
-            self._final(job_id, final)
+            self._final_answer(job_id, final)
             if final
-            else self._unfinished(job_id, known_job_of(entry.value, entry.revision))
+            else self._unfinished_answer(job_id, known_job_of(entry.value, entry.revision))
         )
 
-    def _unfinished(self, job_id: str, known: KnownJob) -> bytes:
+    def _unfinished_answer(self, job_id: str, known: KnownJob) -> bytes:
         done, running = self.context.counts(known.team, job_id)
         reason = known.reason or (
-            self._waits(known.dependencies) if not done and not running else None
+            self._dependency_reason(known.dependencies) if not done and not running else None
         )
         return messages.status_answer(
             job_id, JobStatus.RUNNING if running else JobStatus.QUEUED, done, running, reason
         )
 
-    def _waits(self, needs: tuple[str, ...]) -> str | None:
-        """What a job still waits for. What we do not remember is looked up for the next who asks."""
-        left = [need for need in needs if need not in self.finals]
-        for need in left:
+    def _dependency_reason(self, dependencies: tuple[str, ...]) -> str | None:
+        """Name the unfinished dependencies of a job, for its user.
+
+        Those that are not cached are left out, and looked up for the next request.
+        """
+        unfinished = [job_id for job_id in dependencies if job_id not in self.finals]
+        for job_id in unfinished:
             if (
-                need not in self.status_reader.known
-                and need not in self.looking
-                and len(self.looking) < NEEDS_AT_ONCE
+                job_id not in self.status_reader.known
+                and job_id not in self.lookups
+                and len(self.lookups) < MAX_CONCURRENT_LOOKUPS
             ):
-                self.looking.add(need)
-                self.context.spawn(self._look_up(need))
-        left = [need for need in left if need in self.status_reader.known]
-        more = f" and {len(left) - NEEDS_NAMED} more" if len(left) > NEEDS_NAMED else ""
-        return f"waits for {', '.join(left[:NEEDS_NAMED])}{more}" if left else None
+                self.lookups.add(job_id)
+                self.context.spawn(self._look_up(job_id))
+        unfinished = [job_id for job_id in unfinished if job_id in self.status_reader.known]
+        more = (
+            f" and {len(unfinished) - MAX_NAMED_DEPENDENCIES} more"
+            if len(unfinished) > MAX_NAMED_DEPENDENCIES
+            else ""
+        )
+        return (
+            f"waits for {', '.join(unfinished[:MAX_NAMED_DEPENDENCIES])}{more}"
+            if unfinished
+            else None
+        )
 
-    async def _look_up(self, need: str) -> None:
+    async def _look_up(self, job_id: str) -> None:
         try:
-            await self.outcome(need)
+            await self.outcome(job_id)
         except StoreUnavailableError:
             pass
         finally:
-            self.looking.discard(need)
+            self.lookups.discard(job_id)
 
-    # -- workers ---------------------------------------------------------------------------------------------------------
+    # -- workers -------------------------------------------------------------------
 
     async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
+        """Return the answer to a worker's heartbeat; `relayed`: a peer has forwarded it."""
         try:
-            report = messages.decode_heartbeat(body)
-        except MalformedMessageError as why:
-            return error(400, str(why))
+            heartbeat = messages.decode_heartbeat(body)
+        except MalformedMessageError as malformed:
+            return error(400, str(malformed))
         context = self.context
         if not relayed:
             context.heard_worker()
-        entry = context.machines.entries.get(f"machine/{report.machine}")
+        entry = context.machines.entries.get(f"machine/{heartbeat.machine}")
         if entry is None or entry.value["p"] == "":
-            return self._ownerless(report, known=entry is not None)
+            return self._answer_unassigned(heartbeat, known=entry is not None)
         team = entry.value["p"]
         owner = context.owners.get(team)
         if owner is not None:
-            orders = await owner.on_heartbeat(report)
-            if orders is not None:
-                self.redirected.pop(report.machine, None)
+            response = await owner.on_heartbeat(heartbeat)
+            if response is not None:
+                self.redirected.pop(heartbeat.machine, None)
                 if len(self.answered) > 5000:
                     self.answered.clear()
-                self.answered[report.machine] = time.monotonic()
-                return Answer(200, messages.encode(orders))
-            # It waited for a shard that was being read: the machine may have gone to another team meanwhile.
-            entry = context.machines.entries.get(f"machine/{report.machine}")
+                self.answered[heartbeat.machine] = time.monotonic()
+                return Answer(200, messages.encode(response))
+            # It may have waited for a shard that was being loaded: the machine may have been
+            # assigned to another team meanwhile.
+            entry = context.machines.entries.get(f"machine/{heartbeat.machine}")
             team = entry.value["p"] if entry else ""
         label = context.owner_label(team)
         if label is None or label == context.label or relayed:
-            # An owner that may not renew must not do so as its own deputy.
+            # An owner here that must not renew the lease must not have it renewed as an orphan's.
             return (
-                self._renew_orphan_lease(report) if owner is None and not relayed else None
+                self._renew_orphan_lease(heartbeat) if owner is None and not relayed else None
             ) or error(503, "not the owner")
-        return await self._elsewhere(report, body, label, team)
+        return await self._redirect_or_forward(heartbeat, body, label, team)
 
-    def _ownerless(self, report: messages.Heartbeat, known: bool) -> Answer:
-        """Of a machine that is lent to nobody the leader keeps the lease, as long as it sees what is recorded and the machine holds
-        nothing. Sent on by everybody, such a worker asked five times as often, its lease ran out all the same, and a task
-        started there a moment before was killed with it. Told the token that it has, it is as free for its next owner as before."""
+    def _answer_unassigned(self, heartbeat: messages.Heartbeat, known: bool) -> Answer:
+        """Answer the worker of a machine that is assigned to no shard.
+
+        The leader renews its lease, as long as the store answers and the machine runs no task. When
+        every controller redirected such workers they sent heartbeats five times as often, their
+        leases expired nevertheless, and a task started there a moment before was killed with that.
+        The answer repeats the worker's own fencing token, so that any next owner can still take
+        over. `known`: the machine has a record.
+        """
         leader = self.context.leader
         if leader:
-            leader.on_heartbeat(report, known)
-            if self.context.state_fresh() and not report.tasks:
-                self.answered[report.machine] = time.monotonic()
+            leader.on_heartbeat(heartbeat, known)
+            if self.context.state_fresh() and not heartbeat.tasks:
+                self.answered[heartbeat.machine] = time.monotonic()
                 return Answer(
-                    200, messages.encode(messages.HeartbeatResponse(report.fencing_token, []))
+                    200, messages.encode(messages.HeartbeatResponse(heartbeat.fencing_token, []))
                 )
         label = self.context.leader_label()
         if leader is None and label and label != self.context.label:
             return Answer(421, messages.encode({"harbour": label}))
         return error(503, "lent to nobody yet")
 
-    def _renew_orphan_lease(self, report: messages.Heartbeat) -> Answer | None:
-        """Keep a worker's lease while nobody can own it."""
+    def _renew_orphan_lease(self, heartbeat: messages.Heartbeat) -> Answer | None:
+        """Answer a worker whose shard nobody can own while the store does not answer.
+
+        None if its lease may not be renewed.
+        """
         now = time.monotonic()
-        if self.context.state_fresh() or not self.context.orphan_leases.may_renew(report, now):
+        if self.context.state_fresh() or not self.context.orphan_leases.may_renew(heartbeat, now):
             return None
-        if report.machine not in self.orphans_renewed:
+        if heartbeat.machine not in self.orphans_renewed:
             log.info(
-                "keeping the lease of %s, whose owner is gone, while the state service does not answer",
-                report.machine,
+                "renewing lease of a worker without owner in a store outage: machine=%s",
+                heartbeat.machine,
             )
             if len(self.orphans_renewed) > 5000:
                 self.orphans_renewed.clear()
-            self.orphans_renewed.add(report.machine)
-        self.answered[report.machine] = now
-        return Answer(200, messages.encode(messages.HeartbeatResponse(report.fencing_token, [])))
+            self.orphans_renewed.add(heartbeat.machine)
+        self.answered[heartbeat.machine] = now
+        return Answer(200, messages.encode(messages.HeartbeatResponse(heartbeat.fencing_token, [])))
 
-    async def _elsewhere(
-        self, report: messages.Heartbeat, body: bytes, label: str, team: str
+    async def _redirect_or_forward(
+        self, heartbeat: messages.Heartbeat, body: bytes, label: str, team: str
     ) -> Answer:
-        """Send a worker to its owner; if it is back here soon, it can't reach the owner, so pass its report on."""
+        """Redirect a worker to its owner, or forward its heartbeat if it can't reach the owner.
+
+        A worker that is back here soon after it was redirected can't reach its owner.
+        """
         context = self.context
         now = time.monotonic()
-        lease = context.workers.lease_s
-        token = context.token_of(report.machine)
-        # What we remember holds for one claim. An owner that ended twice within a lease had all its workers here twice: taken for
-        # unable to reach it, hundreds were relayed for, and each of their reports was computed by two controllers.
-        sent, since = self.redirected.get(report.machine), self.relaying.get(report.machine)
-        came_back = (
-            sent is not None
-            and sent.label == label
-            and sent.token == token
-            and 0.6 < now - sent.at < lease * 0.75
+        lease_s = context.workers.lease_s
+        token = context.token_of(heartbeat.machine)
+        # A route holds only under the token that it was noted with, so for one claim. When an owner
+        # restarted twice within a lease, all its workers were redirected to it twice. Without the
+        # token they were taken for unable to reach it: hundreds had their heartbeats forwarded, and
+        # two controllers had to process each of those.
+        redirect, forwarding = (
+            self.redirected.get(heartbeat.machine),
+            self.relaying.get(heartbeat.machine),
+        )
+        returned_soon = (
+            redirect is not None
+            and redirect.label == label
+            and redirect.token == token
+            and 0.6 < now - redirect.at < lease_s * 0.75
+        )
+        if forwarding is not None and forwarding.token != token:
+            forwarding = None
+        # A worker that knows the present owner's token has been answered by that owner, and would
+        # not be here if it still were. Redirected, it would wait in vain for one more answer there,
+        # and its lease would have expired by then. This does not hold of a worker that was answered
+        # here within the last one and a half reporting periods: its machine has just been assigned
+        # to another shard, whose commands told it the token.
+        answered_lately = (
+            now - self.answered.get(heartbeat.machine, -1e9) < 1.5 * context.workers.report_s
+        )
+        left_owner = not answered_lately and heartbeat.fencing_token >= token
+        owner_seen = context.mesh.has_seen(label, context.ttl_s)
+        # After a lease's time of forwarding the worker tries its owner again.
+        retry_owner = forwarding is not None and now - forwarding.at >= lease_s
+        forward = not retry_owner and (
+            (left_owner and owner_seen) or returned_soon or forwarding is not None
         )
-        if since is not None and since.token != token:
-            since = None
-        # One that knows the token of the owner in office has been there, and would not be here had it been answered.
-        # Sent back, it would wait out another report there, and by then its lease is over. But one that we answered a
-        # report ago has not left us: its machine has just gone to another shard, whose orders told it the token.
-        stayed = now - self.answered.get(report.machine, -1e9) < 1.5 * context.workers.report_s
-        was_there = not stayed and report.fencing_token >= token
-        hears = context.mesh.has_seen(label, context.ttl_s)
-        # ForwardReply for as long as a lease lasts, it tries its owner again.
-        home = since is not None and now - since.at >= lease
-        heartbeat_forwarder = not home and ((was_there and hears) or came_back or since is not None)
-        if heartbeat_forwarder:
-            answer = await context.relay(label, body)
-            if answer is not None and answer.status == 200:
-                if since is None:
-                    log.info("passing on the reports of %s to %s", report.machine, label)
+        if forward:
+            reply = await context.relay(label, body)
+            if reply is not None and reply.status == 200:
+                if forwarding is None:
+                    log.info("forwarding heartbeats: machine=%s owner=%s", heartbeat.machine, label)
                     if len(self.relaying) > 5000:
                         self.relaying.clear()
-                    self.relaying[report.machine] = Sent(now, label, token)
-                return Answer(200, answer.body)
-            # Up to two seconds have gone by: whoever did not answer may have been replaced.
+                    self.relaying[heartbeat.machine] = OwnerRoute(now, label, token)
+                return Answer(200, reply.body)
+            # Up to two seconds have passed: an owner that did not answer may have been replaced.
             label = context.owner_label(team) or label
-        if heartbeat_forwarder or not hears:
-            answer_ours = self._renew_orphan_lease(report)
-            if answer_ours is not None:
-                return answer_ours
-        self.relaying.pop(report.machine, None)
-        if was_there and not hears and (sent is None or now - sent.at > lease / 2):
-            # We are on the wrong side ourselves: another may hear its owner.
+        if forward or not owner_seen:
+            renewal = self._renew_orphan_lease(heartbeat)
+            if renewal is not None:
+                return renewal
+        self.relaying.pop(heartbeat.machine, None)
+        if left_owner and not owner_seen and (redirect is None or now - redirect.at > lease_s / 2):
+            # This controller may itself be cut off from the owner: a peer may reach it.
             label = context.mesh.other_live_peer(label, context.ttl_s) or label
-        self.redirected[report.machine] = Sent(now, label, token)
+        self.redirected[heartbeat.machine] = OwnerRoute(now, label, token)
         if len(self.redirected) > 5000:
             self.redirected.clear()
         return Answer(421, messages.encode({"harbour": label}))
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -68,7 +68,7 @@
         timeout_s: how long a status request may wait for its check, in seconds.
         max_known: most jobs that are cached.
         on_record: called with each record read: job id, record, revision.
-        known: unfinished jobs, by id; the least recently cached are dropped first.
+        known: unfinished jobs, by id; those cached first are dropped first.
         pending: results of jobs whose check has not begun, by job id.
         next_check_at: when the next check may begin, by the monotonic clock.
         check_slots: bounds the concurrent checks.
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -154,7 +154,7 @@
                 service.crash(owner, downtime_s)
                 await asyncio.sleep(3.5)
         assert service.controllers[owner].owners.keys() >= {"red"}
-        assert not [text for text in caplog.messages if "passing on" in text]
+        assert not [text for text in caplog.messages if "forwarding heartbeats" in text]
         assert {worker.tenure for worker in service.world.workers.values()} == {1}
         assert await service.until_final(["req-000001"], 90) == []
 
