--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -25,7 +25,7 @@
 from ashdock.election.fencing import TermFence
 from ashdock.election_loop import ElectionLoop
 from ashdock.frame_dispatch import FrameDispatcher
-from ashdock.front import Front, refused, use_of
+from ashdock.front import Front, refusal_answer, socket_use_of
 from ashdock.gossip import (
     Gossip,
     HeartbeatSource,
@@ -427,9 +427,9 @@
         self.server = Server(
             self.front.handle,
             admission.connections,
-            use_of,
-            lambda: refused(admission.refuse_connection(time.monotonic())),
+            socket_use_of,
+            lambda: refusal_answer(admission.refuse_connection(time.monotonic())),
             admission,
-            lambda: refused(admission.refuse_body(time.monotonic())),
+            lambda: refusal_answer(admission.refuse_body(time.monotonic())),
             admission.memory.buffer_bytes,
         )
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -42,7 +42,7 @@
 MAX_NAMED_DEPENDENCIES = 10  # in the reason given for a job that waits for other jobs
 
 
-class Final(NamedTuple):
+class FinalState(NamedTuple):
     """The final state of a job.
 
     Attributes:
@@ -58,7 +58,7 @@
     done_at: float | None
 
 
-def error(status: int, message: str, retry_after: int | None = None) -> Answer:
+def error_answer(status: int, message: str, retry_after: int | None = None) -> Answer:
     """Return an answer that reports an error.
 
     Args:
@@ -69,12 +69,12 @@
     return Answer(status, messages.encode({"error": message}), retry_after)
 
 
-def refused(refusal: Refusal) -> Answer:
+def refusal_answer(refusal: Refusal) -> Answer:
     """Return the answer to a request that admission control refuses."""
-    return error(refusal.status, refusal.reason, refusal.retry_after)
+    return error_answer(refusal.status, refusal.reason, refusal.retry_after)
 
 
-def use_of(target: str) -> SocketUse:
+def socket_use_of(target: str) -> SocketUse:
     """Return what a connection is used for, by the target of a request on it."""
     path = target.partition("?")[0]
     if path == "/checkin":
@@ -197,28 +197,28 @@
 
     Attributes:
         context: the controller.
-        finals: final states of jobs, by id; those cached first are dropped first.
+        final_states: final states of jobs, by id; those cached first are dropped first.
         unsent_reads: reads of job records that have not been sent, by job id.
         lookups: dependencies that are being looked up, to be named to the next user who asks.
         status_reader: checks and caches the records of unfinished jobs.
         redirected: where each worker was last redirected to, by machine.
-        relaying: where heartbeats of a worker are forwarded to, since when, by machine.
-        answered: when each machine's worker was last answered here, by the monotonic clock.
+        forwarded: where heartbeats of a worker are forwarded to, since when, by machine.
+        answered_at: when each machine's worker was last answered here, by the monotonic clock.
         orphans_renewed: machines for which the log has told that an orphan's lease is renewed.
     """
 
     def __init__(self, context: FrontContext) -> None:
         """Start with nothing cached."""
         self.context = context
-        self.finals: OrderedDict[str, Final] = OrderedDict()
+        self.final_states: OrderedDict[str, FinalState] = OrderedDict()
         self.unsent_reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.lookups: set[str] = set()
         self.status_reader = StatusReader(
             context.store, ANSWER_TIMEOUT_S, self.saw, context.admission.memory.cached_jobs
         )
         self.redirected: dict[str, OwnerRoute] = {}
-        self.relaying: dict[str, OwnerRoute] = {}
-        self.answered: dict[str, float] = {}
+        self.forwarded: dict[str, OwnerRoute] = {}
+        self.answered_at: dict[str, float] = {}
         self.orphans_renewed: set[str] = set()
 
     async def handle(self, request: Request) -> Answer:
@@ -228,27 +228,31 @@
             return (
                 await self.checkin(request.body)
                 if request.method == "POST"
-                else error(405, "POST only")
+                else error_answer(405, "POST only")
             )
         if path == "/ready":
-            return Answer(200, b"{}") if self.context.ready() else error(503, "not ready", 1)
+            return Answer(200, b"{}") if self.context.ready() else error_answer(503, "not ready", 1)
         if path == "/v2/runs":
             return (
                 await self.submit(request.body)
                 if request.method == "POST"
-                else error(405, "POST only")
+                else error_answer(405, "POST only")
             )
         if path == "/metrics":
             return self.context.metrics()
         match = JOB_PATH.match(path)
         if match is None:
-            return error(404, "no such page")
+            return error_answer(404, "no such page")
         job_id, withdraw = match.groups()
         if withdraw:
             return (
-                await self.withdraw(job_id) if request.method == "POST" else error(405, "POST only")
+                await self.withdraw(job_id)
+                if request.method == "POST"
+                else error_answer(405, "POST only")
             )
-        return await self.status(job_id) if request.method == "GET" else error(405, "GET only")
+        return (
+            await self.status(job_id) if request.method == "GET" else error_answer(405, "GET only")
+        )
 
     # -- submissions ---------------------------------------------------------------
 
@@ -257,15 +261,15 @@
         try:
             spec = messages.job_spec_of(messages.decode_submission(body))
         except MalformedMessageError as malformed:
-            return error(400, str(malformed))
+            return error_answer(400, str(malformed))
         context = self.context
-        final = self.finals.get(spec.id)
+        final = self.final_states.get(spec.id)
         if final:
             return Answer(200, self._final_answer(spec.id, final))
         if not context.catalog:
-            return error(503, "the machine types are not known yet", 1)
+            return error_answer(503, "the machine types are not known yet", 1)
         if not self._store_usable():
-            return error(503, "the state service does not answer", self._retry_after())
+            return error_answer(503, "the state service does not answer", self._retry_after())
         # What exceeds the capacity for writes or processing is refused at once: its user would wait
         # here in vain.
         write_limiter = context.store.write_limiter
@@ -276,24 +280,24 @@
             write_limiter.service_time_s(2, RequestPriority.USER, spec.team),
         )
         if overload_refusal:
-            return refused(overload_refusal)
+            return refusal_answer(overload_refusal)
         now = context.now()
         record = job_record(spec, round(now, 3))
         refusal: Answer | None = None
         never_runs = self.unschedulable_reason(spec)
         if never_runs:
-            refusal = error(422, never_runs)
+            refusal = error_answer(422, never_runs)
         elif (
             len(messages.encode(record)) + RECORD_GROWTH_BYTES
             > context.write_limits.configured_value_bytes
         ):
-            refusal = error(
+            refusal = error_answer(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
         elif spec.dependencies and not context.write_limits.announced_apply:
             # A controller of the previous version may own the shard, now or soon. It ignores
             # dependencies and would start the job at once.
-            refusal = error(
+            refusal = error_answer(
                 503, "jobs that need others are taken once every controller has the new version", 1
             )
         try:
@@ -305,7 +309,7 @@
                 entry = await self._with_timeout(self._read(spec.id))
                 return Answer(200, self._state_answer(spec.id, entry)) if entry else refusal
         except StoreUnavailableError:
-            return error(503, "the state service does not answer", self._retry_after())
+            return error_answer(503, "the state service does not answer", self._retry_after())
         path = f"job/{spec.id}"
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
@@ -318,12 +322,12 @@
             try:
                 entry = await self._read(spec.id)
             except StoreUnavailableError:
-                return error(503, "the state service does not answer", self._retry_after())
+                return error_answer(503, "the state service does not answer", self._retry_after())
             if entry is None:
-                return error(503, "try again", 1)
+                return error_answer(503, "try again", 1)
             return Answer(200, self._state_answer(spec.id, entry))
         except StoreUnavailableError:
-            return error(503, "the state service does not answer", self._retry_after())
+            return error_answer(503, "the state service does not answer", self._retry_after())
         log.info(
             "job accepted: job=%s team=%s kind=%s tasks=%d priority=%d",
             spec.id,
@@ -343,7 +347,7 @@
         read_slots = asyncio.Semaphore(MAX_CONCURRENT_LOOKUPS)
 
         async def unmet_reason(dependency: str) -> str | None:
-            final = self.finals.get(dependency)
+            final = self.final_states.get(dependency)
             if final is not None:
                 return None
             known = self.status_reader.known.get(dependency)
@@ -367,7 +371,7 @@
             *(unmet_reason(dependency) for dependency in spec.dependencies or ())
         ):
             if reason is not None:
-                return error(422, reason)
+                return error_answer(422, reason)
         return None
 
     def unschedulable_reason(self, spec: JobSpec) -> str | None:
@@ -395,36 +399,36 @@
 
     async def status(self, job_id: str) -> Answer:
         """Return the answer to a user who asks for a job's status."""
-        final = self.finals.get(job_id)
+        final = self.final_states.get(job_id)
         if final:
             return Answer(200, self._final_answer(job_id, final))
         if not self._store_usable():
-            return error(503, "the state service does not answer", self._retry_after())
+            return error_answer(503, "the state service does not answer", self._retry_after())
         cached = self.status_reader.known.get(job_id)
         overload_refusal = self.context.admission.admit_status_request(
             time.monotonic(), cached.team if cached else ""
         )
         if overload_refusal:
-            return refused(overload_refusal)
+            return refusal_answer(overload_refusal)
         try:
             known = await self._with_timeout(self.status_reader.ask(job_id))
         except StatusReaderBusyError:
-            return error(429, "too many questions at once", self._retry_after())
+            return error_answer(429, "too many questions at once", self._retry_after())
         except StoreUnavailableError:
-            return error(503, "the state service does not answer", self._retry_after())
+            return error_answer(503, "the state service does not answer", self._retry_after())
         # The job may have ended meanwhile, and another controller may have told its user so.
-        final = self.finals.get(job_id)
+        final = self.final_states.get(job_id)
         if final:
             return Answer(200, self._final_answer(job_id, final))
         if known is None:
-            return error(404, "no such job")
+            return error_answer(404, "no such job")
         return Answer(200, self._unfinished_answer(job_id, known))
 
     async def withdraw(self, job_id: str) -> Answer:
         """Cancel a job, and answer with its final status once that is durable."""
         context = self.context
         for _ in range(4):
-            final = self.finals.get(job_id)
+            final = self.final_states.get(job_id)
             if final:
                 return Answer(200, messages.encode({"id": job_id, "status": final[0]}))
             if not self._store_usable():
@@ -432,7 +436,7 @@
             try:
                 entry = await self._with_timeout(self._read(job_id))
                 if entry is None:
-                    return error(404, "no such job")
+                    return error_answer(404, "no such job")
                 if entry.value["status"] != JobStatus.QUEUED:
                     self.saw(job_id, entry.value, entry.revision)
                     continue
@@ -461,7 +465,7 @@
                 continue
             except StoreUnavailableError:
                 break
-        return error(503, "try again", self._retry_after())
+        return error_answer(503, "try again", self._retry_after())
 
     def _store_usable(self) -> bool:
         """Whether requests are tried on the store; in an outage users are told at once."""
@@ -507,9 +511,10 @@
             team, tasks = (
                 (spec["team"], spec["tasks"]) if isinstance(spec, dict) else (spec.team, spec.tasks)
             )
-            was_final = job_id in self.finals
+            was_final = job_id in self.final_states
             self._cache_final(
-                job_id, Final(value["status"], tasks, value.get("reason"), value.get("done_at"))
+                job_id,
+                FinalState(value["status"], tasks, value.get("reason"), value.get("done_at")),
             )
             if value["status"] == JobStatus.WITHDRAWN and not was_final:
                 self.context.broadcast_cancellation(
@@ -522,26 +527,26 @@
         It is passed on to all peers before any user hears of it here: a peer that can't be reached
         by the one that reported it may be reached from here.
         """
-        if job_id in self.finals:
+        if job_id in self.final_states:
             return False
         self.status_reader.forget(job_id)
-        self._cache_final(job_id, Final(JobStatus.WITHDRAWN, 0, None, None))
+        self._cache_final(job_id, FinalState(JobStatus.WITHDRAWN, 0, None, None))
         self.context.broadcast_cancellation(job_id, team, revision, at)
         return True
 
-    def _cache_final(self, job_id: str, final: Final) -> None:
-        self.finals[job_id] = final
+    def _cache_final(self, job_id: str, final: FinalState) -> None:
+        self.final_states[job_id] = final
         # Jobs that are dropped are read again when asked about.
-        if len(self.finals) > self.context.admission.memory.cached_jobs:
-            self.finals.popitem(last=False)
+        if len(self.final_states) > self.context.admission.memory.cached_jobs:
+            self.final_states.popitem(last=False)
 
     def is_final(self, job_id: str) -> bool:
         """Whether the job is known to have ended."""
-        return job_id in self.finals
+        return job_id in self.final_states
 
     def is_withdrawn(self, job_id: str) -> bool:
         """Whether the job is known to be cancelled."""
-        final = self.finals.get(job_id)
+        final = self.final_states.get(job_id)
         return final is not None and final.status == JobStatus.WITHDRAWN
 
     async def outcome(self, job_id: str) -> tuple[str, float | None] | None:
@@ -550,15 +555,15 @@
         Raises:
             StoreUnavailableError: the record has to be read, and the store does not answer.
         """
-        final = self.finals.get(job_id)
+        final = self.final_states.get(job_id)
         if final is None:
             entry = await self.context.store.get(f"job/{job_id}")
             if entry is not None:
                 self.saw(job_id, entry.value, entry.revision)
-            final = self.finals.get(job_id)
+            final = self.final_states.get(job_id)
         return (final.status, final.done_at) if final else None
 
-    def _final_answer(self, job_id: str, final: Final) -> bytes:
+    def _final_answer(self, job_id: str, final: FinalState) -> bytes:
         return messages.status_answer(
             job_id,
             final.status,
@@ -569,7 +574,7 @@
 
     def _state_answer(self, job_id: str, entry: Entry) -> bytes:
         self.saw(job_id, entry.value, entry.revision)
-        final = self.finals.get(job_id)
+        final = self.final_states.get(job_id)
         return (
             self._final_answer(job_id, final)
             if final
@@ -590,7 +595,7 @@
 
         Those that are not cached are left out, and looked up for the next request.
         """
-        unfinished = [job_id for job_id in dependencies if job_id not in self.finals]
+        unfinished = [job_id for job_id in dependencies if job_id not in self.final_states]
         for job_id in unfinished:
             if (
                 job_id not in self.status_reader.known
@@ -626,7 +631,7 @@
         try:
             heartbeat = messages.decode_heartbeat(body)
         except MalformedMessageError as malformed:
-            return error(400, str(malformed))
+            return error_answer(400, str(malformed))
         context = self.context
         if not relayed:
             context.heard_worker()
@@ -639,9 +644,9 @@
             response = await owner.on_heartbeat(heartbeat)
             if response is not None:
                 self.redirected.pop(heartbeat.machine, None)
-                if len(self.answered) > 5000:
-                    self.answered.clear()
-                self.answered[heartbeat.machine] = time.monotonic()
+                if len(self.answered_at) > 5000:
+                    self.answered_at.clear()
+                self.answered_at[heartbeat.machine] = time.monotonic()
                 return Answer(200, messages.encode(response))
             # It may have waited for a shard that was being loaded: the machine may have been
             # assigned to another team meanwhile.
@@ -652,7 +657,7 @@
             # An owner here that must not renew the lease must not have it renewed as an orphan's.
             return (
                 self._renew_orphan_lease(heartbeat) if owner is None and not relayed else None
-            ) or error(503, "not the owner")
+            ) or error_answer(503, "not the owner")
         return await self._redirect_or_forward(heartbeat, body, label, team)
 
     def _answer_unassigned(self, heartbeat: messages.Heartbeat, known: bool) -> Answer:
@@ -668,14 +673,14 @@
         if leader:
             leader.on_heartbeat(heartbeat, known)
             if self.context.state_fresh() and not heartbeat.tasks:
-                self.answered[heartbeat.machine] = time.monotonic()
+                self.answered_at[heartbeat.machine] = time.monotonic()
                 return Answer(
                     200, messages.encode(messages.HeartbeatResponse(heartbeat.fencing_token, []))
                 )
         label = self.context.leader_label()
         if leader is None and label and label != self.context.label:
             return Answer(421, messages.encode({"harbour": label}))
-        return error(503, "lent to nobody yet")
+        return error_answer(503, "lent to nobody yet")
 
     def _renew_orphan_lease(self, heartbeat: messages.Heartbeat) -> Answer | None:
         """Answer a worker whose shard nobody can own while the store does not answer.
@@ -693,7 +698,7 @@
             if len(self.orphans_renewed) > 5000:
                 self.orphans_renewed.clear()
             self.orphans_renewed.add(heartbeat.machine)
-        self.answered[heartbeat.machine] = now
+        self.answered_at[heartbeat.machine] = now
         return Answer(200, messages.encode(messages.HeartbeatResponse(heartbeat.fencing_token, [])))
 
     async def _redirect_or_forward(
@@ -713,7 +718,7 @@
         # two controllers had to process each of those.
         redirect, forwarding = (
             self.redirected.get(heartbeat.machine),
-            self.relaying.get(heartbeat.machine),
+            self.forwarded.get(heartbeat.machine),
         )
         returned_soon = (
             redirect is not None
@@ -729,7 +734,7 @@
         # here within the last one and a half reporting periods: its machine has just been assigned
         # to another shard, whose commands told it the token.
         answered_lately = (
-            now - self.answered.get(heartbeat.machine, -1e9) < 1.5 * context.workers.report_s
+            now - self.answered_at.get(heartbeat.machine, -1e9) < 1.5 * context.workers.report_s
         )
         left_owner = not answered_lately and heartbeat.fencing_token >= token
         owner_seen = context.mesh.has_seen(label, context.ttl_s)
@@ -743,9 +748,9 @@
             if reply is not None and reply.status == 200:
                 if forwarding is None:
                     log.info("forwarding heartbeats: machine=%s owner=%s", heartbeat.machine, label)
-                    if len(self.relaying) > 5000:
-                        self.relaying.clear()
-                    self.relaying[heartbeat.machine] = OwnerRoute(now, label, token)
+                    if len(self.forwarded) > 5000:
+                        self.forwarded.clear()
+                    self.forwarded[heartbeat.machine] = OwnerRoute(now, label, token)
                 return Answer(200, reply.body)
             # Up to two seconds have passed: an owner that did not answer may have been replaced.
             label = context.owner_label(team) or label
@@ -753,7 +758,7 @@
             renewal = self._renew_orphan_lease(heartbeat)
             if renewal is not None:
                 return renewal
-        self.relaying.pop(heartbeat.machine, None)
+        self.forwarded.pop(heartbeat.machine, None)
         if left_owner and not owner_seen and (redirect is None or now - redirect.at > lease_s / 2):
             # This controller may itself be cut off from the owner: a peer may reach it.
             label = context.mesh.other_live_peer(label, context.ttl_s) or label
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -451,11 +451,11 @@
                 controller.leaders,
             )
         ],
-        "jobs that ended": [front.finals],
+        "jobs that ended": [front.final_states],
         "jobs that are open": [front.status_reader.known, *(shard.jobs for shard in shards)],
         "machines": [shard.machines for shard in shards],
         "parks": [shard.parks for shard in shards],
-        "of workers": [front.redirected, front.relaying, front.answered],
+        "of workers": [front.redirected, front.forwarded, front.answered_at],
         "what others told": [
             controller.peer_reports.statuses,
             controller.peer_reports.counts_by_peer,
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -107,9 +107,9 @@
     """What a front remembers of a job that is over, and what it tells the others."""
     context = RecordReader()
     front: Any = Front.__new__(Front)
-    front.context, front.status_reader, front.finals = context, context, {}
+    front.context, front.status_reader, front.final_states = context, context, {}
     front.saw(job_id, record, REVISION)
-    final = front.finals.get(job_id)
+    final = front.final_states.get(job_id)
     return {"final": plain(final), "told": context.told}
 
 
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -438,12 +438,12 @@
     tables: list[Any] = [
         controller.machines.entries,
         controller.shards.entries,
-        controller.front.finals,
+        controller.front.final_states,
         controller.front.status_reader.known,
     ]
     tables += [
         controller.front.redirected,
-        controller.front.answered,
+        controller.front.answered_at,
         controller.peer_reports.statuses,
         controller.peer_reports.counts_by_peer,
     ]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -25,7 +25,7 @@
     memory_shares,
     socket_shares,
 )
-from ashdock.front import Final, use_of
+from ashdock.front import FinalState, socket_use_of
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server
 from ashdock.net.worker import WorkerClient
 from ashdock.status_reader import KnownJob
@@ -263,7 +263,7 @@
     ],
 )
 def test_use_by_path(target: str, use: SocketUse) -> None:
-    assert use_of(target) is use
+    assert socket_use_of(target) is use
 
 
 def test_commands_beyond_the_socket_limit_are_deferred(
@@ -434,7 +434,9 @@
 
 def test_cached_job_takes_no_more_memory_than_assumed() -> None:
     finals = {
-        f"req-{n:06d}": Final("withdrawn", 100_000, "error on vm-000001; tried again", 1.7e9 + n)
+        f"req-{n:06d}": FinalState(
+            "withdrawn", 100_000, "error on vm-000001; tried again", 1.7e9 + n
+        )
         for n in range(2000)
     }
     known = {
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -402,7 +402,7 @@
         client = Client(f"10.0.0.{other}", 8080, keep=0)
         front = service.controllers[other].front
         front.redirected.clear()  # it may have come by there by itself a moment ago, and have been passed on
-        front.relaying.clear()
+        front.forwarded.clear()
         for warrant, expected in [(0, 421), (worker.token, 200)]:
             worker.tally += 1
             status, answer = await client.request(
@@ -414,8 +414,8 @@
             assert status == expected, answer
         assert json.loads(answer)["warrant"] == worker.token
         # Answered here a report ago, it has not been elsewhere: its machine has just changed hands.
-        service.controllers[other].front.answered[worker.name] = service.now()
-        service.controllers[other].front.relaying.clear()
+        service.controllers[other].front.answered_at[worker.name] = service.now()
+        service.controllers[other].front.forwarded.clear()
         worker.tally += 1
         status, answer = await client.request(
             "POST", "/checkin", json.dumps(worker.message()).encode(), 4.0
