--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -214,7 +214,10 @@
         self.unsent_reads: dict[str, asyncio.Future[Entry | None]] = {}
         self.lookups: set[str] = set()
         self.status_reader = StatusReader(
-            context.store, ANSWER_TIMEOUT_S, self.saw, context.admission.memory.cached_jobs
+            context.store,
+            ANSWER_TIMEOUT_S,
+            self.job_record_seen,
+            context.admission.memory.cached_jobs,
         )
         self.redirected: dict[str, OwnerRoute] = {}
         self.forwarded: dict[str, OwnerRoute] = {}
@@ -357,7 +360,7 @@
                     entry = await self._read(dependency) if dependency != spec.id else None
                 if entry is None:
                     return f"{dependency} was never accepted"
-                self.saw(dependency, entry.value, entry.revision)
+                self.job_record_seen(dependency, entry.value, entry.revision)
                 if entry.value["status"] != JobStatus.QUEUED:
                     return None
                 known = known_job_of(entry.value, entry.revision)
@@ -438,7 +441,7 @@
                 if entry is None:
                     return error_answer(404, "no such job")
                 if entry.value["status"] != JobStatus.QUEUED:
-                    self.saw(job_id, entry.value, entry.revision)
+                    self.job_record_seen(job_id, entry.value, entry.revision)
                     continue
                 record = {
                     **entry.value,
@@ -503,7 +506,7 @@
         self.unsent_reads.pop(job_id, None)
         return await self.context.store.get(f"job/{job_id}", priority=RequestPriority.USER)
 
-    def saw(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+    def job_record_seen(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """Take in a job's record, and tell the peers of a cancellation that is new here."""
         self.status_reader.learn(job_id, value, revision)
         if value["status"] in (JobStatus.DONE, JobStatus.WITHDRAWN):
@@ -559,7 +562,7 @@
         if final is None:
             entry = await self.context.store.get(f"job/{job_id}")
             if entry is not None:
-                self.saw(job_id, entry.value, entry.revision)
+                self.job_record_seen(job_id, entry.value, entry.revision)
             final = self.final_states.get(job_id)
         return (final.status, final.done_at) if final else None
 
@@ -573,7 +576,7 @@
         )
 
     def _state_answer(self, job_id: str, entry: Entry) -> bytes:
-        self.saw(job_id, entry.value, entry.revision)
+        self.job_record_seen(job_id, entry.value, entry.revision)
         final = self.final_states.get(job_id)
         return (
             self._final_answer(job_id, final)
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -68,7 +68,9 @@
     owner = SimpleNamespace(team=SimpleNamespace(name="red"), apply=lambda change: change(shard))
     owners: Any = ShardOwners.__new__(ShardOwners)
     owners.table = {"red": owner}
-    owners.job_memory = SimpleNamespace(saw=lambda *words: None, is_final=lambda job_id: False)
+    owners.job_memory = SimpleNamespace(
+        job_record_seen=lambda *words: None, is_final=lambda job_id: False
+    )
     owners.now = lambda: NOW
     owners.job_cancelled = lambda *words: told.append(["cancelled", *plain(words)])
     owners.job_settled = lambda *words: told.append(["settled", *plain(words)])
