--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -243,7 +243,7 @@
         )
         self.broadcast_cancellation = self.cancellations.broadcast
         self.heartbeat_forwarder = HeartbeatForwarder(self)
-        self.relay = self.heartbeat_forwarder.forward
+        self.forward_heartbeat = self.heartbeat_forwarder.forward
 
     def _build_cluster_state(self) -> None:
         """What the store says of the cluster, and what is known by it."""
@@ -283,7 +283,7 @@
         )
         self.state_fresh = self.connectivity.state_fresh
         self.cut_off = self.connectivity.cut_off
-        self.heard_worker = self.connectivity.heartbeat_received
+        self.heartbeat_received = self.connectivity.heartbeat_received
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
         self.fit_members = self.membership.eligible_members
@@ -401,7 +401,7 @@
         )
         self.shard_statuses = self.peer_reports.shard_statuses
         self.leaving = self.peer_reports.leaving
-        self.counts = self.peer_reports.task_counts
+        self.task_counts = self.peer_reports.task_counts
 
     def _register_frame_handlers(self) -> None:
         """Which component takes which frames of peers."""
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -163,7 +163,7 @@
         """The fencing token of a machine's owner; larger than any if unknown."""
         ...
 
-    def heard_worker(self) -> None:
+    def heartbeat_received(self) -> None:
         """Note that a worker has reached this controller."""
         ...
 
@@ -171,7 +171,7 @@
         """Take in a job's record as if the watch had brought it."""
         ...
 
-    def counts(self, team: str, job: str) -> tuple[int, int]:
+    def task_counts(self, team: str, job: str) -> tuple[int, int]:
         """How many tasks of a job are done and running, as far as is known here."""
         ...
 
@@ -187,7 +187,7 @@
         """Run a coroutine as a background task."""
         ...
 
-    async def relay(self, label: str, body: bytes) -> ForwardReply | None:
+    async def forward_heartbeat(self, label: str, body: bytes) -> ForwardReply | None:
         """Forward a worker's request to a controller; None if no reply came in time."""
         ...
 
@@ -585,7 +585,7 @@
         )
 
     def _unfinished_answer(self, job_id: str, known: KnownJob) -> bytes:
-        done, running = self.context.counts(known.team, job_id)
+        done, running = self.context.task_counts(known.team, job_id)
         reason = known.reason or (
             self._dependency_reason(known.dependencies) if not done and not running else None
         )
@@ -629,15 +629,15 @@
 
     # -- workers -------------------------------------------------------------------
 
-    async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
-        """Return the answer to a worker's heartbeat; `relayed`: a peer has forwarded it."""
+    async def checkin(self, body: bytes, forwarded: bool = False) -> Answer:
+        """Return the answer to a worker's heartbeat; `forwarded`: a peer has forwarded it."""
         try:
             heartbeat = messages.decode_heartbeat(body)
         except MalformedMessageError as malformed:
             return error_answer(400, str(malformed))
         context = self.context
-        if not relayed:
-            context.heard_worker()
+        if not forwarded:
+            context.heartbeat_received()
         entry = context.machines.entries.get(f"machine/{heartbeat.machine}")
         if entry is None or entry.value["p"] == "":
             return self._answer_unassigned(heartbeat, known=entry is not None)
@@ -656,10 +656,10 @@
             entry = context.machines.entries.get(f"machine/{heartbeat.machine}")
             team = entry.value["p"] if entry else ""
         label = context.owner_label(team)
-        if label is None or label == context.label or relayed:
+        if label is None or label == context.label or forwarded:
             # An owner here that must not renew the lease must not have it renewed as an orphan's.
             return (
-                self._renew_orphan_lease(heartbeat) if owner is None and not relayed else None
+                self._renew_orphan_lease(heartbeat) if owner is None and not forwarded else None
             ) or error_answer(503, "not the owner")
         return await self._redirect_or_forward(heartbeat, body, label, team)
 
@@ -747,7 +747,7 @@
             (left_owner and owner_seen) or returned_soon or forwarding is not None
         )
         if forward:
-            reply = await context.relay(label, body)
+            reply = await context.forward_heartbeat(label, body)
             if reply is not None and reply.status == 200:
                 if forwarding is None:
                     log.info("forwarding heartbeats: machine=%s owner=%s", heartbeat.machine, label)
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -22,8 +22,8 @@
 class HeartbeatHandler(Protocol):
     """Answers workers at this controller."""
 
-    async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
-        """Answers a heartbeat; `relayed`: another controller has forwarded it."""
+    async def checkin(self, body: bytes, forwarded: bool = False) -> Answer:
+        """Answers a heartbeat; `forwarded`: by another controller."""
         ...
 
 
@@ -85,5 +85,5 @@
             self.context.spawn(self._answer(label, frame))
 
     async def _answer(self, label: str, frame: ForwardedHeartbeat) -> None:
-        answer = await self.context.front.checkin(frame.body, relayed=True)
+        answer = await self.context.front.checkin(frame.body, forwarded=True)
         self.context.mesh.send(label, ForwardReply(frame.number, answer.status, answer.body))
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -36,7 +36,7 @@
 
         owners = {"red": SimpleNamespace(on_heartbeat=report)}
 
-    async def relay(label: str, body: bytes) -> peer_messages.ForwardReply | None:
+    async def forward_heartbeat(label: str, body: bytes) -> peer_messages.ForwardReply | None:
         answer = values.get("relayed")
         return peer_messages.ForwardReply(1, answer[0], to_bytes(answer[1])) if answer else None
 
@@ -51,7 +51,7 @@
         catalog={} if values.get("no_catalog") else {"g4": machine_type("g4")},
         machines=replica(machines),
         owners=owners,
-        relay=relay,
+        forward_heartbeat=forward_heartbeat,
         leader=None,
         leader_label=lambda: values.get("leader"),
         owner_label=lambda team: values.get("owner"),
@@ -59,9 +59,9 @@
         mesh=SimpleNamespace(has_seen=lambda label, within: True),
         state_fresh=lambda: True,
         ready=lambda: values.get("ready", True),
-        heard_worker=lambda: None,
+        heartbeat_received=lambda: None,
         broadcast_cancellation=lambda *words: None,
-        counts=lambda team, job: tuple(values.get("counts", (0, 0))),
+        task_counts=lambda team, job: tuple(values.get("counts", (0, 0))),
     )
     home.write_limits.announced_apply = not values.get("old_controllers")
     if values.get("store_down"):
