--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -16,7 +16,7 @@
 
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.store import Entry, StoreClient
-from ashdock.settings import Other
+from ashdock.settings import OtherController
 
 log = logging.getLogger("ashdock.cluster_version")
 
@@ -43,7 +43,7 @@
     """What the cluster version uses of its controller."""
 
     label: str
-    others: list[Other]
+    others: list[OtherController]
     ttl_s: float  # lifetime of a membership lease
     write_limits: WriteLimits
     store: StoreClient
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -43,7 +43,7 @@
 from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
 from ashdock.peer_reports import PeerReports
-from ashdock.settings import Settings, address
+from ashdock.settings import Settings, parse_address
 from ashdock.shard_commands import ShardCommands
 from ashdock.shard_owner import ShardOwner
 from ashdock.shard_owners import ShardOwners
@@ -166,8 +166,8 @@
         self.jobs.on_change(self.shard_owners.job_changed)
         self.jobs.on_gap = self.shard_owners.job_changes_missed
         self.leaders.on_change(self.election_loop.leader_key_changed)
-        await self.server.start(*address(self.settings.bind, "bind"))
-        await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
+        await self.server.start(*parse_address(self.settings.bind, "bind"))
+        await self.mesh.start(*parse_address(self.settings.mesh_addr, "mesh_addr"))
         log.info(
             "controller listens: label=%s area=%s bind=%s",
             self.label,
@@ -205,14 +205,16 @@
         self.admission = Admission(self.shared, len(settings.others), weights)
         sockets = self.admission.shares.reserved
         self.store = StoreClient(
-            *address(settings.outside.state, "outside.state"),
+            *parse_address(settings.outside.state, "outside.state"),
             self.shared,
             self.write_limits,
             sockets[SocketUse.STORE],
             weights,
         )
         self.cloud = CloudClient(
-            *address(settings.outside.cloud, "outside.cloud"), self.shared, sockets[SocketUse.CLOUD]
+            *parse_address(settings.outside.cloud, "outside.cloud"),
+            self.shared,
+            sockets[SocketUse.CLOUD],
         )
         self.worker_client = WorkerClient(
             self.workers.lease_s / COMMANDS_PER_AGENT_LEASE,
@@ -227,7 +229,7 @@
     def _build_mesh(self) -> None:
         """The links to the peers, and the cancellations that are told over them."""
         peers = [
-            PeerAddress(other.label, *address(other.endpoint, "others"))
+            PeerAddress(other.label, *parse_address(other.endpoint, "others"))
             for other in self.settings.others
         ]
         self.frame_dispatcher = FrameDispatcher()
--- a/ashdock/net/user.py
+++ b/ashdock/net/user.py
@@ -9,11 +9,11 @@
 from urllib.parse import quote
 
 from ashdock.net.http import Client, NoAnswer
-from ashdock.settings import address
+from ashdock.settings import parse_address
 
 
 def run(verb: str, to: str, patience: float, job: str | None, file: str | None) -> int:
-    host, port = address(to, "--to")
+    host, port = parse_address(to, "--to")
     if verb == "submit":
         assert file is not None
         try:
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ashdock.net.http import Client, NoAnswer
-from ashdock.settings import SettingsError, address
+from ashdock.settings import SettingsError, parse_address
 from ashdock.wire.messages import (
     DirectCommands,
     Heartbeat,
@@ -101,7 +101,7 @@
 
     def _new_client(self, worker_address: str) -> Client:
         try:
-            host, port = address(worker_address, "worker")
+            host, port = parse_address(worker_address, "worker")
         except SettingsError as error:  # the worker's heartbeat gave an address that is none
             raise NoAnswer(str(error), sent=False) from None
         return Client(host, port, keep=1, idle_s=self.idle_s)
--- a/ashdock/settings.py
+++ b/ashdock/settings.py
@@ -21,7 +21,7 @@
     """A setting is wrong; the message is one line that names the file, the field and the fault."""
 
 
-class Other(Struct):
+class OtherController(Struct):
     """Another controller of the deployment.
 
     Attributes:
@@ -35,7 +35,7 @@
     area: str = ""
 
 
-class Outside(Struct):
+class ExternalServices(Struct):
     """Addresses, as HOST:PORT, of the services that the scheduler uses."""
 
     cloud: str
@@ -137,7 +137,7 @@
 STARTUP_CORE_S = 0.5  # of a whole core until ready, which has to be within an agent lease
 
 
-class Limits(Struct):
+class MachineLimits(Struct):
     """What one controller may use of the machine that it runs on.
 
     Attributes:
@@ -162,7 +162,7 @@
     cloud: CloudLimits
     skew_ms: NonNegative = 0.0
     objectives: list[Objective] = []
-    machine_limits: Limits = field(default_factory=Limits)
+    machine_limits: MachineLimits = field(default_factory=MachineLimits)
 
 
 class Retry(Struct, forbid_unknown_fields=True):
@@ -208,7 +208,7 @@
 class Duties(Struct, forbid_unknown_fields=True):
     """Labels of the controllers that may hold a duty of which there is one leader; empty: all."""
 
-    # Renting, returning, assigning and recalling machines, and reconciling the cloud's list of them.
+    # Renting, returning, assigning and recalling machines, and reconciling the list of the cloud.
     machines: list[Name] = []
 
 
@@ -239,13 +239,13 @@
     area: str
     bind: str
     mesh_addr: str
-    outside: Outside
+    outside: ExternalServices
     settings: Shared
-    others: list[Other] = []
+    others: list[OtherController] = []
     operators: Operators = field(default_factory=Operators)
 
 
-def address(text: str, where: str) -> tuple[str, int]:
+def parse_address(text: str, where: str) -> tuple[str, int]:
     """Return the host and port of an address.
 
     Args:
@@ -282,7 +282,7 @@
 def _check_limits(raw: Any, path: str) -> None:
     """Check that the machine limits given suffice for a controller to start.
 
-    Limits that are not given have the defaults of `Limits`.
+    Limits that are not given have the defaults of `MachineLimits`.
     """
     shared = raw.get("settings") if isinstance(raw, dict) else None
     given = shared.get("machine_limits", {}) if isinstance(shared, dict) else {}
@@ -330,7 +330,7 @@
         ("outside.state", settings.outside.state),
         *((f"others[{n}].endpoint", other.endpoint) for n, other in enumerate(settings.others)),
     ):
-        address(text, f"{path}: {where}")
+        parse_address(text, f"{path}: {where}")
     teams = [team.name for team in settings.settings.teams]
     if len(set(teams)) != len(teams):
         raise SettingsError(f"{path}: settings.teams: expected distinct names, found {teams!r}")
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -8,7 +8,7 @@
 
 from ashdock.controller import Controller
 from ashdock.net.http import Server, plain_connections
-from ashdock.settings import Operators, Other, Outside, Settings, Shared
+from ashdock.settings import ExternalServices, Operators, OtherController, Settings, Shared
 from tests.rules import Rules
 from tests.simtime import Net, spawn
 from tests.standins import CLOUD, STATE, State, Worker, World
@@ -173,13 +173,15 @@
             self.boot(n)
 
     def boot(self, n: int) -> None:
-        others = [Other(f"n{k}", f"10.0.0.{k}:8081", ZONES[k]) for k in range(3) if k != n]
+        others = [
+            OtherController(f"n{k}", f"10.0.0.{k}:8081", ZONES[k]) for k in range(3) if k != n
+        ]
         told = Settings(
             f"n{n}",
             ZONES[n],
             f"10.0.0.{n}:8080",
             f"10.0.0.{n}:8081",
-            Outside(f"{CLOUD}:8443", f"{STATE}:2379"),
+            ExternalServices(f"{CLOUD}:8443", f"{STATE}:2379"),
             self.shared,
             others,
             Operators(),
--- a/tests/forms/adapter/writers.py
+++ b/tests/forms/adapter/writers.py
@@ -21,7 +21,7 @@
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudUnavailableError
 from ashdock.settings import (
-    Other,
+    OtherController,
     Team,
 )
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
@@ -68,7 +68,7 @@
         "store": client,
         "store_lease": 9,
         "lease_renewed_at": 0.0,
-        "others": [Other("n2", "10.0.0.2:8081"), Other("n3", "10.0.0.3:8081")],
+        "others": [OtherController("n2", "10.0.0.2:8081"), OtherController("n3", "10.0.0.3:8081")],
         "now": lambda: NOW,
         "cut_off": lambda: False,
         "fit_members": lambda: ["n1", "n2"],
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -12,11 +12,11 @@
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import (
     CloudLimits,
-    Limits,
+    ExternalServices,
+    MachineLimits,
     NextLimits,
     Operators,
-    Other,
-    Outside,
+    OtherController,
     Settings,
     Shared,
     StateLimits,
@@ -39,20 +39,20 @@
         workers=Workers(1.0, 6.0, 12.0, 3.0, 20.0),
         state=StateLimits(200, 200, 8.0, 48),
         cloud=CloudLimits(10, 1.0),
-        machine_limits=Limits(1.0, 256, 400),
+        machine_limits=MachineLimits(1.0, 256, 400),
     )
 
 
 def settings(n: int, later: NextLimits | None = None) -> Settings:
     common = shared()
     common.state.next = later
-    others = [Other(f"n{k}", f"10.0.0.{k}:8081", "a") for k in range(3) if k != n]
+    others = [OtherController(f"n{k}", f"10.0.0.{k}:8081", "a") for k in range(3) if k != n]
     return Settings(
         f"n{n}",
         ZONES[n],
         f"10.0.0.{n}:8080",
         f"10.0.0.{n}:8081",
-        Outside(f"{CLOUD}:8443", f"{STATE}:2379"),
+        ExternalServices(f"{CLOUD}:8443", f"{STATE}:2379"),
         common,
         others,
         Operators(),
