--- a/ashdock/cli.py
+++ b/ashdock/cli.py
@@ -1,4 +1,4 @@
-"""The command line: start a controller, check its settings, and talk to a running service."""
+"""The command line: start a controller, check its settings, or send requests to a controller."""
 
 from __future__ import annotations
 
@@ -13,47 +13,53 @@
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
+    parser = argparse.ArgumentParser(
         prog="ashdock", description="A cluster scheduler with durable retries."
     )
-    top.add_argument("--version", action="version", version=f"ashdock {__version__}")
-    top.add_argument("--config", metavar="FILE", help="start a controller with this settings file")
-    verbs = top.add_subparsers(dest="verb", metavar="COMMAND")
-    check = verbs.add_parser(
+    parser.add_argument("--version", action="version", version=f"ashdock {__version__}")
+    parser.add_argument(
+        "--config", metavar="FILE", help="start a controller with this settings file"
+    )
+    commands = parser.add_subparsers(dest="command", metavar="COMMAND")
+    check_parser = commands.add_parser(
         "check-config", help="check a settings file and the operators' file, and start nothing"
     )
-    check.add_argument("file")
-    check.add_argument(
-        "--operators", metavar="HCL", help="an operators' file elsewhere than deploy/ashdock.hcl"
+    check_parser.add_argument("file")
+    check_parser.add_argument(
+        "--operators",
+        metavar="HCL",
+        help="path of the operators' file (default: deploy/ashdock.hcl, if it exists)",
     )
-    submit = verbs.add_parser(
+    submit_parser = commands.add_parser(
         "submit", help="submit a job, described in JSON by a file or standard input (-)"
     )
-    submit.add_argument("file")
+    submit_parser.add_argument("file")
     for name, text in (("status", "print a job's state"), ("withdraw", "cancel a job")):
-        verb = verbs.add_parser(name, help=text)
-        verb.add_argument("job")
+        job_parser = commands.add_parser(name, help=text)
+        job_parser.add_argument("job")
     for name in ("submit", "status", "withdraw"):
-        verb = verbs.choices[name]
-        verb.add_argument(
+        request_parser = commands.choices[name]
+        request_parser.add_argument(
             "--to",
             metavar="HOST:PORT",
             default=os.environ.get("ASHDOCK", "127.0.0.1:8080"),
             help="a controller's address (default: $ASHDOCK or %(default)s)",
         )
-        verb.add_argument(
+        request_parser.add_argument(
             "--for",
-            dest="patience",
+            dest="timeout_s",
             type=float,
             default=60.0,
             metavar="SECONDS",
-            help="how long to go on trying (default: %(default)g)",
+            help="how long to retry the request (default: %(default)g)",
         )
-    return top
+    return parser
 
 
 def set_up_logging() -> None:
+    """Log to standard error, at the level named by the environment variable LOG_LEVEL."""
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         level=LEVELS.get(level, logging.INFO),
@@ -64,34 +70,48 @@
 
 
 def main(argv: list[str]) -> int:
-    top = parser()
-    options = top.parse_args(argv)
-    if (options.config is None) == (options.verb is None):
-        top.error("give either --config FILE or a command")
+    """Run the command line; return the exit code.
+
+    2 means that the settings, the address or the file given are wrong; the other codes are those of
+    `serve` and `user.run`. Wrong options end the process with code 2.
+    """
+    parser = build_parser()
+    options = parser.parse_args(argv)
+    if (options.config is None) == (options.command is None):
+        parser.error("give either --config FILE or a command")
     try:
         if options.config is not None:
             return serve(load(options.config))
-        if options.verb == "check-config":
+        if options.command == "check-config":
             return check_config(options.file, options.operators)
-    except SettingsError as why:
-        print(f"ashdock: {why}", file=sys.stderr)
+    except SettingsError as error:
+        print(f"ashdock: {error}", file=sys.stderr)
         return 2
-    from ashdock.net import user  # not needed, nor paid for, by a controller
+    from ashdock.net import user  # a controller does not need it
 
     try:
         return user.run(
-            options.verb,
+            options.command,
             options.to,
-            options.patience,
+            options.timeout_s,
             getattr(options, "job", None),
             getattr(options, "file", None),
         )
-    except SettingsError as why:
-        print(f"ashdock: {why}", file=sys.stderr)
+    except SettingsError as error:
+        print(f"ashdock: {error}", file=sys.stderr)
         return 2
 
 
 def check_config(file: str, operators: str | None) -> int:
+    """Print what a settings file says; return 0.
+
+    Args:
+        file: path of the settings file.
+        operators: path of the operators' file; None: the default one, if it exists.
+
+    Raises:
+        SettingsError: a file cannot be read, or a setting is wrong.
+    """
     from pathlib import Path
 
     from ashdock.settings import OPERATORS_FILE
@@ -100,24 +120,32 @@
     if operators and not Path(operators).exists():
         raise SettingsError(f"{operators}: cannot be read: no such file")
     teams = ", ".join(team.name for team in settings.settings.teams)
-    print(f"{file}: good: controller {settings.label} of {settings.settings.size}, teams {teams}")
+    print(f"{file}: valid: controller {settings.label} of {settings.settings.size}, teams {teams}")
     limits = settings.settings.machine_limits
     print(
-        f"this controller: {limits.core_share:g} of a core, {limits.ram_mb:g} MB, {limits.max_connections} connections"
+        f"this controller: {limits.core_share:g} of a core, {limits.ram_mb:g} MB, "
+        f"{limits.max_connections} connections"
     )
     state = settings.settings.state
     print(
-        f"state service: {_limits(state)}"
-        + (f"; later no more than {_limits(state.smaller())}" if state.next else "")
+        f"state service: {_format_limits(state)}"
+        + (f"; later no more than {_format_limits(state.smaller())}" if state.next else "")
     )
     return 0
 
 
-def _limits(state: StateLimits) -> str:
-    return f"{state.rps:g} requests and {state.write_rps:g} changes a second, {state.value_kb:g} KiB a value, {state.txn_ops} changes a transaction"
+def _format_limits(limits: StateLimits) -> str:
+    return (
+        f"{limits.rps:g} requests and {limits.write_rps:g} changes a second, "
+        f"{limits.value_kb:g} KiB a value, {limits.txn_ops} changes a transaction"
+    )
 
 
 def serve(settings: Settings) -> int:
+    """Run a controller until it is interrupted; return the exit code.
+
+    130: interrupted; 1: an operating system error, such as an address that cannot be listened on.
+    """
     set_up_logging()
     import asyncio
 
@@ -126,7 +154,7 @@
 
     async def run() -> None:
         controller = Controller(settings)
-        later = asyncio.create_task(
+        enable_collection = asyncio.create_task(
             garbage_collection.enable_after_startup(
                 controller.ready, settings.settings.workers.lease_s
             )
@@ -134,14 +162,14 @@
         try:
             await controller.run()
         finally:
-            later.cancel()
+            enable_collection.cancel()
 
     garbage_collection.disable()
     try:
         asyncio.run(run())
     except KeyboardInterrupt:
         return 130
-    except OSError as why:
-        print(f"ashdock: cannot serve: {why}", file=sys.stderr)
+    except OSError as error:
+        print(f"ashdock: cannot serve: {error}", file=sys.stderr)
         return 1
     return 0
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start a controller: puts the built dependencies on the path, then hands over to the command line."""
+"""Starts the command line, with the installed dependencies on the module path."""
 
 import sys
 from pathlib import Path
