--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -1,5 +1,8 @@
-"""The page /metrics, by prometheus-client. Imported with the first request for it, so that it costs nothing before;
-all figures are read off the live picture when asked for, so that nothing else pays for them."""
+"""Collects the metrics of a controller for the page /metrics, with prometheus-client.
+
+The module is imported with the first request for the page, and costs nothing before. All values are
+read from the controller's state at each request, so that no other code has to count for them.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
-# The words of the label `turn`, which others read.
+# Values of the label `turn`.
 PRIORITY_LABELS = {
     RequestPriority.USER: "user",
     RequestPriority.NORMAL: "work",
@@ -39,19 +42,29 @@
 }
 
 
-class Owning(Protocol):
+class OwnerMetrics(Protocol):
+    """What is read of a shard's owner."""
+
     shard: Shard | None
     failover_timeline: FailoverTimeline
 
 
-class Duty(Protocol):
+class ElectorMetrics(Protocol):
+    """What is read of the leader elector.
+
+    Attributes:
+        election: the election's state machine.
+        leading_durations: how long this controller led, each time.
+        vacancy_durations: how long there was no leader before this controller led, each time.
+    """
+
     election: Election
     leading_durations: DurationHistogram
     vacancy_durations: DurationHistogram
 
 
-class Seen(Protocol):
-    """What is shown of a controller."""
+class MetricsContext(Protocol):
+    """What is read of the controller."""
 
     admission: Admission
     cloud: CloudClient
@@ -65,60 +78,90 @@
     terms: TermFence
 
     @property
-    def elector(self) -> Duty: ...
+    def elector(self) -> ElectorMetrics:
+        """The leader elector."""
+        ...
 
     @property
-    def owners(self) -> Mapping[str, Owning]: ...
+    def owners(self) -> Mapping[str, OwnerMetrics]:
+        """Owners of the shards that are owned here, by team."""
+        ...
 
     @property
-    def leader(self) -> object | None: ...
+    def leader(self) -> object | None:
+        """The leader; None unless it is this controller."""
+        ...
 
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Whether this controller takes requests."""
+        ...
 
-    def cancellations_age(self) -> float: ...
+    def cancellations_age(self) -> float:
+        """Seconds since the time up to which every confirmed cancellation is known."""
+        ...
 
 
 class MetricsCollector(Collector):
-    def __init__(self, context: Seen) -> None:
+    """Reads all metrics from a controller."""
+
+    def __init__(self, context: MetricsContext) -> None:
+        """Collect from this controller; nothing is read yet."""
         self.context = context
 
     def collect(self) -> Iterable[Metric]:
+        """Return all metrics, as of now."""
         context = self.context
-        plain = {
+        unlabeled = {
             "ashdock_ready": ("1 while this controller takes requests", float(context.ready())),
-            "ashdock_leads": ("1 while this controller leads", float(context.leader is not None)),
+            "ashdock_leads": (
+                "1 while this controller is the leader",
+                float(context.leader is not None),
+            ),
             "ashdock_all_upgraded": (
-                "1 once every controller is known to be of the new version",
+                "1 once every controller is known to support jobs with dependencies",
                 float(context.cluster_version.supports_dependencies),
             ),
             "ashdock_fit": (
-                "1 while parts and lead may be this controller's",
+                "1 while this controller has announced that it may own shards and lead",
                 float(context.membership.published_eligible),
             ),
             "ashdock_ends_of_late": (
-                "ends of this controller's processes in quick succession",
+                "restarts of this controller in quick succession",
                 float(context.membership.crash_loop.record.restarts),
             ),
             "ashdock_state_age_seconds": (
-                "since the state service last answered",
+                "seconds since the start of the last request that the store answered",
                 context.store.silent_for,
             ),
             "ashdock_cancellations_known_age_seconds": (
-                "since when cancellations confirmed elsewhere may be unknown here",
+                "seconds since the time up to which all confirmed cancellations are known here",
                 context.cancellations_age(),
             ),
-            "ashdock_user_connections": ("open connections", float(len(context.server.open))),
+            "ashdock_user_connections": (
+                "open inbound connections of all uses",
+                float(len(context.server.open)),
+            ),
         }
-        for name, (text, value) in plain.items():
-            yield GaugeMetricFamily(name, text, value=value)
+        for name, (help_text, value) in unlabeled.items():
+            yield GaugeMetricFamily(name, help_text, value=value)
         jobs = GaugeMetricFamily(
-            "ashdock_jobs", "unfinished jobs of the parts owned here", labels=["team", "phase"]
+            "ashdock_jobs",
+            "jobs of the shards owned here, by phase",
+            labels=["team", "phase"],
+        )
+        tasks = GaugeMetricFamily(
+            "ashdock_tasks",
+            "tasks of the shards owned here, by state; done ones are not counted",
+            labels=["team", "state"],
         )
-        tasks = GaugeMetricFamily("ashdock_tasks", "their tasks", labels=["team", "state"])
         machines = GaugeMetricFamily(
-            "ashdock_machines", "machines lent to the parts owned here", labels=["team", "phase"]
+            "ashdock_machines",
+            "machines assigned to the shards owned here, by phase",
+            labels=["team", "phase"],
+        )
+        tokens = GaugeMetricFamily(
+            "ashdock_part_token", "revision of the claim of each shard owned here", labels=["team"]
         )
-        tokens = GaugeMetricFamily("ashdock_part_token", "stamp of the claim", labels=["team"])
         for team, owner in context.owners.items():
             shard = owner.shard
             if shard is None:
@@ -152,68 +195,80 @@
             )
         yield from (jobs, tasks, machines, tokens)
         yield from self._admission()
-        yield from self._recovery()
+        yield from self._timelines()
         yield from self._fairness()
-        yield from self._duties()
+        yield from self._leadership()
 
-    def _duties(self) -> Iterable[Metric]:
-        """Of the duties that only one controller may do, as this one has had them."""
+    def _leadership(self) -> Iterable[Metric]:
         elector, terms = self.context.elector, self.context.terms
         state = GaugeMetricFamily(
             "ashdock_duty_state",
-            "1 for the state in which this controller is",
+            "1 for the present election state of this controller",
             labels=["duty", "state"],
         )
         state.add_metric([elector.election.duty, elector.election.state.value], 1.0)
-        term = GaugeMetricFamily("ashdock_duty_term", "the highest that is known", labels=["duty"])
+        term = GaugeMetricFamily(
+            "ashdock_duty_term", "highest leader term known here", labels=["duty"]
+        )
         term.add_metric([elector.election.duty], float(terms.highest))
         refused = CounterMetricFamily(
-            "ashdock_duty_words_refused", "of holders that were replaced", labels=["duty"]
+            "ashdock_duty_words_refused",
+            "commands refused for a term lower than the highest known",
+            labels=["duty"],
         )
         refused.add_metric([elector.election.duty], terms.refused)
-        held = HistogramMetricFamily(
+        leading = HistogramMetricFamily(
             "ashdock_duty_held_seconds",
-            "how long this controller held it, each time",
+            "how long this controller was the leader, each time",
             labels=["duty"],
         )
-        held.add_metric(
+        leading.add_metric(
             [elector.election.duty],
             elector.leading_durations.rows(),
             elector.leading_durations.sum_s,
         )
-        gap = HistogramMetricFamily(
+        vacancy = HistogramMetricFamily(
             "ashdock_duty_gap_seconds",
-            "how long nobody held it before this controller did",
+            "how long there was no leader before this controller became it, each time",
             labels=["duty"],
         )
-        gap.add_metric(
+        vacancy.add_metric(
             [elector.election.duty],
             elector.vacancy_durations.rows(),
             elector.vacancy_durations.sum_s,
         )
-        yield from (state, term, refused, held, gap)
+        yield from (state, term, refused, leading, vacancy)
 
     def _fairness(self) -> Iterable[Metric]:
-        """Of jobs that came since a shard is owned here: how each class is served, how long its starts waited, and who was sent away."""
-        share = GaugeMetricFamily(
+        """Return SLO attainment, start waits and refused submissions.
+
+        Attainment and start waits cover the jobs that came since this controller owns their shard.
+        """
+        attainment = GaugeMetricFamily(
             "ashdock_served_share",
-            "of jobs that are due, served (docs/fairness.md)",
+            "attainment of the service-level objective, of the due jobs of a class "
+            "(docs/fairness.md)",
+            labels=["team", "class"],
+        )
+        due = GaugeMetricFamily(
+            "ashdock_served_due",
+            "jobs that are due by the service-level objective of their class",
             labels=["team", "class"],
         )
-        due = GaugeMetricFamily("ashdock_served_due", "jobs that are due", labels=["team", "class"])
-        largest = GaugeMetricFamily(
+        largest_attainment = GaugeMetricFamily(
             "ashdock_served_largest_share",
-            "of a class's largest jobs that are due, served",
+            "attainment of the service-level objective, of the largest due jobs of a class",
             labels=["team", "class"],
         )
-        rises = GaugeMetricFamily(
+        boosted = GaugeMetricFamily(
             "ashdock_class_rises",
-            "1 while a class goes first of its priority, one job a pass",
+            "1 while a class is boosted: in each scheduling cycle one of its jobs may go first of "
+            "its priority",
             labels=["team", "class"],
         )
-        waits = HistogramMetricFamily(
+        start_waits = HistogramMetricFamily(
             "ashdock_start_wait_seconds",
-            "from when a task could start until it ran",
+            "how long tasks waited from when they could start until they ran",
             labels=["team", "class"],
         )
         for team, owner in self.context.owners.items():
@@ -222,108 +277,128 @@
             classes = owner.shard.classes
             for (kind, name), row in classes.attainment.counts(owner.shard.current_time).items():
                 if kind == "class":
-                    share.add_metric([team, name], row.attainment)
+                    attainment.add_metric([team, name], row.attainment)
                     due.add_metric([team, name], row.due)
-                    rises.add_metric([team, name], float(name in classes.boosted))
+                    boosted.add_metric([team, name], float(name in classes.boosted))
                 elif kind == "largest":
-                    largest.add_metric([team, name], row.attainment)
-            for name, spans in classes.attainment.start_waits.items():
-                waits.add_metric([team, name], classes.attainment.histogram(name), spans.sum_s)
-        away = CounterMetricFamily(
-            "ashdock_submissions_turned_away", "told to come back, by team", labels=["team"]
+                    largest_attainment.add_metric([team, name], row.attainment)
+            for name, waits in classes.attainment.start_waits.items():
+                start_waits.add_metric(
+                    [team, name], classes.attainment.histogram(name), waits.sum_s
+                )
+        refused_submissions = CounterMetricFamily(
+            "ashdock_submissions_turned_away",
+            "submissions refused by admission control, by team",
+            labels=["team"],
         )
         hot = GaugeMetricFamily(
-            "ashdock_team_hot", "1 while a team submits more than its share here", labels=["team"]
+            "ashdock_team_hot",
+            "1 while a team submits more than its share to this controller",
+            labels=["team"],
         )
         admission = self.context.admission
         for team in admission.hot_tenants.teams:
-            away.add_metric([team], admission.refused_submissions[team])
+            refused_submissions.add_metric([team], admission.refused_submissions[team])
             hot.add_metric([team], float(admission.hot_tenants.is_hot(team)))
-        yield from (share, due, largest, rises, waits, away, hot)
+        yield from (
+            attainment,
+            due,
+            largest_attainment,
+            boosted,
+            start_waits,
+            refused_submissions,
+            hot,
+        )
 
-    def _recovery(self) -> Iterable[Metric]:
-        startup_timeline = GaugeMetricFamily(
+    def _timelines(self) -> Iterable[Metric]:
+        startup = GaugeMetricFamily(
             "ashdock_start_seconds",
-            "in each state since the start of the process",
+            "seconds spent in each state of the startup of this process",
             labels=["state"],
         )
         for state, seconds in self.context.startup_timeline.durations_s.items():
-            startup_timeline.add_metric([state], seconds)
-        took = GaugeMetricFamily(
+            startup.add_metric([state], seconds)
+        failover = GaugeMetricFamily(
             "ashdock_takeover_seconds",
-            "in each state of the takeover of a part",
+            "seconds spent in each state of the failover of a shard to this controller",
             labels=["team", "state"],
         )
         for team, owner in self.context.owners.items():
             for state, seconds in owner.failover_timeline.durations_s.items():
-                took.add_metric([team, state], seconds)
-        yield from (startup_timeline, took)
+                failover.add_metric([team, state], seconds)
+        yield from (startup, failover)
 
     def _admission(self) -> Iterable[Metric]:
-        """Who has what of what can run short, and who was told to come back."""
+        """Return the use of limited resources, their shortages, and what was refused for them."""
         context = self.context
         admission, connections, now = (
             context.admission,
             context.admission.connections,
             time.monotonic(),
         )
-        held = {
+        open_sockets = {
             use: connections.count(use)
             for use in (SocketUse.NEW, SocketUse.USER, SocketUse.PROBE, SocketUse.WORKER)
         }
-        held |= {
+        open_sockets |= {
             SocketUse.MESH: len(context.mesh.links)
             + sum(peer.writer is not None for peer in context.mesh.peers.values()),
             SocketUse.STORE: context.store.sockets,
             SocketUse.CLOUD: context.cloud.client.sockets,
             SocketUse.COMMANDS: context.worker_client.sockets,
         }
-        most = {
+        max_sockets = {
             **admission.shares.reserved,
             SocketUse.USER: admission.shares.max_user_connections(),
-            SocketUse.WORKER: admission.shares.max_worker_connections(held[SocketUse.USER]),
+            SocketUse.WORKER: admission.shares.max_worker_connections(open_sockets[SocketUse.USER]),
         }
-        sockets = GaugeMetricFamily("ashdock_sockets", "sockets held, by what for", labels=["use"])
+        sockets = GaugeMetricFamily("ashdock_sockets", "open sockets, by use", labels=["use"])
         shares = GaugeMetricFamily(
-            "ashdock_sockets_share", "how many it may hold at this moment", labels=["use"]
+            "ashdock_sockets_share",
+            "sockets that each use may have open at present",
+            labels=["use"],
         )
-        for use, number in held.items():
+        for use, number in open_sockets.items():
             sockets.add_metric([use.value], number)
-            shares.add_metric([use.value], most[use])
+            shares.add_metric([use.value], max_sockets[use])
         ended = CounterMetricFamily(
-            "ashdock_connections_ended", "connections that we ended, and why", labels=["use", "why"]
+            "ashdock_connections_ended",
+            "connections that this controller closed or refused, by use and reason",
+            labels=["use", "why"],
         )
-        for (use, why), number in connections.ended.items():
-            ended.add_metric([use.value, why], number)
+        for (use, reason), number in connections.ended.items():
+            ended.add_metric([use.value, reason], number)
         refused = CounterMetricFamily(
             "ashdock_refused",
-            "told to come back, and for want of what",
+            "requests refused by admission control, by kind and the resource that was short; "
+            "for orders, commands left to the answer to a heartbeat",
             labels=["asked", "short_of"],
         )
-        for (asked, of), number in admission.refused.items():
-            refused.add_metric([asked, of.value], number)
+        for (request_kind, resource), number in admission.refused.items():
+            refused.add_metric([request_kind, resource.value], number)
         refused.add_metric(["order", "sockets"], context.worker_client.deferred)
-        short = GaugeMetricFamily("ashdock_short", "1 while something runs short", labels=["of"])
-        for of, shortage in admission.shortages.items():
-            short.add_metric([of.value], float(shortage.began_at is not None))
-        behind = GaugeMetricFamily(
+        short = GaugeMetricFamily("ashdock_short", "1 while a resource is short", labels=["of"])
+        for resource, shortage in admission.shortages.items():
+            short.add_metric([resource.value], float(shortage.began_at is not None))
+        write_backlog = GaugeMetricFamily(
             "ashdock_writes_behind_seconds",
-            "how long what waits to be written will take",
+            "backlog of writes: seconds until those of this or a more urgent priority are sent",
             labels=["turn"],
         )
         for priority in RequestPriority:
-            behind.add_metric(
+            write_backlog.add_metric(
                 [PRIORITY_LABELS[priority]], context.store.write_limiter.backlog_s(priority)
             )
-        yield from (sockets, shares, ended, refused, short, behind)
+        yield from (sockets, shares, ended, refused, short, write_backlog)
         yield GaugeMetricFamily(
             "ashdock_processor_late_seconds",
-            "how late timers fire, of late",
+            "highest recent lateness of a timer, decaying",
             value=admission.processor.late_s(now),
         )
 
 
-def page(context: Seen) -> bytes:
+def page(context: MetricsContext) -> bytes:
+    """Return the metrics of a controller in the text format of Prometheus."""
     registry = CollectorRegistry()
     registry.register(MetricsCollector(context))
     return generate_latest(registry)
