--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""What on-call people met: silent and refused controllers, floods of questions, guests, jobs submitted with a mistake."""
+"""Failures seen in operation: one controller without store, overload, slow writes, faulty jobs."""
 
 from __future__ import annotations
 
@@ -21,31 +21,35 @@
 from tests.whole import Service, job
 
 
-def refuse(controller: Controller) -> None:
-    """The state service answers this controller alone with 503, and its open watches wait."""
+def cut_off_store(controller: Controller) -> None:
+    """Make the store answer this controller with 503; its open watches get no answer."""
 
-    async def refused(*_: Any, **__: Any) -> tuple[int, bytes]:
+    async def unavailable(*_: Any, **__: Any) -> tuple[int, bytes]:
         await asyncio.sleep(0.003)
         return 503, b"{}"
 
-    async def waits(*_: Any, **__: Any) -> tuple[int, bytes]:
+    async def unanswered(*_: Any, **__: Any) -> tuple[int, bytes]:
         await asyncio.sleep(1e6)
         return 503, b"{}"
 
-    controller.store.client.request = refused  # type: ignore[method-assign]
-    controller.store.watch_client.request = waits  # type: ignore[method-assign]
+    controller.store.client.request = unavailable  # type: ignore[method-assign]
+    controller.store.watch_client.request = unanswered  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
-    "heard", [True, False], ids=["heard by the others", "alone with its workers"]
+    "peers_linked", [True, False], ids=["linked to its peers", "cut off from its peers"]
 )
-def test_a_controller_refused_alone_costs_no_running_work(
-    heard: bool, monkeypatch: pytest.MonkeyPatch
+def test_tasks_run_on_when_the_store_refuses_one_controller(
+    peers_linked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It went on answering its workers, so the next owner heard none of them and gave up all their machines (inc-f1aa).
-    The mesh tells it of the claim; and an owner that hears none of what it inherited waits until nobody else may answer."""
+    """Guards against the loss of all machines of an owner that the store alone refuses.
 
-    async def day(service: Service) -> None:
+    It went on answering its workers, so the next owner got no heartbeat of them and gave up all
+    their machines. Now the old owner learns of the claim over the mesh, and a new owner without any
+    heartbeat waits until no other controller may renew the workers' leases.
+    """
+
+    async def scenario(service: Service) -> None:
         runs = [job(1, shares=8, expect_s=60.0), job(2, shares=8, expect_s=60.0)]
         for run in runs:
             await service.submit(run)
@@ -53,72 +57,74 @@
             await asyncio.sleep(0.5)
             assert service.now() < 40
         await asyncio.sleep(2)
-        held = {place.machine for places in service.rules.on.values() for place in places}
-        at = next(n for n, c in service.controllers.items() if "red" in c.owners)
-        refuse(service.controllers[at])
-        if not heard:
-            service.net.cut(f"10.0.0.{at}", *(f"10.0.0.{n}" for n in range(3) if n != at))
+        used_machines = {place.machine for places in service.rules.on.values() for place in places}
+        owner = next(n for n, c in service.controllers.items() if "red" in c.owners)
+        cut_off_store(service.controllers[owner])
+        if not peers_linked:
+            service.net.cut(f"10.0.0.{owner}", *(f"10.0.0.{n}" for n in range(3) if n != owner))
         starts = service.rules.starts
         await asyncio.sleep(3)
-        if heard:  # it knows that the others are served, and says so at once
-            before = service.now()
-            client = Client(f"10.0.0.{at}", 8080, keep=0)
+        if peers_linked:  # it knows that its peers reach the store, and refuses requests at once
+            asked_at = service.now()
+            client = Client(f"10.0.0.{owner}", 8080, keep=0)
             assert (await client.request("GET", "/ready", b"", 2.0))[0] == 503
             assert (await client.request("GET", "/v2/runs/req-000001", b"", 2.0))[0] == 503
-            assert service.now() - before < 0.1
+            assert service.now() - asked_at < 0.1
         await asyncio.sleep(22)
-        assert held <= set(service.world.workers)
-        if heard:
-            assert service.rules.starts == starts and "red" not in service.controllers[at].owners
-        del service.controllers[at]
-        service.crash(at)
+        assert used_machines <= set(service.world.workers)
+        if peers_linked:
+            assert service.rules.starts == starts and "red" not in service.controllers[owner].owners
+        del service.controllers[owner]
+        service.crash(owner)
         service.net.heal()
         assert await service.until_final([run["id"] for run in runs], 150) == []
 
-    play(monkeypatch, 21, day)
+    play(monkeypatch, 21, scenario)
+
 
+def test_many_status_requests_cost_few_store_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against store requests that grow with status requests, or with the jobs asked about.
 
-def test_a_flood_of_questions_costs_few_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each question used to be a read: users who asked eight times as often used up the state service's requests, and
-    submissions were refused for it. Counted: requests do not grow with questions, nor with the jobs asked about."""
+    Each status request used to cost a read: users who asked eight times as often used up the
+    store's rate limit, and submissions were refused for it.
+    """
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await asyncio.sleep(3)
         runs = [job(n, shares=1, expect_s=200.0) for n in range(1, 61)]
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(2)
         calls: Counter[str] = Counter()
-        inner = service.state.handle
+        handle = service.state.handle
 
         async def count(request: Any) -> Any:
             calls["reads" if "/store/job/" in request.target else "other"] += 1
             calls["compares"] += request.target == "/txn" and b'"writes"' not in request.body
-            return await inner(request)
+            return await handle(request)
 
         service.state.server.handler = count
         for controller in service.controllers.values():
-            controller.store.write_limiter.tokens = (
-                -20 * controller.store.write_limiter.per_s
-            )  # comparing writes nothing, so waits for no writes
-        asked = Counter[int]()
+            # Transactions that only compare must not wait for the rate of writes.
+            controller.store.write_limiter.tokens = -20 * controller.store.write_limiter.per_s
+        answers = Counter[int]()
 
         async def user(n: int) -> None:
             # One in ten asks about a job that nobody submitted.
-            name = f"req-{n % 60 + 1:06d}" if n % 10 else f"req-9{n:05d}"
+            job_id = f"req-{n % 60 + 1:06d}" if n % 10 else f"req-9{n:05d}"
             for _ in range(5):
                 status, _ = await Client(f"10.0.0.{n % 3}", 8080, keep=0).request(
-                    "GET", f"/v2/runs/{name}", b"", 2.0
+                    "GET", f"/v2/runs/{job_id}", b"", 2.0
                 )
-                asked[status] += 1
+                answers[status] += 1
                 assert status == (200 if n % 10 else 404)
                 await asyncio.sleep(0.5)
 
         await asyncio.gather(*(user(n) for n in range(240)))
-        assert sum(asked.values()) == 1200
+        assert sum(answers.values()) == 1200
         assert calls["compares"] <= 3 * 5 * 4 and calls["reads"] <= 20
         for controller in service.controllers.values():
             controller.store.write_limiter.tokens = 1.0
-        # A change is seen at once, whichever controller is asked.
+        # Every controller answers with a change at once.
         assert await service.withdraw("req-000007") == "withdrawn"
         for n in range(3):
             _, body = await Client(f"10.0.0.{n}", 8080, keep=0).request(
@@ -126,93 +132,99 @@
             )
             assert b'"withdrawn"' in body
 
-    play(monkeypatch, 22, day)
+    play(monkeypatch, 22, scenario)
 
 
-def test_rules_hold_under_a_flood_while_a_controller_is_silent(
+def test_rules_hold_under_many_status_requests_while_a_controller_is_cut_off(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         runs = [
             job(n, shares=2, expect_s=6.0, owner="red" if n % 2 else "blue") for n in range(1, 13)
         ]
         await asyncio.gather(*(service.submit(run) for run in runs))
-        others = [
+        all_but_users = [
             "10.2.0.1",
             "10.2.0.2",
             "10.0.0.0",
             "10.0.0.2",
             *(w.host for w in service.world.workers.values()),
         ]
-        service.net.cut("10.0.0.1", *others)
+        service.net.cut("10.0.0.1", *all_but_users)
 
-        async def asks(n: int) -> None:
+        async def poll(n: int) -> None:
             for _ in range(60):
                 await service.poll(f"req-{n % 12 + 1:06d}")
                 await asyncio.sleep(0.3)
 
-        tasks = [spawn(service.net, "users", asks(n)) for n in range(48)]
+        tasks = [spawn(service.net, "users", poll(n)) for n in range(48)]
         await asyncio.sleep(14)
         service.net.heal()
         assert await service.until_final([run["id"] for run in runs], 120) == []
         await asyncio.gather(*tasks)
 
-    play(monkeypatch, 23, day)
+    play(monkeypatch, 23, scenario)
 
 
-def test_machines_are_given_up_once_however_slow_the_state_service(
+def test_machines_are_decommissioned_once_while_the_store_is_slow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each round of the leader sent the same transactions again: the line of writes grew faster than it was served, and a
-    pool of machines that nobody wanted was paid for to the end of the day (found in inc-0137 and a drawn day)."""
+    """Guards against transactions of the leader that are sent again while they are in progress.
+
+    Each round of the leader sent them again, so the backlog of writes grew faster than it was
+    served, and machines that no job needed were never returned.
+    """
 
     async def main(net: simtime.Net) -> Service:
         service = Service(net, machines=40, capacity=40)
         await service.start()
         await asyncio.sleep(1)
-        inner = service.state.handle
-        on_commit: list[int] = []
+        handle = service.state.handle
+        decommissions: list[int] = []  # in each transaction
 
         async def count(request: Any) -> Any:
             if request.target == "/txn":
                 writes = json.loads(request.body).get("writes", [])
-                on_commit.append(
+                decommissions.append(
                     sum(
                         "x" in write.get("value", {})
                         for write in writes
                         if write.get("set", "").startswith("machine/")
                     )
                 )
-            return await inner(request)
+            return await handle(request)
 
         service.state.server.handler = count
         service.state.slow = 0.3
         while service.world.workers:
             await asyncio.sleep(1.0)
             assert service.now() < 90
-        assert sum(on_commit) <= 2 * 40
+        assert sum(decommissions) <= 2 * 40
         return service
 
     simtime.run(main, 24, monkeypatch)
 
 
-def test_a_very_large_array_of_short_tasks_costs_few_writes_through_a_crash(
+def test_a_large_array_of_short_tasks_costs_few_writes_through_a_crash(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """25,000 tasks of a few seconds each, on machines that hold a hundred: what is written goes by groups, not by tasks, and a
-    takeover in the middle goes on where the owner before had come to."""
+    """Guards against writes that grow with the number of tasks, in normal operation and failover.
+
+    The array has 1,500 tasks of two seconds. Chunks of tasks are written, not single ones, and the
+    new owner after a crash in the middle goes on where the old one was.
+    """
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await asyncio.sleep(2)
-        writes = [0]
+        write_count = [0]
 
-        def hook(some: list[dict[str, Any]]) -> None:
-            writes[0] += sum(
+        def count(writes: list[dict[str, Any]]) -> None:
+            write_count[0] += sum(
                 (write.get("set") or write["delete"]).startswith(("work/", "job/"))
-                for write in some
+                for write in writes
             )
 
-        service.state.hook = hook
+        service.state.hook = count
         run = job(
             1,
             shares=1500,
@@ -229,20 +241,23 @@
             assert service.now() < 60
         service.crash(next(n for n, c in service.controllers.items() if "red" in c.owners), 2.0)
         assert await service.until_final(["req-000001"], 90) == []
-        assert writes[0] < 1500 / 4
-        # Nothing that had ended well was started again, but for what the crash kept from being written.
+        assert write_count[0] < 1500 / 4
+        # Only tasks whose end the crash kept from being written may have been started again.
         assert service.rules.starts < 1500 * 1.2
 
-    play(monkeypatch, 25, day)
+    play(monkeypatch, 25, scenario)
 
 
-def test_a_job_with_a_mistake_is_told_early_and_cancelled_in_time(
+def test_a_faulty_job_shows_its_reason_early_and_is_cancelled_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its reason is there from the first failure on; parked or being tried again, it ends when its user cancels it; and the
-    machines that it failed on are not given up for it."""
+    """Guards against faulty jobs that users learn of late, cannot cancel, or that cost machines.
 
-    async def day(service: Service) -> None:
+    The reason is given from the first failure on. Parked or being retried, the job ends when its
+    user cancels it, and the machines that it failed on are not decommissioned.
+    """
+
+    async def scenario(service: Service) -> None:
         runs = [job(n, shares=4, fails=1000) for n in (1, 2, 3)]
         for run in runs:
             await service.submit(run)
@@ -254,10 +269,10 @@
                 await service.poll(run["id"])
             assert service.now() < 30
         await asyncio.sleep(10)
-        before = set(service.world.workers)
-        sound = job(9, shares=4)
-        await service.submit(sound)
-        assert await service.until_final([sound["id"]], 40) == []
+        machines = set(service.world.workers)
+        good_job = job(9, shares=4)
+        await service.submit(good_job)
+        assert await service.until_final([good_job["id"]], 40) == []
         for run in runs:
             assert await service.withdraw(run["id"]) == "withdrawn"
         await asyncio.sleep(service.rules.cancel_s / 2)
@@ -268,29 +283,33 @@
         )
         assert (
             not any("suspect" in str(value) for value, _, _ in service.state.keys.values())
-            and before
+            and machines
         )
 
-    play(monkeypatch, 26, day)
+    play(monkeypatch, 26, scenario)
+
 
+def test_a_job_is_reported_done_only_once_that_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an answer of done that another controller takes back.
 
-def test_a_job_is_told_done_only_once_that_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new owner that reads all tasks done and no outcome must not tell its user so before the outcome is written: another
-    controller, which compares the record, would still say queued after that."""
+    A new owner that reads all tasks as done, and no outcome of the job, must not report the job as
+    done before the outcome is written: another controller, which compares the job's record, would
+    still report it as queued after that.
+    """
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=500.0))
         path = "work/red/req-000001/0"
         while not service.state.keys.get(path, ({}, 0, 0))[0].get("p") or not service.rules.starts:
             await asyncio.sleep(0.2)
-        inner = service.state.handle
+        handle = service.state.handle
 
-        async def slow(request: Any) -> Any:
+        async def hold_back_outcome(request: Any) -> Any:
             if request.target == "/txn" and b'"status":"done"' in request.body:
                 await asyncio.sleep(1e6)
-            return await inner(request)
+            return await handle(request)
 
-        service.state.server.handler = slow
+        service.state.server.handler = hold_back_outcome
         for n in range(3):
             service.crash(n, 1.0)
         _, revision, permit = service.state.keys[path]
@@ -308,90 +327,95 @@
             await asyncio.sleep(0.1)
         assert "queued" in answers and "done" not in answers
 
-    play(monkeypatch, 27, day)
+    play(monkeypatch, 27, scenario)
 
 
-def test_a_machine_that_is_lent_to_nobody_keeps_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sent from one controller to the next, it asked five times as often, and lost its lease: what was started there a moment
-    before was killed with it. The leader answers it, under whatever token it has; not while it cannot see what is recorded."""
+def test_an_unassigned_machine_keeps_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against workers without a shard that are redirected until their lease expires.
 
-    async def day(service: Service) -> None:
+    Redirected from one controller to the next, such a worker sent heartbeats five times as often
+    and lost its lease, and a task started there a moment before was killed with that. The leader
+    answers it, whatever its fencing token, unless the leader itself has lost the store.
+    """
+
+    async def scenario(service: Service) -> None:
         lease_s = service.world.lease_s
-        asked: list[float] = []
-        inner = service.world.workers["vm-000000"]._report
+        heartbeats_at: list[float] = []
+        report = service.world.workers["vm-000000"]._report
 
-        async def counted(node: str) -> Any:
-            asked.append(service.now())
-            return await inner(node)
+        async def counted_report(node: str) -> Any:
+            heartbeats_at.append(service.now())
+            return await report(node)
 
-        monkeypatch.setattr(service.world.workers["vm-000000"], "_report", counted)
+        monkeypatch.setattr(service.world.workers["vm-000000"], "_report", counted_report)
         await asyncio.sleep(3 * lease_s)
         assert all(
             worker.tenure == 1 and worker.token == 0 for worker in service.world.workers.values()
         )
-        late = [at for at in asked if at > lease_s]
-        assert len(late) < 2.5 * lease_s / service.world.report_s
-        # Lent when its lease would have been over long ago: what is started goes on to its end.
+        later = [at for at in heartbeats_at if at > lease_s]
+        assert len(later) < 2.5 * lease_s / service.world.report_s
+        # Assigned long after an unrenewed lease would have expired, the machines run their tasks to
+        # the end.
         await service.submit(job(1, shares=8, expect_s=2 * lease_s))
         assert not await service.until_final(["req-000001"], 60)
         assert all(worker.tenure == 1 for worker in service.world.workers.values())
         assert service.rules.starts == 8
         leader = next(c for c in service.controllers.values() if c.leader)
-        free = next(w for w in service.world.workers.values() if not w.shares)
+        idle_worker = next(w for w in service.world.workers.values() if not w.shares)
         for down, status in [(False, 200), (True, 503)]:
             service.state.down = down
             await asyncio.sleep(3.0)
             client = Client(service.world.nodes[leader.label], 8080, keep=0)
-            body = json.dumps(free.message() | {"berth": "vm-009999"}).encode()
+            body = json.dumps(idle_worker.message() | {"berth": "vm-009999"}).encode()
             assert (await client.request("POST", "/checkin", body, 4.0))[0] == status
         service.state.down = False
 
-    play(monkeypatch, 33, day)
+    play(monkeypatch, 33, scenario)
+
 
+def test_an_assignment_in_progress_is_not_decided_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against assignments of the same machines in each round of the leader.
 
-def test_a_loan_under_way_is_not_decided_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A whole fleet stood unrecorded: hundreds of loans at once took half a minute to write, each round chose the same machines
-    again, and half of what the state service takes went into writes that failed."""
+    With a whole fleet unrecorded, hundreds of assignments at once took half a minute to write. Each
+    round chose the same machines again, and half of the store's rate went into writes that failed.
+    """
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await asyncio.sleep(3)
         leader = next(c.leader for c in service.controllers.values() if c.leader)
         assert leader is not None
-        begun: list[list[str]] = []
+        written: list[list[str]] = []  # machines of each call
 
-        async def write(assignments: dict[str, str]) -> None:
-            begun.append(sorted(assignments))
+        async def write_slowly(assignments: dict[str, str]) -> None:
+            written.append(sorted(assignments))
             await asyncio.sleep(5.0)
 
-        inner = leader.assignments._write_assignments
-        monkeypatch.setattr(leader.assignments, "_write_assignments", write)
-        report = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
+        write_assignments = leader.assignments._write_assignments
+        monkeypatch.setattr(leader.assignments, "_write_assignments", write_slowly)
+        heartbeat = Heartbeat("vm-a", "10.1.9.9:9000", "g4", "a", False, 1, 1, False, None, [])
         names = [f"vm-9{n:05d}" for n in range(1000)]
         leader.heartbeats.unrecorded = {
-            name: UnrecordedMachine(msgspec.structs.replace(report, machine=name), service.now())
+            name: UnrecordedMachine(msgspec.structs.replace(heartbeat, machine=name), service.now())
             for name in names
         }
-        most = int(
-            MAX_ASSIGN_S * leader.context.store.usable_rate.writes
-        )  # shares of it come and go
+        # Of the rate of all controllers together, since the share of each varies.
+        max_assigned = int(MAX_ASSIGN_S * leader.context.store.usable_rate.writes)
         await service.submit(job(1, shares=6, accelerators=4.0, owner="red"))
-        while not begun:
+        while not written:
             await asyncio.sleep(0.1)
-        assigned = set(begun[0])
-        assert 0 < len(assigned) <= most
+        assigned = set(written[0])
+        assert 0 < len(assigned) <= max_assigned
         for name in assigned:
             leader.heartbeats.unrecorded.pop(name, None)
-            leader.on_heartbeat(
-                msgspec.structs.replace(report, machine=name), recorded=False
-            )  # it goes on reporting meanwhile
+            # Its worker goes on sending heartbeats meanwhile.
+            leader.on_heartbeat(msgspec.structs.replace(heartbeat, machine=name), recorded=False)
         assert not assigned & set(leader.heartbeats.unrecorded)
         await asyncio.sleep(3.0)
-        assert len(begun) == 1
-        assert not (set(names) - assigned) & set(
-            leader.allocator.pending_assignments
-        )  # the rest stays to be lent
+        assert len(written) == 1
+        # The other machines can still be assigned.
+        assert not (set(names) - assigned) & set(leader.allocator.pending_assignments)
         leader.heartbeats.unrecorded.clear()
-        monkeypatch.setattr(leader.assignments, "_write_assignments", inner)
+        monkeypatch.setattr(leader.assignments, "_write_assignments", write_assignments)
         assert not await service.until_final(["req-000001"], 90)
 
-    play(monkeypatch, 34, day)
+    play(monkeypatch, 34, scenario)
