--- a/ashdock/cli.py
+++ b/ashdock/cli.py
@@ -87,7 +87,7 @@
     except SettingsError as error:
         print(f"ashdock: {error}", file=sys.stderr)
         return 2
-    from ashdock.net import user  # a controller does not need it
+    from ashdock.net import user  # a controller's start need not wait for this import
 
     try:
         return user.run(
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -40,6 +40,8 @@
 RECORD_GROWTH_BYTES = 300  # reserved in a job's record for a reason and the time of its end
 MAX_CONCURRENT_LOOKUPS = 8  # reads of the jobs that a job depends on
 MAX_NAMED_DEPENDENCIES = 10  # in the reason given for a job that waits for other jobs
+CANCEL_ATTEMPTS = 4  # the job's record may change at the same time
+MAX_TRACKED_WORKERS = 5000  # entries of each table of workers; a table with more is cleared
 
 
 class FinalState(NamedTuple):
@@ -430,7 +432,7 @@
     async def withdraw(self, job_id: str) -> Answer:
         """Cancel a job, and answer with its final status once that is durable."""
         context = self.context
-        for _ in range(4):
+        for _ in range(CANCEL_ATTEMPTS):
             final = self.final_states.get(job_id)
             if final:
                 return Answer(200, messages.encode({"id": job_id, "status": final[0]}))
@@ -647,7 +649,7 @@
             response = await owner.on_heartbeat(heartbeat)
             if response is not None:
                 self.redirected.pop(heartbeat.machine, None)
-                if len(self.answered_at) > 5000:
+                if len(self.answered_at) > MAX_TRACKED_WORKERS:
                     self.answered_at.clear()
                 self.answered_at[heartbeat.machine] = time.monotonic()
                 return Answer(200, messages.encode(response))
@@ -698,7 +700,7 @@
                 "renewing lease of a worker without owner in a store outage: machine=%s",
                 heartbeat.machine,
             )
-            if len(self.orphans_renewed) > 5000:
+            if len(self.orphans_renewed) > MAX_TRACKED_WORKERS:
                 self.orphans_renewed.clear()
             self.orphans_renewed.add(heartbeat.machine)
         self.answered_at[heartbeat.machine] = now
@@ -751,7 +753,7 @@
             if reply is not None and reply.status == 200:
                 if forwarding is None:
                     log.info("forwarding heartbeats: machine=%s owner=%s", heartbeat.machine, label)
-                    if len(self.forwarded) > 5000:
+                    if len(self.forwarded) > MAX_TRACKED_WORKERS:
                         self.forwarded.clear()
                     self.forwarded[heartbeat.machine] = OwnerRoute(now, label, token)
                 return Answer(200, reply.body)
@@ -766,6 +768,6 @@
             # This controller may itself be cut off from the owner: a peer may reach it.
             label = context.mesh.other_live_peer(label, context.ttl_s) or label
         self.redirected[heartbeat.machine] = OwnerRoute(now, label, token)
-        if len(self.redirected) > 5000:
+        if len(self.redirected) > MAX_TRACKED_WORKERS:
             self.redirected.clear()
         return Answer(421, messages.encode({"harbour": label}))
--- a/ashdock/settings.py
+++ b/ashdock/settings.py
@@ -134,7 +134,7 @@
 
 # What a controller needs to start: docs/cost.md.
 STARTUP_MB = 32.0  # the interpreter, the imported modules, and the records of a small fleet
-STARTUP_CORE_S = 0.5  # of a whole core until ready, which has to be within an agent lease
+STARTUP_CORE_S = 0.5  # seconds of a whole core until ready, which has to be within an agent lease
 
 
 class MachineLimits(Struct):
@@ -189,7 +189,8 @@
     """How freely machines are rented and kept.
 
     Attributes:
-        idle_boots: how long an empty machine is kept, as a multiple of its type's boot time.
+        idle_boots: how long an empty machine is kept, in boot times of its type; longer for a
+            spot instance.
         spot: whether spot instances may be rented.
         most_machines: the most machines that are rented; 0: no bound but the cloud's.
     """
@@ -206,7 +207,7 @@
 
 
 class Duties(Struct, forbid_unknown_fields=True):
-    """Labels of the controllers that may hold a duty of which there is one leader; empty: all."""
+    """Labels of the controllers that may lead each duty; empty: all may."""
 
     # Renting, returning, assigning and recalling machines, and reconciling the list of the cloud.
     machines: list[Name] = []
