--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -218,7 +218,7 @@
         self.status_reader = StatusReader(
             context.store,
             ANSWER_TIMEOUT_S,
-            self.job_record_seen,
+            self.observe_job,
             context.admission.memory.cached_jobs,
         )
         self.redirected: dict[str, OwnerRoute] = {}
@@ -362,7 +362,7 @@
                     entry = await self._read(dependency) if dependency != spec.id else None
                 if entry is None:
                     return f"{dependency} was never accepted"
-                self.job_record_seen(dependency, entry.value, entry.revision)
+                self.observe_job(dependency, entry.value, entry.revision)
                 if entry.value["status"] != JobStatus.QUEUED:
                     return None
                 known = known_job_of(entry.value, entry.revision)
@@ -443,7 +443,7 @@
                 if entry is None:
                     return error_answer(404, "no such job")
                 if entry.value["status"] != JobStatus.QUEUED:
-                    self.job_record_seen(job_id, entry.value, entry.revision)
+                    self.observe_job(job_id, entry.value, entry.revision)
                     continue
                 record = {
                     **entry.value,
@@ -508,7 +508,7 @@
         self.unsent_reads.pop(job_id, None)
         return await self.context.store.get(f"job/{job_id}", priority=RequestPriority.USER)
 
-    def job_record_seen(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+    def observe_job(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """Take in a job's record, and tell the peers of a cancellation that is new here."""
         self.status_reader.learn(job_id, value, revision)
         if value["status"] in (JobStatus.DONE, JobStatus.WITHDRAWN):
@@ -564,7 +564,7 @@
         if final is None:
             entry = await self.context.store.get(f"job/{job_id}")
             if entry is not None:
-                self.job_record_seen(job_id, entry.value, entry.revision)
+                self.observe_job(job_id, entry.value, entry.revision)
             final = self.final_states.get(job_id)
         return (final.status, final.done_at) if final else None
 
@@ -578,7 +578,7 @@
         )
 
     def _state_answer(self, job_id: str, entry: Entry) -> bytes:
-        self.job_record_seen(job_id, entry.value, entry.revision)
+        self.observe_job(job_id, entry.value, entry.revision)
         final = self.final_states.get(job_id)
         return (
             self._final_answer(job_id, final)
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -47,7 +47,7 @@
 class JobsKnown(Protocol):
     """What this controller remembers of jobs, whoever owns them."""
 
-    def job_record_seen(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+    def observe_job(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """Remember a job's record of the given revision."""
         ...
 
@@ -330,7 +330,7 @@
         shard.load(assigned, list(work), list(parks), self.context.now())
         for job in shard.jobs.values():
             if job.active:  # one whose outcome is still to be written is not over for its user yet
-                self.context.jobs_known.job_record_seen(job.id, job.record(), job.revision)
+                self.context.jobs_known.observe_job(job.id, job.record(), job.revision)
         shard.seen_revision = max(shard.seen_revision, watermark)
 
     # -- one iteration -------------------------------------------------------------------------
--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -16,7 +16,7 @@
 class JobMemory(Protocol):
     """What a controller remembers of jobs, whoever owns them."""
 
-    def job_record_seen(self, job_id: str, value: dict[str, Any], revision: int) -> None:
+    def observe_job(self, job_id: str, value: dict[str, Any], revision: int) -> None:
         """Take in a job's record."""
         ...
 
@@ -95,7 +95,7 @@
         if value is None:
             return
         job_id = path.split("/", 1)[1]
-        self.job_memory.job_record_seen(job_id, value, revision)
+        self.job_memory.observe_job(job_id, value, revision)
         team = spec_of_record(value).team
         owner = self.table.get(team)
         status = value["status"]
--- a/tests/forms/adapter/answers.py
+++ b/tests/forms/adapter/answers.py
@@ -76,7 +76,7 @@
         store = Store(values.get("store", ()))
         home = front_house(store, values)
         front = Front(home)
-        home.jobs_seen = lambda path, value, revision: front.job_record_seen(
+        home.jobs_seen = lambda path, value, revision: front.observe_job(
             path.split("/", 1)[1], value, revision
         )
         method, target, body = values["request"]
--- a/tests/forms/adapter/changes.py
+++ b/tests/forms/adapter/changes.py
@@ -69,7 +69,7 @@
     owners: Any = ShardOwners.__new__(ShardOwners)
     owners.table = {"red": owner}
     owners.job_memory = SimpleNamespace(
-        job_record_seen=lambda *words: None, is_final=lambda job_id: False
+        observe_job=lambda *words: None, is_final=lambda job_id: False
     )
     owners.now = lambda: NOW
     owners.job_cancelled = lambda *words: told.append(["cancelled", *plain(words)])
--- a/tests/forms/adapter/records.py
+++ b/tests/forms/adapter/records.py
@@ -108,7 +108,7 @@
     context = RecordReader()
     front: Any = Front.__new__(Front)
     front.context, front.status_reader, front.final_states = context, context, {}
-    front.job_record_seen(job_id, record, REVISION)
+    front.observe_job(job_id, record, REVISION)
     final = front.final_states.get(job_id)
     return {"final": plain(final), "told": context.told}
 
--- a/tests/forms/adapter/takeovers.py
+++ b/tests/forms/adapter/takeovers.py
@@ -30,7 +30,7 @@
             rng=SimpleNamespace(random=lambda: 0.5),
             shards=replica([]),
             jobs_known=SimpleNamespace(
-                job_record_seen=lambda job, record, revision: seen.append([job, revision])
+                observe_job=lambda job, record, revision: seen.append([job, revision])
             ),
             send_claims=lambda: None,
         )
