--- a/ashdock/cluster_version.py
+++ b/ashdock/cluster_version.py
@@ -19,7 +19,7 @@
 
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.store import Entry, StoreClient
-from ashdock.settings import Other
+from ashdock.settings import OtherController
 
 log = logging.getLogger("ashdock.cluster_version")
 
@@ -48,7 +48,7 @@
     """The attributes of the controller that the cluster version uses."""
 
     label: str
-    others: list[Other]
+    others: list[OtherController]
     ttl_s: float  # lifetime of the membership's store lease, in seconds
     write_limits: WriteLimits
     store: StoreClient
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -25,7 +25,7 @@
 from ashdock.election.fencing import TermFence
 from ashdock.election_loop import ElectionLoop
 from ashdock.frame_dispatch import FrameDispatcher
-from ashdock.front import Front, refused, use_of
+from ashdock.front import Front, refusal_answer, socket_use_of
 from ashdock.gossip import (
     Gossip,
     HeartbeatSource,
@@ -43,7 +43,7 @@
 from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
 from ashdock.peer_reports import PeerReports
-from ashdock.settings import Settings, address
+from ashdock.settings import Settings, parse_address
 from ashdock.shard_commands import ShardCommands
 from ashdock.shard_owner import ShardOwner
 from ashdock.shard_owners import ShardOwners
@@ -177,8 +177,8 @@
         self.jobs.on_change(self.shard_owners.job_changed)
         self.jobs.on_gap = self.shard_owners.job_changes_missed
         self.leaders.on_change(self.election_loop.leader_key_changed)
-        await self.server.start(*address(self.settings.bind, "bind"))
-        await self.mesh.start(*address(self.settings.mesh_addr, "mesh_addr"))
+        await self.server.start(*parse_address(self.settings.bind, "bind"))
+        await self.mesh.start(*parse_address(self.settings.mesh_addr, "mesh_addr"))
         log.info(
             "controller listens: label=%s area=%s bind=%s",
             self.label,
@@ -216,14 +216,14 @@
         self.admission = Admission(self.shared, len(settings.others), weights)
         reserved_sockets = self.admission.shares.reserved
         self.store = StoreClient(
-            *address(settings.outside.state, "outside.state"),
+            *parse_address(settings.outside.state, "outside.state"),
             self.shared,
             self.write_limits,
             reserved_sockets[SocketUse.STORE],
             weights,
         )
         self.cloud = CloudClient(
-            *address(settings.outside.cloud, "outside.cloud"),
+            *parse_address(settings.outside.cloud, "outside.cloud"),
             self.shared,
             reserved_sockets[SocketUse.CLOUD],
         )
@@ -240,7 +240,7 @@
     def _build_mesh(self) -> None:
         """Build the links to the peers, the cancellation broadcast and heartbeat forwarding."""
         peers = [
-            PeerAddress(other.label, *address(other.endpoint, "others"))
+            PeerAddress(other.label, *parse_address(other.endpoint, "others"))
             for other in self.settings.others
         ]
         self.frame_dispatcher = FrameDispatcher()
@@ -256,7 +256,7 @@
         )
         self.broadcast_cancellation = self.cancellations.broadcast
         self.heartbeat_forwarder = HeartbeatForwarder(self)
-        self.relay = self.heartbeat_forwarder.forward
+        self.forward_heartbeat = self.heartbeat_forwarder.forward
 
     def _build_cluster_state(self) -> None:
         """Build the caches of the cluster's state in the store, and what depends on them."""
@@ -296,7 +296,7 @@
         )
         self.state_fresh = self.connectivity.state_fresh
         self.cut_off = self.connectivity.cut_off
-        self.heard_worker = self.connectivity.heartbeat_received
+        self.heartbeat_received = self.connectivity.heartbeat_received
         self.startup_timeline = StartupTimeline(self.connectivity.started)
         self.membership = Membership(self, self.workers.lease_s)
         self.eligible_members = self.membership.eligible_members
@@ -414,7 +414,7 @@
         )
         self.shard_statuses = self.peer_reports.shard_statuses
         self.leaving_machines = self.peer_reports.leaving_machines
-        self.counts = self.peer_reports.task_counts
+        self.task_counts = self.peer_reports.task_counts
 
     def _register_frame_handlers(self) -> None:
         """Register the component that handles each type of peer frame."""
@@ -440,9 +440,9 @@
         self.server = Server(
             self.front.handle,
             admission.connections,
-            use_of,
-            lambda: refused(admission.refuse_connection(time.monotonic())),
+            socket_use_of,
+            lambda: refusal_answer(admission.refuse_connection(time.monotonic())),
             admission,
-            lambda: refused(admission.refuse_body(time.monotonic())),
+            lambda: refusal_answer(admission.refuse_body(time.monotonic())),
             admission.memory.buffer_bytes,
         )
