--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -106,4 +106,4 @@
     def on_echo(self, label: str, echo: WatermarkEcho) -> None:
         """Record the peer's number and advance the watermark by the number that it echoed."""
         self.last_received[label] = echo.number
-        self.watermark.echo_received(label, echo.back, time.monotonic())
+        self.watermark.echo_received(label, echo.echoed_number, time.monotonic())
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -22,12 +22,12 @@
 class HeartbeatHandler(Protocol):
     """Answers the heartbeats of workers at this controller."""
 
-    async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
+    async def checkin(self, body: bytes, forwarded: bool = False) -> Answer:
         """Answer a heartbeat.
 
         Args:
             body: Body of the worker's request.
-            relayed: Whether another controller forwarded it.
+            forwarded: Whether another controller forwarded it.
         """
         ...
 
@@ -105,5 +105,5 @@
             self.context.spawn(self._answer(label, frame))
 
     async def _answer(self, label: str, frame: ForwardedHeartbeat) -> None:
-        answer = await self.context.front.checkin(frame.body, relayed=True)
+        answer = await self.context.front.checkin(frame.body, forwarded=True)
         self.context.mesh.send(label, ForwardReply(frame.number, answer.status, answer.body))
