--- a/ashdock/net/heads.py
+++ b/ashdock/net/heads.py
@@ -1,8 +1,9 @@
-"""Heads of HTTP messages, each checked or written by h11 once for all that are alike.
+"""Heads of HTTP messages, parsed and encoded by h11 once for all messages that have the same head.
 
-Workers ask the same thing of the same controller each second, and differ in the length of what they say at most. Read anew for each, heads were
-two fifths of what answering a report cost (`python -m tests.scale cost`). What is remembered is only what h11 made of these very bytes, and only
-for messages whose body is told by its length; all others are read by h11 event by event (net/http.py).
+Workers send the same request to the same controller each second; at most the length of its body
+differs. Parsing every head anew took two fifths of the time of answering a heartbeat. The caches
+hold only what h11 made of the same bytes, and only for messages whose body ends as Content-Length
+says or that have no body. `ashdock.net.http` parses all others through h11 event by event.
 """
 
 from __future__ import annotations
@@ -13,41 +14,47 @@
 
 import h11
 
-MOST = 512  # bytes of a head that is remembered
-KEPT = 1024  # heads of each kind
-END = b"\r\n\r\n"
-PLAIN = (
+MAX_HEAD_BYTES = 512  # longer heads are not cached
+CACHE_SIZE = 1024  # heads in each cache
+RESPONSE_CACHE_SIZE = 64  # heads of responses that are sent
+HEAD_END = b"\r\n\r\n"
+# Headers that change the end of the body, or what happens to the connection.
+UNCACHED_HEADERS = (
     b"transfer-encoding",
     b"connection",
     b"expect",
     b"upgrade",
-)  # a head with one of these is not remembered
+)
 
 
 Head = TypeVar("Head")
 
 
 class RequestHead(NamedTuple):
+    """What is used of the head of a request; `body_length` is in bytes."""
+
     method: bytes
     target: str
-    length: int  # of its body
+    body_length: int
 
 
 class ResponseHead(NamedTuple):
+    """What is used of the head of a response; `body_length` is in bytes."""
+
     status: int
-    length: int
+    body_length: int
 
 
-def _length(event: h11.Request | h11.Response | h11.InformationalResponse) -> int | None:
-    """Of the body, where nothing but its length tells; None if something else does."""
-    told = dict(event.headers)
-    if event.http_version != b"1.1" or any(name in told for name in PLAIN):
+def _body_length(event: h11.Request | h11.Response | h11.InformationalResponse) -> int | None:
+    """Return the Content-Length, -1 if there is none, or None if the head may not be cached."""
+    headers = dict(event.headers)
+    if event.http_version != b"1.1" or any(name in headers for name in UNCACHED_HEADERS):
         return None
-    return int(told.get(b"content-length", b"-1"))
+    return int(headers.get(b"content-length", b"-1"))
 
 
-@lru_cache(maxsize=KEPT)
-def _request(head: bytes) -> RequestHead | None:
+@lru_cache(maxsize=CACHE_SIZE)
+def _parse_request(head: bytes) -> RequestHead | None:
     connection = h11.Connection(h11.SERVER)
     connection.receive_data(head)
     try:
@@ -56,17 +63,18 @@
         return None
     if not isinstance(event, h11.Request) or connection.trailing_data[0]:
         return None
-    length = _length(event)
+    body_length = _body_length(event)
     return (
         None
-        if length is None
-        else RequestHead(event.method, event.target.decode("ascii"), max(length, 0))
+        if body_length is None
+        else RequestHead(event.method, event.target.decode("ascii"), max(body_length, 0))
     )
 
 
-@lru_cache(maxsize=KEPT)
-def _response(head: bytes) -> ResponseHead | None:
+@lru_cache(maxsize=CACHE_SIZE)
+def _parse_response(head: bytes) -> ResponseHead | None:
     connection = h11.Connection(h11.CLIENT)
+    # h11 parses a response only after a request; that of a GET is read like that of a POST.
     connection.send(h11.Request(method="GET", target="/", headers=[(b"host", b"any")]))
     connection.send(h11.EndOfMessage())
     connection.receive_data(head)
@@ -77,31 +85,41 @@
     if (
         not isinstance(event, h11.Response)
         or connection.trailing_data[0]
-        or event.status_code in (204, 304)
+        or event.status_code in (204, 304)  # have no body, whatever their Content-Length
     ):
         return None
-    length = _length(event)
-    return None if length is None or length < 0 else ResponseHead(event.status_code, length)
+    body_length = _body_length(event)
+    return (
+        None
+        if body_length is None or body_length < 0
+        else ResponseHead(event.status_code, body_length)
+    )
 
 
-def _divided(data: bytes, read: Callable[[bytes], Head | None]) -> tuple[Head, bytes] | None:
-    end = data.find(END, 0, MOST)
-    head = read(data[: end + 4]) if end > 0 else None
+def _parse(data: bytes, parse_head: Callable[[bytes], Head | None]) -> tuple[Head, bytes] | None:
+    end = data.find(HEAD_END, 0, MAX_HEAD_BYTES)
+    head = parse_head(data[: end + 4]) if end > 0 else None
     return None if head is None else (head, data[end + 4 :])
 
 
-def request_of(data: bytes) -> tuple[RequestHead, bytes] | None:
-    """The head that the data begins with and what follows it; None if it is not whole, or has to be read by h11."""
-    return _divided(data, _request)
+def parse_request_head(data: bytes) -> tuple[RequestHead, bytes] | None:
+    """Parse the head of a request that `data` begins with.
+
+    Returns:
+        The head and the bytes after it; None if the head is incomplete, longer than
+        `MAX_HEAD_BYTES`, or to be parsed by h11 event by event.
+    """
+    return _parse(data, _parse_request)
 
 
-def response_of(data: bytes) -> tuple[ResponseHead, bytes] | None:
-    """The same of an answer."""
-    return _divided(data, _response)
+def parse_response_head(data: bytes) -> tuple[ResponseHead, bytes] | None:
+    """Parse the head of a response that `data` begins with; see `parse_request_head`."""
+    return _parse(data, _parse_response)
 
 
-@lru_cache(maxsize=KEPT)
-def _asking(host: str, method: str, target: str, json: bool) -> bytes:
+@lru_cache(maxsize=CACHE_SIZE)
+def _encode_request_head(host: str, method: str, target: str, json: bool) -> bytes:
+    """Encode a head up to the value of Content-Length, which is its last header."""
     headers = [(b"host", host.encode())]
     if json:
         headers.append((b"content-type", b"application/json"))
@@ -110,18 +128,23 @@
         h11.Connection(h11.CLIENT).send(h11.Request(method=method, target=target, headers=headers))
         or b""
     )
-    return head.removesuffix(b"0" + END)
+    return head.removesuffix(b"0" + HEAD_END)
 
 
-def asking(host: str, method: str, target: str, body: bytes) -> bytes:
-    """A request as it is sent."""
-    return b"%b%d\r\n\r\n%b" % (_asking(host, method, target, bool(body)), len(body), body)
+def encode_request(host: str, method: str, target: str, body: bytes) -> bytes:
+    """Encode a request; a body that is not empty is declared as JSON."""
+    return b"%b%d\r\n\r\n%b" % (
+        _encode_request_head(host, method, target, bool(body)),
+        len(body),
+        body,
+    )
 
 
-@lru_cache(maxsize=64)
-def _answering(
+@lru_cache(maxsize=RESPONSE_CACHE_SIZE)
+def _encode_response_head(
     status: int, reason: bytes, content_type: bytes, retry_after: int | None, close: bool
 ) -> bytes:
+    """Encode a head up to the value of Content-Length, which is its last header."""
     headers = [(b"content-type", content_type)]
     if retry_after is not None:
         headers.append((b"retry-after", str(retry_after).encode()))
@@ -129,20 +152,33 @@
         headers.append((b"connection", b"close"))
     headers.append((b"content-length", b"0"))
     connection = h11.Connection(h11.SERVER)
-    connection.receive_data(b"GET / HTTP/1.1\r\nhost: any" + END)
+    # h11 encodes a response only after a request has been received.
+    connection.receive_data(b"GET / HTTP/1.1\r\nhost: any" + HEAD_END)
     while not isinstance(connection.next_event(), h11.EndOfMessage):
         pass
     head = connection.send(h11.Response(status_code=status, headers=headers, reason=reason)) or b""
-    return head.removesuffix(b"0" + END)
+    return head.removesuffix(b"0" + HEAD_END)
 
 
-def answering(
+def encode_response_head(
     status: int,
     reason: bytes,
     content_type: bytes,
     retry_after: int | None,
     close: bool,
-    length: int,
+    body_length: int,
 ) -> bytes:
-    """The head of an answer whose body has that length."""
-    return b"%b%d\r\n\r\n" % (_answering(status, reason, content_type, retry_after, close), length)
+    """Encode the head of a response.
+
+    Args:
+        status: the HTTP status.
+        reason: the reason phrase.
+        content_type: value of the Content-Type header.
+        retry_after: seconds for the Retry-After header; None: no such header.
+        close: whether a header says that the connection is closed after the response.
+        body_length: length of the body in bytes.
+    """
+    return b"%b%d\r\n\r\n" % (
+        _encode_response_head(status, reason, content_type, retry_after, close),
+        body_length,
+    )
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -1,4 +1,8 @@
-"""HTTP/1.1 on asyncio streams, by h11: a server with bounds on everything, and a small pooled client."""
+"""HTTP/1.1 on asyncio streams: a server with limits, and a small client with a connection pool.
+
+Messages whose head `ashdock.net.heads` can cache are parsed by it; all others go through h11 event
+by event. The server limits connections, request time, head and body sizes, and memory for bodies.
+"""
 
 from __future__ import annotations
 
@@ -18,42 +22,63 @@
 
 log = logging.getLogger("ashdock.http")
 
-MOST_BODY = 64 * 1024
-MOST_HEAD = 16 * 1024
-MOST_READ = 256 * 1024  # of an answer at a time
+MAX_BODY_BYTES = 64 * 1024  # of a request; also the most that is read from its connection at once
+MAX_HEAD_BYTES = 16 * 1024
+MAX_READ_BYTES = 256 * 1024  # of a response, in one read
 
 
 class Request(NamedTuple):
+    """An HTTP request without its headers."""
+
     method: str
     target: str
     body: bytes
 
 
 class Received(NamedTuple):
-    """A request that has come, whether another may follow it on its connection, and what of that one is here already."""
+    """A request received over a connection.
+
+    Attributes:
+        request: the request.
+        reusable: whether the connection may carry another request.
+        read_ahead: bytes already read of the next request.
+    """
 
     request: Request
-    unleased: bool
-    ahead: bytes
+    reusable: bool
+    read_ahead: bytes
 
 
-class TooLarge(Exception):
-    """A body beyond the limit."""
+class BodyTooLargeError(Exception):
+    """A request's body exceeds `MAX_BODY_BYTES`."""
 
 
-class NoMemory(Exception):
-    """There is no memory for a body."""
+class BodyMemoryExhaustedError(Exception):
+    """There is too little memory for a request's body."""
 
 
-class Bodies(Protocol):
-    """Who tells how many bytes of bodies may be here at once."""
+class BodyMemory(Protocol):
+    """Limits the memory of all request bodies that are held at once."""
 
-    def reserve_body(self, size: int, use: SocketUse) -> bool: ...
+    def reserve_body(self, size: int, use: SocketUse) -> bool:
+        """Reserve `size` bytes of a body; False if there is too little memory."""
+        ...
 
-    def release_body(self, size: int) -> None: ...
+    def release_body(self, size: int) -> None:
+        """Release `size` bytes that were reserved."""
+        ...
 
 
 class Answer(NamedTuple):
+    """An HTTP response.
+
+    Attributes:
+        status: the HTTP status.
+        body: the whole body.
+        retry_after: seconds for the Retry-After header; None: no such header.
+        content_type: value of the Content-Type header.
+    """
+
     status: int
     body: bytes = b""
     retry_after: int | None = None
@@ -76,9 +101,12 @@
 }
 
 
-def message(answer: Answer, close: bool, body: bool = True) -> bytes:
-    """An answer as it is sent. Without its `body` for HEAD."""
-    head = heads.answering(
+def encode_response(answer: Answer, close: bool, include_body: bool = True) -> bytes:
+    """Encode a response; a response to HEAD has `include_body` unset.
+
+    With `close`, a header tells the client that the connection is closed after it.
+    """
+    head = heads.encode_response_head(
         answer.status,
         REASONS.get(answer.status, b""),
         answer.content_type,
@@ -86,64 +114,90 @@
         close,
         len(answer.body),
     )
-    return head + answer.body if body else head
+    return head + answer.body if include_body else head
 
 
-def all_alike(target: str) -> SocketUse:
+def always_user(target: str) -> SocketUse:
+    """Classify every request as one of a user."""
     return SocketUse.USER
 
 
-def no_place() -> Answer:
+def no_connection_available() -> Answer:
+    """Build the default response to a client that the server has no resources for."""
     return Answer(503, b'{"error":"no connection to spare"}', retry_after=1)
 
 
 def plain_connections(most: int, idle_s: float = 60.0, slow_s: float = 10.0) -> Connections:
-    """One that tells no callers apart."""
+    """Create a connection table whose limit is not divided among uses.
+
+    Args:
+        most: limit of the open connections.
+        idle_s: how long a connection may be idle.
+        slow_s: how long a request may take to be received and answered.
+    """
     return Connections(undivided_shares(most), idle_s, slow_s)
 
 
 class Server:
-    """Serves the connections that its table of them admits; what is slow or silent is closed.
-
-    `use_of` tells by a request's target what a connection is for; `refused` makes the answer to whom there is no place for, `full` to whom there is
-    no memory for by `bodies`. A connection's unread bytes are held up to twice `buffer`.
+    """Serves the connections that its connection table admits, and closes slow and idle ones.
+
+    Attributes:
+        handler: answers a request.
+        connections: the connection table.
+        use_of: tells what a connection is used for by the target of its request.
+        refused: builds the response to a connection or request that the table refuses.
+        body_memory: limits the memory for bodies; None: unlimited.
+        memory_refusal: builds the response to a request that there is no memory for.
+        buffer_bytes: read buffer of a connection. asyncio stops reading from the socket when more
+            than twice as much is unread.
+        reserved_bytes: memory reserved for the body of each connection's request.
+        open: the open connections.
+        server: the listening server; None before `start`.
+        timeout_task: closes overdue connections; None before `start`.
     """
 
     def __init__(
         self,
         handler: Handler,
         connections: Connections,
-        use_of: Callable[[str], SocketUse] = all_alike,
-        refused: Callable[[], Answer] = no_place,
-        bodies: Bodies | None = None,
-        full: Callable[[], Answer] = no_place,
-        buffer: int = MOST_BODY,
+        use_of: Callable[[str], SocketUse] = always_user,
+        refused: Callable[[], Answer] = no_connection_available,
+        body_memory: BodyMemory | None = None,
+        memory_refusal: Callable[[], Answer] = no_connection_available,
+        buffer_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        self.bodies, self.full, self.buffer = bodies, full, buffer
-        self.held: dict[asyncio.StreamWriter, int] = {}  # bytes of its request's body
+        """Open nothing yet; see the class for the arguments."""
+        self.body_memory, self.memory_refusal, self.buffer_bytes = (
+            body_memory,
+            memory_refusal,
+            buffer_bytes,
+        )
+        self.reserved_bytes: dict[asyncio.StreamWriter, int] = {}
         self.handler = handler
         self.connections = connections
         self.use_of = use_of
         self.refused = refused
         self.open: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
-        self.sweeper: asyncio.Task[None] | None = None
+        self.timeout_task: asyncio.Task[None] | None = None
 
     async def start(self, host: str, port: int) -> None:
+        """Listen on an address. Raises OSError if it cannot be bound."""
         self.server = await asyncio.start_server(
-            self._serve, host, port, backlog=128, limit=self.buffer
+            self._serve, host, port, backlog=128, limit=self.buffer_bytes
         )
-        self.sweeper = asyncio.create_task(self._sweep())
+        self.timeout_task = asyncio.create_task(self._close_overdue())
 
     async def stop(self) -> None:
-        if self.sweeper:
-            self.sweeper.cancel()
+        """Stop listening and abort all open connections."""
+        if self.timeout_task:
+            self.timeout_task.cancel()
         if self.server:
             self.server.close()
         for writer in list(self.open):
             writer.transport.abort()
 
-    async def _sweep(self) -> None:
+    async def _close_overdue(self) -> None:
         while True:
             await asyncio.sleep(self.connections.request_timeout_s / 4)
             for writer in self.connections.end_overdue(time.monotonic()):
@@ -152,9 +206,12 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         arrival = self.connections.admit(writer, time.monotonic())
         if not arrival.admitted:
-            # Full: say so at once rather than let the connection hang.
+            # Refuses at once, so that the client does not wait for its timeout.
             answer = self.refused()
-            head = f"HTTP/1.1 {answer.status} {REASONS[answer.status].decode()}\r\nRetry-After: {answer.retry_after or 1}\r\n"
+            head = (
+                f"HTTP/1.1 {answer.status} {REASONS[answer.status].decode()}\r\n"
+                f"Retry-After: {answer.retry_after or 1}\r\n"
+            )
             writer.write(head.encode() + b"Content-Length: 0\r\nConnection: close\r\n\r\n")
             writer.close()
             return
@@ -162,33 +219,37 @@
             arrival.evicted.transport.abort()  # type: ignore[attr-defined]
         self.open.add(writer)
         try:
-            ahead: bytes | None = b""
-            while ahead is not None:
-                ahead = await self._one(ahead, reader, writer)
-                self._let_go(writer)
+            read_ahead: bytes | None = b""
+            while read_ahead is not None:
+                read_ahead = await self._serve_one_request(read_ahead, reader, writer)
+                self._release_body(writer)
         except (OSError, EOFError, asyncio.IncompleteReadError):
             pass
-        except h11.ProtocolError as why:
-            self._refuse(writer, str(why))
+        except h11.ProtocolError as error:
+            self._refuse_malformed(writer, str(error))
         finally:
-            self._let_go(writer)
+            self._release_body(writer)
             self.connections.connection_closed(writer)
             self.open.discard(writer)
             writer.close()
 
-    def _holds(self, writer: asyncio.StreamWriter, size: int, target: str) -> None:
-        """So many bytes more of a body come over this connection. Raises NoMemory."""
-        if size and self.bodies is not None:
-            if not self.bodies.reserve_body(size, self.use_of(target)):
-                raise NoMemory
-            self.held[writer] = self.held.get(writer, 0) + size
+    def _reserve_body(self, writer: asyncio.StreamWriter, size: int, target: str) -> None:
+        """Reserve memory for `size` more bytes of the body of a connection's request.
 
-    def _let_go(self, writer: asyncio.StreamWriter) -> None:
-        size = self.held.pop(writer, 0)
-        if size and self.bodies is not None:
-            self.bodies.release_body(size)
+        Raises:
+            BodyMemoryExhaustedError: there is too little memory; nothing more was reserved.
+        """
+        if size and self.body_memory is not None:
+            if not self.body_memory.reserve_body(size, self.use_of(target)):
+                raise BodyMemoryExhaustedError
+            self.reserved_bytes[writer] = self.reserved_bytes.get(writer, 0) + size
 
-    async def _event(
+    def _release_body(self, writer: asyncio.StreamWriter) -> None:
+        size = self.reserved_bytes.pop(writer, 0)
+        if size and self.body_memory is not None:
+            self.body_memory.release_body(size)
+
+    async def _next_event(
         self, connection: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> h11.Event:
         while True:
@@ -199,236 +260,306 @@
                 writer.write(
                     connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
                 )
-            data = await reader.read(MOST_BODY)
+            data = await reader.read(MAX_BODY_BYTES)
             if not data and connection.their_state is h11.IDLE:
                 raise EOFError
             connection.receive_data(data)
             self.connections.data_received(writer, time.monotonic())
 
-    async def _one(
-        self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _serve_one_request(
+        self, read_ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bytes | None:
-        """Answer one request, of which `ahead` came with the one before. What came after it, or None when the connection is over."""
-        if not ahead:
-            ahead = await reader.read(MOST_BODY)
-            if not ahead:
+        """Receive one request and answer it.
+
+        Args:
+            read_ahead: bytes of this request that were read with the one before.
+            reader: of the connection.
+            writer: of the connection.
+
+        Returns:
+            The bytes already read of the next request; None if the connection is to be closed.
+        """
+        if not read_ahead:
+            read_ahead = await reader.read(MAX_BODY_BYTES)
+            if not read_ahead:
                 return None
             self.connections.data_received(writer, time.monotonic())
         try:
-            known = heads.request_of(ahead)
+            parsed = heads.parse_request_head(read_ahead)
             received = await (
-                self._by_length(*known, reader, writer)
-                if known
-                else self._by_events(ahead, reader, writer)
+                self._receive_by_length(*parsed, reader, writer)
+                if parsed
+                else self._receive_by_events(read_ahead, reader, writer)
             )
-        except TooLarge:
-            await self._last(writer, Answer(400, b'{"error":"the body exceeds 64 KiB"}'))
+        except BodyTooLargeError:
+            await self._send_last(writer, Answer(400, b'{"error":"the body exceeds 64 KiB"}'))
             return None
-        except NoMemory:
-            await self._last(writer, self.full())
+        except BodyMemoryExhaustedError:
+            await self._send_last(writer, self.memory_refusal())
             return None
         if received is None:
             return None
         request = received.request
         if not self.connections.request_received(writer, self.use_of(request.target)):
-            await self._last(writer, self.refused())
+            await self._send_last(writer, self.refused())
             return None
-        answer = await self._answer(request)
-        # Whose connections have outgrown their share is told to close it together with the answer: no request is on its way then.
-        unleased = (
-            self.connections.keep_after_response(writer, time.monotonic()) and received.unleased
+        answer = await self._handle(request)
+        # If a use has more connections than its share, the client is told to close this one along
+        # with the response: no request is in flight then that would be lost.
+        reusable = (
+            self.connections.keep_after_response(writer, time.monotonic()) and received.reusable
+        )
+        writer.write(
+            encode_response(answer, close=not reusable, include_body=request.method != "HEAD")
         )
-        writer.write(message(answer, close=not unleased, body=request.method != "HEAD"))
         await writer.drain()
-        return received.ahead if unleased else None
+        return received.read_ahead if reusable else None
 
     @staticmethod
-    async def _last(writer: asyncio.StreamWriter, answer: Answer) -> None:
-        """An answer with which the connection is over."""
-        writer.write(message(answer, close=True))
+    async def _send_last(writer: asyncio.StreamWriter, answer: Answer) -> None:
+        """Send a response after which the connection is closed."""
+        writer.write(encode_response(answer, close=True))
         await writer.drain()
 
-    async def _by_length(
+    async def _receive_by_length(
         self,
         head: heads.RequestHead,
         body: bytes,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> Received:
-        """The request with a head that is known, whose body begins with what has come."""
-        if head.length > MOST_BODY:
-            raise TooLarge
-        self._holds(writer, head.length, head.target)
-        while len(body) < head.length:
-            data = await reader.read(MOST_BODY)
+        """Receive the rest of a body whose length is known; `body` is what was read after the head."""
+        if head.body_length > MAX_BODY_BYTES:
+            raise BodyTooLargeError
+        self._reserve_body(writer, head.body_length, head.target)
+        while len(body) < head.body_length:
+            data = await reader.read(MAX_BODY_BYTES)
             if not data:
-                raise h11.RemoteProtocolError("the body is cut short")
+                raise h11.RemoteProtocolError("connection closed before the end of the body")
             self.connections.data_received(writer, time.monotonic())
             body += data
         return Received(
-            Request(head.method.decode("ascii"), head.target, body[: head.length]),
+            Request(head.method.decode("ascii"), head.target, body[: head.body_length]),
             True,
-            body[head.length :],
+            body[head.body_length :],
         )
 
-    async def _by_events(
-        self, ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _receive_by_events(
+        self, read_ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> Received | None:
-        """Any other request. Each has a parser of its own, and only reading goes through it."""
-        connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
-        connection.receive_data(ahead)
-        request = await self._event(connection, reader, writer)
+        """Receive a request through an h11 parser of its own; responses do not go through it.
+
+        Returns:
+            None if no whole request was received.
+        """
+        connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
+        connection.receive_data(read_ahead)
+        request = await self._next_event(connection, reader, writer)
         if not isinstance(request, h11.Request):
             return None
         body = bytearray()
         target = request.target.decode("ascii")
         while True:
-            event = await self._event(connection, reader, writer)
+            event = await self._next_event(connection, reader, writer)
             if isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MOST_BODY:
-                    raise TooLarge
-                self._holds(writer, len(event.data), target)
+                if len(body) > MAX_BODY_BYTES:
+                    raise BodyTooLargeError
+                self._reserve_body(writer, len(event.data), target)
             elif isinstance(event, h11.EndOfMessage):
                 break
             else:
                 return None
-        asked = Request(request.method.decode("ascii"), target, bytes(body))
-        return Received(asked, connection.their_state is h11.DONE, connection.trailing_data[0])
+        complete = Request(request.method.decode("ascii"), target, bytes(body))
+        return Received(complete, connection.their_state is h11.DONE, connection.trailing_data[0])
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _handle(self, request: Request) -> Answer:
         try:
             return await self.handler(request)
-        except Exception:  # one bad request must not take the process down
-            log.exception("%s %s failed", request.method, request.target)
+        except Exception:  # one bad request must not end the process
+            log.exception("request failed: method=%s target=%s", request.method, request.target)
             return Answer(503, b'{"error":"internal"}', retry_after=1)
 
-    def _refuse(self, writer: asyncio.StreamWriter, why: str) -> None:
-        log.debug("refused a message: %s", why)
+    def _refuse_malformed(self, writer: asyncio.StreamWriter, reason: str) -> None:
+        log.debug("malformed request refused: reason=%s", reason)
         writer.write(
-            message(Answer(400, b'{"error":"not HTTP/1.1 as understood here"}'), close=True)
+            encode_response(Answer(400, b'{"error":"not HTTP/1.1 as understood here"}'), close=True)
         )
 
 
 class NoAnswer(Exception):
-    """Nothing came back. If `sent`, the request may still be carried out, even later."""
+    """A request got no response.
 
-    def __init__(self, why: str, sent: bool) -> None:
-        super().__init__(why)
+    Attributes:
+        sent: whether sending had begun, so that the request may be carried out, even later.
+    """
+
+    def __init__(self, reason: str, sent: bool) -> None:
+        """Keep the reason as the error's text."""
+        super().__init__(reason)
         self.sent = sent
 
 
-class _Link:
-    __slots__ = ("reader", "used", "writer")
+class _PooledConnection:
+    __slots__ = ("last_used", "reader", "writer")
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
-        self.used = time.monotonic()
+        self.last_used = time.monotonic()
 
 
 class Client:
-    """Requests to one address over a few kept connections, of which there are `most` at any time (0: no bound).
-
-    What finds none free waits for one, within its own timeout; `first` does not wait, for what a lease hangs on.
+    """Sends requests to one address over a pool of connections.
+
+    A request that finds the limit of connections reached waits for one, within its own timeout.
+
+    Attributes:
+        host: the server's host.
+        port: the server's port.
+        keep: how many idle connections are kept at most.
+        slots: one for each connection that may be in use at once; None: no limit.
+        under_way: number of requests in flight.
+        idle_s: how long a kept connection may be idle before it is not used any more.
+        free: the idle connections, the last used at the right.
+        last_used: monotonic time of the last request.
     """
 
     def __init__(
         self, host: str, port: int, keep: int = 8, idle_s: float = 30.0, most: int = 0
     ) -> None:
+        """Open no connection yet.
+
+        Args:
+            host: the server's host.
+            port: the server's port.
+            keep: how many idle connections are kept at most.
+            idle_s: how long a kept connection may be idle before it is not used any more.
+            most: limit of the requests in flight, except those that skip the queue; 0: no limit.
+        """
         self.host = host
         self.port = port
         self.keep = keep
-        self.places = asyncio.Semaphore(most) if most else None
+        self.slots = asyncio.Semaphore(most) if most else None
         self.under_way = 0
         self.idle_s = idle_s
-        self.free: deque[_Link] = deque()
+        self.free: deque[_PooledConnection] = deque()
         self.last_used = time.monotonic()
 
     @property
     def sockets(self) -> int:
+        """Number of connections, in use and idle."""
         return self.under_way + len(self.free)
 
     async def request(
         self, method: str, target: str, body: bytes, timeout: float, first: bool = False
     ) -> tuple[int, bytes]:
-        sent = [False]
+        """Send a request and wait for the whole response.
+
+        Args:
+            method: the HTTP method; HEAD is not supported.
+            target: path and query.
+            body: sent as JSON if not empty.
+            timeout: seconds, including the wait for a connection.
+            first: do not wait for a connection, even above the limit; for requests that a lease
+                depends on.
+
+        Returns:
+            The HTTP status and the body.
+
+        Raises:
+            NoAnswer: there was no whole response in time.
+        """
+        sent = [False]  # set by `_exchange` once it begins to send
         self.last_used = time.monotonic()
         try:
             async with asyncio.timeout(timeout):
-                if self.places is None or first:
+                if self.slots is None or first:
                     return await self._request(method, target, body, sent)
-                async with self.places:
+                async with self.slots:
                     return await self._request(method, target, body, sent)
-        except (OSError, EOFError, TimeoutError, h11.ProtocolError) as why:
-            raise NoAnswer(str(why) or type(why).__name__, sent[0]) from None
+        except (OSError, EOFError, TimeoutError, h11.ProtocolError) as error:
+            raise NoAnswer(str(error) or type(error).__name__, sent[0]) from None
 
-    async def _connect(self) -> _Link:
+    async def _connect(self) -> _PooledConnection:
         reader, writer = await asyncio.open_connection(self.host, self.port)
         sock = writer.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        return _Link(reader, writer)
+        return _PooledConnection(reader, writer)
 
     async def _request(
         self, method: str, target: str, body: bytes, sent: list[bool]
     ) -> tuple[int, bytes]:
         self.under_way += 1
         try:
-            return await self._over_a_link(method, target, body, sent)
+            return await self._exchange(method, target, body, sent)
         finally:
             self.under_way -= 1
 
-    async def _over_a_link(
+    async def _exchange(
         self, method: str, target: str, body: bytes, sent: list[bool]
     ) -> tuple[int, bytes]:
-        link: _Link | None = None
-        while self.free and link is None:
-            link = self.free.pop()
+        pooled: _PooledConnection | None = None
+        while self.free and pooled is None:
+            pooled = self.free.pop()
             if (
-                link.reader.at_eof()
-                or link.writer.is_closing()
-                or time.monotonic() - link.used > self.idle_s
+                pooled.reader.at_eof()
+                or pooled.writer.is_closing()
+                or time.monotonic() - pooled.last_used > self.idle_s
             ):
-                link.writer.transport.abort()
-                link = None
-        if link is None:
-            link = await self._connect()
-        ok = False
+                pooled.writer.transport.abort()
+                pooled = None
+        if pooled is None:
+            pooled = await self._connect()
+        reusable = False
         try:
             sent[0] = True
-            link.writer.write(heads.asking(self.host, method, target, body))
-            data = await link.reader.read(MOST_READ)
+            pooled.writer.write(heads.encode_request(self.host, method, target, body))
+            data = await pooled.reader.read(MAX_READ_BYTES)
             if not data:
-                raise EOFError("closed before an answer")
-            known = heads.response_of(data)
-            if known is None:
-                status, answer, ok = await self._by_events(data, link.reader)
-                return status, answer
-            head, answer = known
-            shards, left = [answer], head.length - len(answer)
-            while left > 0:
-                data = await link.reader.read(MOST_READ)
+                raise EOFError("connection closed before the response was complete")
+            parsed = heads.parse_response_head(data)
+            if parsed is None:
+                status, body_received, reusable = await self._receive_by_events(data, pooled.reader)
+                return status, body_received
+            head, body_received = parsed
+            chunks, bytes_left = [body_received], head.body_length - len(body_received)
+            while bytes_left > 0:
+                data = await pooled.reader.read(MAX_READ_BYTES)
                 if not data:
-                    raise EOFError("closed before an answer")
-                shards.append(data)
-                left -= len(data)
-            ok = left == 0
-            answer = b"".join(shards)
-            return head.status, answer if ok else answer[: head.length]
+                    raise EOFError("connection closed before the response was complete")
+                chunks.append(data)
+                bytes_left -= len(data)
+            reusable = bytes_left == 0  # the server sent nothing beyond the response
+            body_received = b"".join(chunks)
+            return (
+                head.status,
+                body_received if reusable else body_received[: head.body_length],
+            )
         finally:
-            link.used = time.monotonic()
-            if ok and len(self.free) < self.keep:
-                self.free.append(link)
-            elif ok:
-                link.writer.close()
+            pooled.last_used = time.monotonic()
+            if reusable and len(self.free) < self.keep:
+                self.free.append(pooled)
+            elif reusable:
+                pooled.writer.close()
             else:
-                link.writer.transport.abort()
+                pooled.writer.transport.abort()
 
     @staticmethod
-    async def _by_events(data: bytes, reader: asyncio.StreamReader) -> tuple[int, bytes, bool]:
-        """An answer whose head is not known: its status, its body, and whether the connection can be kept."""
-        connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEAD)
+    async def _receive_by_events(
+        data: bytes, reader: asyncio.StreamReader
+    ) -> tuple[int, bytes, bool]:
+        """Receive a response through h11, beginning with `data`.
+
+        Returns:
+            The status, the body, and whether the connection can be used again.
+
+        Raises:
+            EOFError: the connection was closed too early.
+        """
+        # h11 parses a response only after a request; that of a GET is read like that of a POST.
+        connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         connection.send(h11.Request(method="GET", target="/", headers=[(b"host", b"any")]))
         connection.send(h11.EndOfMessage())
         connection.receive_data(data)
@@ -437,9 +568,9 @@
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                data = await reader.read(MOST_READ)
+                data = await reader.read(MAX_READ_BYTES)
                 if not data and not status:
-                    raise EOFError("closed before an answer")
+                    raise EOFError("connection closed before the response was complete")
                 connection.receive_data(data)
             elif isinstance(event, h11.Response):
                 status = event.status_code
@@ -448,7 +579,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                raise EOFError("closed before an answer")
+                raise EOFError("connection closed before the response was complete")
         return (
             status,
             b"".join(chunks),
@@ -456,5 +587,6 @@
         )
 
     def close(self) -> None:
+        """Close the idle connections."""
         while self.free:
             self.free.pop().writer.transport.abort()
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -145,7 +145,7 @@
 
 # By file, or file:function where one file serves two. The first that fits.
 ACTIVITIES: list[tuple[str, str]] = [
-    ("net/http.py:_over_a_link", "HTTP out"),
+    ("net/http.py:_exchange", "HTTP out"),
     ("net/http.py:request", "HTTP out"),
     ("net/http.py:_request", "HTTP out"),
     ("net/http.py:_connect", "HTTP out"),
@@ -227,8 +227,8 @@
 ]
 # What is counted once for each of its kind, by file:function.
 UNITS = {
-    "HTTP in": "net/http.py:_one",
-    "HTTP out": "net/http.py:_over_a_link",
+    "HTTP in": "net/http.py:_serve_one_request",
+    "HTTP out": "net/http.py:_exchange",
     "reports": "core/heartbeat_reconciler.py:on_heartbeat",
     "passes": "core/scheduler.py:schedule",
     "writing": "core/shard_writer.py:next_transaction",
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -139,7 +139,7 @@
         asyncio.run(served(packets(raw, at))) for at in cuts for _ in range(2)
     ]  # the second time from memory
     with monkeypatch.context() as patch:
-        patch.setattr(heads, "request_of", lambda data: None)
+        patch.setattr(heads, "parse_request_head", lambda data: None)
         plainly = [asyncio.run(served(packets(raw, at))) for at in cuts for _ in range(2)]
     assert twice == plainly
     assert any(asked or out for asked, out in twice) or name == "no end"
@@ -151,7 +151,7 @@
     cuts = sorted({0, 9, raw.find(b"\r\n\r\n") + 4, len(raw) - 1} & set(range(len(raw)))) or [0]
     twice = [asyncio.run(told(packets(raw, at), monkeypatch)) for at in cuts for _ in range(2)]
     with monkeypatch.context() as patch:
-        patch.setattr(heads, "response_of", lambda data: None)
+        patch.setattr(heads, "parse_response_head", lambda data: None)
         plainly = [
             asyncio.run(told(packets(raw, at), monkeypatch)) for at in cuts for _ in range(2)
         ]
@@ -159,7 +159,12 @@
 
 
 def test_what_is_remembered_is_bounded() -> None:
-    for n in range(3 * heads.KEPT):
-        assert heads.request_of(b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n" % n) is not None
-    assert heads._request.cache_info().currsize <= heads.KEPT
-    assert heads.request_of(b"GET /" + b"x" * heads.MOST + b" HTTP/1.1\r\nHost: h\r\n\r\n") is None
+    for n in range(3 * heads.CACHE_SIZE):
+        assert heads.parse_request_head(b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n" % n) is not None
+    assert heads._parse_request.cache_info().currsize <= heads.CACHE_SIZE
+    assert (
+        heads.parse_request_head(
+            b"GET /" + b"x" * heads.MAX_HEAD_BYTES + b" HTTP/1.1\r\nHost: h\r\n\r\n"
+        )
+        is None
+    )
