--- a/ashdock/command_sender.py
+++ b/ashdock/command_sender.py
@@ -10,7 +10,7 @@
 
 from ashdock.core.machine import Machine
 from ashdock.core.shard import Shard
-from ashdock.net.http import NoAnswer
+from ashdock.net.http import NoResponseError
 from ashdock.net.worker import WorkerClient
 from ashdock.wire.messages import Heartbeat, TaskCommand
 
@@ -89,7 +89,7 @@
             self._take_in(shard, machine, heartbeat)
             if status != HTTPStatus.OK:
                 log.debug("direct commands refused: machine=%s status=%d", machine.name, status)
-        except NoAnswer as error:
+        except NoResponseError as error:
             if error.sent:
                 shard.commands.on_direct_unanswered(machine, commands)
             else:
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Shared
 from ashdock.wire.messages import (
@@ -105,7 +105,7 @@
             guard()
         try:
             status, answer = await self.client.request(method, target, body, self.timeout_s)
-        except NoAnswer as error:
+        except NoResponseError as error:
             raise CloudUnavailableError(str(error), outcome_unknown=error.sent) from None
         if status in RETRYABLE or (status == SERVICE_UNAVAILABLE and NO_CAPACITY not in answer):
             raise CloudUnavailableError.from_status(status)
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -328,7 +328,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> Received:
-        """Receive the rest of a body whose length is known; `body` is what was read after the head."""
+        """Receive the rest of a body whose length is known; `body` is what followed the head."""
         if head.body_length > MAX_BODY_BYTES:
             raise BodyTooLargeError
         self._reserve_body(writer, head.body_length, head.target)
@@ -387,7 +387,7 @@
         )
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """A request got no response.
 
     Attributes:
@@ -468,7 +468,7 @@
             The HTTP status and the body.
 
         Raises:
-            NoAnswer: there was no whole response in time.
+            NoResponseError: there was no whole response in time.
         """
         sent = [False]  # set by `_exchange` once it begins to send
         self.last_used = time.monotonic()
@@ -479,7 +479,7 @@
                 async with self.slots:
                     return await self._request(method, target, body, sent)
         except (OSError, EOFError, TimeoutError, h11.ProtocolError) as error:
-            raise NoAnswer(str(error) or type(error).__name__, sent[0]) from None
+            raise NoResponseError(str(error) or type(error).__name__, sent[0]) from None
 
     async def _connect(self) -> _PooledConnection:
         reader, writer = await asyncio.open_connection(self.host, self.port)
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ashdock.core.write_limits import WriteLimits
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.net.rate_limiter import Demand, RateLimiter, RequestPriority, fair_share
 from ashdock.net.store_errors import (
     CompareFailedError,
@@ -192,7 +192,7 @@
             status, answer = await client.request(
                 method, target, body, timeout or self.timeout_s, first=first
             )
-        except NoAnswer as error:
+        except NoResponseError as error:
             self._note_failure(str(error))
             raise StoreUnavailableError(str(error), outcome_unknown=error.sent) from None
         if status == TOO_MANY_REQUESTS:
--- a/ashdock/net/user.py
+++ b/ashdock/net/user.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import address
 
 
@@ -44,7 +44,7 @@
             if status in (400, 404, 405, 422):
                 print(f"ashdock: {last}", file=sys.stderr)
                 return 1
-        except NoAnswer as why:
+        except NoResponseError as why:
             last = str(why)
         if time.monotonic() + 1 > until:
             print(f"ashdock: gave up: {last}", file=sys.stderr)
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import SettingsError, address
 from ashdock.wire.messages import (
     DirectCommands,
@@ -77,7 +77,7 @@
             The worker's reply.
 
         Raises:
-            NoAnswer: none came; its `sent` says whether the commands may still arrive.
+            NoResponseError: none came; its `sent` says whether the commands may still arrive.
         """
         client = self._client(worker_address)
         request = DirectCommands(
@@ -103,7 +103,7 @@
         try:
             host, port = address(worker_address, "worker")
         except SettingsError as error:  # the worker's heartbeat gave an address that is none
-            raise NoAnswer(str(error), sent=False) from None
+            raise NoResponseError(str(error), sent=False) from None
         return Client(host, port, keep=1, idle_s=self.idle_s)
 
     def _close_least_recently_used(self) -> None:
@@ -113,7 +113,7 @@
         are not given more sockets, which heartbeats need; their commands wait for the next heartbeat.
 
         Raises:
-            NoAnswer: all connections are in use.
+            NoResponseError: all connections are in use.
         """
         idle = next(
             (
@@ -126,7 +126,7 @@
         if idle is None:
             self.deferred += 1
             reason = "no connection to spare"
-            raise NoAnswer(reason, sent=False)
+            raise NoResponseError(reason, sent=False)
         self.clients.pop(idle).close()
 
     def close_idle(self) -> None:
--- a/tests/forms/adapter/exchanges.py
+++ b/tests/forms/adapter/exchanges.py
@@ -10,7 +10,7 @@
 
 from ashdock.core.write_limits import WriteLimits
 from ashdock.net.cloud import CloudClient
-from ashdock.net.http import NoAnswer
+from ashdock.net.http import NoResponseError
 from ashdock.net.store import (
     StoreClient,
 )
@@ -41,7 +41,7 @@
         """Note the request; the next answer, or none."""
         self.requests.append([method, target, from_bytes(body)])
         if not self.answers:
-            raise NoAnswer("no answer", sent=True)
+            raise NoResponseError("no answer", sent=True)
         status, answer = self.answers.pop(0)
         return status, to_bytes(answer)
 
--- a/tests/forms/adapter/values.py
+++ b/tests/forms/adapter/values.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ashdock.net.cloud import CloudUnavailableError, NoCapacityError
-from ashdock.net.http import NoAnswer
+from ashdock.net.http import NoResponseError
 from ashdock.net.store import (
     CompareFailedError,
     LeaseLostError,
@@ -37,7 +37,7 @@
     WatchExpiredError: "watch expired",
     CloudUnavailableError: "cloud trouble",
     NoCapacityError: "no capacity",
-    NoAnswer: "no answer",
+    NoResponseError: "no answer",
 }
 
 
@@ -55,7 +55,7 @@
     values: dict[str, Plain] = {"type": kind, "message": str(error)}
     if isinstance(error, (StoreUnavailableError, CloudUnavailableError)):
         values["outcome_unknown"] = error.outcome_unknown
-    if isinstance(error, NoAnswer):
+    if isinstance(error, NoResponseError):
         values["outcome_unknown"] = error.sent
     return values
 
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -43,7 +43,7 @@
 from pympler import asizeof
 
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import Objective, Team
 from tests import cost, courses, simtime, whole
 from tests.fleet import Fleet
@@ -279,7 +279,7 @@
             for n, client in clients.items():
                 try:
                     self.ready[n] = (await client.request("GET", "/ready", b"", 1.0))[0] == 200
-                except NoAnswer:
+                except NoResponseError:
                     self.ready[n] = False
             await asyncio.sleep(1.0)
 
@@ -303,7 +303,7 @@
                 if status not in (200, 201):
                     self.errors[str(status)] += 1
                 return status
-            except NoAnswer as why:
+            except NoResponseError as why:
                 self.leave(user)
                 client = None
                 self.errors["unsent" if not why.sent else "unanswered"] += 1
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,7 +10,7 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote
 
-from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
+from ashdock.net.http import Answer, Client, NoResponseError, Request, Server, plain_connections
 from tests.rules import On, Room, Rules
 from tests.simtime import CALLER, Net, spawn
 
@@ -341,7 +341,7 @@
                 await self.awake.wait()
                 if self.now() - sent > 4.0:
                     return 1.0  # dropped, as any answer that comes so late
-        except NoAnswer:
+        except NoResponseError:
             return 1.0
         if status == 421:
             harbour = json.loads(body).get("harbour")
@@ -392,7 +392,7 @@
             await Client(self.world.nodes[node], 8080, keep=0).request(
                 "POST", "/checkin", told, 4.0
             )
-        except NoAnswer:
+        except NoResponseError:
             pass
 
     async def handle(self, request: Request) -> Answer:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -26,7 +26,7 @@
     socket_shares,
 )
 from ashdock.front import Final, use_of
-from ashdock.net.http import Answer, Client, NoAnswer, Request, Server
+from ashdock.net.http import Answer, Client, NoResponseError, Request, Server
 from ashdock.net.worker import WorkerClient
 from ashdock.status_reader import KnownJob
 from tests import simtime
@@ -293,7 +293,7 @@
             asyncio.create_task(client.send_commands(f"10.1.0.{n}:9000", 1, 1, [])) for n in (4, 5)
         ]
         await asyncio.sleep(0.1)
-        with pytest.raises(NoAnswer) as error:
+        with pytest.raises(NoResponseError) as error:
             await client.send_commands("10.1.0.0:9000", 1, 1, [])
         assert not error.value.sent and client.deferred == 1 and client.sockets == 2
         await asyncio.gather(*hanging, return_exceptions=True)
@@ -319,7 +319,7 @@
         assert client.sockets == 4
         assert (await client.request("POST", "/renew", b"", 1.0, first=True))[0] == 200
         results = await asyncio.gather(*slow_requests, return_exceptions=True)
-        failed = [result for result in results if isinstance(result, NoAnswer)]
+        failed = [result for result in results if isinstance(result, NoResponseError)]
         assert (
             len(failed) == 4
             and not any(error.sent for error in failed if str(error) == "TimeoutError")
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ashdock.net import heads
-from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
+from ashdock.net.http import Answer, Client, NoResponseError, Request, Server, plain_connections
 
 GET = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 POST = b"POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello"
@@ -123,7 +123,7 @@
     client = Client("10.0.0.1", 80)
     try:
         got: Any = await client.request("POST", "/orders", b"{}", 5.0)
-    except NoAnswer as why:
+    except NoResponseError as why:
         got = why.sent
     return got, len(client.free)
 
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ashdock.fairness.slo_attainment import jain
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import NextLimits
 from tests import simtime
 from tests.whole import Service, job
@@ -57,7 +57,7 @@
                 status, headers = await self.ask(
                     host, "POST", "/v2/runs", json.dumps(submission).encode()
                 )
-            except NoAnswer:
+            except NoResponseError:
                 status, headers = 0, {}
             service.rules.answered(
                 submission["id"], status, "queued", submission=True, now=service.now()
@@ -90,9 +90,9 @@
                 head = (await reader.read()).split(b"\r\n\r\n")[0].decode().split("\r\n")
                 writer.close()
         except (OSError, TimeoutError) as why:
-            raise NoAnswer(str(why), True) from None
+            raise NoResponseError(str(why), True) from None
         if len(head[0].split()) < 2:
-            raise NoAnswer("closed", True)
+            raise NoResponseError("closed", True)
         return int(head[0].split()[1]), dict(line.lower().split(": ") for line in head[1:])
 
     async def arrive(self, team: str, rate_per_s: float) -> None:
@@ -158,7 +158,7 @@
             method, target = ("POST", target + "/withdraw") if cancels else ("GET", target)
             try:
                 await Client(f"10.0.0.{n % 3}", 8080, keep=0).request(method, target, b"", 2.0)
-            except NoAnswer:
+            except NoResponseError:
                 pass
             await asyncio.sleep(0.05)
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,7 +13,7 @@
 from ashdock.controller import Controller
 from ashdock.leader.assignments import MAX_ASSIGN_S
 from ashdock.leader.heartbeats import UnrecordedMachine
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.wire.messages import Heartbeat
 from tests import simtime
 from tests.simtime import spawn
@@ -303,7 +303,7 @@
                         "GET", "/v2/runs/req-000001", b"", 2.0
                     )
                     answers.add(json.loads(body).get("status") if status == 200 else str(status))
-                except NoAnswer:
+                except NoResponseError:
                     pass
             await asyncio.sleep(0.1)
         assert "queued" in answers and "done" not in answers
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ashdock.controller import Controller
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import (
     CloudLimits,
     Limits,
@@ -156,7 +156,7 @@
         )
         try:
             status, answer = await client.request(method, target, body, timeout)
-        except NoAnswer:
+        except NoResponseError:
             return None
         return status, json.loads(answer or b"{}")
 
