--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -38,7 +38,7 @@
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudClient
-from ashdock.net.http import Answer, Server
+from ashdock.net.http import Response, Server
 from ashdock.net.mesh import Mesh, PeerAddress
 from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
@@ -153,12 +153,12 @@
         """Give up leadership, which rests on the membership's store lease."""
         self.elector.stop_leading("the membership was lost")
 
-    def metrics(self) -> Answer:
+    def metrics(self) -> Response:
         """The page of metrics."""
         # Imported with the first request for it: it costs start-up time and memory.
         from ashdock.net import metrics
 
-        return Answer(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
+        return Response(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
 
     async def run(self) -> None:
         """Serve until cancelled."""
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -17,7 +17,7 @@
 from ashdock.core.machine import capacity
 from ashdock.core.quota import limit_permits_job
 from ashdock.core.write_limits import WriteLimits
-from ashdock.net.http import Answer, Request
+from ashdock.net.http import Request, Response
 from ashdock.net.mesh import Mesh
 from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import (
@@ -51,11 +51,11 @@
     done_at: float | None  # if that was noted
 
 
-def error(status: int, why: str, retry_after: int | None = None) -> Answer:
-    return Answer(status, messages.encode({"error": why}), retry_after)
+def error(status: int, why: str, retry_after: int | None = None) -> Response:
+    return Response(status, messages.encode({"error": why}), retry_after)
 
 
-def refused(refusal: Refusal) -> Answer:
+def refused(refusal: Refusal) -> Response:
     return error(refusal.status, refusal.reason, refusal.retry_after)
 
 
@@ -128,7 +128,7 @@
 
     def counts(self, team: str, job: str) -> tuple[int, int]: ...
 
-    def metrics(self) -> Answer: ...
+    def metrics(self) -> Response: ...
 
     def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None: ...
 
@@ -153,7 +153,7 @@
             set()
         )  # workers whose leases were kept for an owner that is gone, as the log has told
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         path = request.target.partition("?")[0]
         if path == "/checkin":
             return (
@@ -162,7 +162,7 @@
                 else error(405, "POST only")
             )
         if path == "/ready":
-            return Answer(200, b"{}") if self.context.ready() else error(503, "not ready", 1)
+            return Response(200, b"{}") if self.context.ready() else error(503, "not ready", 1)
         if path == "/v2/runs":
             return (
                 await self.submit(request.body)
@@ -183,7 +183,7 @@
 
     # -- submissions ---------------------------------------------------------------------------------------------
 
-    async def submit(self, body: bytes) -> Answer:
+    async def submit(self, body: bytes) -> Response:
         try:
             spec = messages.job_spec_of(messages.decode_submission(body))
         except MalformedMessageError as why:
@@ -191,7 +191,7 @@
         context = self.context
         final = self.finals.get(spec.id)
         if final:
-            return Answer(200, self._final(spec.id, final))
+            return Response(200, self._final(spec.id, final))
         if not context.catalog:
             return error(503, "the machine types are not known yet", 1)
         if not self._state_usable():
@@ -208,7 +208,7 @@
             return refused(refusal_now)
         now = context.now()
         record = job_record(spec, round(now, 3))
-        refusal: Answer | None = None
+        refusal: Response | None = None
         never = self.never(spec)
         if never:
             refusal = error(422, never)
@@ -230,7 +230,7 @@
             if refusal is not None:
                 # A job that was accepted is never refused afterwards, whatever its later copies say.
                 entry = await self._bounded(self._read(spec.id))
-                return Answer(200, self._state(spec.id, entry)) if entry else refusal
+                return Response(200, self._state(spec.id, entry)) if entry else refusal
         except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
         path = f"job/{spec.id}"
@@ -248,7 +248,7 @@
                 return error(503, "the state service does not answer", self._retry_after())
             if entry is None:
                 return error(503, "try again", 1)
-            return Answer(200, self._state(spec.id, entry))
+            return Response(200, self._state(spec.id, entry))
         except StoreUnavailableError:
             return error(503, "the state service does not answer", self._retry_after())
         log.info(
@@ -260,9 +260,9 @@
             spec.priority,
         )
         context.jobs_seen(path, record, revision)
-        return Answer(201, messages.encode({"id": spec.id, "status": JobStatus.QUEUED}))
+        return Response(201, messages.encode({"id": spec.id, "status": JobStatus.QUEUED}))
 
-    async def _needs_refused(self, spec: JobSpec) -> Answer | None:
+    async def _needs_refused(self, spec: JobSpec) -> Response | None:
         """Why a job cannot wait for what it names, if so. That a job exists may be remembered, that it does not may not."""
         gate = asyncio.Semaphore(NEEDS_AT_ONCE)
 
@@ -312,10 +312,10 @@
 
     # -- status ----------------------------------------------------------------------------------------------------
 
-    async def status(self, job_id: str) -> Answer:
+    async def status(self, job_id: str) -> Response:
         final = self.finals.get(job_id)
         if final:
-            return Answer(200, self._final(job_id, final))
+            return Response(200, self._final(job_id, final))
         if not self._state_usable():
             return error(503, "the state service does not answer", self._retry_after())
         remembered = self.status_reader.known.get(job_id)
@@ -334,17 +334,17 @@
             job_id
         )  # it may have ended meanwhile, and its user have been told elsewhere
         if final:
-            return Answer(200, self._final(job_id, final))
+            return Response(200, self._final(job_id, final))
         if known is None:
             return error(404, "no such job")
-        return Answer(200, self._unfinished(job_id, known))
+        return Response(200, self._unfinished(job_id, known))
 
-    async def withdraw(self, job_id: str) -> Answer:
+    async def withdraw(self, job_id: str) -> Response:
         context = self.context
         for _ in range(4):
             final = self.finals.get(job_id)
             if final:
-                return Answer(200, messages.encode({"id": job_id, "status": final[0]}))
+                return Response(200, messages.encode({"id": job_id, "status": final[0]}))
             if not self._state_usable():
                 break
             try:
@@ -515,7 +515,7 @@
 
     # -- workers ---------------------------------------------------------------------------------------------------------
 
-    async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
+    async def checkin(self, body: bytes, relayed: bool = False) -> Response:
         try:
             report = messages.decode_heartbeat(body)
         except MalformedMessageError as why:
@@ -535,7 +535,7 @@
                 if len(self.answered) > 5000:
                     self.answered.clear()
                 self.answered[report.machine] = time.monotonic()
-                return Answer(200, messages.encode(orders))
+                return Response(200, messages.encode(orders))
             # It waited for a shard that was being read: the machine may have gone to another team meanwhile.
             entry = context.machines.entries.get(f"machine/{report.machine}")
             team = entry.value["p"] if entry else ""
@@ -547,7 +547,7 @@
             ) or error(503, "not the owner")
         return await self._elsewhere(report, body, label, team)
 
-    def _ownerless(self, report: messages.Heartbeat, known: bool) -> Answer:
+    def _ownerless(self, report: messages.Heartbeat, known: bool) -> Response:
         """Of a machine that is lent to nobody the leader keeps the lease, as long as it sees what is recorded and the machine holds
         nothing. Sent on by everybody, such a worker asked five times as often, its lease ran out all the same, and a task
         started there a moment before was killed with it. Told the token that it has, it is as free for its next owner as before."""
@@ -556,15 +556,15 @@
             leader.on_heartbeat(report, known)
             if self.context.state_fresh() and not report.tasks:
                 self.answered[report.machine] = time.monotonic()
-                return Answer(
+                return Response(
                     200, messages.encode(messages.HeartbeatResponse(report.fencing_token, []))
                 )
         label = self.context.leader_label()
         if leader is None and label and label != self.context.label:
-            return Answer(421, messages.encode({"harbour": label}))
+            return Response(421, messages.encode({"harbour": label}))
         return error(503, "lent to nobody yet")
 
-    def _renew_orphan_lease(self, report: messages.Heartbeat) -> Answer | None:
+    def _renew_orphan_lease(self, report: messages.Heartbeat) -> Response | None:
         """Keep a worker's lease while nobody can own it."""
         now = time.monotonic()
         if self.context.state_fresh() or not self.context.orphan_leases.may_renew(report, now):
@@ -578,11 +578,11 @@
                 self.orphans_renewed.clear()
             self.orphans_renewed.add(report.machine)
         self.answered[report.machine] = now
-        return Answer(200, messages.encode(messages.HeartbeatResponse(report.fencing_token, [])))
+        return Response(200, messages.encode(messages.HeartbeatResponse(report.fencing_token, [])))
 
     async def _elsewhere(
         self, report: messages.Heartbeat, body: bytes, label: str, team: str
-    ) -> Answer:
+    ) -> Response:
         """Send a worker to its owner; if it is back here soon, it can't reach the owner, so pass its report on."""
         context = self.context
         now = time.monotonic()
@@ -616,7 +616,7 @@
                     if len(self.relaying) > 5000:
                         self.relaying.clear()
                     self.relaying[report.machine] = Sent(now, label, token)
-                return Answer(200, answer.body)
+                return Response(200, answer.body)
             # Up to two seconds have gone by: whoever did not answer may have been replaced.
             label = context.owner_label(team) or label
         if heartbeat_forwarder or not hears:
@@ -630,4 +630,4 @@
         self.redirected[report.machine] = Sent(now, label, token)
         if len(self.redirected) > 5000:
             self.redirected.clear()
-        return Answer(421, messages.encode({"harbour": label}))
+        return Response(421, messages.encode({"harbour": label}))
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -10,7 +10,7 @@
 from collections.abc import Coroutine
 from typing import Any, Protocol
 
-from ashdock.net.http import Answer
+from ashdock.net.http import Response
 from ashdock.net.mesh import Mesh
 from ashdock.wire.peer_messages import ForwardedHeartbeat, ForwardReply
 
@@ -22,7 +22,7 @@
 class HeartbeatHandler(Protocol):
     """Answers workers at this controller."""
 
-    async def checkin(self, body: bytes, relayed: bool = False) -> Answer:
+    async def checkin(self, body: bytes, relayed: bool = False) -> Response:
         """Answers a heartbeat; `relayed`: another controller has forwarded it."""
         ...
 
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -69,7 +69,7 @@
         ...
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """An HTTP response.
 
     Attributes:
@@ -85,7 +85,7 @@
     content_type: bytes = b"application/json"
 
 
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = Callable[[Request], Awaitable[Response]]
 
 REASONS = {
     200: b"OK",
@@ -101,20 +101,20 @@
 }
 
 
-def encode_response(answer: Answer, close: bool, include_body: bool = True) -> bytes:
+def encode_response(response: Response, close: bool, include_body: bool = True) -> bytes:
     """Encode a response; a response to HEAD has `include_body` unset.
 
     With `close`, a header tells the client that the connection is closed after it.
     """
     head = heads.encode_response_head(
-        answer.status,
-        REASONS.get(answer.status, b""),
-        answer.content_type,
-        answer.retry_after,
+        response.status,
+        REASONS.get(response.status, b""),
+        response.content_type,
+        response.retry_after,
         close,
-        len(answer.body),
+        len(response.body),
     )
-    return head + answer.body if include_body else head
+    return head + response.body if include_body else head
 
 
 def always_user(target: str) -> SocketUse:
@@ -122,9 +122,9 @@
     return SocketUse.USER
 
 
-def no_connection_available() -> Answer:
+def no_connection_available() -> Response:
     """Build the default response to a client that the server has no resources for."""
-    return Answer(503, b'{"error":"no connection to spare"}', retry_after=1)
+    return Response(503, b'{"error":"no connection to spare"}', retry_after=1)
 
 
 def plain_connections(most: int, idle_s: float = 60.0, slow_s: float = 10.0) -> Connections:
@@ -161,9 +161,9 @@
         handler: Handler,
         connections: Connections,
         use_of: Callable[[str], SocketUse] = always_user,
-        refused: Callable[[], Answer] = no_connection_available,
+        refused: Callable[[], Response] = no_connection_available,
         body_memory: BodyMemory | None = None,
-        memory_refusal: Callable[[], Answer] = no_connection_available,
+        memory_refusal: Callable[[], Response] = no_connection_available,
         buffer_bytes: int = MAX_BODY_BYTES,
     ) -> None:
         """Open nothing yet; see the class for the arguments."""
@@ -207,10 +207,10 @@
         arrival = self.connections.admit(writer, time.monotonic())
         if not arrival.admitted:
             # Refuses at once, so that the client does not wait for its timeout.
-            answer = self.refused()
+            response = self.refused()
             head = (
-                f"HTTP/1.1 {answer.status} {REASONS[answer.status].decode()}\r\n"
-                f"Retry-After: {answer.retry_after or 1}\r\n"
+                f"HTTP/1.1 {response.status} {REASONS[response.status].decode()}\r\n"
+                f"Retry-After: {response.retry_after or 1}\r\n"
             )
             writer.write(head.encode() + b"Content-Length: 0\r\nConnection: close\r\n\r\n")
             writer.close()
@@ -292,7 +292,7 @@
                 else self._receive_by_events(read_ahead, reader, writer)
             )
         except BodyTooLargeError:
-            await self._send_last(writer, Answer(400, b'{"error":"the body exceeds 64 KiB"}'))
+            await self._send_last(writer, Response(400, b'{"error":"the body exceeds 64 KiB"}'))
             return None
         except BodyMemoryExhaustedError:
             await self._send_last(writer, self.memory_refusal())
@@ -303,22 +303,22 @@
         if not self.connections.request_received(writer, self.use_of(request.target)):
             await self._send_last(writer, self.refused())
             return None
-        answer = await self._handle(request)
+        response = await self._handle(request)
         # If a use has more connections than its share, the client is told to close this one along
         # with the response: no request is in flight then that would be lost.
         reusable = (
             self.connections.keep_after_response(writer, time.monotonic()) and received.reusable
         )
         writer.write(
-            encode_response(answer, close=not reusable, include_body=request.method != "HEAD")
+            encode_response(response, close=not reusable, include_body=request.method != "HEAD")
         )
         await writer.drain()
         return received.read_ahead if reusable else None
 
     @staticmethod
-    async def _send_last(writer: asyncio.StreamWriter, answer: Answer) -> None:
+    async def _send_last(writer: asyncio.StreamWriter, response: Response) -> None:
         """Send a response after which the connection is closed."""
-        writer.write(encode_response(answer, close=True))
+        writer.write(encode_response(response, close=True))
         await writer.drain()
 
     async def _receive_by_length(
@@ -373,17 +373,19 @@
         complete = Request(request.method.decode("ascii"), target, bytes(body))
         return Received(complete, connection.their_state is h11.DONE, connection.trailing_data[0])
 
-    async def _handle(self, request: Request) -> Answer:
+    async def _handle(self, request: Request) -> Response:
         try:
             return await self.handler(request)
         except Exception:  # one bad request must not end the process
             log.exception("request failed: method=%s target=%s", request.method, request.target)
-            return Answer(503, b'{"error":"internal"}', retry_after=1)
+            return Response(503, b'{"error":"internal"}', retry_after=1)
 
     def _refuse_malformed(self, writer: asyncio.StreamWriter, reason: str) -> None:
         log.debug("malformed request refused: reason=%s", reason)
         writer.write(
-            encode_response(Answer(400, b'{"error":"not HTTP/1.1 as understood here"}'), close=True)
+            encode_response(
+                Response(400, b'{"error":"not HTTP/1.1 as understood here"}'), close=True
+            )
         )
 
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,15 +10,15 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote
 
-from ashdock.net.http import Answer, Client, NoResponseError, Request, Server, plain_connections
+from ashdock.net.http import Client, NoResponseError, Request, Response, Server, plain_connections
 from tests.rules import On, Room, Rules
 from tests.simtime import CALLER, Net, spawn
 
 STATE, CLOUD = "10.2.0.1", "10.2.0.2"
 
 
-def reply(status: int, body: Any) -> Answer:
-    return Answer(status, json.dumps(body).encode())
+def reply(status: int, body: Any) -> Response:
+    return Response(status, json.dumps(body).encode())
 
 
 class State:
@@ -95,7 +95,7 @@
             self.wake.notify_all()
         return self.ledger
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         path, _, query = request.target.partition("?")
         words = {key: value[0] for key, value in parse_qs(query).items()}
         if path == "/changes":
@@ -128,7 +128,7 @@
         value, revision, permit = self.keys[key]
         return reply(200, {"path": key, "value": value, "stamp": revision, "permit": permit})
 
-    async def _txn(self, body: dict[str, Any]) -> Answer:
+    async def _txn(self, body: dict[str, Any]) -> Response:
         writes = body.get("writes", [])
         lost = self.lost(writes) if self.lost and writes else ""
         if lost == "late" or self.rng.random() < self.apply_late:
@@ -162,7 +162,7 @@
         await asyncio.sleep(2 + 10 * self.rng.random())  # also after newer ones
         await self._decide(body)
 
-    async def _decide(self, body: dict[str, Any]) -> Answer:
+    async def _decide(self, body: dict[str, Any]) -> Response:
         writes = body.get("writes", [])
         if any("permit" in write and write["permit"] not in self.holds for write in writes):
             return reply(400, {"error": "no such lease"})
@@ -184,7 +184,7 @@
             self.fenced({c["path"] for c in body.get("when", [])}, writes)
         return reply(200, {"ledger": await self._apply(writes) if writes else self.ledger})
 
-    def _hold(self, request: Request, path: str) -> Answer:
+    def _hold(self, request: Request, path: str) -> Response:
         now = asyncio.get_running_loop().time()
         if path == "/holds":
             ttl = json.loads(request.body)["ttl_ms"] / 1000
@@ -199,7 +199,7 @@
         self.holds[hold] = (now + ttl, ttl)
         return reply(200, {"permit": hold})
 
-    async def _watch(self, words: dict[str, str]) -> Answer:
+    async def _watch(self, words: dict[str, str]) -> Response:
         loop = asyncio.get_running_loop()
         until = loop.time() + int(words.get("hold_ms", 0)) / 1000
         after = int(words["from"])
@@ -395,7 +395,7 @@
         except NoResponseError:
             pass
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         held = self.world.held_orders
         if held and request.target == "/orders" and self.world.rng.random() < held[0]:
             await asyncio.sleep(
@@ -633,7 +633,7 @@
         self.waiting[key] -= 1
         return False
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         path = request.target.partition("?")[0]
         if self.down:
             return reply(503, {"error": "trouble"})
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -26,7 +26,7 @@
     socket_shares,
 )
 from ashdock.front import Final, use_of
-from ashdock.net.http import Answer, Client, NoResponseError, Request, Server
+from ashdock.net.http import Client, NoResponseError, Request, Response, Server
 from ashdock.net.worker import WorkerClient
 from ashdock.status_reader import KnownJob
 from tests import simtime
@@ -276,12 +276,12 @@
     """
 
     async def main(net: simtime.Net) -> None:
-        async def handle(request: Request) -> Answer:
-            return Answer(200, b"{}")
+        async def handle(request: Request) -> Response:
+            return Response(200, b"{}")
 
-        async def never_answer(request: Request) -> Answer:
+        async def never_answer(request: Request) -> Response:
             await asyncio.sleep(1e6)
-            return Answer(200)
+            return Response(200)
 
         for n in range(6):
             await Server(never_answer if n > 3 else handle, limited(100)).start(f"10.1.0.{n}", 9000)
@@ -306,9 +306,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main(net: simtime.Net) -> None:
-        async def handle(request: Request) -> Answer:
+        async def handle(request: Request) -> Response:
             await asyncio.sleep(0.0 if request.target == "/renew" else 3.0)
-            return Answer(200, b"{}")
+            return Response(200, b"{}")
 
         await Server(handle, limited(100)).start("10.2.0.1", 2379)
         client = Client("10.2.0.1", 2379, most=4)
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ashdock.net import heads
-from ashdock.net.http import Answer, Client, NoResponseError, Request, Server, plain_connections
+from ashdock.net.http import Client, NoResponseError, Request, Response, Server, plain_connections
 
 GET = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 POST = b"POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello"
@@ -99,9 +99,9 @@
     """What a server was asked over a connection, and what it said."""
     asked: list[Request] = []
 
-    async def handler(request: Request) -> Answer:
+    async def handler(request: Request) -> Response:
         asked.append(request)
-        return Answer(200, b"{}")
+        return Response(200, b"{}")
 
     reader, writer = asyncio.StreamReader(), Writer()
     server = Server(handler, plain_connections(4))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -17,7 +17,7 @@
     ResourceRequest,
     ShardStatus,
 )
-from ashdock.net.http import Answer, Client, Request, Server, plain_connections
+from ashdock.net.http import Client, Request, Response, Server, plain_connections
 from ashdock.settings import SettingsError, load, load_operators
 from ashdock.wire import frames
 from ashdock.wire.frame_errors import FrameError
@@ -296,10 +296,10 @@
 def test_http_messages(sent: bytes, expected: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Also the slow and the silent: closed in time, and nothing of them kept."""
 
-    async def handle(request: Request) -> Answer:
+    async def handle(request: Request) -> Response:
         if request.target == "/boom":
             raise ValueError("planted")
-        return Answer(200, b"{}")
+        return Response(200, b"{}")
 
     async def main(net: simtime.Net) -> bytes:
         server = Server(handle, plain_connections(10, idle_s=20.0, slow_s=5.0))
@@ -316,8 +316,8 @@
 
 
 def test_a_full_server_says_so_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def handle(request: Request) -> Answer:
-        return Answer(200, b"{}")
+    async def handle(request: Request) -> Response:
+        return Response(200, b"{}")
 
     async def main(net: simtime.Net) -> None:
         server = Server(handle, plain_connections(3, idle_s=20.0, slow_s=5.0))
