--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -83,7 +83,7 @@
             shared: the settings that all controllers have in common.
             max_sockets: bound of the open connections; 0: none.
         """
-        self.client = Client(host, port, keep=SOCKETS, most=max_sockets)
+        self.client = Client(host, port, max_idle=SOCKETS, max_connections=max_sockets)
         # Not divided among the controllers: the leader alone calls.
         self.rate_limiter = RateLimiter(shared.cloud.rps * USABLE_RATE)
         self.timeout_s = shared.workers.lease_s / REQUESTS_PER_LEASE
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -127,15 +127,17 @@
     return Response(503, b'{"error":"no connection to spare"}', retry_after=1)
 
 
-def plain_connections(most: int, idle_s: float = 60.0, slow_s: float = 10.0) -> Connections:
+def undivided_connections(
+    max_connections: int, idle_s: float = 60.0, request_timeout_s: float = 10.0
+) -> Connections:
     """Create a connection table whose limit is not divided among uses.
 
     Args:
-        most: limit of the open connections.
+        max_connections: limit of the open connections.
         idle_s: how long a connection may be idle.
-        slow_s: how long a request may take to be received and answered.
+        request_timeout_s: how long a request may take to be received and answered.
     """
-    return Connections(undivided_shares(most), idle_s, slow_s)
+    return Connections(undivided_shares(max_connections), idle_s, request_timeout_s)
 
 
 class Server:
@@ -145,13 +147,13 @@
         handler: answers a request.
         connections: the connection table.
         use_of: tells what a connection is used for by the target of its request.
-        refused: builds the response to a connection or request that the table refuses.
+        connection_refusal: builds the response to a connection or request that the table refuses.
         body_memory: limits the memory for bodies; None: unlimited.
         memory_refusal: builds the response to a request that there is no memory for.
         buffer_bytes: read buffer of a connection. asyncio stops reading from the socket when more
             than twice as much is unread.
         reserved_bytes: memory reserved for the body of each connection's request.
-        open: the open connections.
+        open_connections: their writers.
         server: the listening server; None before `start`.
         timeout_task: closes overdue connections; None before `start`.
     """
@@ -161,7 +163,7 @@
         handler: Handler,
         connections: Connections,
         use_of: Callable[[str], SocketUse] = always_user,
-        refused: Callable[[], Response] = no_connection_available,
+        connection_refusal: Callable[[], Response] = no_connection_available,
         body_memory: BodyMemory | None = None,
         memory_refusal: Callable[[], Response] = no_connection_available,
         buffer_bytes: int = MAX_BODY_BYTES,
@@ -176,8 +178,8 @@
         self.handler = handler
         self.connections = connections
         self.use_of = use_of
-        self.refused = refused
-        self.open: set[asyncio.StreamWriter] = set()
+        self.connection_refusal = connection_refusal
+        self.open_connections: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
         self.timeout_task: asyncio.Task[None] | None = None
 
@@ -194,7 +196,7 @@
             self.timeout_task.cancel()
         if self.server:
             self.server.close()
-        for writer in list(self.open):
+        for writer in list(self.open_connections):
             writer.transport.abort()
 
     async def _close_overdue(self) -> None:
@@ -207,7 +209,7 @@
         arrival = self.connections.admit(writer, time.monotonic())
         if not arrival.admitted:
             # Refuses at once, so that the client does not wait for its timeout.
-            response = self.refused()
+            response = self.connection_refusal()
             head = (
                 f"HTTP/1.1 {response.status} {REASONS[response.status].decode()}\r\n"
                 f"Retry-After: {response.retry_after or 1}\r\n"
@@ -217,7 +219,7 @@
             return
         if arrival.evicted is not None:
             arrival.evicted.transport.abort()  # type: ignore[attr-defined]
-        self.open.add(writer)
+        self.open_connections.add(writer)
         try:
             read_ahead: bytes | None = b""
             while read_ahead is not None:
@@ -230,7 +232,7 @@
         finally:
             self._release_body(writer)
             self.connections.connection_closed(writer)
-            self.open.discard(writer)
+            self.open_connections.discard(writer)
             writer.close()
 
     def _reserve_body(self, writer: asyncio.StreamWriter, size: int, target: str) -> None:
@@ -301,7 +303,7 @@
             return None
         request = received.request
         if not self.connections.request_received(writer, self.use_of(request.target)):
-            await self._send_last(writer, self.refused())
+            await self._send_last(writer, self.connection_refusal())
             return None
         response = await self._handle(request)
         # If a use has more connections than its share, the client is told to close this one along
@@ -419,42 +421,48 @@
     Attributes:
         host: the server's host.
         port: the server's port.
-        keep: how many idle connections are kept at most.
+        max_idle: limit of the idle connections that are kept.
         slots: one for each connection that may be in use at once; None: no limit.
-        under_way: number of requests in flight.
+        in_flight: number of requests in flight.
         idle_s: how long a kept connection may be idle before it is not used any more.
-        free: the idle connections, the last used at the right.
+        idle: the idle connections, the last used at the right.
         last_used: monotonic time of the last request.
     """
 
     def __init__(
-        self, host: str, port: int, keep: int = 8, idle_s: float = 30.0, most: int = 0
+        self,
+        host: str,
+        port: int,
+        max_idle: int = 8,
+        idle_s: float = 30.0,
+        max_connections: int = 0,
     ) -> None:
         """Open no connection yet.
 
         Args:
             host: the server's host.
             port: the server's port.
-            keep: how many idle connections are kept at most.
+            max_idle: limit of the idle connections that are kept.
             idle_s: how long a kept connection may be idle before it is not used any more.
-            most: limit of the requests in flight, except those that skip the queue; 0: no limit.
+            max_connections: limit of the requests in flight, except for those that skip the
+                queue; 0: no limit.
         """
         self.host = host
         self.port = port
-        self.keep = keep
-        self.slots = asyncio.Semaphore(most) if most else None
-        self.under_way = 0
+        self.max_idle = max_idle
+        self.slots = asyncio.Semaphore(max_connections) if max_connections else None
+        self.in_flight = 0
         self.idle_s = idle_s
-        self.free: deque[_PooledConnection] = deque()
+        self.idle: deque[_PooledConnection] = deque()
         self.last_used = time.monotonic()
 
     @property
     def sockets(self) -> int:
         """Number of connections, in use and idle."""
-        return self.under_way + len(self.free)
+        return self.in_flight + len(self.idle)
 
     async def request(
-        self, method: str, target: str, body: bytes, timeout: float, first: bool = False
+        self, method: str, target: str, body: bytes, timeout: float, skip_queue: bool = False
     ) -> tuple[int, bytes]:
         """Send a request and wait for the whole response.
 
@@ -463,8 +471,8 @@
             target: path and query.
             body: sent as JSON if not empty.
             timeout: seconds, including the wait for a connection.
-            first: do not wait for a connection, even above the limit; for requests that a lease
-                depends on.
+            skip_queue: do not wait for a connection, even above the limit; for requests that a
+                lease depends on.
 
         Returns:
             The HTTP status and the body.
@@ -476,7 +484,7 @@
         self.last_used = time.monotonic()
         try:
             async with asyncio.timeout(timeout):
-                if self.slots is None or first:
+                if self.slots is None or skip_queue:
                     return await self._request(method, target, body, sent)
                 async with self.slots:
                     return await self._request(method, target, body, sent)
@@ -493,18 +501,18 @@
     async def _request(
         self, method: str, target: str, body: bytes, sent: list[bool]
     ) -> tuple[int, bytes]:
-        self.under_way += 1
+        self.in_flight += 1
         try:
             return await self._exchange(method, target, body, sent)
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
     async def _exchange(
         self, method: str, target: str, body: bytes, sent: list[bool]
     ) -> tuple[int, bytes]:
         pooled: _PooledConnection | None = None
-        while self.free and pooled is None:
-            pooled = self.free.pop()
+        while self.idle and pooled is None:
+            pooled = self.idle.pop()
             if (
                 pooled.reader.at_eof()
                 or pooled.writer.is_closing()
@@ -541,8 +549,8 @@
             )
         finally:
             pooled.last_used = time.monotonic()
-            if reusable and len(self.free) < self.keep:
-                self.free.append(pooled)
+            if reusable and len(self.idle) < self.max_idle:
+                self.idle.append(pooled)
             elif reusable:
                 pooled.writer.close()
             else:
@@ -590,5 +598,5 @@
 
     def close(self) -> None:
         """Close the idle connections."""
-        while self.free:
-            self.free.pop().writer.transport.abort()
+        while self.idle:
+            self.idle.pop().writer.transport.abort()
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -107,7 +107,10 @@
                 "since when cancellations confirmed elsewhere may be unknown here",
                 context.cancellations_age(),
             ),
-            "ashdock_user_connections": ("open connections", float(len(context.server.open))),
+            "ashdock_user_connections": (
+                "open connections",
+                float(len(context.server.open_connections)),
+            ),
         }
         for name, (text, value) in plain.items():
             yield GaugeMetricFamily(name, text, value=value)
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -114,8 +114,8 @@
         """
         self.write_limits = write_limits
         max_requests = max(max_sockets - WATCH_SOCKETS, MIN_REQUEST_SOCKETS) if max_sockets else 0
-        self.client = Client(host, port, keep=REQUEST_SOCKETS, most=max_requests)
-        self.watch_client = Client(host, port, keep=WATCH_SOCKETS)
+        self.client = Client(host, port, max_idle=REQUEST_SOCKETS, max_connections=max_requests)
+        self.watch_client = Client(host, port, max_idle=WATCH_SOCKETS)
         self.controllers = shared.size
         self.usable_rate = _usable_rate(write_limits)
         self.request_limiter = RateLimiter(
@@ -183,14 +183,14 @@
         body: bytes = b"",
         timeout: float | None = None,
         watch: bool = False,
-        first: bool = False,
+        skip_queue: bool = False,
     ) -> tuple[int, bytes]:
         """Send a request; its status, if that is no failure of the store, and the answer's body."""
         started_at = time.monotonic()
         client = self.watch_client if watch else self.client
         try:
             status, answer = await client.request(
-                method, target, body, timeout or self.timeout_s, first=first
+                method, target, body, timeout or self.timeout_s, skip_queue=skip_queue
             )
         except NoResponseError as error:
             self._note_failure(str(error))
@@ -354,7 +354,7 @@
         """
         await self.request_limiter.acquire(1, RequestPriority.USER)
         body = msgspec.json.encode(LeaseRequest(ttl_ms))
-        status, answer = await self._call("POST", "/holds", body, first=True)
+        status, answer = await self._call("POST", "/holds", body, skip_queue=True)
         if status != OK:
             raise StoreUnavailableError.from_status(status)
         return self._decode(lease_decoder, answer).lease
@@ -367,7 +367,9 @@
             StoreUnavailableError: no proper answer within `timeout` seconds.
         """
         self.request_limiter.try_acquire(1)
-        status, _ = await self._call("POST", f"/holds/{lease}/renew", timeout=timeout, first=True)
+        status, _ = await self._call(
+            "POST", f"/holds/{lease}/renew", timeout=timeout, skip_queue=True
+        )
         if status == NOT_FOUND:
             raise LeaseLostError(lease)
         if status != OK:
--- a/ashdock/net/user.py
+++ b/ashdock/net/user.py
@@ -30,7 +30,7 @@
 
 async def _ask(host: str, port: int, method: str, target: str, body: bytes, patience: float) -> int:
     """0 for success, 1 for a final refusal, 3 when time ran out."""
-    client = Client(host, port, keep=1)
+    client = Client(host, port, max_idle=1)
     until = time.monotonic() + patience
     last = "no answer"
     while True:
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -104,7 +104,7 @@
             host, port = address(worker_address, "worker")
         except SettingsError as error:  # the worker's heartbeat gave an address that is none
             raise NoResponseError(str(error), sent=False) from None
-        return Client(host, port, keep=1, idle_s=self.idle_s)
+        return Client(host, port, max_idle=1, idle_s=self.idle_s)
 
     def _close_least_recently_used(self) -> None:
         """Make room for one more connection, among those without a request under way.
@@ -119,7 +119,7 @@
             (
                 worker_address
                 for worker_address, client in self.clients.items()
-                if not client.under_way
+                if not client.in_flight
             ),
             None,
         )
@@ -133,6 +133,6 @@
         """Close connections that have not been used for `idle_s` seconds."""
         now = time.monotonic()
         for worker_address, client in list(self.clients.items()):
-            if now - client.last_used > self.idle_s and not client.under_way:
+            if now - client.last_used > self.idle_s and not client.in_flight:
                 client.close()
                 del self.clients[worker_address]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ashdock.controller import Controller
-from ashdock.net.http import Server, plain_connections
+from ashdock.net.http import Server, undivided_connections
 from ashdock.settings import Operators, Other, Outside, Settings, Shared
 from tests.rules import Rules
 from tests.simtime import Net, spawn
@@ -22,7 +22,7 @@
 
     async def run(self) -> None:
         self.renewed = self.now()
-        await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
+        await Server(self.handle, undivided_connections(50, 600.0, 600.0)).start(self.host, 9000)
         loop = asyncio.get_running_loop()
         loop.call_at(self.renewed + self.world.lease_s, self._expired)
         nodes = list(self.world.nodes)
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -274,7 +274,7 @@
         return asyncio.get_running_loop().time()
 
     async def probe(self) -> None:
-        clients = {n: Client(f"10.0.0.{n}", 8080, keep=1) for n in range(3)}
+        clients = {n: Client(f"10.0.0.{n}", 8080, max_idle=1) for n in range(3)}
         while True:
             for n, client in clients.items():
                 try:
@@ -294,11 +294,11 @@
                     self.errors["no_node"] += 1
                     return None
                 user["n"] = min(healthy, key=lambda n: (self.open[n], n))
-                client = user["client"] = Client(f"10.0.0.{user['n']}", 8080, keep=1)
+                client = user["client"] = Client(f"10.0.0.{user['n']}", 8080, max_idle=1)
                 self.open[user["n"]] += 1
             try:
                 status, _ = await client.request(method, target, body, timeout)
-                if not client.free:  # it was told to close
+                if not client.idle:  # it was told to close
                     self.leave(user)
                 if status not in (200, 201):
                     self.errors[str(status)] += 1
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,7 +10,14 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote
 
-from ashdock.net.http import Client, NoResponseError, Request, Response, Server, plain_connections
+from ashdock.net.http import (
+    Client,
+    NoResponseError,
+    Request,
+    Response,
+    Server,
+    undivided_connections,
+)
 from tests.rules import On, Room, Rules
 from tests.simtime import CALLER, Net, spawn
 
@@ -59,7 +66,7 @@
         )
 
     async def start(self) -> None:
-        self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
+        self.server = Server(self.handle, undivided_connections(1000, 600.0, 600.0))
         await self.server.start(STATE, 2379)
         asyncio.create_task(self._expire())
 
@@ -260,7 +267,7 @@
     async def run(self) -> None:
         self.renewed = self.now()
         self.up = True
-        await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
+        await Server(self.handle, undivided_connections(50, 600.0, 600.0)).start(self.host, 9000)
         spawn(self.world.net, self.host, self._lease())
         nodes = list(self.world.nodes)
         at = self.world.rng.randrange(len(nodes))
@@ -320,7 +327,7 @@
         """0 to stay, a pause before the next node, or the node to go to."""
         sent, tenure = self.now(), self.tenure
         client = self.clients.setdefault(
-            node, Client(self.world.nodes[node], 8080, keep=self.world.keep)
+            node, Client(self.world.nodes[node], 8080, max_idle=self.world.keep)
         )
         for other in [name for name in self.clients if name != node]:
             self.clients.pop(other).close()
@@ -389,7 +396,7 @@
             2 + 1.5 * self.world.lease_s * self.world.rng.random() if after_s is None else after_s
         )
         try:
-            await Client(self.world.nodes[node], 8080, keep=0).request(
+            await Client(self.world.nodes[node], 8080, max_idle=0).request(
                 "POST", "/checkin", told, 4.0
             )
         except NoResponseError:
@@ -573,7 +580,7 @@
         self.born: dict[str, float] = {}
 
     async def start(self) -> None:
-        self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
+        self.server = Server(self.handle, undivided_connections(1000, 600.0, 600.0))
         await self.server.start(CLOUD, 8443)
 
     def changed_hands(self, path: str, value: Any) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -311,13 +311,13 @@
             return Response(200, b"{}")
 
         await Server(handle, limited(100)).start("10.2.0.1", 2379)
-        client = Client("10.2.0.1", 2379, most=4)
+        client = Client("10.2.0.1", 2379, max_connections=4)
         slow_requests = [
             asyncio.create_task(client.request("GET", "/slow", b"", 4.0)) for _ in range(8)
         ]
         await asyncio.sleep(0.1)
         assert client.sockets == 4
-        assert (await client.request("POST", "/renew", b"", 1.0, first=True))[0] == 200
+        assert (await client.request("POST", "/renew", b"", 1.0, skip_queue=True))[0] == 200
         results = await asyncio.gather(*slow_requests, return_exceptions=True)
         failed = [result for result in results if isinstance(result, NoResponseError)]
         assert (
@@ -354,18 +354,18 @@
         late_or_failed, ready = 0, 0
         for _ in range(60):
             asked_at = service.now()
-            status, _ = await Client("10.0.0.0", 8080, keep=0).request(
+            status, _ = await Client("10.0.0.0", 8080, max_idle=0).request(
                 "GET", "/v2/runs/req-000001", b"", 2.0
             )
             late_or_failed += service.now() - asked_at > 1.0 or status not in (200, 503)
-            ready += (await Client("10.0.0.0", 8080, keep=0).request("GET", "/ready", b"", 1.0))[
-                0
-            ] == 200
+            ready += (
+                await Client("10.0.0.0", 8080, max_idle=0).request("GET", "/ready", b"", 1.0)
+            )[0] == 200
             await asyncio.sleep(0.5)
         assert late_or_failed == 0 and ready >= 55
         assert all(worker.tenure == 1 for worker in service.world.workers.values())
         assert net.most["10.0.0.0"] <= 64 and net.refused == 0
-        page = (await Client("10.0.0.0", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
+        page = (await Client("10.0.0.0", 8080, max_idle=0).request("GET", "/metrics", b"", 2.0))[
             1
         ].decode()
         assert (
@@ -390,20 +390,20 @@
         silent = [await net.open_connection("10.0.0.0", 8080) for _ in range(200)]
         await asyncio.sleep(0.1)
         assert (
-            len(service.controllers[0].server.open)
+            len(service.controllers[0].server.open_connections)
             <= service.controllers[0].admission.shares.inbound
         )
-        status, body = await Client("10.0.0.0", 8080, keep=0).request("GET", "/ready", b"", 1.0)
+        status, body = await Client("10.0.0.0", 8080, max_idle=0).request("GET", "/ready", b"", 1.0)
         assert status == 503 and not body  # refused at once, not left to time out
         await asyncio.sleep(3)
         for _ in range(40):  # connections that have been silent for some time make room for these
-            assert (await Client("10.0.0.0", 8080, keep=0).request("GET", "/ready", b"", 1.0))[
+            assert (await Client("10.0.0.0", 8080, max_idle=0).request("GET", "/ready", b"", 1.0))[
                 0
             ] == 200
             await asyncio.sleep(0.3)
         assert all(reader._eof for reader, _ in silent)  # type: ignore[attr-defined]
         raw = json.dumps({}).encode()
-        assert (await Client("10.0.0.0", 8080, keep=0).request("POST", "/v2/runs", raw, 1.0))[
+        assert (await Client("10.0.0.0", 8080, max_idle=0).request("POST", "/v2/runs", raw, 1.0))[
             0
         ] == 400
 
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -8,7 +8,14 @@
 import pytest
 
 from ashdock.net import heads
-from ashdock.net.http import Client, NoResponseError, Request, Response, Server, plain_connections
+from ashdock.net.http import (
+    Client,
+    NoResponseError,
+    Request,
+    Response,
+    Server,
+    undivided_connections,
+)
 
 GET = b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 POST = b"POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello"
@@ -104,7 +111,7 @@
         return Response(200, b"{}")
 
     reader, writer = asyncio.StreamReader(), Writer()
-    server = Server(handler, plain_connections(4))
+    server = Server(handler, undivided_connections(4))
 
     await asyncio.gather(server._serve(reader, writer), come(reader, shards))  # type: ignore[arg-type]
     return asked, writer.out
@@ -125,7 +132,7 @@
         got: Any = await client.request("POST", "/orders", b"{}", 5.0)
     except NoResponseError as why:
         got = why.sent
-    return got, len(client.free)
+    return got, len(client.idle)
 
 
 @pytest.mark.parametrize("name", REQUESTS)
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -157,7 +157,7 @@
                 service.rules.asked_to_cancel.add(target.rsplit("/", 1)[1])
             method, target = ("POST", target + "/withdraw") if cancels else ("GET", target)
             try:
-                await Client(f"10.0.0.{n % 3}", 8080, keep=0).request(method, target, b"", 2.0)
+                await Client(f"10.0.0.{n % 3}", 8080, max_idle=0).request(method, target, b"", 2.0)
             except NoResponseError:
                 pass
             await asyncio.sleep(0.05)
@@ -218,9 +218,11 @@
         burst.cancel()
         pages = "".join(
             [
-                (await Client(f"10.0.0.{n}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
-                    1
-                ].decode()
+                (
+                    await Client(f"10.0.0.{n}", 8080, max_idle=0).request(
+                        "GET", "/metrics", b"", 2.0
+                    )
+                )[1].decode()
                 for n in range(3)
             ]
         )
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -62,7 +62,7 @@
         await asyncio.sleep(3)
         if heard:  # it knows that the others are served, and says so at once
             before = service.now()
-            client = Client(f"10.0.0.{at}", 8080, keep=0)
+            client = Client(f"10.0.0.{at}", 8080, max_idle=0)
             assert (await client.request("GET", "/ready", b"", 2.0))[0] == 503
             assert (await client.request("GET", "/v2/runs/req-000001", b"", 2.0))[0] == 503
             assert service.now() - before < 0.1
@@ -106,7 +106,7 @@
             # One in ten asks about a job that nobody submitted.
             name = f"req-{n % 60 + 1:06d}" if n % 10 else f"req-9{n:05d}"
             for _ in range(5):
-                status, _ = await Client(f"10.0.0.{n % 3}", 8080, keep=0).request(
+                status, _ = await Client(f"10.0.0.{n % 3}", 8080, max_idle=0).request(
                     "GET", f"/v2/runs/{name}", b"", 2.0
                 )
                 asked[status] += 1
@@ -121,7 +121,7 @@
         # A change is seen at once, whichever controller is asked.
         assert await service.withdraw("req-000007") == "withdrawn"
         for n in range(3):
-            _, body = await Client(f"10.0.0.{n}", 8080, keep=0).request(
+            _, body = await Client(f"10.0.0.{n}", 8080, max_idle=0).request(
                 "GET", "/v2/runs/req-000007", b"", 2.0
             )
             assert b'"withdrawn"' in body
@@ -299,7 +299,7 @@
         while service.now() < 25:
             for n in range(3):
                 try:
-                    status, body = await Client(f"10.0.0.{n}", 8080, keep=0).request(
+                    status, body = await Client(f"10.0.0.{n}", 8080, max_idle=0).request(
                         "GET", "/v2/runs/req-000001", b"", 2.0
                     )
                     answers.add(json.loads(body).get("status") if status == 200 else str(status))
@@ -341,7 +341,7 @@
         for down, status in [(False, 200), (True, 503)]:
             service.state.down = down
             await asyncio.sleep(3.0)
-            client = Client(service.world.nodes[leader.label], 8080, keep=0)
+            client = Client(service.world.nodes[leader.label], 8080, max_idle=0)
             body = json.dumps(free.message() | {"berth": "vm-009999"}).encode()
             assert (await client.request("POST", "/checkin", body, 4.0))[0] == status
         service.state.down = False
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -882,7 +882,7 @@
         await service.submit(job(2, shape="daemon", shares=1))
         await service.submit(job(3, shape="daemon", shares=1))
         await service.withdraw("req-000003")
-        client = Client("10.0.0.1", 8080, keep=0)
+        client = Client("10.0.0.1", 8080, max_idle=0)
         for n, (awaits, expected) in enumerate(AWAITS, 50):
             run = job(n if n < 59 else n + 1, shares=1, expect_s=1.0) | {"awaits": awaits}
             if awaits == ["req-000050"]:
@@ -921,7 +921,7 @@
             await service.submit(job(1, shares=70, accelerators=0.1, cpus=0.1, expect_s=30.0))
             == 201
         )
-        client = Client("10.0.0.1", 8080, keep=0)
+        client = Client("10.0.0.1", 8080, max_idle=0)
         body = json.dumps(job(2, awaits=["req-000001"])).encode()
         service.rules.submitted(job(2, awaits=["req-000001"]))
         for crash in (None, 0):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -234,16 +234,16 @@
             if path.startswith("part/")
         }
         assert f"n{owner}" not in shards.values()
-        page = (await Client(f"10.0.0.{owner}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
-            1
-        ].decode()
+        page = (
+            await Client(f"10.0.0.{owner}", 8080, max_idle=0).request("GET", "/metrics", b"", 2.0)
+        )[1].decode()
         assert "ashdock_ends_of_late 5.0" in page and "ashdock_fit 0.0" in page
         assert await service.until_final(["req-000001"], 60) == []
         await asyncio.sleep(2 * AGENT_LEASE_S)
         assert service.controllers[owner].membership.published_eligible
-        assert (await Client(f"10.0.0.{owner}", 8080, keep=0).request("GET", "/ready", b"", 2.0))[
-            0
-        ] == 200
+        assert (
+            await Client(f"10.0.0.{owner}", 8080, max_idle=0).request("GET", "/ready", b"", 2.0)
+        )[0] == 200
 
     play(monkeypatch, 46, day)
 
--- a/tests/test_timelines.py
+++ b/tests/test_timelines.py
@@ -88,9 +88,9 @@
             service.crash(n, 1.0)
         assert not await service.until_final(["req-000001", "req-000002"], 120)
         owner = next(n for n, c in service.controllers.items() if "red" in c.owners)
-        page = (await Client(f"10.0.0.{owner}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
-            1
-        ].decode()
+        page = (
+            await Client(f"10.0.0.{owner}", 8080, max_idle=0).request("GET", "/metrics", b"", 2.0)
+        )[1].decode()
         for state in ("claiming", "reading", "hearing", "passing"):
             assert f'ashdock_takeover_seconds{{state="{state}",team="red"}}' in page
         assert 'ashdock_start_seconds{state="learning"}' in page
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -311,7 +311,7 @@
 
 def test_answers_to_bad_input(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
-        client = Client("10.0.0.1", 8080, keep=0)
+        client = Client("10.0.0.1", 8080, max_idle=0)
         await asyncio.sleep(2)
         service.rules.submitted(job(1, shares=25))
         for body, expected in BAD_BODIES:
@@ -328,7 +328,7 @@
             status, _ = await client.request(method, target, b"", 2.0)
             assert status == expected, target
         pages = [
-            (await Client(f"10.0.0.{n}", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
+            (await Client(f"10.0.0.{n}", 8080, max_idle=0).request("GET", "/metrics", b"", 2.0))[
                 1
             ].decode()
             for n in range(3)
@@ -345,7 +345,7 @@
         await service.submit(job(1))
         service.state.down = True
         await asyncio.sleep(3)
-        client = Client("10.0.0.0", 8080, keep=0)
+        client = Client("10.0.0.0", 8080, max_idle=0)
         before = service.now()
         for method, target, body in [
             ("POST", "/v2/runs", json.dumps(job(2)).encode()),
@@ -366,7 +366,7 @@
         runs = [job(n, shares=1, expect_s=1.0) for n in range(1, 301)]
         for run in runs:
             service.rules.submitted(run)
-        client = Client("10.0.0.1", 8080, keep=0)
+        client = Client("10.0.0.1", 8080, max_idle=0)
 
         async def one(run: dict[str, Any]) -> tuple[int, float]:
             before = service.now()
@@ -399,7 +399,7 @@
         owner = next(c.label for c in service.controllers.values() if "red" in c.owners)
         other = next(n for n, c in service.controllers.items() if c.label != owner)
         worker = next(w for w in service.world.workers.values() if w.shares)
-        client = Client(f"10.0.0.{other}", 8080, keep=0)
+        client = Client(f"10.0.0.{other}", 8080, max_idle=0)
         front = service.controllers[other].front
         front.redirected.clear()  # it may have come by there by itself a moment ago, and have been passed on
         front.relaying.clear()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -17,7 +17,7 @@
     ResourceRequest,
     ShardStatus,
 )
-from ashdock.net.http import Client, Request, Response, Server, plain_connections
+from ashdock.net.http import Client, Request, Response, Server, undivided_connections
 from ashdock.settings import SettingsError, load, load_operators
 from ashdock.wire import frames
 from ashdock.wire.frame_errors import FrameError
@@ -302,14 +302,14 @@
         return Response(200, b"{}")
 
     async def main(net: simtime.Net) -> bytes:
-        server = Server(handle, plain_connections(10, idle_s=20.0, slow_s=5.0))
+        server = Server(handle, undivided_connections(10, idle_s=20.0, request_timeout_s=5.0))
         await server.start("10.0.0.1", 80)
         reader, writer = await net.open_connection("10.0.0.1", 80)
         writer.write(sent)
         got: bytes = await asyncio.wait_for(reader.read(), 60)
         writer.close()
         await asyncio.sleep(60)
-        assert not server.open
+        assert not server.open_connections
         return got
 
     assert simtime.run(main, 1, monkeypatch).startswith(expected)
@@ -320,7 +320,7 @@
         return Response(200, b"{}")
 
     async def main(net: simtime.Net) -> None:
-        server = Server(handle, plain_connections(3, idle_s=20.0, slow_s=5.0))
+        server = Server(handle, undivided_connections(3, idle_s=20.0, request_timeout_s=5.0))
         await server.start("10.0.0.1", 80)
         silent = [await net.open_connection("10.0.0.1", 80) for _ in range(3)]
         await asyncio.sleep(0.1)
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -152,7 +152,7 @@
         self, method: str, target: str, body: bytes, timeout: float, door: int | None = None
     ) -> tuple[int, dict[str, Any]] | None:
         client = Client(
-            f"10.0.0.{self.rng.choice(self.doors) if door is None else door}", 8080, keep=0
+            f"10.0.0.{self.rng.choice(self.doors) if door is None else door}", 8080, max_idle=0
         )
         try:
             status, answer = await client.request(method, target, body, timeout)
