--- a/ashdock/net/store_errors.py
+++ b/ashdock/net/store_errors.py
@@ -1,8 +1,8 @@
 """Errors of the store client.
 
-`StoreError` is their base. Callers that can go on without the store catch `StoreUnavailableError`
-and with it rate limiting and refused writes. A failed compare, a lost lease and an expired watch are
-answers of a working store; they are not caught there.
+`StoreError` is their base class. Callers that can go on without the store catch
+`StoreUnavailableError`, and with it rate limiting and refused writes. A failed compare, a lost
+lease and an expired watch are results from a working store and have to be caught separately.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import Self
 
-ANSWER_EXCERPT_BYTES = 200  # of an unexpected answer that goes into an error's text
+MAX_EXCERPT_BYTES = 200  # of an unexpected response body, in an error's text
 
 
 class StoreError(Exception):
@@ -22,7 +22,7 @@
 
     Attributes:
         outcome_unknown: whether the request may have been applied, or may still be.
-        status: the HTTP status, where there was an answer.
+        status: the HTTP status; None if there was no response or its body could not be decoded.
     """
 
     def __init__(
@@ -34,18 +34,18 @@
         self.status = status
 
     @classmethod
-    def from_status(cls, status: int, answer: bytes | None = None) -> Self:
-        """The error for an unexpected HTTP status, with the start of the answer where it is given."""
-        excerpt = "" if answer is None else f": {answer[:ANSWER_EXCERPT_BYTES]!r}"
+    def from_status(cls, status: int, body: bytes | None = None) -> Self:
+        """Build the error for an unexpected HTTP status, with the start of the body if given."""
+        excerpt = "" if body is None else f": {body[:MAX_EXCERPT_BYTES]!r}"
         return cls(f"status {status}{excerpt}", status=status)
 
 
 class StoreRateLimitedError(StoreUnavailableError):
-    """The store takes no more requests or writes in this second (HTTP status 429)."""
+    """The store accepts no more requests or writes in this second (HTTP status 429)."""
 
 
 class WriteRefusedError(StoreUnavailableError):
-    """The store refused a transaction as too large; the write limits are lowered for the next one."""
+    """The store refused a transaction as too large; the write limits were lowered for the next."""
 
 
 class CompareFailedError(StoreError):
@@ -57,35 +57,35 @@
     """
 
     def __init__(self, failed_keys: list[str], expected_revisions: Mapping[str, int]) -> None:
-        """Take the keys that the store answered and what was expected of all keys."""
+        """List the keys that differ in the error's text."""
         super().__init__(",".join(failed_keys))
         self.failed_keys = failed_keys
         self.expected_revisions = expected_revisions
 
 
 class LeaseLostError(StoreError):
-    """A store lease has expired, and its keys are gone.
+    """A store lease has expired, and the store has deleted its keys.
 
     Attributes:
-        lease: the lease's number; None if a transaction was refused that named none.
+        lease: the lease's ID; None if the refused transaction named no lease.
     """
 
     def __init__(self, lease: int | None) -> None:
-        """Take the number of the lease. The text stays empty, as before the field was added."""
+        """Leave the error's text empty."""
         super().__init__()
         self.lease = lease
 
 
 class WatchExpiredError(StoreError):
-    """The store no longer has all changes since the revision asked for: list the prefix again.
+    """The store no longer has all changes since a revision, so the prefix has to be listed again.
 
     Attributes:
-        prefix: the prefix watched.
-        after_revision: the revision after which changes were asked for.
+        prefix: the watched prefix.
+        after_revision: the revision after which changes were requested.
     """
 
     def __init__(self, prefix: str, after_revision: int) -> None:
-        """Take what was watched. The text stays empty, as before the fields were added."""
+        """Leave the error's text empty."""
         super().__init__()
         self.prefix = prefix
         self.after_revision = after_revision
--- a/ashdock/net/store_messages.py
+++ b/ashdock/net/store_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the store's protocol, with the protocol's field names mapped to ours in one place.
+"""Message bodies of the store's protocol, and the mapping of its field names to those of this code.
 
 The protocol says `stamp` and `ledger` for a revision (of a key, of the whole store), `when` for the
 compares of a transaction, and `permit` for a store lease.
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct, field
 
-# A value of the store as decoded from JSON. Whoever owns the record gives it a type (`ashdock.wire`).
+# A value as decoded from JSON. The code that owns a record gives it a type (`ashdock.wire`).
 Value: TypeAlias = Any
 
 
@@ -29,31 +29,37 @@
     revision: int
 
 
-class EntryAnswer(Struct):
-    """An entry as the store answers it."""
+class EntryResponse(Struct):
+    """A key with its value and revision, as the store sends it."""
 
     path: str
     revision: int = field(name="stamp")
     value: Value = None
 
 
-class ListAnswer(Struct):
-    """One page of the keys with a prefix, at the revision of the store when it was read."""
+class ListResponse(Struct):
+    """One page of the keys with a prefix.
 
-    entries: list[EntryAnswer]
+    Attributes:
+        entries: the keys in order.
+        revision: the store's revision when the page was read.
+        truncated: whether there are more keys.
+    """
+
+    entries: list[EntryResponse]
     revision: int = field(name="ledger")
     truncated: bool = False
 
 
 class Compare(Struct):
-    """The condition that a key has this revision; 0: that there is no such key."""
+    """The condition that a key has a revision; revision 0: that there is no such key."""
 
     path: str
     revision: int = field(name="stamp")
 
 
 class Put(Struct, omit_defaults=True):
-    """A write of a key. With a lease, the key goes when the lease expires."""
+    """A write of a key. With a lease, the store deletes the key when the lease expires."""
 
     path: str = field(name="set")
     value: Value
@@ -61,44 +67,44 @@
 
 
 class Delete(Struct):
-    """The removal of a key."""
+    """The deletion of a key."""
 
     path: str = field(name="delete")
 
 
 class TransactionRequest(Struct, omit_defaults=True):
-    """A compare-and-swap. Without writes it only compares."""
+    """A compare-and-swap; without writes it only compares."""
 
     compare: list[Compare] = field(name="when")
     writes: list[Put | Delete] | None = None
 
 
-class CommittedAnswer(Struct):
+class CommittedResponse(Struct):
     """The revision at which a transaction was applied."""
 
     revision: int = field(name="ledger")
 
 
-class CompareFailedAnswer(Struct):
-    """The keys whose revisions were not those expected."""
+class CompareFailedResponse(Struct):
+    """The keys whose revisions differ from the expected ones."""
 
     failed_keys: list[str] = field(default=[], name="failed")
 
 
 class LeaseRequest(Struct):
-    """A new store lease."""
+    """A request for a new store lease."""
 
     ttl_ms: int
 
 
-class LeaseAnswer(Struct):
-    """The number of a new store lease."""
+class LeaseResponse(Struct):
+    """The ID of a new store lease."""
 
     lease: int = field(name="permit")
 
 
 class Change(Struct):
-    """One change of a watched prefix: a key that was put or one that was deleted."""
+    """One change under a watched prefix: of a key that was put or one that was deleted."""
 
     revision: int = field(name="stamp")
     put_path: str | None = field(default=None, name="set")
@@ -106,16 +112,16 @@
     value: Value = None
 
 
-class WatchAnswer(Struct):
-    """The changes since the revision asked for, and the revision up to which these are all."""
+class WatchResponse(Struct):
+    """The changes after the requested revision, complete up to `revision`."""
 
     revision: int = field(name="ledger")
     changes: list[Change] = field(default=[], name="news")
 
 
-entry_decoder = msgspec.json.Decoder(EntryAnswer)
-list_decoder = msgspec.json.Decoder(ListAnswer)
-committed_decoder = msgspec.json.Decoder(CommittedAnswer)
-compare_failed_decoder = msgspec.json.Decoder(CompareFailedAnswer)
-lease_decoder = msgspec.json.Decoder(LeaseAnswer)
-watch_decoder = msgspec.json.Decoder(WatchAnswer)
+entry_decoder = msgspec.json.Decoder(EntryResponse)
+list_decoder = msgspec.json.Decoder(ListResponse)
+committed_decoder = msgspec.json.Decoder(CommittedResponse)
+compare_failed_decoder = msgspec.json.Decoder(CompareFailedResponse)
+lease_decoder = msgspec.json.Decoder(LeaseResponse)
+watch_decoder = msgspec.json.Decoder(WatchResponse)
