--- a/ashdock/net/watch_cache.py
+++ b/ashdock/net/watch_cache.py
@@ -1,4 +1,4 @@
-"""A prefix of the store kept in memory by list and watch."""
+"""Cache of the store's keys with a prefix, kept up to date by list and watch."""
 
 from __future__ import annotations
 
@@ -15,24 +15,34 @@
 ChangeListener = Callable[[str, Value, int], None]
 
 WATCH_WAIT_MS = 20_000  # how long the store may keep a watch open without a change
-MIN_RETRY_S = 0.05  # pause after the first failed request; doubled with each further one
-MAX_RETRY_S = 1.0
-# Pause after changes came, in requests of an equal share of the store's rate: each watch opened is a
-# request, so where changes come by the dozen a second they are taken in batches.
+MIN_RETRY_DELAY_S = 0.05  # after the first failed request; doubled with each further one
+MAX_RETRY_DELAY_S = 1.0
+# Pause after a watch that returned changes: the time in which an equal share of the store's rate
+# allows this many requests. Each watch is a request, so dozens of changes a second are taken in
+# batches.
 BATCH_REQUESTS = 4
-SMALL_PREFIX = "leader"  # a single key: listed where only the store's revision is wanted
+SINGLE_KEY_PREFIX = "leader"  # has one key; listed where only the store's revision is needed
 
 
 class WatchCache:
-    """The entries with a prefix, behind the store by a few milliseconds or by an outage.
+    """The keys with a prefix, behind the store by a few milliseconds or by an outage.
 
     Attributes:
-        entries: what is known, by key.
-        revision: the store's revision up to which changes were taken in.
-        ready: set while the entries have been listed and no change was missed since.
-        on_gap: called when changes were missed that a new list does not tell of.
-        complete_since: monotonic time since which no change has been missed; infinite in a gap.
-        synced_at: monotonic time up to which all changes have been passed on.
+        store: client of the store.
+        prefix: prefix of the watched keys.
+        keep_entries: whether entries are kept, or changes are only passed to the listeners.
+        wait_ms: how long one watch request may wait for a change.
+        entries: the cached entries by key.
+        own_deletes: keys that this controller has deleted, with the revision of the deletion, until
+            the watch has passed it.
+        revision: the store's revision up to which changes have been applied.
+        ready: set while the prefix has been listed and no change has been missed since.
+        listeners: called for each change, in order of registration.
+        on_gap: called when the watch has expired. Changes were missed then, and where no entries
+            are kept, listing again does not recover them.
+        complete_since: monotonic time since which no change has been missed; infinite during a gap
+            and before the first list.
+        synced_at: monotonic time up to which all changes have been passed to the listeners.
     """
 
     def __init__(
@@ -45,9 +55,10 @@
         """Watch nothing yet: see `run`.
 
         Args:
-            store: where the prefix is read.
-            prefix: of the keys to watch.
-            keep_entries: if not, changes from now on are passed to the listeners and nothing is kept.
+            store: client of the store.
+            prefix: prefix of the keys to watch.
+            keep_entries: whether to list and keep entries; if False, changes from the start of the
+                watch on are only passed to the listeners.
             wait_ms: how long one watch request may wait for a change.
         """
         self.store = store
@@ -55,7 +66,6 @@
         self.keep_entries = keep_entries
         self.wait_ms = wait_ms
         self.entries: dict[str, Entry] = {}
-        # Deleted by this controller: at what revision, until the watch has passed it.
         self.own_deletes: dict[str, int] = {}
         self.revision = 0
         self.ready = asyncio.Event()
@@ -69,16 +79,16 @@
         self.listeners.append(listener)
 
     def apply_own_write(self, path: str, value: Value, revision: int) -> None:
-        """Take in a write of this controller without waiting for the watch to report it."""
+        """Apply a write of this controller without waiting for the watch to report it."""
         if revision > self.revision:
             self._apply(path, value, revision)
             if value is None and self.keep_entries:
                 self.own_deletes[path] = revision
 
     def _apply(self, path: str, value: Value, revision: int) -> None:
-        known = self.entries.get(path)
-        if (known and known.revision >= revision) or self.own_deletes.get(path, 0) >= revision:
-            return  # older than an own write that the watch has not reached yet
+        cached = self.entries.get(path)
+        if (cached and cached.revision >= revision) or self.own_deletes.get(path, 0) >= revision:
+            return  # older than a write of this controller that the watch has not reached yet
         if value is None:
             self.entries.pop(path, None)
         elif self.keep_entries:
@@ -87,25 +97,25 @@
             listener(path, value, revision)
 
     async def run(self) -> None:
-        """List the prefix and watch it, for ever. Runs as a task of its own."""
-        retry_s = MIN_RETRY_S
+        """List the prefix and watch it until cancelled."""
+        retry_delay_s = MIN_RETRY_DELAY_S
         while True:
             try:
                 if not self.ready.is_set():
                     await self._list()
                     self.complete_since = time.monotonic()
-                asked_at = time.monotonic()
+                requested_at = time.monotonic()
                 changes, revision = await self.store.watch(self.prefix, self.revision, self.wait_ms)
                 self._apply_changes(changes, revision)
-                self.synced_at = asked_at
-                retry_s = MIN_RETRY_S
+                self.synced_at = requested_at
+                retry_delay_s = MIN_RETRY_DELAY_S
                 if changes:
                     await asyncio.sleep(self._batch_pause_s())
             except WatchExpiredError:
-                self._note_gap()
+                self._handle_gap()
             except StoreUnavailableError:
-                await asyncio.sleep(retry_s)
-                retry_s = min(retry_s * 2, MAX_RETRY_S)
+                await asyncio.sleep(retry_delay_s)
+                retry_delay_s = min(retry_delay_s * 2, MAX_RETRY_DELAY_S)
 
     def _batch_pause_s(self) -> float:
         return BATCH_REQUESTS / self.store.usable_rate.requests * self.store.controllers
@@ -124,7 +134,7 @@
                 if deleted_at > self.revision
             }
 
-    def _note_gap(self) -> None:
+    def _handle_gap(self) -> None:
         self.ready.clear()
         self.complete_since = math.inf
         if self.on_gap:
@@ -132,7 +142,7 @@
 
     async def _list(self) -> None:
         if not self.keep_entries:
-            _, self.revision = await self.store.list_prefix(SMALL_PREFIX)
+            _, self.revision = await self.store.list_prefix(SINGLE_KEY_PREFIX)
             self.ready.set()
             return
         entries, revision = await self.store.list_prefix(self.prefix)
