--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The rate limiter: the order in which requests are granted, its reserve, and fair shares by demand."""
+"""Rate limiter: order of grants, cancellation, demand, and fair shares by demand."""
 
 from __future__ import annotations
 
@@ -10,46 +10,48 @@
 from tests import simtime
 
 
-def test_a_large_transaction_is_not_overtaken_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that asks for a whole second's worth would else wait until no small request comes any more."""
+def test_large_transaction_is_not_starved(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without a queue, a request for a full bucket waits until no small ones arrive any more."""
 
     async def main(net: simtime.Net) -> float:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
 
-        async def small() -> None:
+        async def send_small_requests() -> None:
             while loop.time() < 20:
                 await rate_limiter.acquire(1)
 
-        tasks = [asyncio.create_task(small()) for _ in range(5)]
+        tasks = [asyncio.create_task(send_small_requests()) for _ in range(5)]
         await asyncio.sleep(1)
-        asked = loop.time()
+        started_at = loop.time()
         await rate_limiter.acquire(10)
-        took = loop.time() - asked
+        waited_s = loop.time() - started_at
         for task in tasks:
             task.cancel()
-        return took
+        return waited_s
 
     assert simtime.run(main, 1, monkeypatch) < 3.0
 
 
 USER, NORMAL, BACKGROUND = RequestPriority
-ORDER = [  # (amount, priority) asked at once of an empty bucket of 10 a second -> the order in which they are granted
+# Requests (amount, priority) made at once of an empty bucket with 10 tokens/s, and the order in
+# which they are granted.
+GRANT_ORDERS = [
     ([(1, NORMAL), (1, NORMAL)], [0, 1]),
     ([(1, BACKGROUND), (1, NORMAL)], [1, 0]),
     ([(10, NORMAL), (1, NORMAL)], [0, 1]),
     ([(10, NORMAL), (1, USER)], [1, 0]),
     ([(1, BACKGROUND), (1, NORMAL), (1, NORMAL), (1, NORMAL), (1, NORMAL)], [1, 2, 3, 0, 4]),
     ([(1, NORMAL), (1, USER), (1, USER), (1, USER), (1, USER)], [1, 2, 3, 0, 4]),
-    # By amount: a transaction of four is overtaken by three times four, not by three requests.
+    # Overtaking is counted by amount: 3 * 4 tokens go before a transaction of 4, not 3 requests.
     ([(4, NORMAL), *[(2, USER)] * 8], [1, 2, 3, 4, 5, 6, 0, 7, 8]),
 ]
 
 
-@pytest.mark.parametrize(("asked", "order"), ORDER)
+@pytest.mark.parametrize(("requests", "order"), GRANT_ORDERS)
 def test_order_of_grants(
-    asked: list[tuple[float, RequestPriority]], order: list[int], monkeypatch: pytest.MonkeyPatch
+    requests: list[tuple[float, RequestPriority]], order: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main(net: simtime.Net) -> list[int]:
         rate_limiter = RateLimiter(10.0)
@@ -60,14 +62,14 @@
             await rate_limiter.acquire(amount, priority)
             granted.append(index)
 
-        await asyncio.gather(*(acquire(index, *request) for index, request in enumerate(asked)))
+        await asyncio.gather(*(acquire(index, *request) for index, request in enumerate(requests)))
         assert rate_limiter.queued == 0
         return granted
 
     assert simtime.run(main, 1, monkeypatch) == order
 
 
-def test_a_cancelled_wait_takes_no_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancelled_wait_takes_no_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main(net: simtime.Net) -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
@@ -75,16 +77,20 @@
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await rate_limiter.acquire(10)
-        before = loop.time()
+        started_at = loop.time()
         await rate_limiter.acquire(2)
-        return loop.time() - before, rate_limiter.queued
+        return loop.time() - started_at, rate_limiter.queued
 
-    took, queued = simtime.run(main, 1, monkeypatch)
-    assert took <= 0.11 and queued == 0
+    waited_s, queued = simtime.run(main, 1, monkeypatch)
+    assert waited_s <= 0.11 and queued == 0
 
 
 def test_demand_weighs_user_requests_most(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Else the owner of an array of 25,000 tasks takes the rate while other controllers refuse submissions."""
+    """User requests have to count more than the writes of a large array.
+
+    Otherwise the owner of an array of 25,000 tasks gets most of the rate while other controllers
+    refuse submissions.
+    """
 
     async def main(net: simtime.Net) -> dict[RequestPriority, float]:
         demands = {}
@@ -98,7 +104,7 @@
     assert demands[USER] > 3 * demands[NORMAL] > 9 * demands[BACKGROUND]
 
 
-# own demand, those of the others (None: not heard) -> own share of a rate of 60 among three
+# Own demand, demands of the others (None: not known), own share of a rate of 60 among three.
 FAIR_SHARES: list[tuple[float, list[float | None], float]] = [
     (0.0, [0.0, 0.0], 20.0),
     (10.0, [0.0, 0.0], 40.0),
