--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -23,7 +23,7 @@
 from ashdock.wire import messages
 from tests import cost, scale
 from tests.test_core import commit, heartbeat, shard_with, spec
-from tests.test_heads import served
+from tests.test_heads import serve
 
 
 def calls(act: Callable[[], Any]) -> int:
@@ -79,7 +79,7 @@
         b"POST /checkin HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Type: application/json\r\nContent-Length: 400\r\n\r\n"
         + body
     )
-    few, many = (calls(lambda n=n: asyncio.run(served([raw] * n))) for n in (10, 110))  # type: ignore[misc]
+    few, many = (calls(lambda n=n: asyncio.run(serve([raw] * n))) for n in (10, 110))  # type: ignore[misc]
     assert (
         many - few
     ) / 100 <= 295  # 268, the test's own packets among them; 446 where h11 reads each head
