--- a/ashdock/net/heads.py
+++ b/ashdock/net/heads.py
@@ -14,7 +14,7 @@
 
 import h11
 
-MAX_HEAD_BYTES = 512  # longer heads are not cached
+MAX_CACHED_HEAD_BYTES = 512
 CACHE_SIZE = 1024  # heads in each cache
 RESPONSE_CACHE_SIZE = 64  # heads of responses that are sent
 HEAD_END = b"\r\n\r\n"
@@ -97,7 +97,7 @@
 
 
 def _parse(data: bytes, parse_head: Callable[[bytes], Head | None]) -> tuple[Head, bytes] | None:
-    end = data.find(HEAD_END, 0, MAX_HEAD_BYTES)
+    end = data.find(HEAD_END, 0, MAX_CACHED_HEAD_BYTES)
     head = parse_head(data[: end + 4]) if end > 0 else None
     return None if head is None else (head, data[end + 4 :])
 
@@ -107,7 +107,7 @@
 
     Returns:
         The head and the bytes after it; None if the head is incomplete, longer than
-        `MAX_HEAD_BYTES`, or to be parsed by h11 event by event.
+        `MAX_CACHED_HEAD_BYTES`, or to be parsed by h11 event by event.
     """
     return _parse(data, _parse_request)
 
--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -152,10 +152,10 @@
         memory_refusal: builds the response to a request that there is no memory for.
         buffer_bytes: read buffer of a connection. asyncio stops reading from the socket when more
             than twice as much is unread.
-        reserved_bytes: memory reserved for the body of each connection's request.
-        open_connections: their writers.
+        reserved_bytes: memory reserved for the body of a connection's request, by its writer.
+        open_connections: the writers of all open connections.
         server: the listening server; None before `start`.
-        timeout_task: closes overdue connections; None before `start`.
+        timeout_task: closes slow and idle connections; None before `start`.
     """
 
     def __init__(
@@ -208,7 +208,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         arrival = self.connections.admit(writer, time.monotonic())
         if not arrival.admitted:
-            # Refuses at once, so that the client does not wait for its timeout.
+            # Refuse at once, so that the client does not wait for its timeout.
             response = self.connection_refusal()
             head = (
                 f"HTTP/1.1 {response.status} {REASONS[response.status].decode()}\r\n"
@@ -275,8 +275,8 @@
 
         Args:
             read_ahead: bytes of this request that were read with the one before.
-            reader: of the connection.
-            writer: of the connection.
+            reader: reader of the connection.
+            writer: writer of the connection.
 
         Returns:
             The bytes already read of the next request; None if the connection is to be closed.
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -202,7 +202,7 @@
     assert heads._parse_request.cache_info().currsize <= heads.CACHE_SIZE
     assert (
         heads.parse_request_head(
-            b"GET /" + b"x" * heads.MAX_HEAD_BYTES + b" HTTP/1.1\r\nHost: h\r\n\r\n"
+            b"GET /" + b"x" * heads.MAX_CACHED_HEAD_BYTES + b" HTTP/1.1\r\nHost: h\r\n\r\n"
         )
         is None
     )
