--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Shared
 from ashdock.wire.messages import (
@@ -85,7 +85,7 @@
             shared: Settings that all controllers have in common.
             max_sockets: Maximum number of open connections; 0: unlimited.
         """
-        self.client = Client(host, port, keep=MAX_IDLE_CONNECTIONS, most=max_sockets)
+        self.client = Client(host, port, max_idle=MAX_IDLE_CONNECTIONS, max_connections=max_sockets)
         # Not divided among the controllers, because only the leader calls the cloud.
         self.rate_limiter = RateLimiter(shared.cloud.rps * USABLE_RATE)
         self.timeout_s = shared.workers.lease_s / REQUESTS_PER_LEASE
@@ -110,7 +110,7 @@
             guard()
         try:
             status, answer = await self.client.request(method, target, body, self.timeout_s)
-        except NoAnswer as error:
+        except NoResponseError as error:
             raise CloudUnavailableError(str(error), outcome_unknown=error.sent) from None
         if status in RETRYABLE or (status == SERVICE_UNAVAILABLE and NO_CAPACITY not in answer):
             raise CloudUnavailableError.from_status(status)
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -139,7 +139,7 @@
             ),
             "ashdock_user_connections": (
                 "open inbound connections of all uses",
-                float(len(context.server.open)),
+                float(len(context.server.open_connections)),
             ),
         }
         for name, (help_text, value) in unlabeled.items():
--- a/ashdock/net/user.py
+++ b/ashdock/net/user.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import parse_address
 
 
@@ -47,7 +47,7 @@
     host: str, port: int, method: str, target: str, body: bytes, timeout_s: float
 ) -> int:
     """Retry a request every second until it succeeds, is refused for good, or times out."""
-    client = Client(host, port, keep=1)
+    client = Client(host, port, max_idle=1)
     deadline = time.monotonic() + timeout_s
     last_failure = "no answer"
     while True:
@@ -61,7 +61,7 @@
             if status in (400, 404, 405, 422):
                 print(f"ashdock: {last_failure}", file=sys.stderr)
                 return 1
-        except NoAnswer as error:
+        except NoResponseError as error:
             last_failure = str(error)
         if time.monotonic() + 1 > deadline:
             print(f"ashdock: no success in {timeout_s:g} s: {last_failure}", file=sys.stderr)
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -43,7 +43,7 @@
 from pympler import asizeof
 
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import Objective, Team
 from tests import cost, courses, simtime, whole
 from tests.fleet import Fleet
@@ -274,12 +274,12 @@
         return asyncio.get_running_loop().time()
 
     async def probe(self) -> None:
-        clients = {n: Client(f"10.0.0.{n}", 8080, keep=1) for n in range(3)}
+        clients = {n: Client(f"10.0.0.{n}", 8080, max_idle=1) for n in range(3)}
         while True:
             for n, client in clients.items():
                 try:
                     self.ready[n] = (await client.request("GET", "/ready", b"", 1.0))[0] == 200
-                except NoAnswer:
+                except NoResponseError:
                     self.ready[n] = False
             await asyncio.sleep(1.0)
 
@@ -294,16 +294,16 @@
                     self.errors["no_node"] += 1
                     return None
                 user["n"] = min(healthy, key=lambda n: (self.open[n], n))
-                client = user["client"] = Client(f"10.0.0.{user['n']}", 8080, keep=1)
+                client = user["client"] = Client(f"10.0.0.{user['n']}", 8080, max_idle=1)
                 self.open[user["n"]] += 1
             try:
                 status, _ = await client.request(method, target, body, timeout)
-                if not client.free:  # it was told to close
+                if not client.idle:  # it was told to close
                     self.leave(user)
                 if status not in (200, 201):
                     self.errors[str(status)] += 1
                 return status
-            except NoAnswer as why:
+            except NoResponseError as why:
                 self.leave(user)
                 client = None
                 self.errors["unsent" if not why.sent else "unanswered"] += 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -20,7 +20,7 @@
     ResourceRequest,
     ShardStatus,
 )
-from ashdock.net.http import Answer, Client, Request, Server, plain_connections
+from ashdock.net.http import Client, Request, Response, Server, undivided_connections
 from ashdock.settings import SettingsError, load, load_operators
 from ashdock.wire import frames
 from ashdock.wire.frame_errors import FrameError
@@ -314,20 +314,20 @@
 def test_http_messages(sent: bytes, expected: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """The server responds as expected, and closes incomplete and silent connections in time."""
 
-    async def handle(request: Request) -> Answer:
+    async def handle(request: Request) -> Response:
         if request.target == "/boom":
             raise ValueError("failure")
-        return Answer(200, b"{}")
+        return Response(200, b"{}")
 
     async def main(net: simtime.Net) -> bytes:
-        server = Server(handle, plain_connections(10, idle_s=20.0, slow_s=5.0))
+        server = Server(handle, undivided_connections(10, idle_s=20.0, request_timeout_s=5.0))
         await server.start("10.0.0.1", 80)
         reader, writer = await net.open_connection("10.0.0.1", 80)
         writer.write(sent)
         received: bytes = await asyncio.wait_for(reader.read(), 60)
         writer.close()
         await asyncio.sleep(60)
-        assert not server.open
+        assert not server.open_connections
         return received
 
     assert simtime.run(main, 1, monkeypatch).startswith(expected)
@@ -336,11 +336,11 @@
 def test_full_server_rejects_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A full server responds with 503, and accepts again once silent connections time out."""
 
-    async def handle(request: Request) -> Answer:
-        return Answer(200, b"{}")
+    async def handle(request: Request) -> Response:
+        return Response(200, b"{}")
 
     async def main(net: simtime.Net) -> None:
-        server = Server(handle, plain_connections(3, idle_s=20.0, slow_s=5.0))
+        server = Server(handle, undivided_connections(3, idle_s=20.0, request_timeout_s=5.0))
         await server.start("10.0.0.1", 80)
         silent = [await net.open_connection("10.0.0.1", 80) for _ in range(3)]
         await asyncio.sleep(0.1)
