--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The plugin that lets CI pass over the tests of KNOWN-RED.txt, and over no others."""
+"""Tests the plugin that lets the tests in KNOWN-RED.txt fail, and no others."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 PASSING = "test_it.py::test_good | pytest test_it.py, no seed | it passes by now | #40"
 NO_CASE = "test_it.py::test_red[3] | pytest test_it.py, seed 3 | no such case | #40"
 
-CASES = [  # what the file says, the outcomes or what is said instead
+CASES = [  # text of the file; outcomes of the run or its error message
     (None, {"passed": 2, "failed": 2}),
     ("", {"passed": 2, "failed": 2}),
     ("\n  \n", {"passed": 2, "failed": 2}),
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("text", "expected"), CASES)
-def test_known_red(
+def test_only_listed_tests_may_fail(
     text: str | None, expected: dict[str, int] | str, pytester: pytest.Pytester
 ) -> None:
     pytester.makeconftest(Path(__file__).with_name("conftest.py").read_text())
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "code", "said"),
+    ("text", "exit_code", "message"),
     [
         (RED + "\n" + OTHER, 0, "KNOWN RED test_it.py::test_other"),
         (
@@ -116,20 +116,22 @@
         ),
     ],
 )
-def test_the_same_in_several_processes(
-    text: str, code: int, said: str, pytester: pytest.Pytester
+def test_known_failures_with_several_processes(
+    text: str, exit_code: int, message: str, pytester: pytest.Pytester
 ) -> None:
     pytester.makeconftest(Path(__file__).with_name("conftest.py").read_text())
     pytester.makepyfile(test_it=TESTS)
     (pytester.path / "KNOWN-RED.txt").write_text(text)
     result = pytester.runpytest_subprocess("-p", "no:cacheprovider", "-n", "2")
-    assert result.ret == code and said in result.stdout.str()
+    assert result.ret == exit_code and message in result.stdout.str()
 
 
-@pytest.mark.parametrize("asked", ["test_it.py::test_good", "test_it.py", "test_more.py"])
-def test_what_was_not_asked_for_is_not_missed(asked: str, pytester: pytest.Pytester) -> None:
+@pytest.mark.parametrize("argument", ["test_it.py::test_good", "test_it.py", "test_more.py"])
+def test_entries_outside_the_requested_tests_are_not_missing(
+    argument: str, pytester: pytest.Pytester
+) -> None:
     pytester.makeconftest(Path(__file__).with_name("conftest.py").read_text())
     pytester.makepyfile(test_it=TESTS, test_more="def test_more():\n    pass\n")
     (pytester.path / "KNOWN-RED.txt").write_text(RED)
-    result = pytester.runpytest_inprocess("-p", "no:cacheprovider", asked)
+    result = pytester.runpytest_inprocess("-p", "no:cacheprovider", argument)
     assert result.ret in (0, 1) and "there is no test" not in result.stderr.str()
