--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Characterization traces: the recorded days repeat to the byte, and what the comparison finds."""
+"""Characterization traces: recorded days repeat to the byte, and the comparison finds changes."""
 
 from __future__ import annotations
 
@@ -11,86 +11,102 @@
 from tests import traces
 from tests.traces import Message, Trace
 
-Change = Callable[[list[Message]], list[Message]]
+Edit = Callable[[list[Message]], list[Message]]
 
 
 @pytest.mark.parametrize("seed", range(traces.CI_DAYS))
-def test_a_day_repeats_to_the_byte(seed: int) -> None:
-    (found,) = traces.each_played([seed], 1)  # in a process of its own
-    assert traces.difference(traces.recorded()[seed], found) is None
+def test_recorded_day_repeats_to_the_byte(seed: int) -> None:
+    (found,) = traces.play_all([seed], 1)  # in a separate process
+    assert traces.describe_difference(traces.load_recorded()[seed], found) is None
 
 
-def test_what_is_recorded() -> None:
-    recorded = traces.recorded()
+def test_every_recorded_day_has_messages_of_every_kind() -> None:
+    recorded = traces.load_recorded()
     assert sorted(recorded) == list(range(traces.RECORDED_DAYS))
     kinds = {"store", "cloud", "workers", "controllers", "users"}
     assert all(set(trace.messages) == kinds for trace in recorded.values())
 
 
-# -- what is planted is found ------------------------------------------------------------------------------
+# -- The comparison finds changes
 
-ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"id":"req-1","status":"queued","reason":"waits"}'
-DAY = [
+USER_RESPONSE = (
+    b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"
+    b'{"id":"req-1","status":"queued","reason":"waits"}'
+)
+DAY_MESSAGES = [
     Message(
         1.0, "store", "10.0.0.0", "10.2.0.1", b'{"when":[],"writes":[{"set":"job/a","value":1}]}'
     ),
     Message(1.5, "workers", "10.0.0.1", "10.1.0.1", b'{"warrant":41,"orders":[]}'),
     Message(1.5, "controllers", "10.0.0.1", "10.0.0.2", b"AD\3\2\0\0\0\1x"),
-    Message(2.0, "users", "10.0.0.2", "users", ANSWER),
+    Message(2.0, "users", "10.0.0.2", "users", USER_RESPONSE),
 ]
 
 
-def _replaced(index: int, **fields: object) -> Change:
-    return lambda day: [
-        message._replace(**fields) if at == index else message  # type: ignore[arg-type]
-        for at, message in enumerate(day)
+def _replaced(index: int, **fields: object) -> Edit:
+    return lambda messages: [
+        message._replace(**fields) if position == index else message  # type: ignore[arg-type]
+        for position, message in enumerate(messages)
     ]
 
 
-PLANTED: dict[str, tuple[Change, str]] = {
-    "one message more": (lambda day: [*day, day[1]], "messages: recorded"),
-    "one message less": (lambda day: day[:-1], "messages: recorded"),
-    "two in another order": (lambda day: [day[0], day[2], day[1], day[3]], "other bytes"),
+CHANGES: dict[str, tuple[Edit, str]] = {
+    "one more message": (lambda messages: [*messages, messages[1]], "messages: recorded"),
+    "one message fewer": (lambda messages: messages[:-1], "messages: recorded"),
+    "two in another order": (
+        lambda messages: [messages[0], messages[2], messages[1], messages[3]],
+        "other bytes",
+    ),
     "a field's value": (_replaced(1, body=b'{"warrant":42,"orders":[]}'), "other bytes"),
-    "a time later by a tick": (_replaced(0, at_s=1.001), "other bytes"),
+    "a time one millisecond later": (_replaced(0, at_s=1.001), "other bytes"),
     "another receiver": (_replaced(2, receiver="10.0.0.0"), "other bytes"),
-    "another status": (_replaced(3, body=ANSWER.replace(b"queued", b"running")), "other bytes"),
+    "another status": (
+        _replaced(3, body=USER_RESPONSE.replace(b"queued", b"running")),
+        "other bytes",
+    ),
     "the wording of a reason": (
-        _replaced(3, body=ANSWER.replace(b"waits", b"is waiting").replace(b"99", b"104")),
+        _replaced(3, body=USER_RESPONSE.replace(b"waits", b"is waiting").replace(b"99", b"104")),
         "only the wording",
     ),
     "the wording of a stored reason": (
-        _replaced(0, body=DAY[0].body.replace(b"1}", b'{"reason":"x"}}')),
+        _replaced(0, body=DAY_MESSAGES[0].body.replace(b"1}", b'{"reason":"x"}}')),
         "other bytes",
     ),
 }
 
 
-@pytest.mark.parametrize("what", PLANTED)
-def test_what_is_planted_is_found(what: str) -> None:
-    plant, finding = PLANTED[what]
-    found = traces.difference(traces.traced(3, DAY), traces.traced(3, plant(DAY)))
+@pytest.mark.parametrize("change", CHANGES)
+def test_changed_day_is_reported(change: str) -> None:
+    edit, finding = CHANGES[change]
+    found = traces.describe_difference(
+        traces.trace_of(3, DAY_MESSAGES), traces.trace_of(3, edit(DAY_MESSAGES))
+    )
     assert found is not None and found.startswith("seed 3: ") and finding in found
 
 
-def test_a_day_without_a_change_is_equal() -> None:
-    assert traces.difference(traces.traced(3, DAY), traces.traced(3, list(DAY))) is None
+def test_unchanged_day_is_equal() -> None:
+    assert (
+        traces.describe_difference(
+            traces.trace_of(3, DAY_MESSAGES), traces.trace_of(3, list(DAY_MESSAGES))
+        )
+        is None
+    )
 
 
-# -- bad input -----------------------------------------------------------------------------------------------
+# -- Bad input
 
 
-def _refused(words: list[str], capsys: pytest.CaptureFixture[str]) -> str:
-    with pytest.raises(SystemExit) as ended:
-        traces.main(words)
-    assert ended.value.code == 2
+def _usage_error(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> str:
+    with pytest.raises(SystemExit) as exit_info:
+        traces.main(arguments)
+    assert exit_info.value.code == 2
     out, err = capsys.readouterr()
     assert out == "" and err.count("\n") == 1
     return err
 
 
 @pytest.mark.parametrize(
-    ("words", "named"),
+    ("arguments", "message"),
     [
         (["diff", "no-such-commit", "--seed", "1"], "unknown commit 'no-such-commit'"),
         (["diff", "HEAD", "--seed", "100000"], "seed 100000 is not recorded"),
@@ -98,14 +114,16 @@
         (["check", "--seeds", "0"], "--seeds"),
     ],
 )
-def test_bad_words(words: list[str], named: str, capsys: pytest.CaptureFixture[str]) -> None:
-    assert named in _refused(words, capsys)
+def test_bad_arguments_are_refused(
+    arguments: list[str], message: str, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert message in _usage_error(arguments, capsys)
 
 
 @pytest.mark.parametrize(
     "text", [None, "", '{"days": [{"seed": 1', "[]", '{"days": [{"seed": 1}]}']
 )
-def test_a_data_file_that_is_missing_or_cut_short(
+def test_missing_or_truncated_data_file_is_refused(
     text: str | None,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
@@ -114,17 +132,17 @@
     path = tmp_path / "traces.json"
     if text is not None:
         path.write_text(text)
-    monkeypatch.setattr(traces, "DATA", path)
-    assert str(path) in _refused(["check", "--seeds", "1"], capsys)
+    monkeypatch.setattr(traces, "TRACES_FILE", path)
+    assert str(path) in _usage_error(["check", "--seeds", "1"], capsys)
 
 
-def test_a_file_that_was_written_is_read_back(tmp_path: Path) -> None:
+def test_written_file_is_read_back(tmp_path: Path) -> None:
     path = tmp_path / "traces.json"
     day = Trace(0, "a", "b", {"store": 1})
-    path.write_text(traces._written([day]))
-    assert traces.recorded(path) == {0: day} and json.loads(path.read_text())["days"]
+    path.write_text(traces._serialized([day]))
+    assert traces.load_recorded(path) == {0: day} and json.loads(path.read_text())["days"]
 
 
-def test_messages_survive_being_stored() -> None:
-    odd = Message(0.1 + 0.2, "controllers", "10.0.0.0", "10.0.0.1", bytes(range(256)))
-    assert traces._loaded(traces._stored(odd)) == odd
+def test_message_survives_json_round_trip() -> None:
+    message = Message(0.1 + 0.2, "controllers", "10.0.0.0", "10.0.0.1", bytes(range(256)))
+    assert traces._message_from_json(traces._message_to_json(message)) == message
--- a/tests/totals.py
+++ b/tests/totals.py
@@ -1,11 +1,11 @@
-"""Sums of seconds and amounts by name."""
+"""Sums of fractional amounts, such as seconds, by name."""
 
 from __future__ import annotations
 
 
 class Totals(dict[str, float]):
-    """Like `collections.Counter`, of fractions: a name without an amount reads as zero and is not added."""
+    """A `collections.Counter` for fractions: a missing name reads as zero and is not added."""
 
     def __missing__(self, name: str) -> float:
-        """Read as zero, without an entry."""
+        """Return zero without adding an entry."""
         return 0.0
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -1,14 +1,19 @@
-"""Characterization traces: every byte that controllers send on seeded days, held against what is recorded.
-
-    python -m tests.traces check [--seeds N]     compare with tests/data/traces.json; 1 if a day differs
-    python -m tests.traces record [--seeds N]    write that file anew (only for a wanted change of behaviour)
-    python -m tests.traces diff COMMIT --seed S  play one day with the sources of COMMIT and with those of the
-                                                 working tree, and print the first message that differs
-    python -m tests.traces play --seed S --out FILE   write the messages of one day, one JSON object a line
-
-A day is a run of whole controllers in simulated time (`tests/simtime.py`), so it repeats to the byte, in a process whose
-PYTHONHASHSEED is 0 (`play` asks for it, the others see to it). Bad input (an unknown
-commit, a seed that is not recorded, a data file that is missing or cut short) exits with 2 and one line that names it.
+"""Characterization traces: every byte that controllers send on seeded days, and their record.
+
+    python -m tests.traces check [--seeds N]     compare with tests/data/traces.json; exit status 1
+                                                 if a day differs
+    python -m tests.traces record [--seeds N]    rewrite that file (only for an intended change of
+                                                 behavior)
+    python -m tests.traces diff COMMIT --seed S  run one day with the sources of COMMIT and one with
+                                                 those of the working tree, and print the first
+                                                 message that differs
+    python -m tests.traces play --seed S --out FILE   write the messages of one day, one JSON array
+                                                      per line
+
+A day is a run of whole controllers in simulated time (`tests/simtime.py`). It repeats to the byte
+in a process whose PYTHONHASHSEED is 0: `play` requires that variable, the other commands set it for
+their child processes. Bad input (an unknown commit, a seed that is not recorded, a data file that
+is missing or truncated) prints one line that names it and exits with status 2.
 """
 
 from __future__ import annotations
@@ -44,47 +49,46 @@
 from tests.whole import Service, job
 
 ROOT = Path(__file__).resolve().parent.parent
-DATA = ROOT / "tests" / "data" / "traces.json"
+TRACES_FILE = ROOT / "tests" / "data" / "traces.json"
 RECORDED_DAYS = 200
-CI_DAYS = 16  # the first of them, played with the tests
+CI_DAYS = 16  # the first recorded days, which run with the tests
 
 CONTROLLERS = "10.0.0."
 WORKERS = "10.1."
-FREE_TEXT = re.compile(rb'"(error|reason)":"((?:[^"\\]|\\.)*)"')  # what users read in an answer
+FREE_TEXT = re.compile(rb'"(error|reason)":"((?:[^"\\]|\\.)*)"')  # prose for users
 CONTENT_LENGTH = re.compile(rb"(?im)^content-length: *\d+\r\n")
 
 SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
-EARLIER_VERSION = 1  # of a controller that announces nothing
-HASH_SEED = (
-    "0"  # of Python's own string hashes: sets of names are iterated in an order that depends on it
-)
-ROLL_PAUSE_S = 3.0  # between the restarts of an upgrade
+EARLIER_VERSION = 1  # of a controller that announces no version
+# PYTHONHASHSEED: the iteration order of sets of names depends on Python's string hashes.
+HASH_SEED = "0"
+UPGRADE_RESTART_INTERVAL_S = 3.0
 
 
 class Message(NamedTuple):
     """One write of a controller to a connection."""
 
     at_s: float
-    kind: str  # who receives it: store, cloud, workers, controllers or users
+    kind: str  # party that receives it: store, cloud, workers, controllers or users
     sender: str
     receiver: str
     body: bytes
 
 
 class Trace(NamedTuple):
-    """What is recorded of a day."""
+    """The record of a day."""
 
     seed: int
-    digest: str  # of all messages but their free text
-    texts: str  # of the free text (`error`, `reason`) in answers to users
-    messages: dict[str, int]  # how many, by kind
+    digest: str  # SHA-256 of all messages without their free text
+    texts: str  # SHA-256 of the free text (`error`, `reason`) in responses to users
+    messages: dict[str, int]  # message count by kind
 
 
-# -- a day -------------------------------------------------------------------------------------------------
+# -- Running a day
 
 
-def kind_of(receiver: str) -> str:
-    """Which of the protocol's parties a host is."""
+def receiver_kind(receiver: str) -> str:
+    """Return which party of the protocol a host is."""
     if receiver in (STATE, CLOUD):
         return "store" if receiver == STATE else "cloud"
     if receiver.startswith(CONTROLLERS):
@@ -92,15 +96,15 @@
     return "workers" if receiver.startswith(WORKERS) else "users"
 
 
-async def upgraded(service: Service, rng: random.Random, for_s: float) -> None:
-    """Controllers of the version before are replaced by present ones, one after the other."""
+async def rolling_upgrade(service: Service, rng: random.Random, for_s: float) -> None:
+    """Restart the controllers one after the other in random order; the caller sets the version."""
     for number in rng.sample(range(3), 3):
         service.crash(number, 0.3)
-        await asyncio.sleep(ROLL_PAUSE_S)
+        await asyncio.sleep(UPGRADE_RESTART_INTERVAL_S)
 
 
-async def limits_shrink(service: Service, rng: random.Random, for_s: float) -> None:
-    """The store takes smaller values and transactions, while an array of many tasks is written."""
+async def store_limits_shrink(service: Service, rng: random.Random, for_s: float) -> None:
+    """Lower the store's limits for values and transactions while a large array job is written."""
     number = 800_000 + rng.randrange(1000)
     submitted = asyncio.create_task(
         service.submit(job(number, shares=70, accelerators=0.1, cpus=0.1, expect_s=6.0))
@@ -110,8 +114,11 @@
     await submitted
 
 
-async def dependencies(service: Service, rng: random.Random, for_s: float) -> None:
-    """Jobs of both teams that wait for others: an array, a gang, and one that fails often enough to be parked."""
+async def dependent_jobs(service: Service, rng: random.Random, for_s: float) -> None:
+    """Submit jobs of both teams that depend on others; one fails often enough to be parked.
+
+    With a probability of 0.3 one of the prerequisites is cancelled.
+    """
     number = 810_000 + 10 * rng.randrange(1000)
     names = [f"req-{number + n:06d}" for n in range(5)]
     runs = [
@@ -127,8 +134,8 @@
         await service.withdraw(names[1])
 
 
-async def many_fail(service: Service, rng: random.Random, for_s: float) -> None:
-    """Every task that a worker starts meanwhile fails: retries in place, then parks."""
+async def mass_task_failure(service: Service, rng: random.Random, for_s: float) -> None:
+    """Let every task that the present workers start in this time fail: retries, then parks."""
     workers = list(service.world.workers.values())
     for worker in workers:
         worker.error_share = 1.0
@@ -137,65 +144,73 @@
         worker.error_share = 0.0
 
 
-EXTRA = {trouble.__name__: trouble for trouble in (limits_shrink, dependencies, many_fail)}
+EXTRA_FAULTS = {
+    fault.__name__: fault for fault in (store_limits_shrink, dependent_jobs, mass_task_failure)
+}
 
 
 def events_of(seed: int, rng: random.Random) -> list[Met]:
-    """The faults that the seed draws, and those that come with its number so that none is missing."""
+    """Return the random faults of a seed and those that its number selects, by time.
+
+    The latter make sure that each of these faults occurs on some days.
+    """
     events = meetings.drawn(rng)
     if seed % 2 == 0:
-        events.append(Met(3.0 + rng.random(), "dependencies", 1.0))
+        events.append(Met(3.0 + rng.random(), "dependent_jobs", 1.0))
     if seed % 3 == 0:
         events.append(Met(6.0 + rng.random(), "more_than_room", 1.0))
     if seed % 4 == 1:
-        events.append(Met(10.0 + rng.random(), "many_fail", 6.0))
+        events.append(Met(10.0 + rng.random(), "mass_task_failure", 6.0))
     if seed % 5 == 0:
-        events.append(Met(rng.uniform(12.0, 30.0), "upgraded", 1.0))
+        events.append(Met(rng.uniform(12.0, 30.0), "rolling_upgrade", 1.0))
     if seed % 7 == 3:
-        events.append(Met(5.0 + rng.random(), "limits_shrink", 1.0))
+        events.append(Met(5.0 + rng.random(), "store_limits_shrink", 1.0))
     return sorted(events)
 
 
 def play(seed: int) -> list[Message]:
-    """All that the controllers send on the day of this seed, in order."""
+    """Run the day of this seed and return all messages that its controllers send, in order."""
     messages: list[Message] = []
 
     def observe(at_s: float, sender: str, receiver: str, body: bytes) -> None:
         if sender.startswith(CONTROLLERS):
-            messages.append(Message(at_s, kind_of(receiver), sender, receiver, body))
+            messages.append(Message(at_s, receiver_kind(receiver), sender, receiver, body))
 
     rng = random.Random(seed)
     events = events_of(seed, rng)
     with pytest.MonkeyPatch.context() as patch:
-        extra: dict[str, Any] = dict(EXTRA)
+        extra_faults: dict[str, Any] = dict(EXTRA_FAULTS)
         if seed % 5 == 0:
-            # In a process of the version before nothing of an upgrade is announced.
-            present = cluster_version.SUPPORTED_VERSION
+            # A controller of the earlier version announces no version.
+            current = cluster_version.SUPPORTED_VERSION
             patch.setattr(cluster_version, "SUPPORTED_VERSION", EARLIER_VERSION)
 
-            async def roll(service: Service, luck: random.Random, for_s: float) -> None:
-                patch.setattr(cluster_version, "SUPPORTED_VERSION", present)
-                await upgraded(service, luck, for_s)
+            async def upgrade(service: Service, event_rng: random.Random, for_s: float) -> None:
+                patch.setattr(cluster_version, "SUPPORTED_VERSION", current)
+                await rolling_upgrade(service, event_rng, for_s)
 
-            extra["upgraded"] = roll
+            extra_faults["rolling_upgrade"] = upgrade
         meetings.course(
             events,
             rng,
             seed,
             patch,
             leads=(None, 0, 1, 2)[seed % 4],
-            more=extra,
+            more=extra_faults,
             later=SMALLER_LIMITS if seed % 7 == 3 else None,
             observe=observe,
         )
     return messages
 
 
-# -- what is recorded of it ----------------------------------------------------------------------------------
+# -- Recording and comparing days
 
 
-def divided(message: Message) -> tuple[bytes, bytes]:
-    """A message without its free text, and the free text: only what users read as such is taken apart."""
+def split_free_text(message: Message) -> tuple[bytes, bytes]:
+    """Split a message into its bytes without free text and the free text.
+
+    Only responses to users are split, since their wording may change without a change of behavior.
+    """
     if message.kind != "users":
         return message.body, b""
     texts = b"\n".join(match[2] for match in FREE_TEXT.finditer(message.body))
@@ -204,12 +219,12 @@
     return FREE_TEXT.sub(rb'"\1":""', CONTENT_LENGTH.sub(b"", message.body)), texts
 
 
-def traced(seed: int, messages: Iterable[Message]) -> Trace:
-    """Digests and counts of a day's messages."""
+def trace_of(seed: int, messages: Iterable[Message]) -> Trace:
+    """Return the digests and counts of a day's messages."""
     digest, texts = hashlib.sha256(), hashlib.sha256()
     counts: Counter[str] = Counter()
     for message in messages:
-        body, text = divided(message)
+        body, text = split_free_text(message)
         head = f"{message.at_s!r} {message.kind} {message.sender} {message.receiver} {len(body)}\n"
         digest.update(head.encode() + body)
         texts.update(text + b"\n")
@@ -217,94 +232,98 @@
     return Trace(seed, digest.hexdigest(), texts.hexdigest(), dict(sorted(counts.items())))
 
 
-def difference(recorded: Trace, found: Trace) -> str | None:
-    """One line that says in what a day differs from what is recorded, or None."""
+def describe_difference(recorded: Trace, found: Trace) -> str | None:
+    """Return one line on how a day differs from its record, or None if it does not."""
     if recorded.messages != found.messages:
         return f"seed {found.seed}: messages: recorded {recorded.messages}, found {found.messages}"
     if recorded.digest != found.digest:
-        return f"seed {found.seed}: as many messages, other bytes, order or times (see: diff)"
+        return f"seed {found.seed}: same message counts, other bytes, order or times (see: diff)"
     if recorded.texts != found.texts:
-        return f"seed {found.seed}: only the wording of `error` or `reason` in answers to users"
+        return f"seed {found.seed}: only the wording of `error` or `reason` in responses to users"
     return None
 
 
-def played(seed: int) -> Trace:
-    """The trace of a seed, played now."""
-    return traced(seed, play(seed))
+def play_and_trace(seed: int) -> Trace:
+    """Run the day of a seed and return its trace."""
+    return trace_of(seed, play(seed))
+
 
+def load_recorded(path: Path | None = None) -> dict[int, Trace]:
+    """Return the recorded traces by seed.
 
-def recorded(path: Path | None = None) -> dict[int, Trace]:
-    """The recorded traces by seed. Raises ValueError that names the file, if it is missing or cut short."""
-    path = path or DATA
+    Raises:
+        ValueError: The file is missing, truncated or malformed; the message names it.
+    """
+    path = path or TRACES_FILE
     try:
         days = json.loads(path.read_text(encoding="utf-8"))["days"]
         return {day["seed"]: Trace(**day) for day in days}
     except FileNotFoundError:
         raise ValueError(f"{path}: missing") from None
-    except (ValueError, KeyError, TypeError) as why:
-        raise ValueError(f"{path}: cut short or not a file of traces ({why})") from None
+    except (ValueError, KeyError, TypeError) as error:
+        raise ValueError(f"{path}: truncated or not a file of traces ({error})") from None
 
 
-def _written(traces: list[Trace]) -> str:
+def _serialized(traces: list[Trace]) -> str:
     rows = ",\n".join(json.dumps(trace._asdict()) for trace in traces)
     return f'{{"days": [\n{rows}\n]}}\n'
 
 
-# -- the command line ----------------------------------------------------------------------------------------
+# -- Command line
 
 
-def refuse(why: str) -> NoReturn:
-    """Bad input: one line, and 2."""
-    wrong(f"traces: {why}")
+def exit_with_usage_error(message: str) -> NoReturn:
+    """Print one line on the bad input and exit with status 2."""
+    wrong(f"traces: {message}")
 
 
-def each_played(seeds: list[int], jobs: int) -> Iterator[Trace]:
-    """Traces of many days, each played in one of some processes."""
-    os.environ["PYTHONHASHSEED"] = HASH_SEED  # spawned interpreters take it from there
-    spawned = multiprocessing.get_context("spawn")
-    with concurrent.futures.ProcessPoolExecutor(jobs, mp_context=spawned) as pool:
-        yield from pool.map(played, seeds)
+def play_all(seeds: list[int], jobs: int) -> Iterator[Trace]:
+    """Run many days in `jobs` processes and yield their traces in order of the seeds."""
+    os.environ["PYTHONHASHSEED"] = HASH_SEED  # inherited by the spawned interpreters
+    spawn_context = multiprocessing.get_context("spawn")
+    with concurrent.futures.ProcessPoolExecutor(jobs, mp_context=spawn_context) as pool:
+        yield from pool.map(play_and_trace, seeds)
 
 
 def check(seeds: int, jobs: int) -> int:
-    """Compare the first days with what is recorded; the exit status."""
+    """Compare the first `seeds` days with their record and return the exit status."""
     try:
-        known = recorded()
-    except ValueError as why:
-        refuse(str(why))
+        known = load_recorded()
+    except ValueError as error:
+        exit_with_usage_error(str(error))
     if seeds > len(known):
-        refuse(f"--seeds {seeds}: {len(known)} are recorded")
-    wrong = 0
-    for found in each_played(sorted(known)[:seeds], jobs):
-        differs = difference(known[found.seed], found)
-        if differs:
-            wrong += 1
-            print(differs, flush=True)
-    print(f"{seeds} days, {wrong} differ")
-    return 1 if wrong else 0
+        exit_with_usage_error(f"--seeds {seeds}: {len(known)} are recorded")
+    differing = 0
+    for found in play_all(sorted(known)[:seeds], jobs):
+        finding = describe_difference(known[found.seed], found)
+        if finding:
+            differing += 1
+            print(finding, flush=True)
+    print(f"{seeds} days, {differing} differ")
+    return 1 if differing else 0
 
 
 def record(seeds: int, jobs: int) -> int:
-    """Write the file anew."""
+    """Rewrite the file with the first `seeds` days and return the exit status."""
     traces = []
-    for trace in each_played(list(range(seeds)), jobs):
+    for trace in play_all(list(range(seeds)), jobs):
         traces.append(trace)
         print(trace.seed, trace.messages, flush=True)
-    DATA.parent.mkdir(exist_ok=True)
-    DATA.write_text(_written(traces), encoding="utf-8")
+    TRACES_FILE.parent.mkdir(exist_ok=True)
+    TRACES_FILE.write_text(_serialized(traces), encoding="utf-8")
     return 0
 
 
-def _stored(message: Message) -> str:
+def _message_to_json(message: Message) -> str:
     return json.dumps([*message[:4], message.body.decode("latin-1")])
 
 
-def _loaded(line: str) -> Message:
+def _message_from_json(line: str) -> Message:
     at_s, kind, sender, receiver, body = json.loads(line)
     return Message(at_s, kind, sender, receiver, body.encode("latin-1"))
 
 
-def _shown(message: Message | None) -> str:
+def _format_message(message: Message | None) -> str:
     if message is None:
         return "no further message"
     return (
@@ -313,11 +332,11 @@
     )
 
 
-def _messages_at(root: Path, seed: int) -> list[Message]:
-    """A day's messages with the sources (and the tests) that stand below a directory."""
+def _play_with_sources(root: Path, seed: int) -> list[Message]:
+    """Run a day with the sources and the tests in a directory and return its messages."""
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder) / "messages"
-        words = [
+        command = [
             sys.executable,
             "-m",
             "tests.traces",
@@ -327,68 +346,78 @@
             "--out",
             str(out),
         ]
-        pinned = {**os.environ, "PYTHONHASHSEED": HASH_SEED}
-        ended = subprocess.run(
-            words, cwd=root, env=pinned, capture_output=True, text=True, check=False
+        environment = {**os.environ, "PYTHONHASHSEED": HASH_SEED}
+        result = subprocess.run(
+            command, cwd=root, env=environment, capture_output=True, text=True, check=False
         )
-        if ended.returncode:
-            last = (ended.stderr.strip().splitlines() or ["?"])[-1]
-            refuse(f"{root}: the day of seed {seed} can't be played there ({last})")
-        return [_loaded(line) for line in out.read_text(encoding="utf-8").splitlines()]
+        if result.returncode:
+            last_line = (result.stderr.strip().splitlines() or ["?"])[-1]
+            exit_with_usage_error(
+                f"{root}: the day of seed {seed} can't be run there ({last_line})"
+            )
+        return [_message_from_json(line) for line in out.read_text(encoding="utf-8").splitlines()]
 
 
 def diff(commit: str, seed: int) -> int:
-    """Print the first message that differs between a commit's sources and the working tree's."""
+    """Print the first message that differs between a commit and the working tree.
+
+    Returns the exit status: 1 if a message differs.
+    """
     archive = subprocess.run(["git", "archive", commit], cwd=ROOT, capture_output=True, check=False)
     if archive.returncode:
-        refuse(f"unknown commit {commit!r}")
+        exit_with_usage_error(f"unknown commit {commit!r}")
     with tempfile.TemporaryDirectory() as folder:
         with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as files:
             files.extractall(folder, filter="data")
-        before = _messages_at(Path(folder), seed)
-    after = _messages_at(ROOT, seed)
-    for number, (one, other) in enumerate(zip_longest(before, after)):
-        if one != other:
+        before = _play_with_sources(Path(folder), seed)
+    after = _play_with_sources(ROOT, seed)
+    for number, (old, new) in enumerate(zip_longest(before, after)):
+        if old != new:
             print(f"message {number} of seed {seed} differs")
-            print(f"{commit}: {_shown(one)}\nnow: {_shown(other)}")
+            print(f"{commit}: {_format_message(old)}\nnow: {_format_message(new)}")
             return 1
     print(f"seed {seed}: {len(before)} messages, all equal")
     return 0
 
 
-def main(words: list[str] | None = None) -> int:
-    """The command line; returns the exit status."""
-    top = argparse.ArgumentParser(
+def main(arguments: list[str] | None = None) -> int:
+    """Run the command line and return the exit status."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    verbs = top.add_subparsers(dest="verb", required=True)
-    for verb in ("check", "record"):
-        many = verbs.add_parser(verb)
-        many.add_argument("--seeds", type=int, default=RECORDED_DAYS)
-        many.add_argument("--jobs", type=int, default=4, help="days at once")
-    one = verbs.add_parser("diff")
-    one.add_argument("commit")
-    one.add_argument("--seed", type=int, required=True)
-    one = verbs.add_parser("play")
-    one.add_argument("--seed", type=int, required=True)
-    one.add_argument("--out", type=Path, required=True)
-    options = top.parse_args(words)
+    commands = parser.add_subparsers(dest="verb", required=True)
+    for command in ("check", "record"):
+        seeds_parser = commands.add_parser(command)
+        seeds_parser.add_argument("--seeds", type=int, default=RECORDED_DAYS)
+        seeds_parser.add_argument(
+            "--jobs", type=int, default=4, help="number of days that run at the same time"
+        )
+    seed_parser = commands.add_parser("diff")
+    seed_parser.add_argument("commit")
+    seed_parser.add_argument("--seed", type=int, required=True)
+    seed_parser = commands.add_parser("play")
+    seed_parser.add_argument("--seed", type=int, required=True)
+    seed_parser.add_argument("--out", type=Path, required=True)
+    options = parser.parse_args(arguments)
     if options.verb in ("check", "record"):
         if options.seeds <= 0 or options.jobs <= 0:
-            refuse(f"--seeds, --jobs: expected above 0, found {options.seeds}, {options.jobs}")
+            exit_with_usage_error(
+                f"--seeds, --jobs: expected numbers above 0, found {options.seeds}, {options.jobs}"
+            )
         return (check if options.verb == "check" else record)(options.seeds, options.jobs)
     if options.verb == "diff":
         try:
-            known = recorded()
-        except ValueError as why:
-            refuse(str(why))
+            known = load_recorded()
+        except ValueError as error:
+            exit_with_usage_error(str(error))
         if options.seed not in known:
-            refuse(f"seed {options.seed} is not recorded")
+            exit_with_usage_error(f"seed {options.seed} is not recorded")
         return diff(options.commit, options.seed)
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
-        refuse(f"play: expected PYTHONHASHSEED={HASH_SEED} in the environment")
+        exit_with_usage_error(f"play: expected PYTHONHASHSEED={HASH_SEED} in the environment")
     options.out.write_text(
-        "".join(f"{_stored(message)}\n" for message in play(options.seed)), encoding="utf-8"
+        "".join(f"{_message_to_json(message)}\n" for message in play(options.seed)),
+        encoding="utf-8",
     )
     return 0
 
