--- a/tests/cost.py
+++ b/tests/cost.py
@@ -1,9 +1,11 @@
-"""Where a controller's processor time and memory go, by activity: whole controllers of two deployments' shapes on the stand-ins.
+"""A controller's processor time and memory by activity, for two deployment shapes on stand-ins.
 
-    python -m tests.scale cost [--shape small --course steady] [--times 1.5] [--seconds 30] [--save cost.json]
+    python -m tests.scale cost [--shape small --course steady] [--times 1.5] [--seconds 30]
+                               [--save cost.json]
 
-Counts of calls repeat from run to run, and are what to compare; times are this machine's. Time that a library spends is put down to the code of
-ours that called it. What the stand-ins' network does instead of sockets is left out, and so is the kernel.
+Call counts repeat from run to run and are the figures to compare; times depend on the machine. The
+time of a library is attributed to the code of this project that called it. The work of the
+simulated network, which replaces the sockets, is left out, and so is that of the kernel.
 """
 
 from __future__ import annotations
@@ -34,21 +36,21 @@
 from tests.totals import Totals
 
 ROOT = Path(__file__).resolve().parent.parent
-FILL_S = 45.0  # until a fleet of either shape is at work
+FLEET_FILL_S = 45.0  # until the machines of either shape are running tasks
 
 
 class Shape(NamedTuple):
-    """A deployment: its fleet, what arrives a second, and what its controllers may use."""
+    """A deployment: its fleet, its arrivals, and the limits of its store and controllers."""
 
     machines: int
     report_s: float
     lease_s: float
     cancel_s: float
-    teams: list[tuple[str, float, float]]  # GPUs guaranteed, and at most
-    kinds: list[tuple[str, float, dict[str, Any]]]
-    writes: float
+    teams: list[tuple[str, float, float]]  # name, guaranteed GPUs, maximum GPUs
+    job_classes: list[tuple[str, float, dict[str, Any]]]
+    write_rps: float  # of the store
     ram_mb: float
-    core: float = 0.324
+    core_share: float = 0.324  # of one core, for each controller
 
 
 GANG = {
@@ -114,7 +116,8 @@
 }
 
 
-def shared_of(shape: Shape, times: float) -> Shared:
+def settings_for(shape: Shape, times: float) -> Shared:
+    """Return the shared settings of a deployment whose fleet and quotas are `times` as large."""
     shared = whole.shared()
     shared.teams = [
         Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in shape.teams
@@ -128,8 +131,8 @@
         workers.gang_wait_s,
     ) = shape.report_s, shape.lease_s, shape.cancel_s, 8.0, 30.0
     shared.state.rps, shared.state.write_rps, shared.state.value_kb = (
-        2.5 * shape.writes,
-        shape.writes,
+        2.5 * shape.write_rps,
+        shape.write_rps,
         8.0,
     )
     shared.cloud.rps, shared.cloud.list_lag_s = 4.0, 4.0
@@ -137,13 +140,14 @@
         shared.machine_limits.core_share,
         shared.machine_limits.ram_mb,
         shared.machine_limits.max_connections,
-    ) = shape.core, shape.ram_mb, 1000
+    ) = shape.core_share, shape.ram_mb, 1000
     return shared
 
 
-# -- what which code is for -----------------------------------------------------------------------------------
+# -- Attribution of profiled functions to activities
 
-# By file, or file:function where one file serves two. The first that fits.
+# Path prefix, or path:function prefix where one file serves several activities. The first match
+# applies.
 ACTIVITIES: list[tuple[str, str]] = [
     ("net/http.py:_over_a_link", "HTTP out"),
     ("net/http.py:request", "HTTP out"),
@@ -225,8 +229,8 @@
     ("core/duration_histogram.py", "metrics"),
     ("settings.py", "JSON"),
 ]
-# What is counted once for each of its kind, by file:function.
-UNITS = {
+# The function, as path:function, whose calls count the units of work of an activity.
+UNIT_FUNCTIONS = {
     "HTTP in": "net/http.py:_one",
     "HTTP out": "net/http.py:_over_a_link",
     "reports": "core/heartbeat_reconciler.py:on_heartbeat",
@@ -239,59 +243,66 @@
     "submissions and questions": "front.py:submit",
     "pictures": "core/status_reporter.py:shard_status",
 }
-OUTSIDE = "stand-ins"  # not the controller's
-Func = tuple[str, int, str]
+STAND_INS = "stand-ins"  # work that is not the controller's
+ProfiledFunction = tuple[str, int, str]  # file, line, name
 
 
-def activity_of(func: Func) -> str | None:
-    """None: whoever calls it is asked."""
+def activity_of(func: ProfiledFunction) -> str | None:
+    """Return the activity of a function, or None if its callers determine it."""
     file, _, name = func
     if "/logging/" in file:
         return "logging"
     if "/tests/" in file or file.endswith("cProfile.py"):
-        return OUTSIDE
+        return STAND_INS
     if "/ashdock/" not in file:
         return None
     inner = file.rpartition("/ashdock/")[2]
-    for what, activity in ACTIVITIES:
-        path, _, function = what.partition(":")
+    for pattern, activity in ACTIVITIES:
+        path, _, function = pattern.partition(":")
         if inner.startswith(path) and (not function or name.startswith(function)):
             return activity
     return None
 
 
-class Budget(NamedTuple):
-    """By activity: seconds, calls, and how many of its units there were."""
+class CostBreakdown(NamedTuple):
+    """Processor seconds, function calls and units of work by activity."""
 
     seconds: Totals
     calls: Counter[str]
     units: Counter[str]
 
     @property
-    def known(self) -> float:
-        """The share of all the time that is put down to an activity."""
-        whole_s = sum(self.seconds.values()) - self.seconds[OUTSIDE]
-        return 1.0 - self.seconds["other"] / whole_s if whole_s else 1.0
-
-
-def budget_of(profile: cProfile.Profile) -> Budget:
-    stats: dict[Func, tuple[int, int, float, float, dict[Func, tuple[int, int, float, float]]]] = (
-        pstats.Stats(profile).stats  # type: ignore[attr-defined]
-    )
-    shares: dict[Func, dict[str, float]] = {}
-
-    def share_of(func: Func, above: frozenset[Func]) -> dict[str, float]:
-        """Whose a function's time is, by who calls it."""
+    def attributed_share(self) -> float:
+        """Share of the time, without that of the stand-ins, that has an activity."""
+        controller_s = sum(self.seconds.values()) - self.seconds[STAND_INS]
+        return 1.0 - self.seconds["other"] / controller_s if controller_s else 1.0
+
+
+def break_down_cost(profile: cProfile.Profile) -> CostBreakdown:
+    """Attribute all functions of a profile to activities."""
+    stats: dict[
+        ProfiledFunction,
+        tuple[int, int, float, float, dict[ProfiledFunction, tuple[int, int, float, float]]],
+    ] = pstats.Stats(profile).stats  # type: ignore[attr-defined]
+    shares: dict[ProfiledFunction, dict[str, float]] = {}
+
+    def activity_shares(
+        func: ProfiledFunction, path: frozenset[ProfiledFunction]
+    ) -> dict[str, float]:
+        """Divide a function's time among activities by the time of its callers.
+
+        `path` are the functions under evaluation, which are skipped to end recursion.
+        """
         if func in shares:
             return shares[func]
-        own = activity_of(func)
-        if own is not None:
-            shares[func] = {own: 1.0}
+        activity_found = activity_of(func)
+        if activity_found is not None:
+            shares[func] = {activity_found: 1.0}
             return shares[func]
         callers = {
             caller: row[3]
             for caller, row in stats[func][4].items()
-            if caller not in above and caller != func and caller in stats
+            if caller not in path and caller != func and caller in stats
         }
         total = sum(callers.values())
         if not total:
@@ -300,63 +311,72 @@
                 if "/asyncio/" in func[0] or "_asyncio" in func[2] or "send" in func[2]
                 else "other": 1.0
             }
-        out = Totals()
+        divided = Totals()
         for caller, seconds in callers.items():
-            for activity, share in share_of(caller, above | {func}).items():
-                out[activity] += share * seconds / total
-        if len(above) == 0:
-            shares[func] = dict(out)
-        return dict(out)
+            for activity, share in activity_shares(caller, path | {func}).items():
+                divided[activity] += share * seconds / total
+        if len(path) == 0:
+            shares[func] = dict(divided)
+        return dict(divided)
 
     spent, calls, units = Totals(), Counter[str](), Counter[str]()
     for func, (_, number, own_s, _, _) in stats.items():
-        for activity, share in share_of(func, frozenset()).items():
+        for activity, share in activity_shares(func, frozenset()).items():
             spent[activity] += own_s * share
             calls[activity] += round(number * share)
         inner = f"{func[0].rpartition('/ashdock/')[2]}:{func[2]}"
-        for activity, unit in UNITS.items():
+        for activity, unit in UNIT_FUNCTIONS.items():
             if unit == inner and "/ashdock/" in func[0]:
                 units[activity] += number
-    return Budget(spent, calls, units)
+    return CostBreakdown(spent, calls, units)
 
 
-# -- courses ----------------------------------------------------------------------------------------------------------
+# -- Courses
 
 
 @dataclass
-class Play:
-    """One deployment on the stand-ins, its users, and what is measured."""
+class CourseRun:
+    """A deployment on the stand-ins and its users; each method is a course of that name."""
 
     net: Net
     fleet: Fleet
     users: Any
 
     async def steady(self) -> None:
-        """What arrives, arrives."""
+        """Only the usual arrivals."""
 
     async def filling(self) -> None:
-        """A quarter of a minute's arrivals at once, on a fleet that was empty: measured from its first second."""
+        """Measure from the start of a fleet to which a minute's arrivals are submitted at once."""
 
     async def takeover(self) -> None:
-        """The owner of the largest part ends for good, and another that leads takes it."""
-        held = {
+        """Stop the owner of the largest shard for good, so that another controller takes it over.
+
+        Among equals, one that does not lead is stopped.
+        """
+        machines_owned = {
             n: max((len(o.shard.machines) for o in c.owners.values() if o.shard), default=0)
             for n, c in self.fleet.controllers.items()
         }
-        n = max(held, key=lambda one: (held[one], self.fleet.controllers[one].leader is None))
+        n = max(
+            machines_owned,
+            key=lambda number: (
+                machines_owned[number],
+                self.fleet.controllers[number].leader is None,
+            ),
+        )
         self.net.kill(f"10.0.0.{n}")
         self.fleet.controllers.pop(n)
 
     async def outage(self) -> None:
-        """The state service is down for a lease, and comes back."""
+        """Take the state service down for the duration of a machine lease."""
         self.fleet.state.down = True
         await asyncio.sleep(self.fleet.shared.workers.lease_s)
         self.fleet.state.down = False
 
     async def flood(self) -> None:
-        """Users ask forty times a second more."""
+        """Add 40 status queries per second from users."""
 
-        async def ask() -> None:
+        async def query() -> None:
             rng = random.Random(3)
             while True:
                 await asyncio.sleep(rng.expovariate(40.0))
@@ -365,30 +385,32 @@
                     self.users.ask({}, "GET", f"/v2/runs/{rng.choice(jobs)}", b"", 2.0)
                 )
 
-        self.users.spawn(ask())
+        self.users.spawn(query())
 
 
 COURSES = ["steady", "filling", "takeover", "outage", "flood"]
 
 
-class Collections:
-    """Of garbage: how often, and how long, by the controller in whose step it fell."""
+class GarbageCollectionMeter:
+    """A `gc` callback: counts and processor seconds by the host whose step triggered them."""
 
     def __init__(self, meter: Any) -> None:
+        """Take the meter that knows which host is running."""
         self.meter = meter
         self.seconds = Totals()
-        self.times: Counter[str] = Counter()
-        self.began = 0.0
+        self.counts: Counter[str] = Counter()
+        self.started_s = 0.0
 
     def __call__(self, phase: str, info: dict[str, int]) -> None:
+        """Handle the start or the end of a collection."""
         if phase == "start":
-            self.began = time.thread_time()
+            self.started_s = time.thread_time()
         elif self.meter.running is not None:
-            self.seconds[self.meter.running[0]] += time.thread_time() - self.began
-            self.times[self.meter.running[0]] += 1
+            self.seconds[self.meter.running[0]] += time.thread_time() - self.started_s
+            self.counts[self.meter.running[0]] += 1
 
 
-def play(
+def run_course(
     shape: Shape,
     course: str,
     times: float,
@@ -397,48 +419,51 @@
     users_of: Callable[..., Any],
     meter: Any,
 ) -> dict[str, Any]:
-    """What each controller used in so many seconds of a course, and the budget of each by its role."""
+    """Run a course and return each controller's use over `seconds`, by its number and role."""
     out: dict[str, Any] = {}
 
     async def main(net: Net) -> None:
-        fleet = Fleet(net, shared_of(shape, times), int(shape.machines * times))
+        fleet = Fleet(net, settings_for(shape, times), int(shape.machines * times))
         await fleet.start()
         users = users_of(fleet, times, shape)
         simtime.spawn(net, "users", users.run())
-        one = Play(net, fleet, users)
-        await asyncio.sleep(2.0 if course == "filling" else FILL_S)
+        run = CourseRun(net, fleet, users)
+        await asyncio.sleep(2.0 if course == "filling" else FLEET_FILL_S)
         for n in range(3):
             meter.profiles[f"10.0.0.{n}"] = cProfile.Profile()
-        before, memory = dict(meter.spent), {n: memory_of(c) for n, c in fleet.controllers.items()}
+        before, memory = (
+            dict(meter.spent),
+            {n: memory_by_use(c) for n, c in fleet.controllers.items()},
+        )
         began = users.now()
-        users.spawn(getattr(one, course)())
-        collections = Collections(meter)
+        users.spawn(getattr(run, course)())
+        collections = GarbageCollectionMeter(meter)
         gc.callbacks.append(collections)
         await asyncio.sleep(seconds)
         gc.callbacks.remove(collections)
-        past = users.now() - began
+        elapsed_s = users.now() - began
         for n, controller in sorted(fleet.controllers.items()):
             host = f"10.0.0.{n}"
-            held = sum(
+            machines_owned = sum(
                 len(owner.shard.machines) for owner in controller.owners.values() if owner.shard
             )
-            role = f"{'leads, ' if controller.leader else ''}owns {held} machines"
+            role = f"{'leads, ' if controller.leader else ''}owns {machines_owned} machines"
             out[f"n{n}: {role}"] = {
-                "cores": (meter.spent[host] - before.get(host, 0.0)) / past,
-                "seconds": past,
-                "budget": budget_of(meter.profiles.pop(host)),
-                "memory": memory_of(controller),
+                "cores": (meter.spent[host] - before.get(host, 0.0)) / elapsed_s,
+                "seconds": elapsed_s,
+                "budget": break_down_cost(meter.profiles.pop(host)),
+                "memory": memory_by_use(controller),
                 "memory_before": memory[n],
-                "collections": collections.times[host] / past,
-                "collecting": collections.seconds[host] / past,
+                "collections": collections.counts[host] / elapsed_s,
+                "collecting": collections.seconds[host] / elapsed_s,
             }
 
     simulate(main, 11, meter)
     return out
 
 
-def memory_of(controller: Any) -> dict[str, int]:
-    """Bytes in a controller's tables, by what they are for."""
+def memory_by_use(controller: Any) -> dict[str, int]:
+    """Return the bytes in a controller's tables by use, and its number of connections."""
     shards = [owner.shard for owner in controller.owners.values() if owner.shard is not None]
     front = controller.front
     tables: dict[str, list[Any]] = {
@@ -473,10 +498,12 @@
     }
 
 
-START = """
+IMPORT_SCRIPT = """
 import sys, time
 from pathlib import Path
-def kib(): return next(line.split()[1] for line in Path("/proc/self/status").read_text().splitlines() if line.startswith("VmRSS"))
+def kib():
+    lines = Path("/proc/self/status").read_text().splitlines()
+    return next(line.split()[1] for line in lines if line.startswith("VmRSS"))
 began = time.perf_counter(); bare = len(sys.modules); empty = kib()
 from ashdock import cli
 import asyncio, gc
@@ -485,44 +512,57 @@
 """
 
 
-def start_cost(runs: int = 5) -> dict[str, float]:
-    """Of what a controller imports before it serves: the least of some runs' seconds, modules, and KiB of memory before and after."""
+def import_cost(runs: int = 5) -> dict[str, float]:
+    """Measure the imports of a controller's start: the minimum of each figure over some runs.
+
+    The figures are seconds, modules, and resident KiB before and after.
+    """
     rows = []
     for _ in range(runs):
-        said = subprocess.run(
-            [sys.executable, "-c", START], cwd=ROOT, capture_output=True, text=True, check=True
+        output = subprocess.run(
+            [sys.executable, "-c", IMPORT_SCRIPT],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
         ).stdout
-        rows.append([float(word) for word in said.split()])
+        rows.append([float(word) for word in output.split()])
     seconds, modules, empty, full = (min(column) for column in zip(*rows, strict=True))
     return {"import_s": seconds, "modules": modules, "empty_kib": empty, "imported_kib": full}
 
 
-def table(name: str, row: dict[str, Any], core: float) -> str:
-    budget: Budget = row["budget"]
-    whole_s = sum(budget.seconds.values()) - budget.seconds[OUTSIDE]
+def format_table(name: str, row: dict[str, Any], core_share: float) -> str:
+    """Format the result of one controller."""
+    breakdown: CostBreakdown = row["budget"]
+    controller_s = sum(breakdown.seconds.values()) - breakdown.seconds[STAND_INS]
     lines = [
-        f"{name}: {row['cores']:.3f} cores of {core:g}, {budget.known:.1%} put down to an activity"
+        f"{name}: {row['cores']:.3f} cores of {core_share:g}, "
+        f"{breakdown.attributed_share:.1%} attributed to an activity"
     ]
     lines.append(
         f"  {'activity':<27}{'share':>7}{'calls a s':>11}{'units a s':>11}{'calls each':>12}"
     )
-    for activity, seconds in sorted(budget.seconds.items(), key=itemgetter(1), reverse=True):
-        if activity == OUTSIDE or seconds < whole_s / 1000:
+    for activity, seconds in sorted(breakdown.seconds.items(), key=itemgetter(1), reverse=True):
+        if activity == STAND_INS or seconds < controller_s / 1000:
             continue
-        units, calls = budget.units[activity], budget.calls[activity]
+        units, calls = breakdown.units[activity], breakdown.calls[activity]
         each = f"{calls / units:>12.0f}" if units else f"{'':>12}"
         lines.append(
-            f"  {activity:<27}{seconds / whole_s:>7.1%}{calls / row['seconds']:>11.0f}{units / row['seconds']:>11.1f}{each}"
+            f"  {activity:<27}{seconds / controller_s:>7.1%}"
+            f"{calls / row['seconds']:>11.0f}{units / row['seconds']:>11.1f}{each}"
         )
     lines.append(
-        f"  garbage collections (in the above): {row['collections']:.1f} a second, {row['collecting'] / max(row['cores'], 1e-9):.1%} of the time"
+        f"  garbage collections (in the above): {row['collections']:.1f} a second, "
+        f"{row['collecting'] / max(row['cores'], 1e-9):.1%} of the time"
     )
-    grown = {kind: (row["memory_before"][kind], now) for kind, now in row["memory"].items() if now}
+    memory = {kind: (row["memory_before"][kind], now) for kind, now in row["memory"].items() if now}
     lines.append(
         "  KiB: "
         + ", ".join(
-            f"{kind} {b >> 10} -> {n >> 10}" if kind != "connections" else f"{n} connections"
-            for kind, (b, n) in grown.items()
+            f"{kind} {before >> 10} -> {after >> 10}"
+            if kind != "connections"
+            else f"{after} connections"
+            for kind, (before, after) in memory.items()
         )
     )
     return "\n".join(lines)
@@ -536,30 +576,36 @@
     save: str | None,
     tools: tuple[Any, Any, Any],
 ) -> None:
+    """Run the courses on the shapes and print the results; `save` names a JSON file for them.
+
+    `tools` are a function that runs a simulation and factories of its users and its meter.
+    """
     simulate, users_of, meter_of = tools
-    start = start_cost()
+    start = import_cost()
     print(
-        f"imports: {start['import_s']:.3f} s, {start['modules']:.0f} modules, {start['imported_kib'] / 1024:.1f} MiB ({start['empty_kib'] / 1024:.1f} without)"
+        f"imports: {start['import_s']:.3f} s, {start['modules']:.0f} modules, "
+        f"{start['imported_kib'] / 1024:.1f} MiB ({start['empty_kib'] / 1024:.1f} without)"
     )
-    kept: dict[str, Any] = {"start": start}
+    results: dict[str, Any] = {"start": start}
     for shape in shapes:
         for course in courses:
             began = time.perf_counter()
-            rows = play(
+            rows = run_course(
                 SHAPES[shape],
                 course,
                 times,
                 seconds,
                 simulate,
                 users_of,
-                meter_of(SHAPES[shape].core),
+                meter_of(SHAPES[shape].core_share),
             )
             print(
-                f"\n{shape}, {course}, {times:g} times ({time.perf_counter() - began:.0f} s of real time)"
+                f"\n{shape}, {course}, {times:g} times "
+                f"({time.perf_counter() - began:.0f} s of real time)"
             )
             for name, row in rows.items():
-                print(table(name, row, SHAPES[shape].core), flush=True)
-                kept[f"{shape} {course} {name}"] = row | {
+                print(format_table(name, row, SHAPES[shape].core_share), flush=True)
+                results[f"{shape} {course} {name}"] = row | {
                     "budget": {
                         "seconds": row["budget"].seconds,
                         "calls": row["budget"].calls,
@@ -568,4 +614,4 @@
                 }
     print(f"this tool itself: {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MiB")
     if save:
-        Path(save).write_text(json.dumps(kept))
+        Path(save).write_text(json.dumps(results))
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -251,7 +251,7 @@
     ) -> None:
         self.fleet = fleet
         self.times = times
-        self.kinds = shape.kinds if shape else KINDS
+        self.kinds = shape.job_classes if shape else KINDS
         self.teams = [team[0] for team in (shape.teams if shape else TEAMS)]
         self.seed = seed
         self.rng = random.Random(seed)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,4 +1,7 @@
-"""What things cost, in counts that repeat; bounds a little above what was measured (docs/cost.md), so that they can fail."""
+"""Bounds on the cost of frequent operations, in counts that repeat.
+
+Each bound is a little above the current count (docs/cost.md), so that a regression exceeds it.
+"""
 
 from __future__ import annotations
 
@@ -26,23 +29,23 @@
 from tests.test_heads import served
 
 
-def calls(act: Callable[[], Any]) -> int:
-    """Function calls of `act`, built-in functions included, on its second run.
+def count_calls(action: Callable[[], Any]) -> int:
+    """Count the function calls of `action`, built-in functions included, on its second run.
 
-    Garbage that earlier tests left is collected before: its finalizers counted as calls of whatever was being measured,
-    so that the count depended on the tests that ran before.
+    Garbage of earlier tests is collected first: its finalizers would count as calls of the measured
+    action, and the count would depend on which tests ran before.
     """
-    act()
+    action()
     gc.collect()
     profile = cProfile.Profile()
     profile.enable()
-    act()
+    action()
     profile.disable()
     return int(pstats.Stats(profile).total_calls)  # type: ignore[attr-defined]
 
 
 def busy_shard(jobs: int = 30, machines: int = 20) -> Any:
-    """Full machines, and jobs that wait."""
+    """Return a shard whose machines are full and whose other jobs wait."""
     shard = shard_with(
         [spec(number, shares=4) for number in range(1, jobs + 1)], "abc"[:1] * machines
     )
@@ -54,38 +57,39 @@
     return shard
 
 
-def test_a_report_that_says_nothing_new() -> None:
+def test_heartbeat_without_news() -> None:
     shard = busy_shard()
     machine = shard.machines["vm-0"]
     tasks = [(f"{p.job}/{p.task}", p.attempt, "running", None) for p in machine.live.values()]
     assert len(tasks) == 4
-    tally = iter(range(2, 10**6))
+    report_numbers = iter(range(2, 10**6))
 
-    def reports() -> None:
+    def send_heartbeats() -> None:
         for _ in range(100):
             assert (
-                shard.reconciler.on_heartbeat(heartbeat("vm-0", next(tally), tasks), 2.0, True)
+                shard.reconciler.on_heartbeat(
+                    heartbeat("vm-0", next(report_numbers), tasks), 2.0, True
+                )
                 == []
             )
 
-    made = calls(lambda: [heartbeat("vm-0", 1, tasks) for _ in range(100)])
-    assert (calls(reports) - made) / 100 <= 82  # 75
+    calls_of_building = count_calls(lambda: [heartbeat("vm-0", 1, tasks) for _ in range(100)])
+    assert (count_calls(send_heartbeats) - calls_of_building) / 100 <= 82  # currently 75
     assert shard.writer.next_transaction() is None
 
 
-def test_a_request_over_a_kept_connection() -> None:
+def test_request_over_a_persistent_connection() -> None:
     body = b"x" * 400
     raw = (
-        b"POST /checkin HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Type: application/json\r\nContent-Length: 400\r\n\r\n"
-        + body
+        b"POST /checkin HTTP/1.1\r\nHost: 10.0.0.1:8080\r\n"
+        b"Content-Type: application/json\r\nContent-Length: 400\r\n\r\n" + body
     )
-    few, many = (calls(lambda n=n: asyncio.run(served([raw] * n))) for n in (10, 110))  # type: ignore[misc]
-    assert (
-        many - few
-    ) / 100 <= 295  # 268, the test's own packets among them; 446 where h11 reads each head
+    few, many = (count_calls(lambda n=n: asyncio.run(served([raw] * n))) for n in (10, 110))  # type: ignore[misc]
+    # Currently 268, the test's own packets included; 446 if h11 parses each head.
+    assert (many - few) / 100 <= 295
 
 
-def test_a_report_is_decoded_once() -> None:
+def test_heartbeat_is_decoded_once() -> None:
     raw = msgspec.json.encode(
         {
             "berth": "vm-1",
@@ -102,42 +106,42 @@
             ],
         }
     )
-    assert calls(lambda: messages.decode_heartbeat(raw)) <= 5
+    assert count_calls(lambda: messages.decode_heartbeat(raw)) <= 5
 
 
-def test_a_pass_over_what_has_not_changed() -> None:
+def test_scheduling_pass_without_changes() -> None:
     shard = busy_shard()
     shard.scheduler.schedule(2.0)
     waiting = sum(job.spec.tasks - len(job.live) for job in shard.jobs.values())
     assert waiting == 96
-    assert (
-        calls(lambda: shard.scheduler.schedule(2.0)) <= 910
-    )  # 828, for 30 jobs that all wait and no room
+    # Currently 828, for 30 waiting jobs and no free capacity.
+    assert count_calls(lambda: shard.scheduler.schedule(2.0)) <= 910
 
 
-def test_a_start() -> None:
-    """Of 24 tasks on 20 machines, as many as the team may use, from the pass until each is durable."""
+def test_task_start() -> None:
+    """24 tasks, as many as the quota allows, on 20 machines, from the pass until durable."""
 
-    def start() -> None:
+    def start_tasks() -> None:
         busy_shard()
 
-    def idle() -> None:
+    def prepare_only() -> None:
         shard = shard_with([spec(number, shares=4) for number in range(1, 31)], "a" * 20)
         for n in range(20):
             shard.reconciler.on_heartbeat(heartbeat(f"vm-{n}", 1), 1.0, True)
 
-    assert (calls(start) - calls(idle)) / 24 <= 197  # 179
+    assert (count_calls(start_tasks) - count_calls(prepare_only)) / 24 <= 197  # currently 179
 
 
-def test_a_question() -> None:
-    """Of 48 asked together about jobs that are known: one comparison."""
+def test_status_query() -> None:
+    """48 concurrent queries about cached jobs share one comparison in the store."""
 
     class State:
         max_compares = 48
 
-        class request_limiter:
+        class RequestLimiter:
             per_s = 1e6
 
+        request_limiter = RequestLimiter
         compared = 0
 
         async def txn(self, when: dict[str, int], *_: Any, **__: Any) -> int:
@@ -146,7 +150,7 @@
 
     state = State()
 
-    async def ask() -> None:
+    async def ask_all() -> None:
         status_reader = StatusReader(state, 1.5, lambda *_: None, 1000)  # type: ignore[arg-type]
         for n in range(48):
             status_reader.learn(
@@ -154,14 +158,13 @@
             )
         await asyncio.gather(*(status_reader.ask(f"req-{n:06d}") for n in range(48)))
 
-    counted = calls(lambda: asyncio.run(ask()))
-    assert (
-        state.compared == 2 and counted / 48 <= 150
-    )  # 136, with what is learnt, of which the loop's own are most
+    counted = count_calls(lambda: asyncio.run(ask_all()))
+    # Currently 136 with the calls that fill the cache; most of them are the event loop's own.
+    assert state.compared == 2 and counted / 48 <= 150
 
 
-def test_what_a_start_imports() -> None:
-    start = cost.start_cost(1)
+def test_imports_of_a_start() -> None:
+    start = cost.import_cost(1)
     assert start["modules"] <= 270, start
     assert start["imported_kib"] < 32 * 1024
     assert not {"prometheus_client", "hcl2", "ashdock.net.user", "ashdock.net.metrics"} & set(
@@ -170,15 +173,21 @@
 
 
 def _imported() -> list[str]:
-    words = "import sys; from ashdock import cli; import ashdock.controller, ashdock.garbage_collection; print(*sys.modules)"
+    code = (
+        "import sys; from ashdock import cli; "
+        "import ashdock.controller, ashdock.garbage_collection; print(*sys.modules)"
+    )
     return subprocess.run(
-        [sys.executable, "-c", words], cwd=cost.ROOT, capture_output=True, text=True, check=True
+        [sys.executable, "-c", code], cwd=cost.ROOT, capture_output=True, text=True, check=True
     ).stdout.split()
 
 
-def test_the_build_compiles_what_a_start_imports(tmp_path: Path) -> None:
-    """A platform may let a controller write nothing beside its sources: each start then compiled all of them anew, a third of what it computes.
-    By the source's hash, since files that are copied get other times."""
+def test_build_compiles_all_modules(tmp_path: Path) -> None:
+    """The build compiles all modules, and checks them by source hash.
+
+    Where a controller can't write next to its sources, each start would compile all of them, which
+    is a third of its processor time. Hashes are used since copied files get new modification times.
+    """
     build = tomllib.loads((cost.ROOT / "deploy" / "service.toml").read_text())["build"]
     shutil.copytree(
         cost.ROOT / "ashdock", tmp_path / "ashdock", ignore=shutil.ignore_patterns("__pycache__")
@@ -191,14 +200,14 @@
         assert int.from_bytes(compiled.read_bytes()[4:8], "little") == 0b11, source
 
 
-def test_garbage_is_left_alone_while_a_controller_starts() -> None:
+def test_garbage_collection_is_off_during_startup() -> None:
     before, enabled = gc.get_threshold(), gc.isenabled()
     ready = [False]
     try:
         garbage_collection.disable()
         assert not gc.isenabled()
 
-        async def later() -> None:
+        async def become_ready() -> None:
             task = asyncio.create_task(
                 garbage_collection.enable_after_startup(lambda: ready[0], 0.1)
             )
@@ -207,16 +216,15 @@
             ready[0] = True
             await task
 
-        asyncio.run(later())
+        asyncio.run(become_ready())
         older = garbage_collection.OLDER_GENERATION_THRESHOLD
         assert (
             gc.isenabled()
             and gc.get_threshold() == (garbage_collection.GENERATION_0_THRESHOLD, older, older)
             and gc.get_freeze_count() > 0
         )
-        asyncio.run(
-            garbage_collection.enable_after_startup(lambda: False, 0.01)
-        )  # not ready for long: all the same
+        # Collection is enabled after the timeout even if the controller is not ready.
+        asyncio.run(garbage_collection.enable_after_startup(lambda: False, 0.01))
     finally:
         gc.unfreeze()
         gc.set_threshold(*before)
@@ -224,30 +232,32 @@
 
 
 @pytest.mark.parametrize("course", cost.COURSES)
-def test_the_budget_accounts_for_what_was_used(course: str) -> None:
+def test_breakdown_attributes_most_of_the_time(course: str) -> None:
     shape = cost.SHAPES["small"]._replace(
         machines=12,
         lease_s=4.0,
-        kinds=[(name, rate / 4, form) for name, rate, form in cost.SHAPES["small"].kinds],
+        job_classes=[
+            (name, rate / 4, form) for name, rate, form in cost.SHAPES["small"].job_classes
+        ],
     )
-    rows = cost.play(
+    rows = cost.run_course(
         shape,
         course,
         1.0,
         6.0,
         scale.simulate,
         lambda fleet, times, shape: scale.Users(fleet, times, 3, shape),
-        scale.Meter(shape.core),
+        scale.Meter(shape.core_share),
     )
     assert len(rows) == (2 if course == "takeover" else 3)
     for name, row in rows.items():
-        assert row["budget"].known >= 0.9 and row["cores"] > 0, name
-        assert "KiB:" in cost.table(name, row, shape.core)
+        assert row["budget"].attributed_share >= 0.9 and row["cores"] > 0, name
+        assert "KiB:" in cost.format_table(name, row, shape.core_share)
     assert sum(row["budget"].units["reports"] for row in rows.values()) > 0
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ["--shape", "tall"],
         ["--course", "quiet"],
@@ -257,10 +267,10 @@
         ["--seconds", "-3"],
     ],
 )
-def test_what_the_tool_does_not_know(
-    words: list[str], capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+def test_bad_arguments_are_refused(
+    arguments: list[str], capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(sys, "argv", ["scale", "cost", *words])
-    with pytest.raises(SystemExit) as why:
+    monkeypatch.setattr(sys, "argv", ["scale", "cost", *arguments])
+    with pytest.raises(SystemExit) as exit_info:
         scale.main()
-    assert why.value.code == 2 and words[0] in capsys.readouterr().err
+    assert exit_info.value.code == 2 and arguments[0] in capsys.readouterr().err
