--- a/tests/cost.py
+++ b/tests/cost.py
@@ -382,7 +382,7 @@
                 await asyncio.sleep(rng.expovariate(40.0))
                 jobs = sorted(self.fleet.rules.jobs)
                 self.users.spawn(
-                    self.users.ask({}, "GET", f"/v2/runs/{rng.choice(jobs)}", b"", 2.0)
+                    self.users.send_request({}, "GET", f"/v2/runs/{rng.choice(jobs)}", b"", 2.0)
                 )
 
         self.users.spawn(query())
@@ -432,7 +432,7 @@
         for n in range(3):
             meter.profiles[f"10.0.0.{n}"] = cProfile.Profile()
         before, memory = (
-            dict(meter.spent),
+            dict(meter.cpu_s),
             {n: memory_by_use(c) for n, c in fleet.controllers.items()},
         )
         began = users.now()
@@ -449,7 +449,7 @@
             )
             role = f"{'leads, ' if controller.leader else ''}owns {machines_owned} machines"
             out[f"n{n}: {role}"] = {
-                "cores": (meter.spent[host] - before.get(host, 0.0)) / elapsed_s,
+                "cores": (meter.cpu_s[host] - before.get(host, 0.0)) / elapsed_s,
                 "seconds": elapsed_s,
                 "budget": break_down_cost(meter.profiles.pop(host)),
                 "memory": memory_by_use(controller),
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -1,23 +1,33 @@
-"""How a controller's cost grows with its fleet: whole controllers, in simulated time, against stand-ins.
+"""How a controller's cost grows with its fleet: whole controllers in simulated time on stand-ins.
 
     pip install -r requirements-scale.txt
-    python -m tests.scale grow [--times 1 2 4 8] [--plot docs/scale.svg] [--save figures.json] [--before figures.json]
-    python -m tests.scale full        2,648 machines, three controllers of 1,200 sockets, no troubles
-    python -m tests.scale alone       the same fleet, two of the controllers ended for good
-    python -m tests.scale hot --times 1     one team brings 80% of all arrivals, most of them for one zone; one class eight times as many for two minutes
-    python -m tests.scale hot-rough         that, with the hot team's owner ended, another one slow, and an outage of the state service
-    python -m tests.scale calm              the same arrivals of all the others without that
+    python -m tests.scale grow [--times 1 2 4 8] [--plot docs/scale.svg] [--save figures.json]
+                               [--before figures.json]
+    python -m tests.scale full        2,648 machines, three controllers of 1,200 sockets, no faults
+    python -m tests.scale alone       the same fleet, two of the controllers stopped for good
+    python -m tests.scale hot --times 1
+                                      one team submits 80% of all jobs, most of them for one zone,
+                                      and one class arrives at eight times its rate for two minutes
+    python -m tests.scale hot-rough   hot, with the hot team's shard owner restarted, another
+                                      controller slowed down, and an outage of the state service
+    python -m tests.scale calm        the usual arrivals without the additional load of hot
     python -m tests.scale wide --times 1.5 --restart 0.3 --ends 5,8,12,30:all,33:all
-                                            calm, and the controller with most machines (or all) ended at these seconds, back after --restart
-    python -m tests.scale cost              where processor time and memory go (tests/cost.py)
-    python -m tests.scale duties --times 1.5    calm, and how long nobody holds the machines' duty, by what became of its holder
-
-What was served of each class and team is printed (ashdock/fairness/slo_attainment.py); where a share is under a half the tool exits with 1.
-
-Controllers are charged for what they compute: each has half a core (--core), and what it does beyond that comes later.
-
-Not part of the tests: minutes, not seconds. Processor time is measured on this machine, step by step of each controller's tasks,
-and so differs from machine to machine; time is simulated. Memory is what a controller's tables hold.
+                                      calm, and the controller with most machines (or all) stopped
+                                      at these seconds and restarted after --restart
+    python -m tests.scale cost        processor time and memory by activity (tests/cost.py)
+    python -m tests.scale duties --times 1.5
+                                      calm, and how long no leader is active, by what happened to
+                                      the previous one
+
+The tool prints the SLO attainment of each class and team (ashdock/fairness/slo_attainment.py). It
+exits with status 1 if an attainment is under a half or an invariant is violated.
+
+Controllers are charged for their processor time: each has half a core (--core), and work beyond
+that is delayed.
+
+The tool is not part of the tests, since it takes minutes. Processor time is measured per step of a
+controller's tasks and differs from machine to machine; the clock is simulated. Memory is the size
+of a controller's tables.
 """
 
 from __future__ import annotations
@@ -50,10 +60,11 @@
 from tests.simtime import HOST, Net, SimLoop
 from tests.totals import Totals
 
-# One time the fleet: three teams with guarantees, the arrivals a second of two kinds of gangs and one of arrays, 662 machines of 4 GPUs.
+# The fleet for `--times 1`: 662 machines of 4 GPUs, three teams (name, guaranteed GPUs, maximum
+# GPUs), and the arrivals per second of two classes of gang jobs and one of array jobs.
 MACHINES = 662
 TEAMS = [("ops", 800, 2000), ("data", 1200, 4000), ("crew", 700, 2500)]
-KINDS: list[tuple[str, float, dict[str, Any]]] = [
+JOB_CLASSES: list[tuple[str, float, dict[str, Any]]] = [
     (
         "slot",
         0.4188,
@@ -107,84 +118,86 @@
     ),
 ]
 REPORT_S, LEASE_S, CANCEL_S = 3.0, 19.0, 39.0
-AIMS = {
+START_TARGETS_S = {  # by class: the times within which its tasks are to start
     "slot": [70.0, 180.0],
     "note": [120.0],
     "urgent": [15.0, 60.0],
-}  # by class: in what times its tasks are to start
-HOT, HOT_ZONE, HOT_TIMES = (
-    "ops",
-    "a",
-    2.51,
-)  # more than it brings otherwise, of all arrivals: then it brings 80%
-BURST, BURST_TIMES, BURST_S = "note", 7.0, 120.0
-COURSE_S = 210.0  # from the filling on: longer than the longest aim
+}
+# The hot team submits this multiple of all usual arrivals in addition, which makes 80% of the total.
+HOT_TEAM, HOT_ZONE, HOT_RATE_FACTOR = "ops", "a", 2.51
+BURST_CLASS, BURST_RATE_FACTOR, BURST_S = "note", 7.0, 120.0
+COURSE_S = 210.0  # from the time when the fleet is full; longer than the longest start target
 
 
 class Meter:
-    """Processor time by host; and that a controller's tasks wait for what they have computed, at its share of a core."""
-
-    def __init__(self, share: float) -> None:
-        self.share = share
-        self.spent = Totals()
-        self.busy: dict[str, float] = {}
-        self.lines: defaultdict[str, deque[asyncio.Future[None]]] = defaultdict(
-            deque
-        )  # steps that wait for the one before
-        self.waking: set[str] = set()
+    """Measures processor time by host and delays a controller's tasks to its share of a core."""
+
+    def __init__(self, core_share: float) -> None:
+        """Take the share of one core that each controller has."""
+        self.core_share = core_share
+        self.cpu_s = Totals()
+        self.busy_until_s: dict[str, float] = {}
+        # By host: steps that wait for the processor.
+        self.waiting_steps: defaultdict[str, deque[asyncio.Future[None]]] = defaultdict(deque)
+        self.hosts_with_wakeup: set[str] = set()
         self.running: tuple[str, float] | None = None
-        self.slow: dict[str, float] = {}  # how many times slower a host computes
-        self.profile: cProfile.Profile | None = None  # of the controllers' own steps
-        self.profiles: dict[str, cProfile.Profile] = {}  # of each controller's alone, by host
+        self.slowdowns: dict[str, float] = {}  # by host: how many times slower it is
+        self.profile: cProfile.Profile | None = None  # of all controllers' steps
+        self.profiles: dict[str, cProfile.Profile] = {}  # of one controller's steps, by host
 
-    def share_of(self, host: str) -> float:
-        return self.share / self.slow.get(host, 1.0)
+    def effective_core_share(self, host: str) -> float:
+        """Return the share of one core that a host has, with its slowdown."""
+        return self.core_share / self.slowdowns.get(host, 1.0)
 
-    def ahead(self) -> float:
-        """How far the clock of the host that computes has moved on within the step under way."""
+    def step_elapsed_s(self) -> float:
+        """Return how long the current step of the running host has taken in simulated time."""
         if self.running is None:
             return 0.0
-        return (time.thread_time() - self.running[1]) / self.share_of(self.running[0])
-
-    def _wake_next(self, host: str, loop: asyncio.AbstractEventLoop) -> None:
-        if self.lines[host] and host not in self.waking:
-            self.waking.add(host)
-            loop.call_at(max(self.busy.get(host, 0.0), loop.time()), self._woken, host, loop)
-
-    def _woken(self, host: str, loop: asyncio.AbstractEventLoop) -> None:
-        self.waking.discard(host)
-        if self.busy.get(host, 0.0) > loop.time() + 1e-6:
-            return self._wake_next(host, loop)
-        while self.lines[host]:
-            gate = self.lines[host].popleft()
+        return (time.thread_time() - self.running[1]) / self.effective_core_share(self.running[0])
+
+    def _schedule_wakeup(self, host: str, loop: asyncio.AbstractEventLoop) -> None:
+        if self.waiting_steps[host] and host not in self.hosts_with_wakeup:
+            self.hosts_with_wakeup.add(host)
+            loop.call_at(
+                max(self.busy_until_s.get(host, 0.0), loop.time()), self._on_wakeup, host, loop
+            )
+
+    def _on_wakeup(self, host: str, loop: asyncio.AbstractEventLoop) -> None:
+        self.hosts_with_wakeup.discard(host)
+        if self.busy_until_s.get(host, 0.0) > loop.time() + 1e-6:
+            return self._schedule_wakeup(host, loop)
+        while self.waiting_steps[host]:
+            gate = self.waiting_steps[host].popleft()
             if not gate.done():
-                gate.set_result(None)  # its step comes next, and wakes whoever is next after it
+                gate.set_result(None)  # this step schedules the next wakeup when it ends
                 return
 
     @types.coroutine
-    def run(self, job: Any, host: str) -> Generator[Any, Any, Any]:
+    def run(self, coroutine: Any, host: str) -> Generator[Any, Any, Any]:
+        """Run a coroutine step by step, and delay each until the host's earlier work is done."""
         loop = asyncio.get_running_loop()
-        act: Callable[[Any], Any] = job.send
-        with_: Any = None
+        resume: Callable[[Any], Any] = coroutine.send
+        value: Any = None
         while True:
-            if self.lines[host] or self.busy.get(host, 0.0) > loop.time():
-                # In line: woken all at once, hundreds of tasks would look at the clock again after each step.
+            if self.waiting_steps[host] or self.busy_until_s.get(host, 0.0) > loop.time():
+                # The tasks of a host queue and are woken one at a time: if all woke together,
+                # hundreds would check the clock again after each step.
                 gate = loop.create_future()
-                self.lines[host].append(gate)
-                self._wake_next(host, loop)
+                self.waiting_steps[host].append(gate)
+                self._schedule_wakeup(host, loop)
                 try:
                     yield from gate
-                except BaseException as why:
-                    act, with_ = job.throw, why
-                    if gate in self.lines[host]:
-                        self.lines[host].remove(gate)
+                except BaseException as error:
+                    resume, value = coroutine.throw, error
+                    if gate in self.waiting_steps[host]:
+                        self.waiting_steps[host].remove(gate)
             began = time.thread_time()
             self.running = (host, began)
             profile = self.profile or self.profiles.get(host)
             if profile:
                 profile.enable()
             try:
-                step = act(with_)
+                step = resume(value)
             except StopIteration as end:
                 return end.value
             finally:
@@ -192,88 +205,98 @@
                     profile.disable()
                 took = time.thread_time() - began
                 self.running = None
-                self.spent[host] += took
-                self.busy[host] = max(self.busy.get(host, 0.0), loop.time()) + took / self.share_of(
-                    host
-                )
-                self._wake_next(host, loop)
+                self.cpu_s[host] += took
+                self.busy_until_s[host] = max(
+                    self.busy_until_s.get(host, 0.0), loop.time()
+                ) + took / self.effective_core_share(host)
+                self._schedule_wakeup(host, loop)
             try:
-                act, with_ = job.send, (yield step)
-            except BaseException as why:
-                act, with_ = job.throw, why
+                resume, value = coroutine.send, (yield step)
+            except BaseException as error:
+                resume, value = coroutine.throw, error
 
 
 def simulate(main: Callable[[Net], Any], seed: int, meter: Meter) -> Any:
+    """Run `main` in simulated time; the controllers' tasks are charged to the meter."""
     loop = SimLoop()
     net = Net(seed)
 
-    def factory(loop_: Any, job: Any, **more: Any) -> asyncio.Task[Any]:
+    def create_task(loop_: Any, coroutine: Any, **options: Any) -> asyncio.Task[Any]:
         parent = None
         with contextlib.suppress(RuntimeError):
             parent = asyncio.current_task(loop_)
         host = net.booting or HOST.get(parent)
         task: asyncio.Task[Any] = asyncio.Task(
-            meter.run(job, host) if host and host.startswith("10.0.0.") else job, loop=loop_, **more
+            meter.run(coroutine, host) if host and host.startswith("10.0.0.") else coroutine,
+            loop=loop_,
+            **options,
         )
         if host is not None:
             HOST[task] = host
             net.remember(host, task)
         return task
 
-    loop.set_task_factory(factory)
+    loop.set_task_factory(create_task)
     HOST.clear()
     with (
         mock.patch.object(asyncio, "open_connection", net.open_connection),
         mock.patch.object(asyncio, "start_server", net.start_server),
-        mock.patch.object(time, "monotonic", lambda: loop.clock + meter.ahead()),
+        mock.patch.object(time, "monotonic", lambda: loop.clock + meter.step_elapsed_s()),
         mock.patch.object(time, "time", lambda: loop.clock + simtime.WALL),
     ):
         try:
             return loop.run_until_complete(main(net))
         finally:
-            meter.busy.clear()
-            loop.set_exception_handler(lambda *_: None)  # of tasks that end by being cancelled
-            for _ in range(50):  # some begin others when they end
-                left = asyncio.all_tasks(loop)
-                for task in left:
+            meter.busy_until_s.clear()
+            loop.set_exception_handler(lambda *_: None)  # cancelled tasks report nothing
+            for _ in range(50):  # some tasks start others when they end
+                remaining = asyncio.all_tasks(loop)
+                for task in remaining:
                     task.cancel()
-                if not left:
+                if not remaining:
                     break
                 loop.run_until_complete(asyncio.sleep(0))
             loop.close()
 
 
 class Users:
-    """Each submits a job as soon as it has it, over a load balancer that knows who is ready, and asks every 5 s until it is done."""
+    """Users that submit jobs through a load balancer and query them every 5 s until they are done.
+
+    The load balancer sends requests to controllers that report to be ready.
+    """
 
     def __init__(
         self, fleet: Fleet, times: float, seed: int = 7, shape: cost.Shape | None = None
     ) -> None:
+        """Prepare the users of a deployment shape, or of the fleet of this module."""
         self.fleet = fleet
         self.times = times
-        self.kinds = shape.job_classes if shape else KINDS
+        self.job_classes = shape.job_classes if shape else JOB_CLASSES
         self.teams = [team[0] for team in (shape.teams if shape else TEAMS)]
         self.seed = seed
         self.rng = random.Random(seed)
         self.served = fleet.rules.served = SloAttainment()
         self.number = 0
-        self.took = HdrHistogram(1, 120_000, 3)  # of a submission until it is accepted, ms
-        self.asked = HdrHistogram(1, 10_000, 3)  # of a question, ms
+        self.submission_ms = HdrHistogram(1, 120_000, 3)  # from submission to acceptance
+        self.query_ms = HdrHistogram(1, 10_000, 3)  # latency of a status query
         self.errors: Counter[str] = Counter()
-        self.counts = False  # from when on submissions count
+        self.measuring = False  # whether new submissions are recorded
         self.ready: dict[int, bool] = {}
-        self.open: Counter[int] = Counter()
+        self.connections: Counter[int] = Counter()
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    def spawn(self, job: Any) -> None:
-        task = asyncio.create_task(job)
+    def spawn(self, coroutine: Any) -> None:
+        """Start a task and keep a reference until it ends."""
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def now(self) -> float:
+        """Return the simulated time in seconds."""
         return asyncio.get_running_loop().time()
 
-    async def probe(self) -> None:
+    async def probe_readiness(self) -> None:
+        """Query the readiness of each controller every second."""
         clients = {n: Client(f"10.0.0.{n}", 8080, keep=1) for n in range(3)}
         while True:
             for n, client in clients.items():
@@ -283,9 +306,13 @@
                     self.ready[n] = False
             await asyncio.sleep(1.0)
 
-    async def ask(
+    async def send_request(
         self, user: dict[str, Any], method: str, target: str, body: bytes, timeout: float
     ) -> int | None:
+        """Send a request and return the status, or None without a response.
+
+        Retries on another connection, up to three attempts, where the request was not sent.
+        """
         client = user.get("client")
         for _ in range(3):
             if client is None:
@@ -293,35 +320,37 @@
                 if not healthy:
                     self.errors["no_node"] += 1
                     return None
-                user["n"] = min(healthy, key=lambda n: (self.open[n], n))
+                user["n"] = min(healthy, key=lambda n: (self.connections[n], n))
                 client = user["client"] = Client(f"10.0.0.{user['n']}", 8080, keep=1)
-                self.open[user["n"]] += 1
+                self.connections[user["n"]] += 1
             try:
                 status, _ = await client.request(method, target, body, timeout)
-                if not client.free:  # it was told to close
-                    self.leave(user)
+                if not client.free:  # the controller closes the connection
+                    self.disconnect(user)
                 if status not in (200, 201):
                     self.errors[str(status)] += 1
                 return status
-            except NoAnswer as why:
-                self.leave(user)
+            except NoAnswer as error:
+                self.disconnect(user)
                 client = None
-                self.errors["unsent" if not why.sent else "unanswered"] += 1
-                if why.sent:
+                self.errors["unsent" if not error.sent else "unanswered"] += 1
+                if error.sent:
                     return None
         return None
 
-    def leave(self, user: dict[str, Any]) -> None:
+    def disconnect(self, user: dict[str, Any]) -> None:
+        """Close the connection of a user, if it has one."""
         client = user.pop("client", None)
         if client is not None:
-            self.open[user["n"]] -= 1
+            self.connections[user["n"]] -= 1
             client.close()
 
-    async def one(self, run: dict[str, Any]) -> None:
+    async def run_job(self, run: dict[str, Any]) -> None:
+        """Submit a job, with retries for 60 s, and query it until all its tasks are done."""
         user: dict[str, Any] = {}
         self.fleet.rules.submitted(run)
-        began, counts = self.now(), self.counts
-        if counts:
+        began, measured = self.now(), self.measuring
+        if measured:
             due_at = began + run["due_s"] if run["due_s"] else math.inf
             self.served.record_submitted(
                 run["id"],
@@ -329,13 +358,13 @@
                 run["owner"],
                 run["shares"],
                 began,
-                max(AIMS[run["workload"]]),
+                max(START_TARGETS_S[run["workload"]]),
                 due_at,
             )
         body = json.dumps(run).encode()
         status = None
         while status not in (200, 201):
-            status = await self.ask(user, "POST", "/v2/runs", body, 5.0)
+            status = await self.send_request(user, "POST", "/v2/runs", body, 5.0)
             if status is not None:
                 self.fleet.rules.answered(
                     run["id"], status, "queued", submission=True, now=self.now()
@@ -343,71 +372,89 @@
             if status not in (200, 201):
                 if self.now() - began > 60:
                     self.errors["given up"] += 1
-                    return self.leave(user)
+                    return self.disconnect(user)
                 await asyncio.sleep(1.0)
         self.served.record_accepted(run["id"])
-        if counts:
-            self.took.record_value(max(1, int((self.now() - began) * 1000)))
+        if measured:
+            self.submission_ms.record_value(max(1, int((self.now() - began) * 1000)))
         while any((run["id"], task) not in self.fleet.rules.done for task in range(run["shares"])):
             await asyncio.sleep(5.0 * (0.8 + 0.4 * self.rng.random()))
-            at = self.now()
-            status = await self.ask(user, "GET", f"/v2/runs/{run['id']}", b"", 2.0)
+            asked_at = self.now()
+            status = await self.send_request(user, "GET", f"/v2/runs/{run['id']}", b"", 2.0)
             if status == 200:
-                self.asked.record_value(max(1, int((self.now() - at) * 1000)))
+                self.query_ms.record_value(max(1, int((self.now() - asked_at) * 1000)))
         self.served.record_done(run["id"], self.now())
-        self.leave(user)
+        self.disconnect(user)
 
-    def job(
-        self, kind: str, form: dict[str, Any], rng: random.Random, hot: bool = False
+    def new_job(
+        self, job_class: str, template: dict[str, Any], rng: random.Random, hot: bool = False
     ) -> dict[str, Any]:
+        """Return a random job of a class; a hot job belongs to the hot team."""
         self.number += 1
-        form = dict(form)
-        sizes, weights, images = form.pop("sizes"), form.pop("weights"), form.pop("images")
-        run_s = form["expect_s"] * (0.5 + rng.random())
-        owner = HOT if hot else rng.choices(self.teams, [1.1, 1.6, 1.0][: len(self.teams)])[0]
+        template = dict(template)
+        sizes, weights, images = (
+            template.pop("sizes"),
+            template.pop("weights"),
+            template.pop("images"),
+        )
+        run_s = template["expect_s"] * (0.5 + rng.random())
+        owner = HOT_TEAM if hot else rng.choices(self.teams, [1.1, 1.6, 1.0][: len(self.teams)])[0]
         return whole.job(
             self.number,
-            workload=kind,
+            workload=job_class,
             owner=owner,
-            bundle=f"{kind}-{rng.randrange(images)}",
+            bundle=f"{job_class}-{rng.randrange(images)}",
             shares=rng.choices(sizes, weights)[0],
-            **{**form, "expect_s": round(run_s, 1), "ram_gb": 40.0},
+            **{**template, "expect_s": round(run_s, 1), "ram_gb": 40.0},
             yard=HOT_ZONE if hot and rng.random() < 0.7 else None,
         )
 
-    async def arrive(
+    async def generate_arrivals(
         self,
-        kind: str,
+        job_class: str,
         rate: float,
-        form: dict[str, Any],
+        template: dict[str, Any],
         hot: bool = False,
         stream: str = "",
         for_s: float = 1e9,
     ) -> None:
-        """Of a stream of its own: what else arrives changes nothing of it."""
-        rng = random.Random(f"{self.seed} {kind} {stream}")
+        """Submit jobs at random intervals.
+
+        The random numbers depend on the seed, the class and the stream only, so that other arrivals
+        do not change them.
+        """
+        rng = random.Random(f"{self.seed} {job_class} {stream}")
         until = self.now() + for_s
         while self.now() < until:
             await asyncio.sleep(rng.expovariate(rate * self.times))
-            self.spawn(self.one(self.job(kind, form, rng, hot)))
+            self.spawn(self.run_job(self.new_job(job_class, template, rng, hot)))
 
-    def heat(self) -> None:
-        for kind, rate, form in KINDS:
-            self.spawn(self.arrive(kind, rate * HOT_TIMES, form, True, "hot"))
-            if kind == BURST:
-                self.spawn(self.arrive(kind, rate * BURST_TIMES, form, False, "burst", BURST_S))
+    def add_hot_load(self) -> None:
+        """Add the arrivals of the hot team and the burst of one class."""
+        for job_class, rate, template in JOB_CLASSES:
+            self.spawn(
+                self.generate_arrivals(job_class, rate * HOT_RATE_FACTOR, template, True, "hot")
+            )
+            if job_class == BURST_CLASS:
+                self.spawn(
+                    self.generate_arrivals(
+                        job_class, rate * BURST_RATE_FACTOR, template, False, "burst", BURST_S
+                    )
+                )
 
     async def run(self) -> None:
-        self.spawn(self.probe())
+        """Submit a minute's arrivals at once, and then at their rates."""
+        self.spawn(self.probe_readiness())
         await asyncio.sleep(3)
-        for kind, rate, form in self.kinds:
+        for job_class, rate, template in self.job_classes:
             for _ in range(int(rate * self.times * 60)):
-                self.spawn(self.one(self.job(kind, form, self.rng)))
-            self.spawn(self.arrive(kind, rate, form))
+                self.spawn(self.run_job(self.new_job(job_class, template, self.rng)))
+            self.spawn(self.generate_arrivals(job_class, rate, template))
         await asyncio.sleep(1e9)
 
 
-def shared_at(times: float, sockets: int, core: float) -> Any:
+def settings_for(times: float, sockets: int, core: float) -> Any:
+    """Return the shared settings for a fleet and quotas that are `times` as large."""
     shared = whole.shared()
     shared.teams = [
         Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in TEAMS
@@ -422,7 +469,9 @@
     ) = REPORT_S, LEASE_S, CANCEL_S, 4.0, 50.0
     shared.state.rps, shared.state.write_rps, shared.state.value_kb = 150.0, 60.0, 32.0
     shared.objectives = [
-        Objective("wait", 0.9, kind, within) for kind, aims in AIMS.items() for within in aims
+        Objective("wait", 0.9, job_class, within)
+        for job_class, targets in START_TARGETS_S.items()
+        for within in targets
     ]
     shared.objectives += [
         Objective("deadline", 0.98, "note", times=1.0),
@@ -433,8 +482,8 @@
     return shared
 
 
-def held(controller: Any) -> int:
-    """Bytes in the tables that grow with the fleet."""
+def table_bytes(controller: Any) -> int:
+    """Return the size of the tables that grow with the fleet."""
     tables: list[Any] = [
         controller.machines.entries,
         controller.shards.entries,
@@ -456,19 +505,22 @@
     return int(asizeof.asizeof(*tables))
 
 
-async def trouble(net: Net, fleet: Fleet, meter: Meter) -> None:
-    """The hot team's owner ends and is back 8 s later, the next one computes three times slower, and the state service is down meanwhile."""
+async def inject_hot_faults(net: Net, fleet: Fleet, meter: Meter) -> None:
+    """Restart the hot team's owner after 8 s, slow the next controller down, and stop the store.
+
+    The next controller computes three times slower until the end of the store's outage of 15 s.
+    """
     await asyncio.sleep(30)
-    owner = next((n for n, c in fleet.controllers.items() if HOT in c.owners), 0)
+    owner = next((n for n, c in fleet.controllers.items() if HOT_TEAM in c.owners), 0)
     net.kill(f"10.0.0.{owner}")
-    meter.slow[f"10.0.0.{(owner + 1) % 3}"] = 3.0
+    meter.slowdowns[f"10.0.0.{(owner + 1) % 3}"] = 3.0
     await asyncio.sleep(8)
     fleet.boot(owner)
     await asyncio.sleep(22)
     fleet.state.down = True
     await asyncio.sleep(15)
     fleet.state.down = False
-    meter.slow.clear()
+    meter.slowdowns.clear()
 
 
 def measure(
@@ -482,13 +534,16 @@
     ends: list[courses.End] | None = None,
     restart_s: float = 0.3,
 ) -> dict[str, Any]:
-    """One fleet, each controller with that share of a core. `alone`: two controllers end for good once the fleet is full."""
+    """Run one fleet and return its figures; each controller has the share `core` of a core.
+
+    With the course `alone`, two controllers stop for good once the fleet is full.
+    """
     meter = Meter(core)
     out: dict[str, Any] = {"times": times, "machines": int(MACHINES * times)}
-    wall = time.perf_counter()
+    started_s = time.perf_counter()
 
     async def main(net: Net) -> None:
-        shared = shared_at(times, sockets, core)
+        shared = settings_for(times, sockets, core)
         fleet = Fleet(net, shared, int(MACHINES * times))
         for n in range(3):
             net.limits[f"10.0.0.{n}"] = sockets
@@ -500,14 +555,17 @@
             for n in (1, 2):
                 net.kill(f"10.0.0.{n}")
                 fleet.controllers.pop(n)
-        users.counts = True
+        users.measuring = True
         if course.startswith("hot"):
-            users.heat()
+            users.add_hot_load()
         if ends:
             users.spawn(courses.end_and_restart(net, fleet, ends, restart_s))
         gaps = (
             courses.Gaps(
-                net, fleet, restart_s, lambda host, s: meter.busy.update({host: users.now() + s})
+                net,
+                fleet,
+                restart_s,
+                lambda host, s: meter.busy_until_s.update({host: users.now() + s}),
             )
             if course == "duties"
             else None
@@ -515,34 +573,35 @@
         if gaps:
             users.spawn(gaps.run())
         if course == "hot-rough":
-            users.spawn(trouble(net, fleet, meter))
+            users.spawn(inject_hot_faults(net, fleet, meter))
         meter.profile = cProfile.Profile() if profile else None
-        before, at = dict(meter.spent), users.now()
-        requests, counted = fleet.state.requests, fleet.state.counted
-        starts = fleet.rules.starts
-        kinds: Counter[str] = Counter()  # of what is written
+        cpu_before, measured_from = dict(meter.cpu_s), users.now()
+        requests_before, writes_before = fleet.state.requests, fleet.state.counted
+        starts_before = fleet.rules.starts
+        writes_by_kind: Counter[str] = Counter()
 
-        def count(writes: list[dict[str, Any]]) -> None:
+        def count_writes(writes: list[dict[str, Any]]) -> None:
             for write in writes:
                 path = (write.get("set") or write["delete"]).split("/")
-                kinds[
+                writes_by_kind[
                     ("" if "set" in write else "delete ")
                     + path[0]
                     + (" head" if path[-1] == "job" else "")
                 ] += 1
 
-        fleet.state.hook = count
+        fleet.state.hook = count_writes
         for step in range(int(seconds / 5)):
             await asyncio.sleep(5)
             print(
-                f"  {times:g} times: {users.now():.0f} s, {fleet.rules.starts} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
-                f"{time.perf_counter() - wall:.0f} s of real time, step {step}",
+                f"  {times:g} times: {users.now():.0f} s, {fleet.rules.starts} starts, "
+                f"{fleet.killed} killed, GPUs {format_team_usage(fleet)}, "
+                f"{time.perf_counter() - started_s:.0f} s of real time, step {step}",
                 flush=True,
             )
-        past = users.now() - at
+        elapsed_s = users.now() - measured_from
         cores = [
-            (meter.spent[host] - before.get(host, 0.0)) / past
-            for host in sorted(meter.spent)
+            (meter.cpu_s[host] - cpu_before.get(host, 0.0)) / elapsed_s
+            for host in sorted(meter.cpu_s)
             if host.startswith("10.0.0.")
         ]
         alive = list(fleet.controllers.values())
@@ -561,9 +620,9 @@
             ),
             core_mean=sum(cores) / len(cores),
             core_most=max(cores),
-            mb=max(held(c) for c in alive) / 2**20,
-            requests=(fleet.state.requests - requests) / past,
-            writes=(fleet.state.counted - counted) / past,
+            mb=max(table_bytes(c) for c in alive) / 2**20,
+            requests=(fleet.state.requests - requests_before) / elapsed_s,
+            writes=(fleet.state.counted - writes_before) / elapsed_s,
             served={
                 " ".join(name): [*row, round(row.attainment, 3)]
                 for name, row in sorted(rows.items())
@@ -572,15 +631,17 @@
             jain=round(
                 jain(row.attainment for (kind, _), row in rows.items() if kind == "team"), 4
             ),
-            starts=(fleet.rules.starts - starts) / past,
-            written={kind: round(number / past, 2) for kind, number in kinds.most_common()},
+            starts=(fleet.rules.starts - starts_before) / elapsed_s,
+            written={
+                kind: round(number / elapsed_s, 2) for kind, number in writes_by_kind.most_common()
+            },
             killed=fleet.killed,
             broken=fleet.rules.broken[:5],
-            submissions=users.took.get_total_count(),
-            p50_ms=users.took.get_value_at_percentile(50),
-            p99_ms=users.took.get_value_at_percentile(99),
-            within_1s=share_within(users.took, 1000),
-            asked_p99_ms=users.asked.get_value_at_percentile(99),
+            submissions=users.submission_ms.get_total_count(),
+            p50_ms=users.submission_ms.get_value_at_percentile(50),
+            p99_ms=users.submission_ms.get_value_at_percentile(99),
+            within_1s=share_within(users.submission_ms, 1000),
+            asked_p99_ms=users.query_ms.get_value_at_percentile(99),
             errors=dict(users.errors),
             sockets=max(net.most.get(f"10.0.0.{n}", 0) for n in range(3)),
             refused=net.refused,
@@ -593,7 +654,7 @@
                 default=0.0,
             ),
             longest_s=fleet.longest(),
-            real_s=time.perf_counter() - wall,
+            real_s=time.perf_counter() - started_s,
             takeovers={
                 team: [
                     owner.failover_timeline.machines,
@@ -613,9 +674,9 @@
     return out
 
 
-def whole_of(fleet: Fleet) -> str:
-    """What each team uses, of how many machines it holds."""
-    held = {
+def format_team_usage(fleet: Fleet) -> str:
+    """Format the GPUs that each team uses, its machines and the number of all workers."""
+    machines_by_team = {
         team: len(owner.shard.machines)
         for c in fleet.controllers.values()
         for team, owner in c.owners.items()
@@ -623,7 +684,7 @@
     }
     return (
         " ".join(
-            f"{team} {fleet.rules.used.get(team, 0.0):.0f} of {held.get(team, 0)}"
+            f"{team} {fleet.rules.used.get(team, 0.0):.0f} of {machines_by_team.get(team, 0)}"
             for team, _, _ in TEAMS
         )
         + f" of {len(fleet.world.workers)}"
@@ -631,12 +692,13 @@
 
 
 def share_within(histogram: HdrHistogram, ms: int) -> float:
+    """Return the share of a histogram's values of at most `ms`; 1 if it is empty."""
     total = histogram.get_total_count()
     return (
         sum(
-            i.count_added_in_this_iter_step
-            for i in histogram.get_recorded_iterator()
-            if i.value_iterated_to <= ms
+            step.count_added_in_this_iter_step
+            for step in histogram.get_recorded_iterator()
+            if step.value_iterated_to <= ms
         )
         / total
         if total
@@ -659,7 +721,8 @@
 ]
 
 
-def table(rows: list[dict[str, Any]]) -> str:
+def format_table(rows: list[dict[str, Any]]) -> str:
+    """Format the figures as a Markdown table, one row per fleet size."""
     head = "| times | " + " | ".join(words for _, words, _ in COLUMNS) + " |"
     lines = [head, "|" + " --- |" * (len(COLUMNS) + 1)]
     lines += [
@@ -672,6 +735,7 @@
 
 
 def plot(rows: list[dict[str, Any]], before: list[dict[str, Any]], path: str) -> None:
+    """Write a plot of cores and memory by machines, with the figures of an earlier run."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -706,46 +770,49 @@
 
 
 def main() -> None:
-    top = argparse.ArgumentParser(
+    """Run the command line; exits with 1 on low attainment, with 2 on bad arguments."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    top.add_argument(
+    parser.add_argument(
         "what",
         choices=["grow", "full", "alone", "calm", "hot", "hot-rough", "wide", "duties", "cost"],
     )
-    top.add_argument("--times", type=float, nargs="+", default=[1, 2, 4, 8])
-    top.add_argument("--sockets", type=int, default=1200)
-    top.add_argument("--seconds", type=float, help="simulated, after 75 s to fill the fleet")
-    top.add_argument("--seed", type=int, default=11)
-    top.add_argument("--core", type=float, default=0.504, help="each controller's share of a core")
-    top.add_argument(
+    parser.add_argument("--times", type=float, nargs="+", default=[1, 2, 4, 8])
+    parser.add_argument("--sockets", type=int, default=1200)
+    parser.add_argument("--seconds", type=float, help="simulated, after 75 s to fill the fleet")
+    parser.add_argument("--seed", type=int, default=11)
+    parser.add_argument(
+        "--core", type=float, default=0.504, help="each controller's share of a core"
+    )
+    parser.add_argument(
         "--restart",
         type=float,
         default=0.3,
         help="seconds until an ended controller is back (wide)",
     )
-    top.add_argument(
+    parser.add_argument(
         "--ends", default="5,8,12,30:all,33:all,60", help="seconds after the fleet is full (wide)"
     )
-    top.add_argument("--plot")
-    top.add_argument(
+    parser.add_argument("--plot")
+    parser.add_argument(
         "--profile", action="store_true", help="print where the controllers' processor time goes"
     )
-    top.add_argument("--save")
-    top.add_argument("--before")
-    top.add_argument(
+    parser.add_argument("--save")
+    parser.add_argument("--before")
+    parser.add_argument(
         "--shape",
         action="append",
         default=[],
         help=f"of {', '.join(cost.SHAPES)} (cost); none: all",
     )
-    top.add_argument(
+    parser.add_argument(
         "--course",
         action="append",
         default=[],
         help=f"of {', '.join(cost.COURSES)} (cost); none: all",
     )
-    options = top.parse_args()
+    options = parser.parse_args()
     if (
         min(options.times) <= 0
         or options.restart <= 0
@@ -758,7 +825,8 @@
     ):
         if set(given) - set(known):
             courses.wrong(
-                f"{flag}: expected some of {', '.join(known)}; found {', '.join(sorted(set(given) - set(known)))}"
+                f"{flag}: expected some of {', '.join(known)}; "
+                f"found {', '.join(sorted(set(given) - set(known)))}"
             )
     if options.what == "cost":
         times = options.times[0] if len(options.times) == 1 else 1.0
@@ -778,11 +846,11 @@
         return
     try:
         ends = courses.ends_of(options.ends) if options.what == "wide" else []
-    except ValueError as why:
-        courses.wrong(str(why))
+    except ValueError as error:
+        courses.wrong(str(error))
     if options.what == "grow":
         seconds = options.seconds or 60.0
-        # Sockets enough: what is asked is what computing and remembering cost.
+        # Enough sockets that only processor time and memory limit the fleet.
         rows = []
         for times in options.times:
             rows.append(
@@ -797,7 +865,7 @@
             )
             if options.save:
                 Path(options.save).write_text(json.dumps(rows))
-        print(table(rows))
+        print(format_table(rows))
         if options.plot:
             plot(
                 rows,
