--- a/tests/scale.py
+++ b/tests/scale.py
@@ -123,7 +123,7 @@
     "note": [120.0],
     "urgent": [15.0, 60.0],
 }
-# The hot team submits this multiple of all usual arrivals in addition, which makes 80% of the total.
+# The hot team submits this multiple of all usual arrivals in addition, so that 80% are its jobs.
 HOT_TEAM, HOT_ZONE, HOT_RATE_FACTOR = "ops", "a", 2.51
 BURST_CLASS, BURST_RATE_FACTOR, BURST_S = "note", 7.0, 120.0
 COURSE_S = 210.0  # from the time when the fleet is full; longer than the longest start target
