--- a/tests/lint_debt.py
+++ b/tests/lint_debt.py
@@ -1,4 +1,4 @@
-"""The packages that do not follow all lint rules yet: what pyproject.toml excuses, and what ruff finds without it."""
+"""Lint exemptions: those that pyproject.toml grants, and what ruff reports without them."""
 
 from __future__ import annotations
 
@@ -28,19 +28,23 @@
     code: str
 
     def covers(self, finding: Finding) -> bool:
-        """Whether this exemption keeps ruff from reporting that violation."""
+        """Return whether this exemption keeps ruff from reporting a violation."""
         return finding.code == self.code and fnmatchcase(finding.path, self.pattern)
 
 
 def configured_exemptions(root: Path = ROOT) -> list[Exemption]:
-    """All exemptions of pyproject.toml, in its order."""
+    """Return all exemptions of pyproject.toml, in its order."""
     settings = tomllib.loads((root / "pyproject.toml").read_text())
     entries: Mapping[str, Sequence[str]] = settings["tool"]["ruff"]["lint"]["per-file-ignores"]
     return [Exemption(pattern, code) for pattern, codes in entries.items() for code in codes]
 
 
 def findings_without_exemptions(root: Path = ROOT) -> set[Finding]:
-    """What `ruff check` reports with the settings of pyproject.toml and no `per-file-ignores`."""
+    """Return what `ruff check` reports with the settings of pyproject.toml but no exemptions.
+
+    Raises:
+        subprocess.CalledProcessError: ruff could not run.
+    """
     command = [sys.executable, "-m", "ruff", "check", ".", "--no-cache", "--exit-zero"]
     options = ["--output-format", "json", "--config", "lint.per-file-ignores = {}"]
     result = subprocess.run([*command, *options], cwd=root, capture_output=True, check=True)
@@ -51,7 +55,11 @@
 
 
 def checked_files(root: Path = ROOT) -> list[str]:
-    """The Python files that ruff checks, relative to the root."""
+    """Return the Python files that ruff checks, relative to the root.
+
+    Raises:
+        subprocess.CalledProcessError: ruff could not run.
+    """
     command = [sys.executable, "-m", "ruff", "check", ".", "--show-files"]
     result = subprocess.run(command, cwd=root, capture_output=True, check=True, text=True)
     paths = [Path(line).relative_to(root).as_posix() for line in result.stdout.splitlines()]
@@ -61,10 +69,10 @@
 def unneeded_exemptions(
     exemptions: Sequence[Exemption], findings: Iterable[Finding]
 ) -> list[Exemption]:
-    """Those without which ruff would report nothing more.
+    """Return the exemptions without which ruff would report no more than with them.
 
-    An exemption is needed if it alone covers some violation: where two cover the same ones, both are returned,
-    and one of them has to go.
+    An exemption is needed if it alone covers some violation. Where two cover the same violations,
+    both are returned, and one of them can be removed.
     """
     needed: set[Exemption] = set()
     for finding in findings:
@@ -75,7 +83,7 @@
 
 
 def patterns_without_files(exemptions: Iterable[Exemption], paths: Sequence[str]) -> list[str]:
-    """The patterns of entries that name no file, in order and once each."""
+    """Return the patterns that match no file, in order and once each."""
     patterns = dict.fromkeys(exemption.pattern for exemption in exemptions)
     return [
         pattern for pattern in patterns if not any(fnmatchcase(path, pattern) for path in paths)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""What may import what: the core decides without input and output, and no two modules import one another."""
+"""Import rules: the core does no input or output, and there are no import cycles."""
 
 from __future__ import annotations
 
@@ -54,17 +54,17 @@
     }
 )
 
-# What the core still reaches although it is forbidden: the module and what it imports. May only shrink.
+# Forbidden imports that remain in modules that the core loads: module and import. May only shrink.
 EXCEPTIONS = frozenset(
     {
-        ("ashdock.settings", "pathlib"),  # the settings' types and the reader of their files in one
+        ("ashdock.settings", "pathlib"),  # types and file reader in one module
     }
 )
 MOST_EXCEPTIONS = 1  # may only be lowered
 
 
 def forbidden_imports(graph: ImportGraph, core: str) -> frozenset[tuple[str, str]]:
-    """Pairs of a module that the core brings in and something forbidden that it imports."""
+    """Return pairs of a module that importing the core loads and a forbidden import of it."""
     modules = reachable(graph, [module for module in graph if within(module, core)])
     return frozenset(
         (module, imported)
@@ -90,7 +90,7 @@
 
 
 OWN = ("a", "a.b", "a.b.c", "a.d")
-SOURCES = [  # a source of the module a.b.c, what it imports
+SOURCES = [  # source of the module a.b.c; its imports
     ("import os.path, json as j", {"os.path", "json"}),
     ("from a import d, other", {"a.d", "a"}),
     ("from a.d import name", {"a.d"}),
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize(("source", "imports"), SOURCES)
-def test_what_a_source_imports(source: str, imports: set[str]) -> None:
+def test_imports_of_a_source(source: str, imports: set[str]) -> None:
     assert imports_of(source, "a.b.c", is_package=False, own=OWN) == imports
 
 
@@ -115,11 +115,11 @@
 
 
 def graph_of(**imports: str) -> ImportGraph:
-    """A graph of made-up modules: names with `_` for the dot, and what each imports, in words."""
-    return {name.replace("_", "."): frozenset(words.split()) for name, words in imports.items()}
+    """Build a graph from module names with `_` for the dot and space-separated imports."""
+    return {name.replace("_", "."): frozenset(modules.split()) for name, modules in imports.items()}
 
 
-FORBIDDEN = [  # a graph, what is found in it for the core `p.core`
+FORBIDDEN = [  # graph; forbidden imports of the core `p.core`
     (graph_of(p="", p_core="", p_core_a="logging math"), set()),
     (graph_of(p="", p_core="", p_core_a="socket"), {("p.core.a", "socket")}),
     (graph_of(p="", p_core="", p_core_a="p.x", p_x="os.path"), {("p.x", "os.path")}),
@@ -135,7 +135,7 @@
     assert forbidden_imports(graph, "p.core") == found
 
 
-CYCLES = [  # a graph, the cycles in it
+CYCLES = [  # graph; its cycles
     (graph_of(a="b c", b="c", c="os"), []),
     (graph_of(a="a"), [["a"]]),
     (graph_of(a="b", b="c", c="a", d="a"), [["a", "b", "c"]]),
--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -1,4 +1,4 @@
-"""Names that leave the process, in messages, stored records, settings and metrics, do not change."""
+"""Names in messages, stored records, settings and metrics stay as they are."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     }
 
 
-def _written_by_module(source: str) -> set[str]:
-    """String constants that are no docstrings, their words, and the names of classes' fields."""
+def _names_in_module(source: str) -> set[str]:
+    """Return string constants except docstrings, their words, and names of class fields."""
     tree = ast.parse(source)
     docstrings = _docstring_ids(tree)
     found: set[str] = set()
@@ -48,17 +48,17 @@
     return found
 
 
-def _written_by_product() -> set[str]:
+def _names_in_product() -> set[str]:
     found: set[str] = set()
     for path in [ROOT / "run.py", *sorted((ROOT / "ashdock").rglob("*.py"))]:
-        found |= _written_by_module(path.read_text(encoding="utf-8"))
+        found |= _names_in_module(path.read_text(encoding="utf-8"))
     deploy = (ROOT / "deploy" / "service.toml").read_text(encoding="utf-8")
     return found | set(WORD.findall(deploy))
 
 
-def test_every_outer_name_is_still_written_out() -> None:
+def test_every_outer_name_is_in_the_sources() -> None:
     names = _listed_names()
     assert names
     assert len(names) == len(set(names)), "a name is listed twice"
-    written = _written_by_product()
-    assert [name for name in names if name not in written] == []
+    present_names = _names_in_product()
+    assert [name for name in names if name not in present_names] == []
