--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -18,8 +18,8 @@
 
 from ashdock.settings import NextLimits
 from tests import simtime, users
-from tests.courses import wrong
 from tests.ends import played
+from tests.scenarios import wrong
 from tests.simtime import spawn
 from tests.standins import CLOUD, STATE, Worker
 from tests.whole import ZONES, Service, job
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -45,7 +45,7 @@
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import Objective, Team
-from tests import cost, courses, simtime, whole
+from tests import cost, scenarios, simtime, whole
 from tests.fleet import Fleet
 from tests.simtime import HOST, Net, SimLoop
 from tests.totals import Totals
@@ -479,7 +479,7 @@
     course: str = "",
     seed: int = 11,
     profile: bool = False,
-    ends: list[courses.End] | None = None,
+    ends: list[scenarios.End] | None = None,
     restart_s: float = 0.3,
 ) -> dict[str, Any]:
     """One fleet, each controller with that share of a core. `alone`: two controllers end for good once the fleet is full."""
@@ -504,9 +504,9 @@
         if course.startswith("hot"):
             users.heat()
         if ends:
-            users.spawn(courses.end_and_restart(net, fleet, ends, restart_s))
+            users.spawn(scenarios.end_and_restart(net, fleet, ends, restart_s))
         gaps = (
-            courses.Gaps(
+            scenarios.Gaps(
                 net, fleet, restart_s, lambda host, s: meter.busy.update({host: users.now() + s})
             )
             if course == "duties"
@@ -751,13 +751,13 @@
         or options.restart <= 0
         or (options.seconds is not None and options.seconds <= 0)
     ):
-        courses.wrong("--times, --restart, --seconds: expected numbers above 0")
+        scenarios.wrong("--times, --restart, --seconds: expected numbers above 0")
     for flag, given, known in (
         ("--shape", options.shape, cost.SHAPES),
         ("--course", options.course, cost.COURSES),
     ):
         if set(given) - set(known):
-            courses.wrong(
+            scenarios.wrong(
                 f"{flag}: expected some of {', '.join(known)}; found {', '.join(sorted(set(given) - set(known)))}"
             )
     if options.what == "cost":
@@ -777,9 +777,9 @@
         )
         return
     try:
-        ends = courses.ends_of(options.ends) if options.what == "wide" else []
+        ends = scenarios.ends_of(options.ends) if options.what == "wide" else []
     except ValueError as why:
-        courses.wrong(str(why))
+        scenarios.wrong(str(why))
     if options.what == "grow":
         seconds = options.seconds or 60.0
         # Sockets enough: what is asked is what computing and remembering cost.
--- a/tests/courses.py
+++ b/tests/scenarios.py
@@ -2,7 +2,7 @@
 
     python -m tests.scale wide --times 1.5 --restart 0.3 --ends 5,8,12,30:all,33:all
     python -m tests.scale duties --times 1.5    how long nobody holds the machines' duty, by what became of its holder
-    python -m tests.courses SITE.toml --out DIR [--day NAME ...] [--seed N ...] [--cancelled SHARE --run-s S --rate R]
+    python -m tests.scenarios SITE.toml --out DIR [--day NAME ...] [--seed N ...] [--cancelled SHARE --run-s S --rate R]
 
 `--cancelled`, `--run-s` and `--rate` change the site's classes for the day: how many jobs their users cancel, how long a task runs (median;
 at most twice that) and how many jobs of an array's class come a second, of one to three tasks each.
--- a/tests/test_courses.py
+++ b/tests/test_scenarios.py
@@ -9,13 +9,13 @@
 import pytest
 
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT
-from tests import courses, scale
-from tests.courses import End, Traffic
+from tests import scale, scenarios
+from tests.scenarios import End, Traffic
 
 SITE = "name = 'x'\n" + "".join(
     f"[[capacity]]\nzone = '{zone}'\ncount = 3\n" for zone in ("n", "m", "m")
 )
-DAYS = sorted(day.stem for day in courses.DAYS.glob("*.toml"))
+DAYS = sorted(day.stem for day in scenarios.DAYS.glob("*.toml"))
 
 
 @pytest.mark.parametrize(
@@ -32,16 +32,16 @@
 def test_ends_are_read_or_refused(text: str, ends: list[End] | None) -> None:
     if ends is None:
         with pytest.raises(ValueError):
-            courses.ends_of(text)
+            scenarios.ends_of(text)
     else:
-        assert courses.ends_of(text) == ends
+        assert scenarios.ends_of(text) == ends
 
 
 @pytest.mark.parametrize("day", DAYS)
 def test_days_hold_troubles_only_and_are_filled_in_for_a_site(day: str, tmp_path: Path) -> None:
     site = tmp_path / "site.toml"
     site.write_text(SITE)
-    one, two = courses.days_of(site, tmp_path / "out", [day], [1, 2])
+    one, two = scenarios.days_of(site, tmp_path / "out", [day], [1, 2])
     assert set(tomllib.loads(one.read_text())) == {"name", "slot", "light", "seed", "faults"}
     assert "@" not in one.read_text() and tomllib.loads(two.read_text())["seed"] == 2
 
@@ -63,10 +63,10 @@
     if site is not None:
         path.write_text(site)
     if not said:
-        assert courses.days_of(path, tmp_path, [day], [])
+        assert scenarios.days_of(path, tmp_path, [day], [])
         return
     with pytest.raises(SystemExit) as why:
-        courses.days_of(path, tmp_path, [day], [])
+        scenarios.days_of(path, tmp_path, [day], [])
     err = capsys.readouterr().err
     assert why.value.code == 2 and said in err and err.count("\n") == 1
 
@@ -107,7 +107,7 @@
         100.0,
         0.504,
         "wide",
-        ends=courses.ends_of("3,5,8,20:all,23:all,40"),
+        ends=scenarios.ends_of("3,5,8,20:all,23:all,40"),
         restart_s=0.3,
     )
     assert (
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -38,8 +38,8 @@
 from ashdock import cluster_version
 from ashdock.settings import NextLimits
 from tests import meetings
-from tests.courses import wrong
 from tests.meetings import Met
+from tests.scenarios import wrong
 from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
 
