--- a/tests/meetings.py
+++ b/tests/fault_combinations.py
@@ -1,6 +1,6 @@
 """Random days on which two and three troubles meet, while users cancel and ask.
 
-    python -m tests.meetings --seeds 500 [--from 0]     each day's seed, and what broke; 1 if anything did
+    python -m tests.fault_combinations --seeds 500 [--from 0]     each day's seed, and what broke; 1 if anything did
 
 A few seeds run with the tests. What a seed draws is all there is to a day, so it is replayed by its number; `--only A,B` leaves the other
 troubles out, to see which of them it takes.
--- a/tests/test_meetings.py
+++ b/tests/test_fault_combinations.py
@@ -9,8 +9,8 @@
 import pytest
 
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
-from tests import meetings
-from tests.meetings import Met
+from tests import fault_combinations
+from tests.fault_combinations import Met
 from tests.simtime import spawn
 from tests.test_core import commit, heartbeat, queued_record, shard_with, spec, start_one_task
 from tests.test_restarts import owned
@@ -213,7 +213,9 @@
 def test_rules_hold_where_troubles_meet(
     name: str, leads: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert meetings.course(MEETINGS[name], random.Random(7 + leads), 7, monkeypatch, leads) == (
+    assert fault_combinations.course(
+        MEETINGS[name], random.Random(7 + leads), 7, monkeypatch, leads
+    ) == (
         [],
         [],
     )
@@ -235,27 +237,31 @@
 
 
 @pytest.mark.parametrize("what", ["answer", "late"])
-@pytest.mark.parametrize("kind", meetings.KINDS)
+@pytest.mark.parametrize("kind", fault_combinations.KINDS)
 def test_rules_hold_where_writes_of_one_kind_are_not_answered(
     kind: str, what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Applied at once, and read by all others; or late, after newer ones of the same controller."""
-    assert meetings.course(
-        LOST, random.Random(9), 9, monkeypatch, more={"lost": meetings.of_writes(what, (kind,))}
+    assert fault_combinations.course(
+        LOST,
+        random.Random(9),
+        9,
+        monkeypatch,
+        more={"lost": fault_combinations.of_writes(what, (kind,))},
     ) == ([], [])
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_rules_hold_on_random_days_of_meetings(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert meetings.day(seed, monkeypatch) == ([], [])
+    assert fault_combinations.day(seed, monkeypatch) == ([], [])
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_what_a_seed_draws_is_all_there_is_to_a_day(seed: int) -> None:
-    one, two = (meetings.drawn(random.Random(seed)) for _ in range(2))
+    one, two = (fault_combinations.drawn(random.Random(seed)) for _ in range(2))
     assert (
         one == two
-        and {met.name for met in one} <= meetings.TROUBLES.keys()
+        and {met.name for met in one} <= fault_combinations.TROUBLES.keys()
         and all(met.at_s > 0 and met.for_s > 0 for met in one)
     )
 
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -37,8 +37,8 @@
 
 from ashdock import cluster_version
 from ashdock.settings import NextLimits
-from tests import meetings
-from tests.meetings import Met
+from tests import fault_combinations
+from tests.fault_combinations import Met
 from tests.scenarios import wrong
 from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
@@ -142,7 +142,7 @@
 
 def events_of(seed: int, rng: random.Random) -> list[Met]:
     """The faults that the seed draws, and those that come with its number so that none is missing."""
-    events = meetings.drawn(rng)
+    events = fault_combinations.drawn(rng)
     if seed % 2 == 0:
         events.append(Met(3.0 + rng.random(), "dependencies", 1.0))
     if seed % 3 == 0:
@@ -178,7 +178,7 @@
                 await upgraded(service, luck, for_s)
 
             extra["upgraded"] = roll
-        meetings.course(
+        fault_combinations.course(
             events,
             rng,
             seed,
