--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -18,7 +18,7 @@
 
 from ashdock.settings import NextLimits
 from tests import simtime, users
-from tests.ends import played
+from tests.restarts import played
 from tests.scenarios import wrong
 from tests.simtime import spawn
 from tests.standins import CLOUD, STATE, Worker
--- a/tests/ends.py
+++ b/tests/restarts.py
@@ -1,6 +1,6 @@
 """Random days of ends and restarts: several controllers end within two seconds of each other, again and again, and are back at once.
 
-    python -m tests.ends --seeds 300 [--from 0]     each day's seed, and what broke; 1 if anything did
+    python -m tests.restarts --seeds 300 [--from 0]     each day's seed, and what broke; 1 if anything did
 
 A few seeds run with the tests. What a seed draws is all there is to a day, so it is replayed by its number.
 """
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -17,7 +17,7 @@
 from ashdock.wire import frames
 from ashdock.wire.messages import Heartbeat, TaskReport
 from ashdock.wire.peer_messages import Hello, OwnershipClaims, PeerHeartbeat
-from tests import ends
+from tests import restarts
 from tests.simtime import spawn
 from tests.test_whole import play
 from tests.whole import Service, job, shared
@@ -286,4 +286,4 @@
 def test_invariants_hold_on_random_days_of_restarts(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert ends.day(seed, monkeypatch) == ([], [])
+    assert restarts.day(seed, monkeypatch) == ([], [])
