--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -19,7 +19,7 @@
 from ashdock.settings import NextLimits
 from tests import simtime, users
 from tests.restarts import played
-from tests.scenarios import wrong
+from tests.scenarios import exit_with_usage_error
 from tests.simtime import spawn
 from tests.standins import CLOUD, STATE, Worker
 from tests.whole import ZONES, Service, job
@@ -494,11 +494,11 @@
     options = top.parse_args()
     only = set(options.only.split(",")) if options.only else None
     if options.seeds <= 0 or options.first < 0:
-        wrong(
+        exit_with_usage_error(
             f"--seeds, --from: expected above 0, and 0 or more, found {options.seeds}, {options.first}"
         )
     if only and only - TROUBLES.keys():
-        wrong(
+        exit_with_usage_error(
             f"--only: expected some of {', '.join(sorted(TROUBLES))}; found {', '.join(sorted(only - TROUBLES.keys()))}"
         )
     played(
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -751,13 +751,13 @@
         or options.restart <= 0
         or (options.seconds is not None and options.seconds <= 0)
     ):
-        scenarios.wrong("--times, --restart, --seconds: expected numbers above 0")
+        scenarios.exit_with_usage_error("--times, --restart, --seconds: expected numbers above 0")
     for flag, given, known in (
         ("--shape", options.shape, cost.SHAPES),
         ("--course", options.course, cost.COURSES),
     ):
         if set(given) - set(known):
-            scenarios.wrong(
+            scenarios.exit_with_usage_error(
                 f"{flag}: expected some of {', '.join(known)}; found {', '.join(sorted(set(given) - set(known)))}"
             )
     if options.what == "cost":
@@ -779,7 +779,7 @@
     try:
         ends = scenarios.ends_of(options.ends) if options.what == "wide" else []
     except ValueError as why:
-        scenarios.wrong(str(why))
+        scenarios.exit_with_usage_error(str(why))
     if options.what == "grow":
         seconds = options.seconds or 60.0
         # Sockets enough: what is asked is what computing and remembering cost.
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -30,8 +30,8 @@
 DAYS = Path(__file__).with_name("days")
 
 
-def wrong(what: str) -> NoReturn:
-    print(what, file=sys.stderr)
+def exit_with_usage_error(message: str) -> NoReturn:
+    print(message, file=sys.stderr)
     sys.exit(2)
 
 
@@ -194,13 +194,13 @@
         zones = sorted({str(row["zone"]) for row in told["capacity"]})
         jobs = traffic.jobs(told.get("jobs", []))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, KeyError, TypeError) as why:
-        wrong(f"{site}: cannot be read as a site file: {type(why).__name__} {why}")
+        exit_with_usage_error(f"{site}: cannot be read as a site file: {type(why).__name__} {why}")
     out.mkdir(parents=True, exist_ok=True)
     written = []
     for name in names:
         source = DAYS / f"{name}.toml"
         if not source.exists():
-            wrong(
+            exit_with_usage_error(
                 f"--day: expected one of {', '.join(sorted(day.stem for day in DAYS.glob('*.toml')))}; found {name!r}"
             )
         chosen: Sequence[int | None] = seeds or [None]
@@ -209,7 +209,7 @@
             try:
                 path.write_text(filled(source.read_text(), zones, seed) + jobs)
             except ValueError as why:
-                wrong(f"{name}: {why}")
+                exit_with_usage_error(f"{name}: {why}")
             written.append(path)
     return written
 
@@ -229,7 +229,7 @@
     traffic = Traffic(options.cancelled, options.run_s, options.rate)
     fault = traffic.wrong()
     if fault:
-        wrong(fault)
+        exit_with_usage_error(fault)
     names = options.day or sorted(day.stem for day in DAYS.glob("*.toml"))
     for path in days_of(options.site, options.out, names, options.seed, traffic):
         print(path)
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -39,7 +39,7 @@
 from ashdock.settings import NextLimits
 from tests import fault_combinations
 from tests.fault_combinations import Met
-from tests.scenarios import wrong
+from tests.scenarios import exit_with_usage_error
 from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
 
@@ -255,7 +255,7 @@
 
 def refuse(why: str) -> NoReturn:
     """Bad input: one line, and 2."""
-    wrong(f"traces: {why}")
+    exit_with_usage_error(f"traces: {why}")
 
 
 def each_played(seeds: list[int], jobs: int) -> Iterator[Trace]:
