--- a/tests/scale.py
+++ b/tests/scale.py
@@ -479,7 +479,7 @@
     course: str = "",
     seed: int = 11,
     profile: bool = False,
-    ends: list[scenarios.End] | None = None,
+    ends: list[scenarios.Crash] | None = None,
     restart_s: float = 0.3,
 ) -> dict[str, Any]:
     """One fleet, each controller with that share of a core. `alone`: two controllers end for good once the fleet is full."""
@@ -504,9 +504,9 @@
         if course.startswith("hot"):
             users.heat()
         if ends:
-            users.spawn(scenarios.end_and_restart(net, fleet, ends, restart_s))
+            users.spawn(scenarios.crash_and_restart(net, fleet, ends, restart_s))
         gaps = (
-            scenarios.Gaps(
+            scenarios.FailoverTimer(
                 net, fleet, restart_s, lambda host, s: meter.busy.update({host: users.now() + s})
             )
             if course == "duties"
@@ -777,7 +777,7 @@
         )
         return
     try:
-        ends = scenarios.ends_of(options.ends) if options.what == "wide" else []
+        ends = scenarios.parse_crashes(options.ends) if options.what == "wide" else []
     except ValueError as why:
         scenarios.exit_with_usage_error(str(why))
     if options.what == "grow":
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -35,19 +35,19 @@
     sys.exit(2)
 
 
-class End(NamedTuple):
+class Crash(NamedTuple):
     at_s: float  # after the fleet is full
     every: bool  # all controllers, or the one with most machines
 
 
-def ends_of(text: str) -> list[End]:
+def parse_crashes(text: str) -> list[Crash]:
     """`5,8,30:all`. Raises ValueError."""
     out = []
     for word in text.split(","):
         at, _, who = word.partition(":")
         if who not in ("", "all") or float(at) < 0:
             raise ValueError(f"--ends: expected seconds, or seconds:all, found {word!r}")
-        out.append(End(float(at), who == "all"))
+        out.append(Crash(float(at), who == "all"))
     return sorted(out)
 
 
@@ -60,7 +60,7 @@
     return max(held, key=lambda n: (held[n], n), default=None)
 
 
-async def end_and_restart(net: Net, fleet: Fleet, ends: list[End], restart_s: float) -> None:
+async def crash_and_restart(net: Net, fleet: Fleet, ends: list[Crash], restart_s: float) -> None:
     began = asyncio.get_running_loop().time()
 
     async def back(n: int) -> None:
@@ -80,7 +80,7 @@
 CHANGE_S = 30.0  # from one to the next: what was there before has settled
 
 
-class Gaps:
+class FailoverTimer:
     """How long it took from what became of a holder until the next one's claim, and until the first effect of that one's term."""
 
     def __init__(
@@ -155,7 +155,7 @@
     run_s: float | None = None
     rate: float | None = None
 
-    def wrong(self) -> str | None:
+    def error(self) -> str | None:
         if self.cancelled is not None and not 0 <= self.cancelled <= 1:
             return f"--cancelled: expected a share from 0 to 1, found {self.cancelled}"
         for name, value in (("--run-s", self.run_s), ("--rate", self.rate)):
@@ -163,7 +163,7 @@
                 return f"{name}: expected a number above 0, found {value}"
         return None
 
-    def jobs(self, classes: list[dict[str, Any]]) -> str:
+    def job_classes_toml(self, classes: list[dict[str, Any]]) -> str:
         rows = []
         for row in classes:
             words = [f'name = "{row["name"]}"']
@@ -181,7 +181,7 @@
         return f"jobs = [\n{''.join(rows)}]\n" if any(value is not None for value in self) else ""
 
 
-def days_of(
+def write_days(
     site: Path,
     out: Path,
     names: list[str],
@@ -192,7 +192,7 @@
     try:
         told = tomllib.loads(site.read_text(encoding="utf-8"))
         zones = sorted({str(row["zone"]) for row in told["capacity"]})
-        jobs = traffic.jobs(told.get("jobs", []))
+        jobs = traffic.job_classes_toml(told.get("jobs", []))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, KeyError, TypeError) as why:
         exit_with_usage_error(f"{site}: cannot be read as a site file: {type(why).__name__} {why}")
     out.mkdir(parents=True, exist_ok=True)
@@ -227,11 +227,11 @@
     top.add_argument("--rate", type=float)
     options = top.parse_args()
     traffic = Traffic(options.cancelled, options.run_s, options.rate)
-    fault = traffic.wrong()
+    fault = traffic.error()
     if fault:
         exit_with_usage_error(fault)
     names = options.day or sorted(day.stem for day in DAYS.glob("*.toml"))
-    for path in days_of(options.site, options.out, names, options.seed, traffic):
+    for path in write_days(options.site, options.out, names, options.seed, traffic):
         print(path)
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -10,7 +10,7 @@
 
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT
 from tests import scale, scenarios
-from tests.scenarios import End, Traffic
+from tests.scenarios import Crash, Traffic
 
 SITE = "name = 'x'\n" + "".join(
     f"[[capacity]]\nzone = '{zone}'\ncount = 3\n" for zone in ("n", "m", "m")
@@ -21,27 +21,27 @@
 @pytest.mark.parametrize(
     ("text", "ends"),
     [
-        ("5", [End(5, False)]),
-        ("30:all,2.5", [End(2.5, False), End(30, True)]),
+        ("5", [Crash(5, False)]),
+        ("30:all,2.5", [Crash(2.5, False), Crash(30, True)]),
         ("x", None),
         ("5:some", None),
         ("-1", None),
         ("", None),
     ],
 )
-def test_ends_are_read_or_refused(text: str, ends: list[End] | None) -> None:
+def test_ends_are_read_or_refused(text: str, ends: list[Crash] | None) -> None:
     if ends is None:
         with pytest.raises(ValueError):
-            scenarios.ends_of(text)
+            scenarios.parse_crashes(text)
     else:
-        assert scenarios.ends_of(text) == ends
+        assert scenarios.parse_crashes(text) == ends
 
 
 @pytest.mark.parametrize("day", DAYS)
 def test_days_hold_troubles_only_and_are_filled_in_for_a_site(day: str, tmp_path: Path) -> None:
     site = tmp_path / "site.toml"
     site.write_text(SITE)
-    one, two = scenarios.days_of(site, tmp_path / "out", [day], [1, 2])
+    one, two = scenarios.write_days(site, tmp_path / "out", [day], [1, 2])
     assert set(tomllib.loads(one.read_text())) == {"name", "slot", "light", "seed", "faults"}
     assert "@" not in one.read_text() and tomllib.loads(two.read_text())["seed"] == 2
 
@@ -63,10 +63,10 @@
     if site is not None:
         path.write_text(site)
     if not said:
-        assert scenarios.days_of(path, tmp_path, [day], [])
+        assert scenarios.write_days(path, tmp_path, [day], [])
         return
     with pytest.raises(SystemExit) as why:
-        scenarios.days_of(path, tmp_path, [day], [])
+        scenarios.write_days(path, tmp_path, [day], [])
     err = capsys.readouterr().err
     assert why.value.code == 2 and said in err and err.count("\n") == 1
 
@@ -85,11 +85,13 @@
     ],
 )
 def test_traffic_of_a_day(traffic: Traffic, named: str | None) -> None:
-    fault = traffic.wrong()
+    fault = traffic.error()
     assert (fault is None) if named is None else (fault or "").startswith(named)
     if named is None:
         rows = tomllib.loads(
-            traffic.jobs([{"name": "a", "kind": "gang"}, {"name": "b", "kind": "array"}])
+            traffic.job_classes_toml(
+                [{"name": "a", "kind": "gang"}, {"name": "b", "kind": "array"}]
+            )
         ).get("jobs")
         assert (
             rows is None
@@ -107,7 +109,7 @@
         100.0,
         0.504,
         "wide",
-        ends=scenarios.ends_of("3,5,8,20:all,23:all,40"),
+        ends=scenarios.parse_crashes("3,5,8,20:all,23:all,40"),
         restart_s=0.3,
     )
     assert (
