--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -125,7 +125,7 @@
 
 
 async def leaders_change(service: Service, rng: random.Random, for_s: float) -> None:
-    """Whoever leads ends, ten times."""
+    """Crashes the current leader, ten times."""
     for _ in range(10):
         leader = next(
             (n for n, c in sorted(service.controllers.items()) if c.leader is not None), None
@@ -290,7 +290,7 @@
 }
 
 
-class Met(NamedTuple):
+class ScheduledFault(NamedTuple):
     """What a seed draws: a trouble, when it begins and how long it lasts."""
 
     at_s: float
@@ -338,20 +338,22 @@
 ]
 
 
-def drawn(rng: random.Random) -> list[Met]:
+def draw_faults(rng: random.Random) -> list[ScheduledFault]:
     """Meetings of two and three troubles that overlap, one after the other; every other one is of the page's."""
     out, at = [], rng.uniform(4, 16)
     while at < COURSE_S:
         if rng.random() < 0.5:
             first, second = rng.choice(PAIRS)
             out += [
-                Met(at, first, rng.choice(SPANS)),
-                Met(at + rng.uniform(0.1, 1.5), second, rng.choice(SPANS)),
+                ScheduledFault(at, first, rng.choice(SPANS)),
+                ScheduledFault(at + rng.uniform(0.1, 1.5), second, rng.choice(SPANS)),
             ]
         else:
             for name in rng.sample(sorted(TROUBLES), rng.choice((2, 3))):
                 out.append(
-                    Met(at + rng.choice((0.2, 1.0, 4.0)) * rng.random(), name, rng.choice(SPANS))
+                    ScheduledFault(
+                        at + rng.choice((0.2, 1.0, 4.0)) * rng.random(), name, rng.choice(SPANS)
+                    )
                 )
         at += rng.uniform(8, 20)
     return sorted(out)
@@ -403,28 +405,30 @@
 ) -> tuple[list[tuple[str, str]], list[str]]:
     """What broke on the day of that seed, and the jobs that were not over in time."""
     rng = random.Random(seed)
-    return course([one for one in drawn(rng) if only is None or one.name in only], rng, seed, patch)
+    return run_faults(
+        [one for one in draw_faults(rng) if only is None or one.name in only], rng, seed, patch
+    )
 
 
-def course(
-    met: list[Met],
+def run_faults(
+    met: list[ScheduledFault],
     rng: random.Random,
     seed: int,
     patch: pytest.MonkeyPatch,
-    leads: int | None = None,
-    more: dict[str, Trouble] | None = None,
-    later: NextLimits | None = None,
+    leader_offset: int | None = None,
+    extra_faults: dict[str, Trouble] | None = None,
+    next_limits: NextLimits | None = None,
     observe: Callable[[float, str, str, bytes], None] | None = None,
 ) -> tuple[list[tuple[str, str]], list[str]]:
     """The same of a day with these troubles.
 
-    `leads`: so many controllers after the one that owns blue's part leads. `later`: the smaller limits that the settings announce. `observe`: called with time, sender, receiver and bytes of each write.
+    `leader_offset`: so many controllers after the one that owns blue's part leads. `next_limits`: the smaller limits that the settings announce. `observe`: called with time, sender, receiver and bytes of each write.
     """
-    troubles_by_name = TROUBLES | (more or {})
+    troubles_by_name = TROUBLES | (extra_faults or {})
 
     async def main(net: simtime.Net) -> tuple[list[tuple[str, str]], list[str]]:
         net.observe = observe
-        service = Service(net, machines=5, capacity=8, later=later)
+        service = Service(net, machines=5, capacity=8, later=next_limits)
         service.state.applied = service.world.changed_hands
         service.state.fenced = service.rules.applied
         service.rules.room = service.world.rooms
@@ -434,12 +438,14 @@
         ids = [str(run["id"]) for run in runs]
         began = service.now()
 
-        async def trouble(one: Met, luck: random.Random) -> None:
+        async def trouble(one: ScheduledFault, luck: random.Random) -> None:
             await asyncio.sleep(one.at_s)
             owner = service.state.keys.get("part/blue")
-            if leads is not None and owner is not None:
+            if leader_offset is not None and owner is not None:
                 for controller in service.controllers.values():
-                    controller.elector.allowed = [f"n{(int(owner[0]['owner'][1:]) + leads) % 3}"]
+                    controller.elector.allowed = [
+                        f"n{(int(owner[0]['owner'][1:]) + leader_offset) % 3}"
+                    ]
             await troubles_by_name[one.name](service, luck, one.for_s)
 
         async def cancel(number: int, at_s: float) -> str | None:
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -38,7 +38,7 @@
 from ashdock import cluster_version
 from ashdock.settings import NextLimits
 from tests import fault_combinations
-from tests.fault_combinations import Met
+from tests.fault_combinations import ScheduledFault
 from tests.scenarios import exit_with_usage_error
 from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
@@ -140,19 +140,19 @@
 EXTRA = {trouble.__name__: trouble for trouble in (limits_shrink, dependencies, many_fail)}
 
 
-def events_of(seed: int, rng: random.Random) -> list[Met]:
+def events_of(seed: int, rng: random.Random) -> list[ScheduledFault]:
     """The faults that the seed draws, and those that come with its number so that none is missing."""
-    events = fault_combinations.drawn(rng)
+    events = fault_combinations.draw_faults(rng)
     if seed % 2 == 0:
-        events.append(Met(3.0 + rng.random(), "dependencies", 1.0))
+        events.append(ScheduledFault(3.0 + rng.random(), "dependencies", 1.0))
     if seed % 3 == 0:
-        events.append(Met(6.0 + rng.random(), "more_than_room", 1.0))
+        events.append(ScheduledFault(6.0 + rng.random(), "more_than_room", 1.0))
     if seed % 4 == 1:
-        events.append(Met(10.0 + rng.random(), "many_fail", 6.0))
+        events.append(ScheduledFault(10.0 + rng.random(), "many_fail", 6.0))
     if seed % 5 == 0:
-        events.append(Met(rng.uniform(12.0, 30.0), "upgraded", 1.0))
+        events.append(ScheduledFault(rng.uniform(12.0, 30.0), "upgraded", 1.0))
     if seed % 7 == 3:
-        events.append(Met(5.0 + rng.random(), "limits_shrink", 1.0))
+        events.append(ScheduledFault(5.0 + rng.random(), "limits_shrink", 1.0))
     return sorted(events)
 
 
@@ -178,14 +178,14 @@
                 await upgraded(service, luck, for_s)
 
             extra["upgraded"] = roll
-        fault_combinations.course(
+        fault_combinations.run_faults(
             events,
             rng,
             seed,
             patch,
-            leads=(None, 0, 1, 2)[seed % 4],
-            more=extra,
-            later=SMALLER_LIMITS if seed % 7 == 3 else None,
+            leader_offset=(None, 0, 1, 2)[seed % 4],
+            extra_faults=extra,
+            next_limits=SMALLER_LIMITS if seed % 7 == 3 else None,
             observe=observe,
         )
     return messages
