--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -13,7 +13,7 @@
 from tests.fault_combinations import ScheduledFault
 from tests.simtime import spawn
 from tests.test_core import commit, heartbeat, queued_record, shard_with, spec, start_one_task
-from tests.test_restarts import owned
+from tests.test_restarts import wait_for_owner
 from tests.test_whole import play
 from tests.whole import Service, job
 
@@ -292,7 +292,7 @@
             )
         while not all(service.rules.on.get((f"req-{number:06d}", 0)) for number in range(1, 7)):
             await asyncio.sleep(0.2)
-        old = await owned(service)
+        old = await wait_for_owner(service)
         new = (old + 1) % 3
         doors = {"old owner": old, "new owner": new, "third": (old + 2) % 3}
         calls: list[asyncio.Task[Any]] = []
@@ -324,7 +324,7 @@
         await asyncio.sleep(3.0)
         service.state.slow = 0.0
         await asyncio.gather(*calls)
-        assert calls and await owned(service) == new
+        assert calls and await wait_for_owner(service) == new
         await asyncio.sleep(5.0)
         assert {
             await service.poll(f"req-{number:06d}", n) for number in (1, 2, 3) for n in range(3)
@@ -434,7 +434,7 @@
 def test_a_claim_under_an_old_stamp_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1))
-        n = await owned(service)
+        n = await wait_for_owner(service)
         before = service.state.keys["part/red"]
         other = service.controllers[(n + 1) % 3]
         late = ShardOwner(other, other.shared.teams[0], before[1] - 1)
@@ -450,7 +450,7 @@
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=6.0))
-        n = await owned(service)
+        n = await wait_for_owner(service)
         others = [k for k in range(3) if k != n]
         for k in (n, *others):
             service.doors = [k]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -77,7 +77,7 @@
     assert orphan_leases.may_renew(report, 100.0) is may_renew
 
 
-async def owned(service: Service, team: str = "red") -> int:
+async def wait_for_owner(service: Service, team: str = "red") -> int:
     while True:
         for n, controller in service.controllers.items():
             if team in controller.owners and controller.owners[team].shard is not None:
@@ -96,7 +96,7 @@
         await asyncio.sleep(shared().workers.cancel_s + 2)
         service.state.down = True
         await asyncio.sleep(1)
-        service.crash(await owned(service), downtime_s)
+        service.crash(await wait_for_owner(service), downtime_s)
         await asyncio.sleep(1.5 * AGENT_LEASE_S)
         service.state.down = False
         assert await service.until_final(["req-000001"], 60) == []
@@ -115,7 +115,7 @@
         for number in (1, 2):
             await service.submit(job(number, shape="daemon", shares=3))
         await asyncio.sleep(shared().workers.cancel_s + 2)
-        owner = await owned(service)
+        owner = await wait_for_owner(service)
 
         def hook(writes: list[dict[str, Any]]) -> None:
             if any(write.get("set") == "job/req-000001" for write in writes):
@@ -148,7 +148,7 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=16, expect_s=60.0))
         await asyncio.sleep(8)
-        owner = await owned(service)
+        owner = await wait_for_owner(service)
         with caplog.at_level("INFO", logger="ashdock.front"):
             for _ in range(2):
                 service.crash(owner, downtime_s)
@@ -222,7 +222,7 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=8, expect_s=10.0))
         await asyncio.sleep(4)
-        owner = await owned(service)
+        owner = await wait_for_owner(service)
         for _ in range(6):
             service.crash(owner, 0.3)
             await asyncio.sleep(1.5)
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -16,7 +16,7 @@
 from ashdock.net.mesh import MAX_UNSENT_BYTES
 from tests.simtime import spawn
 from tests.standins import STATE
-from tests.test_restarts import owned
+from tests.test_restarts import wait_for_owner
 from tests.test_whole import play
 from tests.whole import Service, job, shared
 
@@ -293,7 +293,7 @@
     async def refuse_again(self) -> None:
         """Refuse the current owner, cancel other jobs, and have the store fail once more."""
         await asyncio.sleep(8)
-        self.service.state.refusing = {self.hosts[await owned(self.service)]}
+        self.service.state.refusing = {self.hosts[await wait_for_owner(self.service)]}
         await self.cancel(3, 4)
         await self.store_outage()
 
@@ -318,7 +318,7 @@
             job(number, shape="daemon" if number % 2 else "sweep", shares=1, expect_s=400.0)
         )
     await asyncio.sleep(CANCEL_S + 2 if scenario.crashes == "owner" else 6)
-    owner = await owned(service)
+    owner = await wait_for_owner(service)
     if scenario.leads is not None:
         await elect(service, owner, scenario.leads)
     incarnations_before = incarnations(service)
@@ -361,7 +361,7 @@
     await service.submit(job(number, shape="daemon", shares=1))
     while not service.rules.on.get((f"req-{number:06d}", 0)):
         await asyncio.sleep(0.2)
-    return await owned(service)
+    return await wait_for_owner(service)
 
 
 @pytest.mark.parametrize("lost", ["nothing", "full", "closed"])
