--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -18,7 +18,7 @@
 
 from ashdock.settings import NextLimits
 from tests import simtime, users
-from tests.restarts import played
+from tests.restarts import run_seeds
 from tests.scenarios import exit_with_usage_error
 from tests.simtime import spawn
 from tests.standins import CLOUD, STATE, Worker
@@ -507,7 +507,7 @@
         exit_with_usage_error(
             f"--only: expected some of {', '.join(sorted(TROUBLES))}; found {', '.join(sorted(only - TROUBLES.keys()))}"
         )
-    played(
+    run_seeds(
         range(options.first, options.first + options.seeds),
         lambda seed, patch: day(seed, patch, only),
     )
--- a/tests/restarts.py
+++ b/tests/restarts.py
@@ -1,8 +1,10 @@
-"""Random days of ends and restarts: several controllers end within two seconds of each other, again and again, and are back at once.
+"""Random days on which controllers crash in bursts, at most two seconds apart, and soon restart.
 
-    python -m tests.restarts --seeds 300 [--from 0]     each day's seed, and what broke; 1 if anything did
+    python -m tests.restarts --seeds 300 [--from 0]
 
-A few seeds run with the tests. What a seed draws is all there is to a day, so it is replayed by its number.
+Prints each seed whose day violates an invariant or leaves jobs unfinished, and exits with 1 if there
+is any. A few seeds run with the tests. A day depends on nothing but its seed, so the number is enough
+to replay it.
 """
 
 from __future__ import annotations
@@ -20,35 +22,36 @@
 from tests.simtime import spawn
 from tests.whole import Service, job
 
-BACK_S = (0.05, 0.3, 1.0, 2.5)
-COURSE_S = 40.0
-WITHIN_S = 240.0  # all jobs are over so long after the last trouble
+DOWNTIMES_S = (0.05, 0.3, 1.0, 2.5)  # between the end of a process and the start of the next
+CRASH_PHASE_S = 40.0
+FINISH_LIMIT_S = 240.0  # all jobs must reach a final state within this time after the crash phase
 
 
-async def ends(service: Service, rng: random.Random) -> None:
-    """Bursts of ends; between them, and in them, whatever else may go wrong."""
-    until = service.now() + COURSE_S
+async def crash_in_bursts(service: Service, rng: random.Random) -> None:
+    """Crash controllers in bursts for `CRASH_PHASE_S`, amid store, network and worker faults."""
+    until = service.now() + CRASH_PHASE_S
     while service.now() < until:
         await asyncio.sleep(rng.choice((0.4, 3.0, 8.0)) * rng.random())
-        trouble = rng.randrange(7)
-        if trouble == 0 and not service.state.down:
+        fault = rng.randrange(7)  # 5 and 6: no fault besides the crashes
+        if fault == 0 and not service.state.down:
             service.state.down = True
             spawn(
                 service.net,
                 "users",
-                _later(rng.uniform(2, 9), lambda: setattr(service.state, "down", False)),
+                _call_later(rng.uniform(2, 9), lambda: setattr(service.state, "down", False)),
             )
-        elif trouble == 1:
+        elif fault == 1:
             n = rng.randrange(3)
             service.net.cut(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
-            spawn(service.net, "users", _later(rng.uniform(1, 8), service.net.heal))
-        elif trouble == 2:
+            spawn(service.net, "users", _call_later(rng.uniform(1, 8), service.net.heal))
+        elif fault == 2:
             service.state.apply_late = rng.choice((0.0, 0.05))
             service.state.lose_answers = rng.choice((0.0, 0.05))
-        elif trouble == 3 and len(service.world.workers) > 2 and rng.random() < 0.4:
+        elif fault == 3 and len(service.world.workers) > 2 and rng.random() < 0.4:
             service.world.workers[rng.choice(sorted(service.world.workers))].die()
-        elif trouble == 4:
-            # Some lose their leases, and come back in a session that no record tells of.
+        elif fault == 4:
+            # Some of these workers lose their leases and return with an incarnation that the store
+            # does not name.
             workers = [
                 worker.host
                 for _, worker in sorted(service.world.workers.items())
@@ -56,22 +59,22 @@
             ]
             for n in range(3):
                 service.net.cut(f"10.0.0.{n}", *workers)
-            spawn(service.net, "users", _later(rng.uniform(5, 9), service.net.heal))
+            spawn(service.net, "users", _call_later(rng.uniform(5, 9), service.net.heal))
         for _ in range(rng.randrange(1, 6)):
             alive = sorted(service.controllers)
             if alive:
-                service.crash(rng.choice(alive), rng.choice(BACK_S))
+                service.crash(rng.choice(alive), rng.choice(DOWNTIMES_S))
             await asyncio.sleep(2.0 * rng.random() ** 2)
     service.state.apply_late = service.state.lose_answers = 0.0
 
 
-async def _later(seconds: float, act: Callable[[], None]) -> None:
-    await asyncio.sleep(seconds)
-    act()
+async def _call_later(delay_s: float, callback: Callable[[], None]) -> None:
+    await asyncio.sleep(delay_s)
+    callback()
 
 
-def day(seed: int, patch: pytest.MonkeyPatch) -> tuple[list[str], list[str]]:
-    """What broke on the day of that seed, and the jobs that were not over in time."""
+def run_day(seed: int, monkeypatch: pytest.MonkeyPatch) -> tuple[list[str], list[str]]:
+    """Return the violations on the day of this seed, and the jobs not final in time."""
     rng = random.Random(seed)
 
     async def main(net: simtime.Net) -> tuple[list[tuple[str, str]], list[str]]:
@@ -102,47 +105,52 @@
             job(5, shares=2, fails=2),
             job(6, shape="daemon", shares=2),
         ]
-        spawn(net, "users", ends(service, rng))
+        spawn(net, "users", crash_in_bursts(service, rng))
         statuses = await asyncio.gather(*(service.submit(run) for run in runs))
-        await asyncio.sleep(rng.uniform(5, COURSE_S))
+        await asyncio.sleep(rng.uniform(5, CRASH_PHASE_S))
         withdrawn = (
             await service.withdraw("req-000006") if statuses[5] in (200, 201) else "withdrawn"
         )
-        await asyncio.sleep(COURSE_S / 2)
-        left = await service.until_final([run["id"] for run in runs], WITHIN_S)
+        await asyncio.sleep(CRASH_PHASE_S / 2)
+        unfinished = await service.until_final([run["id"] for run in runs], FINISH_LIMIT_S)
         service.rules.end()
-        return service.rules.broken, left + ([] if withdrawn == "withdrawn" else ["req-000006"])
+        return service.rules.broken, unfinished + (
+            [] if withdrawn == "withdrawn" else ["req-000006"]
+        )
 
-    broken, left = simtime.run(main, seed, patch)
-    return broken, left
+    violations, unfinished = simtime.run(main, seed, monkeypatch)
+    return violations, unfinished
 
 
-Played = tuple[list[Any], list[str]]  # what broke, and the jobs that were not over in time
+DayResult = tuple[list[Any], list[str]]  # violations, and the jobs that were not final in time
 
 
-def played(seeds: range, day: Callable[[int, pytest.MonkeyPatch], Played]) -> NoReturn:
-    """Play the days of these seeds, say which broke, and leave: with 1 if any did."""
-    bad = 0
+def run_seeds(
+    seeds: range, run_one_day: Callable[[int, pytest.MonkeyPatch], DayResult]
+) -> NoReturn:
+    """Run the days of these seeds, print the failed ones and exit: with 1 if there is any."""
+    failed = 0
     for seed in seeds:
-        with pytest.MonkeyPatch.context() as patch:
-            broken, left = day(seed, patch)
-        if broken or left:
-            bad += 1
-            print(f"seed {seed}: {broken[:3]} not over: {left}", flush=True)
-    print(f"{len(seeds)} days, {bad} of them broken or not over")
-    sys.exit(1 if bad else 0)
+        with pytest.MonkeyPatch.context() as monkeypatch:
+            violations, unfinished = run_one_day(seed, monkeypatch)
+        if violations or unfinished:
+            failed += 1
+            print(f"seed {seed}: {violations[:3]} unfinished: {unfinished}", flush=True)
+    print(f"{len(seeds)} days, {failed} failed")
+    sys.exit(1 if failed else 0)
 
 
 def main() -> None:
-    top = argparse.ArgumentParser(
+    """Run the command line."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    top.add_argument("--seeds", type=int, default=300)
-    top.add_argument("--from", type=int, default=0, dest="first")
-    options = top.parse_args()
+    parser.add_argument("--seeds", type=int, default=300)
+    parser.add_argument("--from", type=int, default=0, dest="first")
+    options = parser.parse_args()
     if options.seeds <= 0 or options.first < 0:
-        top.error("--seeds is above 0, --from is 0 or more")
-    played(range(options.first, options.first + options.seeds), day)
+        parser.error("--seeds must be above 0, --from must be 0 or more")
+    run_seeds(range(options.first, options.first + options.seeds), run_day)
 
 
 if __name__ == "__main__":
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -286,4 +286,4 @@
 def test_invariants_hold_on_random_days_of_restarts(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert restarts.day(seed, monkeypatch) == ([], [])
+    assert restarts.run_day(seed, monkeypatch) == ([], [])
