--- a/tests/restarts.py
+++ b/tests/restarts.py
@@ -2,9 +2,9 @@
 
     python -m tests.restarts --seeds 300 [--from 0]
 
-Prints each seed whose day violates an invariant or leaves jobs unfinished, and exits with 1 if there
-is any. A few seeds run with the tests. A day depends on nothing but its seed, so the number is enough
-to replay it.
+Prints each seed whose day violates an invariant or leaves jobs unfinished, and exits with 1 if
+there is any. A few seeds run with the tests. A day depends on nothing but its seed, so the number
+is enough to replay it.
 """
 
 from __future__ import annotations
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Our days and courses of ends: what is drawn from what is given, and a short course at half as many machines again."""
+"""Tests of crash scenarios and fault days: parsing, filling in, and a short run with crashes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 SITE = "name = 'x'\n" + "".join(
     f"[[capacity]]\nzone = '{zone}'\ncount = 3\n" for zone in ("n", "m", "m")
 )
-DAYS = sorted(day.stem for day in scenarios.DAYS.glob("*.toml"))
+DAYS = sorted(day.stem for day in scenarios.DAYS_PATH.glob("*.toml"))
 
 
 @pytest.mark.parametrize(
-    ("text", "ends"),
+    ("text", "crashes"),
     [
         ("5", [Crash(5, False)]),
         ("30:all,2.5", [Crash(2.5, False), Crash(30, True)]),
@@ -29,25 +29,25 @@
         ("", None),
     ],
 )
-def test_ends_are_read_or_refused(text: str, ends: list[Crash] | None) -> None:
-    if ends is None:
+def test_crashes_are_parsed_or_rejected(text: str, crashes: list[Crash] | None) -> None:
+    if crashes is None:
         with pytest.raises(ValueError):
             scenarios.parse_crashes(text)
     else:
-        assert scenarios.parse_crashes(text) == ends
+        assert scenarios.parse_crashes(text) == crashes
 
 
 @pytest.mark.parametrize("day", DAYS)
-def test_days_hold_troubles_only_and_are_filled_in_for_a_site(day: str, tmp_path: Path) -> None:
+def test_days_hold_faults_only_and_are_filled_in_for_a_site(day: str, tmp_path: Path) -> None:
     site = tmp_path / "site.toml"
     site.write_text(SITE)
-    one, two = scenarios.write_days(site, tmp_path / "out", [day], [1, 2])
-    assert set(tomllib.loads(one.read_text())) == {"name", "slot", "light", "seed", "faults"}
-    assert "@" not in one.read_text() and tomllib.loads(two.read_text())["seed"] == 2
+    first, second = scenarios.write_days(site, tmp_path / "out", [day], [1, 2])
+    assert set(tomllib.loads(first.read_text())) == {"name", "slot", "light", "seed", "faults"}
+    assert "@" not in first.read_text() and tomllib.loads(second.read_text())["seed"] == 2
 
 
 @pytest.mark.parametrize(
-    ("site", "day", "said"),
+    ("site", "day", "message"),
     [
         (None, "quick", "cannot be read"),
         ("x", "quick", "cannot be read"),
@@ -56,23 +56,23 @@
         ("[[capacity]]\nzone = 3", "loop2", ""),
     ],
 )
-def test_what_cannot_be_filled_in_is_said_in_one_line(
-    site: str | None, day: str, said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_invalid_input_is_reported_in_one_line(
+    site: str | None, day: str, message: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "site.toml"
     if site is not None:
         path.write_text(site)
-    if not said:
+    if not message:
         assert scenarios.write_days(path, tmp_path, [day], [])
         return
-    with pytest.raises(SystemExit) as why:
+    with pytest.raises(SystemExit) as exit_info:
         scenarios.write_days(path, tmp_path, [day], [])
-    err = capsys.readouterr().err
-    assert why.value.code == 2 and said in err and err.count("\n") == 1
+    output = capsys.readouterr().err
+    assert exit_info.value.code == 2 and message in output and output.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    ("traffic", "named"),
+    ("traffic", "flag"),
     [
         (Traffic(1.5), "--cancelled"),
         (Traffic(-0.1), "--cancelled"),
@@ -84,10 +84,10 @@
         (Traffic(), None),
     ],
 )
-def test_traffic_of_a_day(traffic: Traffic, named: str | None) -> None:
-    fault = traffic.error()
-    assert (fault is None) if named is None else (fault or "").startswith(named)
-    if named is None:
+def test_traffic_is_checked_and_written_as_job_classes(traffic: Traffic, flag: str | None) -> None:
+    error = traffic.error()
+    assert (error is None) if flag is None else (error or "").startswith(flag)
+    if flag is None:
         rows = tomllib.loads(
             traffic.job_classes_toml(
                 [{"name": "a", "kind": "gang"}, {"name": "b", "kind": "array"}]
@@ -102,7 +102,7 @@
         )
 
 
-def test_every_class_and_team_is_served_while_controllers_end_and_are_back_at_once() -> None:
+def test_every_class_and_team_is_served_while_controllers_crash_and_restart_at_once() -> None:
     row = scale.measure(
         0.15,
         400,
