--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -82,7 +82,7 @@
 
 
 def worker_flag_fault(flag: str) -> Fault:
-    """Return a fault that sets a flag (`deaf` or `mute`) of half of the workers."""
+    """Return a fault that sets a flag (`deaf` or `mute`) of about half of the workers."""
 
     async def inject(service: Service, rng: random.Random, for_s: float) -> None:
         workers = sample_workers(service, rng, 0.5)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,4 +1,7 @@
-"""The meetings of troubles that the users' page names, each brought about with whole controllers; and random days of them."""
+"""Tests of faults that overlap, with whole controllers: chosen combinations and random days.
+
+The tests at the end check single safety conditions that these combinations do not reach.
+"""
 
 from __future__ import annotations
 
@@ -17,69 +20,69 @@
 from tests.test_whole import play
 from tests.whole import Service, job
 
-# What meets (when, for how long), twice each, so that the second finds what the first has left.
-MEETINGS: dict[str, list[ScheduledFault]] = {
-    "handed over and back, all end, one returns": [
+# Most faults come twice, so that the second time they meet the state that the first time left.
+COMBINATIONS: dict[str, list[ScheduledFault]] = {
+    "shards handed over, all controllers crash, one returns": [
         ScheduledFault(8, "handed_back", 1),
         ScheduledFault(10, "all_end", 2.5),
         ScheduledFault(11, "handed_back", 1),
         ScheduledFault(26, "one_ends", 0.3),
         ScheduledFault(26.4, "all_end", 7),
     ],
-    "tasks that end far apart, across two changes of owner": [
+    "tasks end far apart, across two changes of owner": [
         ScheduledFault(6, "one_ends", 15),
         ScheduledFault(16, "one_ends", 15),
         ScheduledFault(28, "all_end", 1),
         ScheduledFault(40, "handed_back", 1),
     ],
-    "commands held up": [
+    "commands delayed": [
         ScheduledFault(3, "held_orders", 28),
         ScheduledFault(9, "one_ends", 0.3),
         ScheduledFault(14, "out_of_reach", 3),
         ScheduledFault(33, "held_orders", 15),
         ScheduledFault(34, "all_end", 2),
     ],
-    "reports come again late": [
+    "copies of heartbeats arrive late": [
         ScheduledFault(3, "late_reports", 50),
         ScheduledFault(9, "one_ends", 0.3),
         ScheduledFault(18, "out_of_reach", 7),
         ScheduledFault(26, "handed_back", 1),
         ScheduledFault(34, "one_ends", 9),
     ],
-    "a leader ends, machines out of reach": [
+    "an owner crashes, workers cut off": [
         ScheduledFault(8, "out_of_reach", 15),
         ScheduledFault(8.5, "one_ends", 9),
         ScheduledFault(32, "out_of_reach", 7),
         ScheduledFault(33, "one_ends", 2.5),
     ],
-    "a leader ends, machines deaf, the list lags": [
+    "an owner crashes, workers deaf, the machine list lags": [
         ScheduledFault(5, "list_lags", 50),
         ScheduledFault(8, "deaf", 15),
         ScheduledFault(8.4, "one_ends", 9),
         ScheduledFault(32, "deaf", 4),
         ScheduledFault(33, "one_ends", 1),
     ],
-    "slow, then refused, then down": [
+    "store slow, then refusing one controller, then down": [
         ScheduledFault(6, "slow_state", 12),
         ScheduledFault(12, "refused", 10),
         ScheduledFault(13, "outage", 28),
         ScheduledFault(48, "slow_state", 8),
         ScheduledFault(49, "refused", 3),
     ],
-    "transactions carried out late": [
+    "transactions applied late": [
         ScheduledFault(2, "late_writes", 55),
         ScheduledFault(9, "one_ends", 0.3),
         ScheduledFault(20, "handed_back", 1),
         ScheduledFault(30, "all_end", 1),
         ScheduledFault(44, "refused", 5),
     ],
-    "cut from state and peers": [
+    "an owner cut off from the store and its peers": [
         ScheduledFault(8, "apart", 26),
         ScheduledFault(9, "one_ends", 3),
         ScheduledFault(40, "apart", 15),
         ScheduledFault(41, "out_of_reach", 3),
     ],
-    "close looks, also at who is behind, has just started, has no state service": [
+    "close polling, also of controllers that lag, have just started or reach no store": [
         ScheduledFault(1, "close_looks", 56),
         ScheduledFault(4, "one_task_jobs", 45),
         ScheduledFault(10, "refused", 4),
@@ -90,16 +93,16 @@
         ScheduledFault(42, "all_end", 0.3),
         ScheduledFault(50, "apart", 5),
     ],
-    "a job's last task, alone": [
+    "cancellation as a job's last task ends": [
         ScheduledFault(1, "cancel_at_end", 58),
         ScheduledFault(2, "one_task_jobs", 40),
     ],
-    "a job's last task, with close looks": [
+    "cancellation as a job's last task ends, with close polling": [
         ScheduledFault(1, "cancel_at_end", 58),
         ScheduledFault(1, "close_looks", 58),
         ScheduledFault(2, "one_task_jobs", 40),
     ],
-    "every team at its limit, cut off or hanging, the leader changes": [
+    "every team at its limit, workers cut off or hanging, owners crash": [
         ScheduledFault(2, "more_than_room", 1),
         ScheduledFault(3, "more_than_room", 1),
         ScheduledFault(14, "cancel_and_hang", 9),
@@ -112,7 +115,7 @@
         ScheduledFault(46, "cancel_and_hang", 4),
         ScheduledFault(46.3, "all_end", 1),
     ],
-    "new machines at once, writes lag, the leader ends": [
+    "machines boot at once, writes lag, the leader crashes": [
         ScheduledFault(1, "quick_boots", 58),
         ScheduledFault(2, "late_writes", 14),
         ScheduledFault(3, "more_than_room", 1),
@@ -124,7 +127,7 @@
         ScheduledFault(27, "one_ends", 2),
         ScheduledFault(42, "leaders_change", 10),
     ],
-    "old reports as a new leader begins": [
+    "old heartbeats arrive as ownership changes": [
         ScheduledFault(2, "reports_for_next", 56),
         ScheduledFault(8, "one_ends", 0.3),
         ScheduledFault(14, "out_of_reach", 7),
@@ -134,13 +137,13 @@
         ScheduledFault(39, "all_end", 1),
         ScheduledFault(50, "handed_back", 1),
     ],
-    "one-task jobs for minutes, an outage in the middle": [
+    "one-task jobs, with an outage in the middle": [
         ScheduledFault(1, "one_task_jobs", 58),
         ScheduledFault(24, "outage", 7),
         ScheduledFault(40, "one_ends", 0.3),
         ScheduledFault(50, "refused", 3),
     ],
-    "refused alone as jobs are cancelled, then an outage": [
+    "one controller refused as jobs are cancelled, then an outage": [
         ScheduledFault(14, "refused", 10),
         ScheduledFault(14, "cancel_and_hang", 7),
         ScheduledFault(15, "outage", 28),
@@ -148,7 +151,7 @@
         ScheduledFault(50, "cancel_and_hang", 3),
         ScheduledFault(51, "outage", 28),
     ],
-    "machines mute, machines deaf": [
+    "workers mute, then deaf, then mute": [
         ScheduledFault(6, "mute", 15),
         ScheduledFault(8, "cancel_now", 1),
         ScheduledFault(9, "one_ends", 0.3),
@@ -157,7 +160,7 @@
         ScheduledFault(31, "one_ends", 7),
         ScheduledFault(48, "mute", 4),
     ],
-    "all away for longer than a lease": [
+    "all controllers down for longer than a lease": [
         ScheduledFault(8, "all_end", 8),
         ScheduledFault(24, "cancel_now", 1),
         ScheduledFault(24.1, "all_end", 8),
@@ -177,7 +180,7 @@
         ScheduledFault(36, "leaders_change", 20),
         ScheduledFault(40, "outage", 4),
     ],
-    "bound to a zone, more work than room, slow links": [
+    "jobs bound to a zone, more work than capacity, slow links": [
         ScheduledFault(2, "slow_links", 50),
         ScheduledFault(3, "more_than_room", 1),
         ScheduledFault(8, "dies", 1),
@@ -188,7 +191,7 @@
         ScheduledFault(30, "more_than_room", 1),
         ScheduledFault(34, "dies", 1),
     ],
-    "timers late by seconds at leases, cancellations and fences": [
+    "timers late by seconds, with leases, cancellations and fencing": [
         ScheduledFault(5, "late_timers", 12),
         ScheduledFault(8, "cancel_now", 1),
         ScheduledFault(8.1, "refused", 5),
@@ -201,7 +204,7 @@
         ScheduledFault(50, "handed_back", 1),
         ScheduledFault(51, "cancel_and_hang", 5),
     ],
-    "odd requests": [
+    "invalid and repeated requests": [
         ScheduledFault(1, "odd_requests", 58),
         ScheduledFault(3, "one_task_jobs", 20),
         ScheduledFault(20, "answers_lost", 8),
@@ -211,22 +214,22 @@
 }
 
 
-@pytest.mark.parametrize("leads", [0, 1], ids=["owner leads", "another leads"])
-@pytest.mark.parametrize("name", MEETINGS)
-def test_rules_hold_where_troubles_meet(
-    name: str, leads: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("leader_offset", [0, 1], ids=["owner leads", "another leads"])
+@pytest.mark.parametrize("name", COMBINATIONS)
+def test_invariants_hold_where_faults_overlap(
+    name: str, leader_offset: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert fault_combinations.run_faults(
-        MEETINGS[name], random.Random(7 + leads), 7, monkeypatch, leads
+        COMBINATIONS[name], random.Random(7 + leader_offset), 7, monkeypatch, leader_offset
     ) == (
         [],
         [],
     )
 
 
-# Everybody does something that writes, while transactions of one kind are not answered.
-LOST = [
-    ScheduledFault(1, "lost", 26),
+# Brings about writes of all kinds while the store does not answer those of one kind.
+UNANSWERED = [
+    ScheduledFault(1, "unanswered", 26),
     ScheduledFault(1, "close_looks", 50),
     ScheduledFault(2, "one_task_jobs", 14),
     ScheduledFault(3, "more_than_room", 1),
@@ -239,45 +242,51 @@
 ]
 
 
-@pytest.mark.parametrize("what", ["answer", "late"])
+@pytest.mark.parametrize("outcome", ["answer", "late"])
 @pytest.mark.parametrize("kind", fault_combinations.WRITE_KINDS)
-def test_rules_hold_where_writes_of_one_kind_are_not_answered(
-    kind: str, what: str, monkeypatch: pytest.MonkeyPatch
+def test_invariants_hold_where_writes_of_one_kind_are_not_answered(
+    kind: str, outcome: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Applied at once, and read by all others; or late, after newer ones of the same controller."""
+    """They are applied at once and seen by the others, or late, after newer ones of the sender."""
     assert fault_combinations.run_faults(
-        LOST,
+        UNANSWERED,
         random.Random(9),
         9,
         monkeypatch,
-        extra_faults={"lost": fault_combinations.unanswered_writes(what, (kind,))},
+        extra_faults={"unanswered": fault_combinations.unanswered_writes(outcome, (kind,))},
     ) == ([], [])
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_rules_hold_on_random_days_of_meetings(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invariants_hold_on_random_days_of_faults(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert fault_combinations.run_day(seed, monkeypatch) == ([], [])
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_a_seed_draws_is_all_there_is_to_a_day(seed: int) -> None:
-    one, two = (fault_combinations.draw_faults(random.Random(seed)) for _ in range(2))
+def test_a_seed_draws_the_same_valid_faults_each_time(seed: int) -> None:
+    first, second = (fault_combinations.draw_faults(random.Random(seed)) for _ in range(2))
     assert (
-        one == two
-        and {met.name for met in one} <= fault_combinations.FAULTS.keys()
-        and all(met.at_s > 0 and met.for_s > 0 for met in one)
+        first == second
+        and {fault.name for fault in first} <= fault_combinations.FAULTS.keys()
+        and all(fault.at_s > 0 and fault.for_s > 0 for fault in first)
     )
 
 
-# -- jobs cancelled in the seconds in which a shard changes hands ------------------------------------------------------------
+# -- jobs cancelled while a shard is handed over ---------------------------------------------------
 
 
-@pytest.mark.parametrize("door", ["old owner", "new owner", "third"])
-@pytest.mark.parametrize("moment", ["given", "claimed", "read", "just before"])
-def test_cancelled_as_a_part_changes_hands(
-    moment: str, door: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("receiver", ["old owner", "new owner", "third"])
+@pytest.mark.parametrize("moment", ["named", "claimed", "loaded", "just before"])
+def test_jobs_cancelled_during_a_handover_are_withdrawn(
+    moment: str, receiver: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As its next owner is named, between that one's claim and its reading, right after that, and a moment before all of it."""
+    """The cancellations come at one of four moments.
+
+    These are: as the next owner is named, between its claim and its read of the shard, right after
+    that read, and just before the handover.
+    """
 
     async def day(service: Service) -> None:
         for number in range(1, 7):
@@ -294,21 +303,24 @@
             await asyncio.sleep(0.2)
         old = await wait_for_owner(service)
         new = (old + 1) % 3
-        doors = {"old owner": old, "new owner": new, "third": (old + 2) % 3}
+        controllers = {"old owner": old, "new owner": new, "third": (old + 2) % 3}
         calls: list[asyncio.Task[Any]] = []
-        seen: list[str] = []
+        steps: list[str] = []  # of the handover, as the store applies them
 
         async def cancel(after_s: float) -> None:
             await asyncio.sleep(after_s)
             await asyncio.gather(
-                *(service.withdraw(f"req-{number:06d}", doors[door]) for number in (1, 2, 3))
+                *(
+                    service.withdraw(f"req-{number:06d}", controllers[receiver])
+                    for number in (1, 2, 3)
+                )
             )
 
         def applied(path: str, value: Any) -> None:
             if path == "part/red" and value["owner"] == f"n{new}":
-                seen.append("given" if not seen else "claimed")
-                after_s = {"given": 0.0, "claimed": 0.05, "read": 0.35}
-                if seen[-1] == ("claimed" if moment == "read" else moment):
+                steps.append("named" if not steps else "claimed")
+                after_s = {"named": 0.0, "claimed": 0.05, "loaded": 0.35}
+                if steps[-1] == ("claimed" if moment == "loaded" else moment):
                     calls.append(spawn(service.net, "users", cancel(after_s[moment])))
 
         service.state.applied = applied
@@ -319,7 +331,7 @@
         owner = service.controllers[old].owners["red"]
         owner.transfer_to = f"n{new}"
         owner.wake.set()
-        while "claimed" not in seen:
+        while "claimed" not in steps:
             await asyncio.sleep(0.05)
         await asyncio.sleep(3.0)
         service.state.slow = 0.0
@@ -330,7 +342,7 @@
             await service.poll(f"req-{number:06d}", n) for number in (1, 2, 3) for n in range(3)
         } == {"withdrawn"}
         assert not any(service.rules.on.get((f"req-{number:06d}", 0)) for number in (1, 2, 3))
-        # What was not cancelled has not noticed.
+        # The other jobs still run, and no task was started twice.
         assert (
             all(service.rules.on.get((f"req-{number:06d}", 0)) for number in (4, 5, 6))
             and service.rules.starts == 6
@@ -339,17 +351,17 @@
     play(monkeypatch, 81, day)
 
 
-# -- what the courses do not reach: each line of a proof that could be taken away without any of them failing ---------------
+# -- safety conditions that the combinations do not reach: no test above fails without them --------
 
 
-def test_an_old_report_takes_nothing_back() -> None:
-    """A copy of one from before, of this session or an earlier one: neither what it holds nor what it lacks says anything."""
+def test_an_old_heartbeat_changes_nothing() -> None:
+    """A late copy of this or an earlier incarnation proves nothing by the tasks it has or lacks."""
     shard = shard_with([spec(shares=1)], "a")
     start_one_task(shard)
     machine = shard.machines["vm-0"]
     task = ("req-000001/0", 1, "running", None)
     shard.reconciler.on_heartbeat(heartbeat("vm-0", 9, [task]), 4.0, True)
-    for tally, tenure, tasks in (
+    for sequence, incarnation, tasks in (
         (3, 1, []),
         (90, 0, []),
         (4, 1, [("req-000001/0", 1, "pulling", None)]),
@@ -357,7 +369,7 @@
     ):
         assert (
             shard.reconciler.on_heartbeat(
-                heartbeat("vm-0", tally, tasks, incarnation=tenure), 5.0, True
+                heartbeat("vm-0", sequence, tasks, incarnation=incarnation), 5.0, True
             )
             == []
         )
@@ -370,55 +382,52 @@
 
 
 @pytest.mark.parametrize(
-    ("tenure", "token", "tasks", "counts"),
+    ("incarnation", "fencing_token", "tasks", "stays_live"),
     [
         (1, 10, [], True),
         (2, 10, [], True),
         (3, 10, [], True),
-        (1, 0, [], True),  # from before: what it lacks says nothing
+        (1, 0, [], True),  # under an earlier token: a missing task proves nothing
         (1, 10, [("req-000001/0", 1, "running", None)], True),
-        (2, 10, [("req-000001/0", 0, "ended", "done")], True),  # it is stopped then
-        (2, 10, [("req-000001/0", 9, "ended", "error")], True),  # of another attempt
-        (
-            1,
-            10,
-            [("req-000001/0", 1, "ended", "error")],
-            True,
-        ),  # of a session before the one noted at the loan: not looked at
-        (
-            2,
-            10,
-            [("req-000001/0", 1, "ended", "error")],
-            False,
-        ),  # that an attempt has ended is true for good
+        # An earlier attempt did the task: the live one is only stopped.
+        (2, 10, [("req-000001/0", 0, "ended", "done")], True),
+        (2, 10, [("req-000001/0", 9, "ended", "error")], True),  # another attempt
+        # An incarnation before the one in the machine's record (2): the heartbeat is ignored.
+        (1, 10, [("req-000001/0", 1, "ended", "error")], True),
+        # An attempt that has ended stays ended.
+        (2, 10, [("req-000001/0", 1, "ended", "error")], False),
+        # Under our own token a missing task is proof.
         (2, 50, [], False),
-        (2, 50, [("req-000001/0", 1, "pulling", None)], True),  # under our own token
+        (2, 50, [("req-000001/0", 1, "pulling", None)], True),
     ],
 )
-def test_the_first_report_that_a_new_owner_hears(
-    tenure: int, token: int, tasks: list[Any], counts: bool
+def test_what_the_first_heartbeat_to_a_new_owner_proves(
+    incarnation: int, fencing_token: int, tasks: list[Any], stays_live: bool
 ) -> None:
-    """Nothing is there to compare it with: of an earlier session, attempt or token, kept back until now, it proves an attempt's end at most."""
-    heir = shard_with([], "", revision=50)
+    """The new owner has no earlier heartbeat to compare it with, and it may be a delayed one.
+
+    Of an earlier incarnation, attempt or token it proves at most that an attempt has ended.
+    """
+    new_owner = shard_with([], "", revision=50)
     work = [
         ("work/red/req-000001/job", queued_record(spec(shares=1), 0.0), 7),
         ("work/red/req-000001/0", {"a": 1, "p": [[0, "vm-0", 1]]}, 20),
     ]
-    heir.load(
+    new_owner.load(
         [("vm-0", {"t": "g4", "z": "a", "s": False, "p": "red", "a": "10.1.0.1:9000", "n": 2}, 5)],
         work,
         [],
         5.0,
     )
-    heir.preempt(heir.jobs["req-000001"], [0], "test", 5.0)
-    heir.reconciler.on_heartbeat(
-        heartbeat("vm-0", 9, tasks, fencing_token=token, incarnation=tenure), 6.0, True
+    new_owner.preempt(new_owner.jobs["req-000001"], [0], "test", 5.0)
+    new_owner.reconciler.on_heartbeat(
+        heartbeat("vm-0", 9, tasks, fencing_token=fencing_token, incarnation=incarnation), 6.0, True
     )
-    assert (0 in heir.jobs["req-000001"].live) is counts
+    assert (0 in new_owner.jobs["req-000001"].live) is stays_live
 
 
-def test_a_start_is_committed_under_the_jobs_stamp_and_the_claim() -> None:
-    """Whoever does not hear of a cancellation can't commit a start after it."""
+def test_a_start_is_conditional_on_the_revisions_of_the_job_and_of_the_claim() -> None:
+    """An owner that misses a cancellation cannot commit a start after it."""
     shard = shard_with([spec(shares=2)], "a")
     shard.reconciler.on_heartbeat(heartbeat("vm-0", 1), 1.0, True)
     shard.scheduler.schedule(1.0)
@@ -431,22 +440,22 @@
     commit(shard, 20)
 
 
-def test_a_claim_under_an_old_stamp_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_claim_on_an_old_revision_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1))
         n = await wait_for_owner(service)
         before = service.state.keys["part/red"]
         other = service.controllers[(n + 1) % 3]
-        late = ShardOwner(other, other.shared.teams[0], before[1] - 1)
+        stale = ShardOwner(other, other.shared.teams[0], before[1] - 1)
         await asyncio.sleep(1)
-        assert late.phase is OwnershipPhase.LOST and service.state.keys["part/red"] == before
+        assert stale.phase is OwnershipPhase.LOST and service.state.keys["part/red"] == before
         assert await service.until_final(["req-000001"], 60) == []
 
     play(monkeypatch, 71, day)
 
 
-def test_nobody_who_is_behind_gives_an_older_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All watches of jobs see nothing: only the one that wrote the outcome knows of it, and the others are asked."""
+def test_a_controller_that_lags_gives_no_older_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """No watch of jobs delivers anything: only the controller that wrote the outcome knows it."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=6.0))
@@ -467,10 +476,10 @@
     play(monkeypatch, 72, day)
 
 
-def test_a_cancellation_that_meets_the_outcome_is_one_or_the_other(
+def test_a_cancellation_that_races_the_outcome_has_one_result(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The state service is slow, and the job ends between the read and the write of its cancellation."""
+    """The store is slow, and the job ends between the read and the write of its cancellation."""
 
     async def day(service: Service) -> None:
         ids = [f"req-{number:06d}" for number in range(1, 13)]
@@ -482,21 +491,23 @@
             await asyncio.sleep(0.05)
         service.state.slow = 0.3
 
-        async def ask() -> None:
+        async def poll_jobs() -> None:
             while True:
-                for one in ids:
-                    spawn(service.net, "users", service.poll(one))
+                for job_id in ids:
+                    spawn(service.net, "users", service.poll(job_id))
                 await asyncio.sleep(0.25)
 
-        async def cancel(one: str, after_s: float) -> Any:
+        async def cancel(job_id: str, after_s: float) -> Any:
             await asyncio.sleep(after_s)
-            return await service.withdraw(one)
+            return await service.withdraw(job_id)
 
-        spawn(service.net, "users", ask())
-        told = await asyncio.gather(*(cancel(one, 2.0 + 0.55 * n) for n, one in enumerate(ids)))
-        assert set(told) == {"done", "withdrawn"}
+        spawn(service.net, "users", poll_jobs())
+        answers = await asyncio.gather(
+            *(cancel(job_id, 2.0 + 0.55 * n) for n, job_id in enumerate(ids))
+        )
+        assert set(answers) == {"done", "withdrawn"}
         await asyncio.sleep(6)
-        for one, word in zip(ids, told, strict=True):
-            assert await service.poll(one) == word
+        for job_id, answer in zip(ids, answers, strict=True):
+            assert await service.poll(job_id) == answer
 
     play(monkeypatch, 73, day)
