--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,6 +1,7 @@
-"""Controllers that restart within a fraction of a second.
+"""Tests of controllers that restart within a fraction of a second.
 
-What the process before left behind still exists, and the other controllers have never missed it.
+Leases, keys and connections of the earlier process still exist then, and the other controllers have
+not noticed that it was gone.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 MEMBERSHIP_TTL_S = 1.0
 
 
-# -- orphan lease renewal ---------------------------------------------------------------------------------------
+# -- orphan lease renewal --------------------------------------------------------------------------
 
 
 class FakeJobWatch:
-    """Since when the jobs have been watched without a gap, and when they were last known."""
+    """A job watch with a fixed state."""
 
     def __init__(self, complete_since: float, synced_at: float) -> None:
-        """Both as the time of day, seconds."""
+        """Set since when the watch has no gap, and when it was last up to date (monotonic, s)."""
         self.complete_since, self.synced_at = complete_since, synced_at
 
 
@@ -44,9 +45,10 @@
         (-30.0, 0.0, ["req-1/0"], True),
         (-30.0, -13.9, ["req-1/0"], True),
         (-30.0, -30.0, [], False),
-        # Known up to cancel_s - lease_s ago: a cancellation since then might not be obeyed in time.
+        # Last up to date cancel_s - lease_s ago: for a cancellation since then the renewed lease
+        # might expire too late.
         (-30.0, -14.0, ["req-1/0"], False),
-        # Not watched for cancel_s yet: a cancellation from before may still be due.
+        # Watched for less than cancel_s: the deadline of an earlier cancellation may not be over.
         (-19.0, 0.0, ["req-1/0"], False),
         (math.inf, -math.inf, [], False),
         (-30.0, 0.0, ["req-1/0", "req-9/3"], False),
@@ -78,6 +80,7 @@
 
 
 async def wait_for_owner(service: Service, team: str = "red") -> int:
+    """Return the number of the controller that owns the team's shard, once it has loaded it."""
     while True:
         for n, controller in service.controllers.items():
             if team in controller.owners and controller.owners[team].shard is not None:
@@ -89,7 +92,10 @@
 def test_an_owner_that_restarts_in_a_store_outage_costs_no_agent_lease(
     downtime_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nobody may claim in an outage, so without renewal nobody answered, and 117 tasks were killed as their agents' leases expired."""
+    """No shard can be claimed in an outage, so the heartbeats of its agents are not answered.
+
+    Without the renewal of orphan leases 117 tasks were killed as their agents' leases expired.
+    """
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=8, expect_s=60.0))
@@ -109,7 +115,10 @@
 def test_no_lease_is_renewed_for_a_job_whose_cancellation_was_confirmed(
     outage_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its owner and the store fail as the cancellation is written, so no kill is sent: renewing would break an invariant."""
+    """Its owner and the store fail as the cancellation is written, so no kill command is sent.
+
+    Only the expiry of the agents' leases ends the tasks within the deadline of the cancellation.
+    """
 
     async def day(service: Service) -> None:
         for number in (1, 2):
@@ -136,14 +145,18 @@
     play(monkeypatch, 42, day)
 
 
-# -- restarts that the other controllers do not notice ----------------------------------------------------------
+# -- restarts that the other controllers do not notice ---------------------------------------------
 
 
 @pytest.mark.parametrize("downtime_s", [0.05, 0.3, 0.6])
 def test_workers_of_an_owner_that_restarted_twice_return_to_it(
     downtime_s: float, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Redirected to it twice within a lease, they were taken for unable to reach it, and their heartbeats forwarded for a lease."""
+    """Workers that are redirected to their owner twice within a lease seem unable to reach it.
+
+    Their heartbeats were forwarded for the duration of a lease, although the owner had only
+    restarted.
+    """
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=16, expect_s=60.0))
@@ -165,19 +178,19 @@
 def test_a_restarted_leader_leads_at_once(
     downtime_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It waited until the store lease of its process before expired, and nobody scaled out meanwhile."""
+    """It waited for the store lease of its earlier process to expire; nobody scaled out then."""
 
     async def day(service: Service) -> None:
         await service.submit(job(1))
         await asyncio.sleep(5)
-        began = service.now()
+        started_at = service.now()
         leader = next(n for n, c in service.controllers.items() if c.leader)
         before = service.state.keys["leader"][1]
         service.crash(leader, downtime_s)
         while service.state.keys.get("leader", (0, before))[1] == before:
             await asyncio.sleep(0.02)
-        assert service.now() < began + downtime_s + MEMBERSHIP_TTL_S / 2
-        await asyncio.sleep(2 * MEMBERSHIP_TTL_S)  # the old lease ends, and takes nothing with it
+        assert service.now() < started_at + downtime_s + MEMBERSHIP_TTL_S / 2
+        await asyncio.sleep(2 * MEMBERSHIP_TTL_S)  # the old lease expires and deletes no key
         assert [n for n, c in service.controllers.items() if c.leader] == [leader]
 
     play(monkeypatch, 44, day)
@@ -205,10 +218,10 @@
             + frames.pack(OwnershipClaims([("red", 1 << 40)]))
         )
         await asyncio.sleep(0.05)
-        beat = controller.mesh.peers["n1"].heartbeat
+        heartbeat = controller.mesh.peers["n1"].heartbeat
         assert (
-            beat is not None
-            and beat.incarnation == 2
+            heartbeat is not None
+            and heartbeat.incarnation == 2
             and controller.shards.entries["part/red"].revision < 1 << 40
         )
         assert list(controller.mesh.links.values()).count("n1") == 1
@@ -252,7 +265,7 @@
 def test_tasks_are_done_between_restarts_where_all_controllers_are_in_a_crash_loop(
     every_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """None of them is eligible then, and they neither take the shards from one another nor leave them without an owner."""
+    """No controller is eligible then; still, every shard keeps an owner and hardly changes it."""
 
     async def day(service: Service) -> None:
         runs = [job(1, shares=8, expect_s=6.0), job(2, owner="blue", shares=6, expect_s=6.0)]
@@ -276,8 +289,10 @@
         if every_s > 1:
             assert done >= 8  # most tasks end before the restarts do
         assert await service.until_final([run["id"] for run in runs], 60) == []
-        again = sum(service.state.keys[path][1] - revision > 0 for path, revision in claims.items())
-        assert again <= 2
+        reclaimed = sum(
+            service.state.keys[path][1] - revision > 0 for path, revision in claims.items()
+        )
+        assert reclaimed <= 2
 
     play(monkeypatch, 47, day)
 
