--- a/tests/scale.py
+++ b/tests/scale.py
@@ -55,7 +55,7 @@
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
 from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import Objective, Team
-from tests import cost, courses, simtime, whole
+from tests import cost, scenarios, simtime, whole
 from tests.fleet import Fleet
 from tests.simtime import HOST, Net, SimLoop
 from tests.totals import Totals
@@ -531,7 +531,7 @@
     course: str = "",
     seed: int = 11,
     profile: bool = False,
-    ends: list[courses.End] | None = None,
+    ends: list[scenarios.Crash] | None = None,
     restart_s: float = 0.3,
 ) -> dict[str, Any]:
     """Run one fleet and return its figures; each controller has the share `core` of a core.
@@ -559,9 +559,9 @@
         if course.startswith("hot"):
             users.add_hot_load()
         if ends:
-            users.spawn(courses.end_and_restart(net, fleet, ends, restart_s))
+            users.spawn(scenarios.crash_and_restart(net, fleet, ends, restart_s))
         gaps = (
-            courses.Gaps(
+            scenarios.FailoverTimer(
                 net,
                 fleet,
                 restart_s,
@@ -818,13 +818,13 @@
         or options.restart <= 0
         or (options.seconds is not None and options.seconds <= 0)
     ):
-        courses.wrong("--times, --restart, --seconds: expected numbers above 0")
+        scenarios.exit_with_usage_error("--times, --restart, --seconds: expected numbers above 0")
     for flag, given, known in (
         ("--shape", options.shape, cost.SHAPES),
         ("--course", options.course, cost.COURSES),
     ):
         if set(given) - set(known):
-            courses.wrong(
+            scenarios.exit_with_usage_error(
                 f"{flag}: expected some of {', '.join(known)}; "
                 f"found {', '.join(sorted(set(given) - set(known)))}"
             )
@@ -845,9 +845,9 @@
         )
         return
     try:
-        ends = courses.ends_of(options.ends) if options.what == "wide" else []
+        ends = scenarios.parse_crashes(options.ends) if options.what == "wide" else []
     except ValueError as error:
-        courses.wrong(str(error))
+        scenarios.exit_with_usage_error(str(error))
     if options.what == "grow":
         seconds = options.seconds or 60.0
         # Enough sockets that only processor time and memory limit the fleet.
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -42,9 +42,9 @@
 
 from ashdock import cluster_version
 from ashdock.settings import NextLimits
-from tests import meetings
-from tests.courses import wrong
-from tests.meetings import Met
+from tests import fault_combinations
+from tests.fault_combinations import ScheduledFault
+from tests.scenarios import exit_with_usage_error
 from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
 
@@ -149,22 +149,22 @@
 }
 
 
-def events_of(seed: int, rng: random.Random) -> list[Met]:
+def events_of(seed: int, rng: random.Random) -> list[ScheduledFault]:
     """Return the random faults of a seed and those that its number selects, by time.
 
     The latter make sure that each of these faults occurs on some days.
     """
-    events = meetings.drawn(rng)
+    events = fault_combinations.draw_faults(rng)
     if seed % 2 == 0:
-        events.append(Met(3.0 + rng.random(), "dependent_jobs", 1.0))
+        events.append(ScheduledFault(3.0 + rng.random(), "dependent_jobs", 1.0))
     if seed % 3 == 0:
-        events.append(Met(6.0 + rng.random(), "more_than_room", 1.0))
+        events.append(ScheduledFault(6.0 + rng.random(), "more_than_room", 1.0))
     if seed % 4 == 1:
-        events.append(Met(10.0 + rng.random(), "mass_task_failure", 6.0))
+        events.append(ScheduledFault(10.0 + rng.random(), "mass_task_failure", 6.0))
     if seed % 5 == 0:
-        events.append(Met(rng.uniform(12.0, 30.0), "rolling_upgrade", 1.0))
+        events.append(ScheduledFault(rng.uniform(12.0, 30.0), "rolling_upgrade", 1.0))
     if seed % 7 == 3:
-        events.append(Met(5.0 + rng.random(), "store_limits_shrink", 1.0))
+        events.append(ScheduledFault(5.0 + rng.random(), "store_limits_shrink", 1.0))
     return sorted(events)
 
 
@@ -190,14 +190,14 @@
                 await rolling_upgrade(service, event_rng, for_s)
 
             extra_faults["rolling_upgrade"] = upgrade
-        meetings.course(
+        fault_combinations.run_faults(
             events,
             rng,
             seed,
             patch,
-            leads=(None, 0, 1, 2)[seed % 4],
-            more=extra_faults,
-            later=SMALLER_LIMITS if seed % 7 == 3 else None,
+            leader_offset=(None, 0, 1, 2)[seed % 4],
+            extra_faults=extra_faults,
+            next_limits=SMALLER_LIMITS if seed % 7 == 3 else None,
             observe=observe,
         )
     return messages
@@ -274,7 +274,7 @@
 
 def exit_with_usage_error(message: str) -> NoReturn:
     """Print one line on the bad input and exit with status 2."""
-    wrong(f"traces: {message}")
+    exit_with_usage_error(f"traces: {message}")
 
 
 def play_all(seeds: list[int], jobs: int) -> Iterator[Trace]:
