--- a/tests/traces.py
+++ b/tests/traces.py
@@ -42,9 +42,8 @@
 
 from ashdock import cluster_version
 from ashdock.settings import NextLimits
-from tests import fault_combinations
+from tests import fault_combinations, scenarios
 from tests.fault_combinations import ScheduledFault
-from tests.scenarios import exit_with_usage_error
 from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
 
@@ -274,7 +273,7 @@
 
 def exit_with_usage_error(message: str) -> NoReturn:
     """Print one line on the bad input and exit with status 2."""
-    exit_with_usage_error(f"traces: {message}")
+    scenarios.exit_with_usage_error(f"traces: {message}")
 
 
 def play_all(seeds: list[int], jobs: int) -> Iterator[Trace]:
