--- a/tests/courses.py
+++ b/tests/courses.py
@@ -23,9 +23,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple, NoReturn
 
+from tests.fakes import STATE
 from tests.fleet import Fleet
 from tests.simtime import Net, spawn
-from tests.standins import STATE
 
 DAYS = Path(__file__).with_name("days")
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,9 +9,9 @@
 from ashdock.controller import Controller
 from ashdock.net.http import Server, plain_connections
 from ashdock.settings import Operators, Other, Outside, Settings, Shared
+from tests.fakes import CLOUD, STATE, State, Worker, World
 from tests.rules import Rules
 from tests.simtime import Net, spawn
-from tests.standins import CLOUD, STATE, State, Worker, World
 
 ZONES = ["a", "b", "c"]
 
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -20,8 +20,8 @@
 from tests import simtime, users
 from tests.courses import wrong
 from tests.ends import played
+from tests.fakes import CLOUD, STATE, Worker
 from tests.simtime import spawn
-from tests.standins import CLOUD, STATE, Worker
 from tests.whole import ZONES, Service, job
 
 COURSE_S = 60.0
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -14,8 +14,8 @@
 
 from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.mesh import MAX_UNSENT_BYTES
+from tests.fakes import STATE
 from tests.simtime import spawn
-from tests.standins import STATE
 from tests.test_restarts import owned
 from tests.test_whole import play
 from tests.whole import Service, job, shared
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -39,8 +39,8 @@
 from ashdock.settings import NextLimits
 from tests import meetings
 from tests.courses import wrong
+from tests.fakes import CLOUD, STATE
 from tests.meetings import Met
-from tests.standins import CLOUD, STATE
 from tests.whole import Service, job
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/users.py
+++ b/tests/users.py
@@ -6,8 +6,8 @@
 import random
 from typing import Any
 
+from tests.fakes import Worker
 from tests.simtime import spawn
-from tests.standins import Worker
 from tests.whole import Service, job
 
 LOOKS_MS = (0, 1, 3, 8, 20, 60)  # after what a user was told, at each controller
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -23,9 +23,9 @@
     Team,
     Workers,
 )
+from tests.fakes import CLOUD, STATE, State, World
 from tests.rules import Rules
 from tests.simtime import Net, spawn
-from tests.standins import CLOUD, STATE, State, World
 
 ZONES = ["a", "b", "c"]
 TEAMS = [Team("red", gpus=8, gpus_max=24), Team("blue", gpus=8, gpus_max=16)]
