--- a/tests/cost.py
+++ b/tests/cost.py
@@ -28,10 +28,10 @@
 from pympler import asizeof
 
 from ashdock.settings import Shared, Team
-from tests import simtime, whole
+from tests import virtual_time, whole
 from tests.fleet import Fleet
-from tests.simtime import Net
 from tests.totals import Totals
+from tests.virtual_time import Net
 
 ROOT = Path(__file__).resolve().parent.parent
 FILL_S = 45.0  # until a fleet of either shape is at work
@@ -404,7 +404,7 @@
         fleet = Fleet(net, shared_of(shape, times), int(shape.machines * times))
         await fleet.start()
         users = users_of(fleet, times, shape)
-        simtime.spawn(net, "users", users.run())
+        virtual_time.spawn(net, "users", users.run())
         one = Play(net, fleet, users)
         await asyncio.sleep(2.0 if course == "filling" else FILL_S)
         for n in range(3):
--- a/tests/courses.py
+++ b/tests/courses.py
@@ -25,7 +25,7 @@
 
 from tests.fakes import STATE
 from tests.fleet import Fleet
-from tests.simtime import Net, spawn
+from tests.virtual_time import Net, spawn
 
 DAYS = Path(__file__).with_name("days")
 
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from tests import simtime
-from tests.simtime import spawn
+from tests import virtual_time
+from tests.virtual_time import spawn
 from tests.whole import Service, job
 
 BACK_S = (0.05, 0.3, 1.0, 2.5)
@@ -74,7 +74,7 @@
     """What broke on the day of that seed, and the jobs that were not over in time."""
     rng = random.Random(seed)
 
-    async def main(net: simtime.Net) -> tuple[list[tuple[str, str]], list[str]]:
+    async def main(net: virtual_time.Net) -> tuple[list[tuple[str, str]], list[str]]:
         service = Service(net, machines=5, capacity=8)
         await service.start()
         await asyncio.sleep(1)
@@ -113,7 +113,7 @@
         service.rules.end()
         return service.rules.broken, left + ([] if withdrawn == "withdrawn" else ["req-000006"])
 
-    broken, left = simtime.run(main, seed, patch)
+    broken, left = virtual_time.run(main, seed, patch)
     return broken, left
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -12,7 +12,7 @@
 
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
 from tests.rules import On, Room, Rules
-from tests.simtime import CALLER, Net, spawn
+from tests.virtual_time import CALLER, Net, spawn
 
 STATE, CLOUD = "10.2.0.1", "10.2.0.2"
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -11,7 +11,7 @@
 from ashdock.settings import Operators, Other, Outside, Settings, Shared
 from tests.fakes import CLOUD, STATE, State, Worker, World
 from tests.rules import Rules
-from tests.simtime import Net, spawn
+from tests.virtual_time import Net, spawn
 
 ZONES = ["a", "b", "c"]
 
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -17,11 +17,11 @@
 import pytest
 
 from ashdock.settings import NextLimits
-from tests import simtime, users
+from tests import users, virtual_time
 from tests.courses import wrong
 from tests.ends import played
 from tests.fakes import CLOUD, STATE, Worker
-from tests.simtime import spawn
+from tests.virtual_time import spawn
 from tests.whole import ZONES, Service, job
 
 COURSE_S = 60.0
@@ -422,7 +422,7 @@
     """
     troubles_by_name = TROUBLES | (more or {})
 
-    async def main(net: simtime.Net) -> tuple[list[tuple[str, str]], list[str]]:
+    async def main(net: virtual_time.Net) -> tuple[list[tuple[str, str]], list[str]]:
         net.observe = observe
         service = Service(net, machines=5, capacity=8, later=later)
         service.state.applied = service.world.changed_hands
@@ -480,7 +480,7 @@
         service.rules.accounted({path: value for path, (value, _, _) in service.state.keys.items()})
         return service.rules.broken, left
 
-    broken, left = simtime.run(main, seed, patch)
+    broken, left = virtual_time.run(main, seed, patch)
     return broken, left
 
 
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -45,10 +45,10 @@
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import Objective, Team
-from tests import cost, courses, simtime, whole
+from tests import cost, courses, virtual_time, whole
 from tests.fleet import Fleet
-from tests.simtime import HOST, Net, SimLoop
 from tests.totals import Totals
+from tests.virtual_time import HOST, Net, SimLoop
 
 # One time the fleet: three teams with guarantees, the arrivals a second of two kinds of gangs and one of arrays, 662 machines of 4 GPUs.
 MACHINES = 662
@@ -226,7 +226,7 @@
         mock.patch.object(asyncio, "open_connection", net.open_connection),
         mock.patch.object(asyncio, "start_server", net.start_server),
         mock.patch.object(time, "monotonic", lambda: loop.clock + meter.ahead()),
-        mock.patch.object(time, "time", lambda: loop.clock + simtime.WALL),
+        mock.patch.object(time, "time", lambda: loop.clock + virtual_time.WALL),
     ):
         try:
             return loop.run_until_complete(main(net))
@@ -494,7 +494,7 @@
             net.limits[f"10.0.0.{n}"] = sockets
         await fleet.start()
         users = Users(fleet, times, seed)
-        simtime.spawn(net, "users", users.run())
+        virtual_time.spawn(net, "users", users.run())
         await asyncio.sleep(75)
         if course == "alone":
             for n in (1, 2):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,9 +29,9 @@
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server
 from ashdock.net.worker import WorkerClient
 from ashdock.status_reader import KnownJob
-from tests import simtime
-from tests.simtime import spawn
+from tests import virtual_time
 from tests.test_whole import play
+from tests.virtual_time import spawn
 from tests.whole import Service, job, shared
 
 
@@ -275,7 +275,7 @@
     goes out with the answer to the next report.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         async def handle(request: Request) -> Answer:
             return Answer(200, b"{}")
 
@@ -299,13 +299,13 @@
         await asyncio.gather(*hanging, return_exceptions=True)
         await client.send_commands("10.1.0.0:9000", 1, 1, [])
 
-    simtime.run(main, 1, monkeypatch)
+    virtual_time.run(main, 1, monkeypatch)
 
 
 def test_lease_renewal_does_not_wait_for_a_free_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         async def handle(request: Request) -> Answer:
             await asyncio.sleep(0.0 if request.target == "/renew" else 3.0)
             return Answer(200, b"{}")
@@ -325,7 +325,7 @@
             and not any(error.sent for error in failed if str(error) == "TimeoutError")
         ) or failed
 
-    simtime.run(main, 1, monkeypatch)
+    virtual_time.run(main, 1, monkeypatch)
 
 
 def test_with_few_sockets_no_lease_ends_and_users_are_served(
@@ -338,7 +338,7 @@
     them and the users.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = Service(net, machines=40, capacity=40)
         for n in range(3):
             net.limits[f"10.0.0.{n}"] = 64
@@ -374,7 +374,7 @@
         assert not await service.until_final(["req-000001", "req-000002"], 120)
         assert not service.rules.broken
 
-    simtime.run(main, 41, monkeypatch)
+    virtual_time.run(main, 41, monkeypatch)
 
 
 def test_flood_of_silent_connections_does_not_starve_requests(
@@ -382,7 +382,7 @@
 ) -> None:
     """Connections without a request are closed in time, and requests over others are answered."""
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = Service(net)
         service.limit = 64
         await service.start()
@@ -407,7 +407,7 @@
             0
         ] == 400
 
-    simtime.run(main, 42, monkeypatch)
+    virtual_time.run(main, 42, monkeypatch)
 
 
 # -- memory -------------------------------------------------------------------------------------
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -18,7 +18,7 @@
 from ashdock.net.watch_cache import WatchCache
 from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Heartbeat
-from tests import simtime
+from tests import virtual_time
 from tests.whole import Service, job
 
 SEED = 31
@@ -46,14 +46,14 @@
     Unlike with `tests.test_whole.play`, it may end before any task has run.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = Service(net)
         await service.start()
         await asyncio.sleep(SETTLE_S)
         await scenario(service)
         assert not service.rules.broken
 
-    simtime.run(main, SEED, monkeypatch)
+    virtual_time.run(main, SEED, monkeypatch)
 
 
 def test_an_unrecorded_machine_is_assigned_while_others_are_adopted(
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -27,9 +27,9 @@
     TransferShard,
 )
 from tests.election_model import FENCES, Model, random_walks, search
-from tests.simtime import spawn
 from tests.test_whole import play
 from tests.test_wire import GOOD
+from tests.virtual_time import spawn
 from tests.whole import Service, job
 
 # -- the election alone ----------------------------------------------------------------------------
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -17,7 +17,7 @@
 from ashdock.fairness.slo_attainment import JobCounts, SloAttainment, jain
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority
 from ashdock.settings import Objective, SettingsError, load
-from tests import simtime
+from tests import virtual_time
 from tests.test_wire import GOOD
 from tests.totals import Totals
 
@@ -137,7 +137,7 @@
 def test_burst_of_one_team_does_not_delay_another(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
         waits = [
@@ -161,7 +161,7 @@
         await asyncio.gather(*waits)
         assert asyncio.get_running_loop().time() == pytest.approx(4.1, abs=0.15)
 
-    simtime.run(main, 1, monkeypatch)
+    virtual_time.run(main, 1, monkeypatch)
 
 
 def test_retry_times_of_refused_submissions_are_spaced() -> None:
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -14,7 +14,7 @@
 from ashdock.fairness.slo_attainment import jain
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import NextLimits
-from tests import simtime
+from tests import virtual_time
 from tests.whole import Service, job
 
 BURST_S = 20.0
@@ -109,7 +109,7 @@
         await asyncio.gather(*(self.arrive(team, rate) for team, rate in rates.items()))
 
 
-async def started_service(net: simtime.Net) -> Service:
+async def started_service(net: virtual_time.Net) -> Service:
     service = Service(net, machines=12, capacity=12, later=NextLimits(write_rps=STORE_WRITES_PER_S))
     await service.start()
     await asyncio.sleep(8)
@@ -184,7 +184,7 @@
     max_accept_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = await started_service(net)
         users = TeamUsers(service)
         await asyncio.gather(users.run(rates), fault(service, users))
@@ -203,11 +203,11 @@
         assert not await service.until_final(users.jobs["blue"], 60)
         assert not service.rules.broken
 
-    simtime.run(main, 51, monkeypatch)
+    virtual_time.run(main, 51, monkeypatch)
 
 
 def test_two_hot_teams_are_accepted_at_the_same_rate(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = await started_service(net)
         users = TeamUsers(service)
         burst = asyncio.create_task(users.run({"red": 40.0, "blue": 15.0}))
@@ -235,7 +235,7 @@
         )
         assert not service.rules.broken
 
-    simtime.run(main, 52, monkeypatch)
+    virtual_time.run(main, 52, monkeypatch)
 
 
 def test_controller_that_stays_behind_hands_a_shard_over(
@@ -247,7 +247,7 @@
     behind.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = Service(net, machines=8, capacity=8)
         await service.start()
         await service.submit(job(1, shares=16, expect_s=60.0))
@@ -269,7 +269,7 @@
         assert not service.rules.broken
         assert all(worker.tenure == 1 for worker in service.world.workers.values())
 
-    simtime.run(main, 53, monkeypatch)
+    virtual_time.run(main, 53, monkeypatch)
 
 
 def test_gangs_start_beside_an_array_of_100_000_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -278,7 +278,7 @@
     Meanwhile the owner of the array crashes, and the store takes few writes.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = await started_service(net)
         await service.submit(job(1, shares=100_000, expect_s=1.5, urgency="best_effort"))
         start_waits_s: list[float] = []
@@ -317,4 +317,4 @@
         done = sum(1 for name, _ in service.rules.done if name == "req-000001")
         assert done > 100 and not service.rules.broken
 
-    simtime.run(main, 54, monkeypatch)
+    virtual_time.run(main, 54, monkeypatch)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,9 +15,9 @@
 from ashdock.leader.heartbeats import UnrecordedMachine
 from ashdock.net.http import Client, NoAnswer
 from ashdock.wire.messages import Heartbeat
-from tests import simtime
-from tests.simtime import spawn
+from tests import virtual_time
 from tests.test_whole import play
+from tests.virtual_time import spawn
 from tests.whole import Service, job
 
 
@@ -166,7 +166,7 @@
     """Each round of the leader sent the same transactions again: the line of writes grew faster than it was served, and a
     pool of machines that nobody wanted was paid for to the end of the day (found in inc-0137 and a drawn day)."""
 
-    async def main(net: simtime.Net) -> Service:
+    async def main(net: virtual_time.Net) -> Service:
         service = Service(net, machines=40, capacity=40)
         await service.start()
         await asyncio.sleep(1)
@@ -193,7 +193,7 @@
         assert sum(on_commit) <= 2 * 40
         return service
 
-    simtime.run(main, 24, monkeypatch)
+    virtual_time.run(main, 24, monkeypatch)
 
 
 def test_a_very_large_array_of_short_tasks_costs_few_writes_through_a_crash(
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -32,10 +32,10 @@
     TransferMachine,
     TransferShard,
 )
-from tests import simtime, test_whole
-from tests.simtime import spawn
+from tests import test_whole, virtual_time
 from tests.test_core import G4, commit, heartbeat, queued_record, shard_with, spec
 from tests.test_whole import crash_all, quiet, roll, state_down
+from tests.virtual_time import spawn
 from tests.whole import Service, job, shared
 
 SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
@@ -911,7 +911,7 @@
 def test_the_cluster_version_waits_for_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two controllers announced the new version, and one of them restarts; the third did not."""
 
-    async def main(net: simtime.Net) -> Service:
+    async def main(net: virtual_time.Net) -> Service:
         service = Service(net, later=SMALLER_LIMITS)
         boot = service.boot
         service.boot = lambda n: boot(n) if n != 2 else None  # type: ignore[method-assign]
@@ -950,7 +950,7 @@
         service.rules.end()
         return service
 
-    assert simtime.run(main, 37, monkeypatch).rules.broken == []
+    assert virtual_time.run(main, 37, monkeypatch).rules.broken == []
 
 
 @pytest.mark.parametrize("announced", [True, False], ids=["announced", "unannounced"])
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -7,13 +7,13 @@
 import pytest
 
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority, fair_share
-from tests import simtime
+from tests import virtual_time
 
 
 def test_a_large_transaction_is_not_overtaken_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     """One that asks for a whole second's worth would else wait until no small request comes any more."""
 
-    async def main(net: simtime.Net) -> float:
+    async def main(net: virtual_time.Net) -> float:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
@@ -31,7 +31,7 @@
             task.cancel()
         return took
 
-    assert simtime.run(main, 1, monkeypatch) < 3.0
+    assert virtual_time.run(main, 1, monkeypatch) < 3.0
 
 
 USER, NORMAL, BACKGROUND = RequestPriority
@@ -51,7 +51,7 @@
 def test_order_of_grants(
     asked: list[tuple[float, RequestPriority]], order: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def main(net: simtime.Net) -> list[int]:
+    async def main(net: virtual_time.Net) -> list[int]:
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
         granted: list[int] = []
@@ -64,11 +64,11 @@
         assert rate_limiter.queued == 0
         return granted
 
-    assert simtime.run(main, 1, monkeypatch) == order
+    assert virtual_time.run(main, 1, monkeypatch) == order
 
 
 def test_a_cancelled_wait_takes_no_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def main(net: simtime.Net) -> tuple[float, float]:
+    async def main(net: virtual_time.Net) -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
@@ -79,14 +79,14 @@
         await rate_limiter.acquire(2)
         return loop.time() - before, rate_limiter.queued
 
-    took, queued = simtime.run(main, 1, monkeypatch)
+    took, queued = virtual_time.run(main, 1, monkeypatch)
     assert took <= 0.11 and queued == 0
 
 
 def test_demand_weighs_user_requests_most(monkeypatch: pytest.MonkeyPatch) -> None:
     """Else the owner of an array of 25,000 tasks takes the rate while other controllers refuse submissions."""
 
-    async def main(net: simtime.Net) -> dict[RequestPriority, float]:
+    async def main(net: virtual_time.Net) -> dict[RequestPriority, float]:
         demands = {}
         for priority in RequestPriority:
             rate_limiter = RateLimiter(10.0)
@@ -94,7 +94,7 @@
             demands[priority] = rate_limiter.demand
         return demands
 
-    demands = simtime.run(main, 1, monkeypatch)
+    demands = virtual_time.run(main, 1, monkeypatch)
     assert demands[USER] > 3 * demands[NORMAL] > 9 * demands[BACKGROUND]
 
 
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -15,9 +15,9 @@
 from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.mesh import MAX_UNSENT_BYTES
 from tests.fakes import STATE
-from tests.simtime import spawn
 from tests.test_restarts import owned
 from tests.test_whole import play
+from tests.virtual_time import spawn
 from tests.whole import Service, job, shared
 
 CANCEL_S, LEASE_S, TTL_S = 20.0, 6.0, 1.0
--- a/tests/test_timelines.py
+++ b/tests/test_timelines.py
@@ -10,7 +10,7 @@
 
 from ashdock.net.http import Client
 from ashdock.timelines import FailoverState, FailoverTimeline, StartupState, StartupTimeline
-from tests import simtime
+from tests import virtual_time
 from tests.whole import Service, job
 
 FAILOVERS: list[tuple[list[tuple[Any, ...]], FailoverState, dict[str, float]]] = [
@@ -77,7 +77,7 @@
 def test_startups_and_failovers_after_a_crash_are_logged_and_exported(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         service = Service(net)
         await service.start()
         await service.submit(job(1, shares=16, expect_s=15.0))
@@ -96,7 +96,7 @@
         assert 'ashdock_start_seconds{state="learning"}' in page
 
     with caplog.at_level(logging.INFO):
-        simtime.run(main, 5, monkeypatch)
+        virtual_time.run(main, 5, monkeypatch)
     messages = [record.getMessage() for record in caplog.records]
     assert sum("controller may own shards" in line for line in messages) == 3
     assert any(
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -12,8 +12,8 @@
 from ashdock.net.http import Client
 from ashdock.wire import frames
 from ashdock.wire.peer_messages import ForwardedHeartbeat
-from tests import simtime
-from tests.simtime import spawn
+from tests import virtual_time
+from tests.virtual_time import spawn
 from tests.whole import Service, job, shared
 
 JOBS = [
@@ -162,7 +162,7 @@
     settle: float = 0.0,
     **more: Any,
 ) -> Service:
-    async def main(net: simtime.Net) -> Service:
+    async def main(net: virtual_time.Net) -> Service:
         service = Service(net, **more)
         await service.start()
         await asyncio.sleep(settle)
@@ -170,7 +170,7 @@
         service.rules.end()
         return service
 
-    service: Service = simtime.run(main, seed, monkeypatch)
+    service: Service = virtual_time.run(main, seed, monkeypatch)
     assert service.rules.broken == []
     return service
 
@@ -477,7 +477,7 @@
 def test_machines_given_up_together_cost_few_writes(monkeypatch: pytest.MonkeyPatch) -> None:
     """A mass return was a transaction for each machine to give it up, and one for each to forget it."""
 
-    async def main(net: simtime.Net) -> Service:
+    async def main(net: virtual_time.Net) -> Service:
         service = Service(net, machines=30, capacity=30)
         touched: list[int] = []
 
@@ -500,4 +500,4 @@
         assert sum(groups) <= 3 * 30  # recorded, given up, forgotten
         return service
 
-    simtime.run(main, 15, monkeypatch)
+    virtual_time.run(main, 15, monkeypatch)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -35,7 +35,7 @@
     TransferMachine,
     WatermarkEcho,
 )
-from tests import simtime
+from tests import virtual_time
 from tests.whole import job
 
 GOOD = """
@@ -301,7 +301,7 @@
             raise ValueError("planted")
         return Answer(200, b"{}")
 
-    async def main(net: simtime.Net) -> bytes:
+    async def main(net: virtual_time.Net) -> bytes:
         server = Server(handle, plain_connections(10, idle_s=20.0, slow_s=5.0))
         await server.start("10.0.0.1", 80)
         reader, writer = await net.open_connection("10.0.0.1", 80)
@@ -312,14 +312,14 @@
         assert not server.open
         return got
 
-    assert simtime.run(main, 1, monkeypatch).startswith(expected)
+    assert virtual_time.run(main, 1, monkeypatch).startswith(expected)
 
 
 def test_a_full_server_says_so_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def handle(request: Request) -> Answer:
         return Answer(200, b"{}")
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Net) -> None:
         server = Server(handle, plain_connections(3, idle_s=20.0, slow_s=5.0))
         await server.start("10.0.0.1", 80)
         silent = [await net.open_connection("10.0.0.1", 80) for _ in range(3)]
@@ -335,4 +335,4 @@
         status, _ = await Client("10.0.0.1", 80).request("GET", "/", b"", 1.0)
         assert status == 200 and silent
 
-    simtime.run(main, 1, monkeypatch)
+    virtual_time.run(main, 1, monkeypatch)
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -6,7 +6,7 @@
                                                  working tree, and print the first message that differs
     python -m tests.traces play --seed S --out FILE   write the messages of one day, one JSON object a line
 
-A day is a run of whole controllers in simulated time (`tests/simtime.py`), so it repeats to the byte, in a process whose
+A day is a run of whole controllers in simulated time (`tests/virtual_time.py`), so it repeats to the byte, in a process whose
 PYTHONHASHSEED is 0 (`play` asks for it, the others see to it). Bad input (an unknown
 commit, a seed that is not recorded, a data file that is missing or cut short) exits with 2 and one line that names it.
 """
--- a/tests/users.py
+++ b/tests/users.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.fakes import Worker
-from tests.simtime import spawn
+from tests.virtual_time import spawn
 from tests.whole import Service, job
 
 LOOKS_MS = (0, 1, 3, 8, 20, 60)  # after what a user was told, at each controller
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -25,7 +25,7 @@
 )
 from tests.fakes import CLOUD, STATE, State, World
 from tests.rules import Rules
-from tests.simtime import Net, spawn
+from tests.virtual_time import Net, spawn
 
 ZONES = ["a", "b", "c"]
 TEAMS = [Team("red", gpus=8, gpus_max=24), Team("blue", gpus=8, gpus_max=16)]
