--- a/tests/cost.py
+++ b/tests/cost.py
@@ -28,7 +28,7 @@
 from pympler import asizeof
 
 from ashdock.settings import Shared, Team
-from tests import virtual_time, whole
+from tests import cluster, virtual_time
 from tests.fleet import Fleet
 from tests.totals import Totals
 from tests.virtual_time import Net
@@ -115,7 +115,7 @@
 
 
 def shared_of(shape: Shape, times: float) -> Shared:
-    shared = whole.shared()
+    shared = cluster.shared()
     shared.teams = [
         Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in shape.teams
     ]
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -17,8 +17,8 @@
 import pytest
 
 from tests import virtual_time
+from tests.cluster import Service, job
 from tests.virtual_time import spawn
-from tests.whole import Service, job
 
 BACK_S = (0.05, 0.3, 1.0, 2.5)
 COURSE_S = 40.0
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -18,11 +18,11 @@
 
 from ashdock.settings import NextLimits
 from tests import users, virtual_time
+from tests.cluster import ZONES, Service, job
 from tests.courses import wrong
 from tests.ends import played
 from tests.fakes import CLOUD, STATE, Worker
 from tests.virtual_time import spawn
-from tests.whole import ZONES, Service, job
 
 COURSE_S = 60.0
 WITHIN_S = 240.0  # all jobs are over so long after the last trouble
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -45,7 +45,7 @@
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import Objective, Team
-from tests import cost, courses, virtual_time, whole
+from tests import cluster, cost, courses, virtual_time
 from tests.fleet import Fleet
 from tests.totals import Totals
 from tests.virtual_time import HOST, Net, SimLoop
@@ -365,7 +365,7 @@
         sizes, weights, images = form.pop("sizes"), form.pop("weights"), form.pop("images")
         run_s = form["expect_s"] * (0.5 + rng.random())
         owner = HOT if hot else rng.choices(self.teams, [1.1, 1.6, 1.0][: len(self.teams)])[0]
-        return whole.job(
+        return cluster.job(
             self.number,
             workload=kind,
             owner=owner,
@@ -408,7 +408,7 @@
 
 
 def shared_at(times: float, sockets: int, core: float) -> Any:
-    shared = whole.shared()
+    shared = cluster.shared()
     shared.teams = [
         Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in TEAMS
     ]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -30,9 +30,9 @@
 from ashdock.net.worker import WorkerClient
 from ashdock.status_reader import KnownJob
 from tests import virtual_time
-from tests.test_whole import play
+from tests.cluster import Service, job, shared
+from tests.test_cluster import play
 from tests.virtual_time import spawn
-from tests.whole import Service, job, shared
 
 
 @pytest.mark.parametrize("limit", [16, 64, 400, 1200, 1937, 20_000])
--- a/tests/test_whole.py
+++ b/tests/test_cluster.py
@@ -13,8 +13,8 @@
 from ashdock.wire import frames
 from ashdock.wire.peer_messages import ForwardedHeartbeat
 from tests import virtual_time
+from tests.cluster import Service, job, shared
 from tests.virtual_time import spawn
-from tests.whole import Service, job, shared
 
 JOBS = [
     job(1, shares=6),
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -19,7 +19,7 @@
 from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Heartbeat
 from tests import virtual_time
-from tests.whole import Service, job
+from tests.cluster import Service, job
 
 SEED = 31
 SETTLE_S = 5.0  # from the start of the cluster to the start of the test
@@ -43,7 +43,7 @@
 ) -> None:
     """Run a scenario on a simulated cluster.
 
-    Unlike with `tests.test_whole.play`, it may end before any task has run.
+    Unlike with `tests.test_cluster.play`, it may end before any task has run.
     """
 
     async def main(net: virtual_time.Net) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -43,8 +43,8 @@
     encode,
     job_spec_of,
 )
-from tests.whole import job as submission
-from tests.whole import shared
+from tests.cluster import job as submission
+from tests.cluster import shared
 
 G4 = MachineType("g4", 32, 4, 192, 80, 2.0, 10.0, 2.5, 6.0, ["a", "b", "c"])
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -26,11 +26,11 @@
     TransferMachine,
     TransferShard,
 )
+from tests.cluster import Service, job
 from tests.election_model import FENCES, Model, random_walks, search
-from tests.test_whole import play
+from tests.test_cluster import play
 from tests.test_wire import GOOD
 from tests.virtual_time import spawn
-from tests.whole import Service, job
 
 # -- the election alone ----------------------------------------------------------------------------
 
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -15,7 +15,7 @@
 from ashdock.net.http import Client, NoAnswer
 from ashdock.settings import NextLimits
 from tests import virtual_time
-from tests.whole import Service, job
+from tests.cluster import Service, job
 
 BURST_S = 20.0
 STORE_WRITES_PER_S = 30.0  # enough for 15 submissions a second if nothing else is written
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,12 +10,12 @@
 
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from tests import meetings
+from tests.cluster import Service, job
 from tests.meetings import Met
+from tests.test_cluster import play
 from tests.test_core import commit, heartbeat, queued_record, shard_with, spec, start_one_task
 from tests.test_restarts import owned
-from tests.test_whole import play
 from tests.virtual_time import spawn
-from tests.whole import Service, job
 
 # What meets (when, for how long), twice each, so that the second finds what the first has left.
 MEETINGS: dict[str, list[Met]] = {
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -16,9 +16,9 @@
 from ashdock.net.http import Client, NoAnswer
 from ashdock.wire.messages import Heartbeat
 from tests import virtual_time
-from tests.test_whole import play
+from tests.cluster import Service, job
+from tests.test_cluster import play
 from tests.virtual_time import spawn
-from tests.whole import Service, job
 
 
 def refuse(controller: Controller) -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -32,11 +32,11 @@
     TransferMachine,
     TransferShard,
 )
-from tests import test_whole, virtual_time
+from tests import test_cluster, virtual_time
+from tests.cluster import Service, job, shared
+from tests.test_cluster import crash_all, quiet, roll, state_down
 from tests.test_core import G4, commit, heartbeat, queued_record, shard_with, spec
-from tests.test_whole import crash_all, quiet, roll, state_down
 from tests.virtual_time import spawn
-from tests.whole import Service, job, shared
 
 SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
 
@@ -710,7 +710,7 @@
     **more: Any,
 ) -> Service:
     # The settling time is enough for the new cluster version to come into force.
-    return test_whole.play(monkeypatch, seed, day, settle=4.0, **more)
+    return test_cluster.play(monkeypatch, seed, day, settle=4.0, **more)
 
 
 def pipeline(first: int, **more: Any) -> list[dict[str, Any]]:
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -18,9 +18,9 @@
 from ashdock.wire.messages import Heartbeat, TaskReport
 from ashdock.wire.peer_messages import Hello, OwnershipClaims, PeerHeartbeat
 from tests import ends
-from tests.test_whole import play
+from tests.cluster import Service, job, shared
+from tests.test_cluster import play
 from tests.virtual_time import spawn
-from tests.whole import Service, job, shared
 
 DOWNTIMES_S = [0.05, 0.3, 1.0]  # between the end of a process and the start of the next
 AGENT_LEASE_S = 6.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from tests.cluster import job
 from tests.rules import On, Room, Rules
-from tests.whole import job
 
 Act = Callable[[Rules], None]
 
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -14,11 +14,11 @@
 
 from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.mesh import MAX_UNSENT_BYTES
+from tests.cluster import Service, job, shared
 from tests.fakes import STATE
+from tests.test_cluster import play
 from tests.test_restarts import owned
-from tests.test_whole import play
 from tests.virtual_time import spawn
-from tests.whole import Service, job, shared
 
 CANCEL_S, LEASE_S, TTL_S = 20.0, 6.0, 1.0
 # Watermark age up to which agent leases may be renewed, before the allowance for clock drift.
--- a/tests/test_timelines.py
+++ b/tests/test_timelines.py
@@ -11,7 +11,7 @@
 from ashdock.net.http import Client
 from ashdock.timelines import FailoverState, FailoverTimeline, StartupState, StartupTimeline
 from tests import virtual_time
-from tests.whole import Service, job
+from tests.cluster import Service, job
 
 FAILOVERS: list[tuple[list[tuple[Any, ...]], FailoverState, dict[str, float]]] = [
     (
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -36,7 +36,7 @@
     WatermarkEcho,
 )
 from tests import virtual_time
-from tests.whole import job
+from tests.cluster import job
 
 GOOD = """
 label = "n0"
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -38,10 +38,10 @@
 from ashdock import cluster_version
 from ashdock.settings import NextLimits
 from tests import meetings
+from tests.cluster import Service, job
 from tests.courses import wrong
 from tests.fakes import CLOUD, STATE
 from tests.meetings import Met
-from tests.whole import Service, job
 
 ROOT = Path(__file__).resolve().parent.parent
 DATA = ROOT / "tests" / "data" / "traces.json"
--- a/tests/users.py
+++ b/tests/users.py
@@ -6,9 +6,9 @@
 import random
 from typing import Any
 
+from tests.cluster import Service, job
 from tests.fakes import Worker
 from tests.virtual_time import spawn
-from tests.whole import Service, job
 
 LOOKS_MS = (0, 1, 3, 8, 20, 60)  # after what a user was told, at each controller
 LONG_S = 15.0  # a job that has so much to run has long to go
