--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -24,7 +24,7 @@
     Workers,
 )
 from tests.fakes import CLOUD, STATE, State, World
-from tests.rules import Rules
+from tests.invariants import Rules
 from tests.virtual_time import Net, spawn
 
 ZONES = ["a", "b", "c"]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs, unquote
 
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
-from tests.rules import On, Room, Rules
+from tests.invariants import On, Room, Rules
 from tests.virtual_time import CALLER, Net, spawn
 
 STATE, CLOUD = "10.2.0.1", "10.2.0.2"
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from ashdock.net.http import Server, plain_connections
 from ashdock.settings import Operators, Other, Outside, Settings, Shared
 from tests.fakes import CLOUD, STATE, State, Worker, World
-from tests.rules import Rules
+from tests.invariants import Rules
 from tests.virtual_time import Net, spawn
 
 ZONES = ["a", "b", "c"]
--- a/tests/test_rules.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.cluster import job
-from tests.rules import On, Room, Rules
+from tests.invariants import On, Room, Rules
 
 Act = Callable[[Rules], None]
 
