--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -23,7 +23,7 @@
     Team,
     Workers,
 )
-from tests.fakes import CLOUD, STATE, State, World
+from tests.fakes import CLOUD_HOST, STORE_HOST, FakeCloud, FakeStore
 from tests.invariants import Rules
 from tests.virtual_time import Net, spawn
 
@@ -52,7 +52,7 @@
         ZONES[n],
         f"10.0.0.{n}:8080",
         f"10.0.0.{n}:8081",
-        Outside(f"{CLOUD}:8443", f"{STATE}:2379"),
+        Outside(f"{CLOUD_HOST}:8443", f"{STORE_HOST}:2379"),
         common,
         others,
         Operators(),
@@ -94,9 +94,9 @@
         self.rng = random.Random(net.rng.random())
         limits = {team.name: team.gpus_max for team in TEAMS}
         self.rules = Rules(shared().workers.cancel_s, limits)
-        self.state = State(net)
+        self.store = FakeStore(net)
         nodes = {f"n{n}": f"10.0.0.{n}" for n in range(3)}
-        self.world = World(net, self.rules, nodes, ZONES, capacity, 6.0, 1.0)
+        self.cloud = FakeCloud(net, self.rules, nodes, ZONES, capacity, 6.0, 1.0)
         self.machines = machines
         self.controllers: dict[int, Controller] = {}
         self.answers: dict[str, dict[str, Any]] = {}
@@ -108,12 +108,12 @@
         self.words: set[tuple[str, str]] = set()  # that were told so
 
     async def start(self) -> None:
-        spawn(self.net, STATE, self.state.start())
-        spawn(self.net, CLOUD, self.world.start())
+        spawn(self.net, STORE_HOST, self.store.start())
+        spawn(self.net, CLOUD_HOST, self.cloud.start())
         spawn(self.net, "users", self._watch_rules())
         await asyncio.sleep(0.01)
         for n in range(self.machines):
-            self.world.boot(ZONES[n % 3], False, 0.0)
+            self.cloud.boot(ZONES[n % 3], False, 0.0)
         for n in range(3):
             self.boot(n)
 
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -349,9 +349,9 @@
 
     async def outage(self) -> None:
         """The state service is down for a lease, and comes back."""
-        self.fleet.state.down = True
+        self.fleet.store.down = True
         await asyncio.sleep(self.fleet.shared.workers.lease_s)
-        self.fleet.state.down = False
+        self.fleet.store.down = False
 
     async def flood(self) -> None:
         """Users ask forty times a second more."""
--- a/tests/courses.py
+++ b/tests/courses.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, NoReturn
 
-from tests.fakes import STATE
+from tests.fakes import STORE_HOST
 from tests.fleet import Fleet
 from tests.virtual_time import Net, spawn
 
@@ -91,7 +91,7 @@
         self.began: float | None = None
         self.claimed: float | None = None
         self.effect: float | None = None
-        fleet.state.fenced = self._seen
+        fleet.store.fenced = self._seen
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -127,7 +127,7 @@
             elif change == "stood still":
                 self.freeze(host, CHANGE_S / 2)
             else:
-                self.net.cut(host, STATE)
+                self.net.cut(host, STORE_HOST)
                 await asyncio.sleep(CHANGE_S / 2)
                 self.net.heal()
             await asyncio.sleep(max(self.began + CHANGE_S - self._now(), 0.0))
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -31,27 +31,27 @@
     while service.now() < until:
         await asyncio.sleep(rng.choice((0.4, 3.0, 8.0)) * rng.random())
         trouble = rng.randrange(7)
-        if trouble == 0 and not service.state.down:
-            service.state.down = True
+        if trouble == 0 and not service.store.down:
+            service.store.down = True
             spawn(
                 service.net,
                 "users",
-                _later(rng.uniform(2, 9), lambda: setattr(service.state, "down", False)),
+                _later(rng.uniform(2, 9), lambda: setattr(service.store, "down", False)),
             )
         elif trouble == 1:
             n = rng.randrange(3)
             service.net.cut(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
             spawn(service.net, "users", _later(rng.uniform(1, 8), service.net.heal))
         elif trouble == 2:
-            service.state.apply_late = rng.choice((0.0, 0.05))
-            service.state.lose_answers = rng.choice((0.0, 0.05))
-        elif trouble == 3 and len(service.world.workers) > 2 and rng.random() < 0.4:
-            service.world.workers[rng.choice(sorted(service.world.workers))].die()
+            service.store.apply_late = rng.choice((0.0, 0.05))
+            service.store.lose_answers = rng.choice((0.0, 0.05))
+        elif trouble == 3 and len(service.cloud.workers) > 2 and rng.random() < 0.4:
+            service.cloud.workers[rng.choice(sorted(service.cloud.workers))].die()
         elif trouble == 4:
             # Some lose their leases, and come back in a session that no record tells of.
             workers = [
                 worker.host
-                for _, worker in sorted(service.world.workers.items())
+                for _, worker in sorted(service.cloud.workers.items())
                 if rng.random() < 0.6
             ]
             for n in range(3):
@@ -62,7 +62,7 @@
             if alive:
                 service.crash(rng.choice(alive), rng.choice(BACK_S))
             await asyncio.sleep(2.0 * rng.random() ** 2)
-    service.state.apply_late = service.state.lose_answers = 0.0
+    service.store.apply_late = service.store.lose_answers = 0.0
 
 
 async def _later(seconds: float, act: Callable[[], None]) -> None:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -14,14 +14,14 @@
 from tests.invariants import On, Room, Rules
 from tests.virtual_time import CALLER, Net, spawn
 
-STATE, CLOUD = "10.2.0.1", "10.2.0.2"
+STORE_HOST, CLOUD_HOST = "10.2.0.1", "10.2.0.2"
 
 
 def reply(status: int, body: Any) -> Answer:
     return Answer(status, json.dumps(body).encode())
 
 
-class State:
+class FakeStore:
     def __init__(self, net: Net) -> None:
         self.net = net
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
@@ -60,7 +60,7 @@
 
     async def start(self) -> None:
         self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
-        await self.server.start(STATE, 2379)
+        await self.server.start(STORE_HOST, 2379)
         asyncio.create_task(self._expire())
 
     def _refuses(self) -> bool:
@@ -221,13 +221,13 @@
                 pass
 
 
-class Worker:
+class FakeWorker:
     """One machine's worker. Faults: `hang`, `error_share`; and whatever the network does."""
 
     def __init__(
-        self, world: World, name: str, kind: str, zone: str, spot: bool, number: int
+        self, cloud: FakeCloud, name: str, kind: str, zone: str, spot: bool, number: int
     ) -> None:
-        self.world = world
+        self.cloud = cloud
         self.name = name
         self.kind = kind
         self.zone = zone
@@ -261,9 +261,9 @@
         self.renewed = self.now()
         self.up = True
         await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
-        spawn(self.world.net, self.host, self._lease())
-        nodes = list(self.world.nodes)
-        at = self.world.rng.randrange(len(nodes))
+        spawn(self.cloud.net, self.host, self._lease())
+        nodes = list(self.cloud.nodes)
+        at = self.cloud.rng.randrange(len(nodes))
         while not self.dead:
             await self.awake.wait()
             node = nodes[at % len(nodes)]
@@ -279,7 +279,7 @@
             self.change.clear()
             await asyncio.sleep(0.5)
             try:
-                async with asyncio.timeout(self.world.report_s - 0.5):
+                async with asyncio.timeout(self.cloud.report_s - 0.5):
                     await self.change.wait()
             except TimeoutError:
                 pass
@@ -287,7 +287,7 @@
     async def _lease(self) -> None:
         while not self.dead:
             await asyncio.sleep(0.1)
-            if self.now() - self.renewed > self.world.lease_s:
+            if self.now() - self.renewed > self.cloud.lease_s:
                 for share, attempt in list(self.shares):
                     self._gone(share, attempt)
                 self.shares.clear()
@@ -320,7 +320,7 @@
         """0 to stay, a pause before the next node, or the node to go to."""
         sent, tenure = self.now(), self.tenure
         client = self.clients.setdefault(
-            node, Client(self.world.nodes[node], 8080, keep=self.world.keep)
+            node, Client(self.cloud.nodes[node], 8080, keep=self.cloud.keep)
         )
         for other in [name for name in self.clients if name != node]:
             self.clients.pop(other).close()
@@ -328,10 +328,10 @@
         if self.mute:
             await asyncio.sleep(4.0)
             return 1.0
-        if self.world.kept_share and self.world.rng.random() < self.world.kept_share:
-            self.world.kept.append((self, told))
-        if self.world.late_reports and self.world.rng.random() < self.world.late_reports:
-            spawn(self.world.net, self.host, self._again(node, told))
+        if self.cloud.kept_share and self.cloud.rng.random() < self.cloud.kept_share:
+            self.cloud.kept.append((self, told))
+        if self.cloud.late_reports and self.cloud.rng.random() < self.cloud.late_reports:
+            spawn(self.cloud.net, self.host, self._again(node, told))
         try:
             status, body = await client.request("POST", "/checkin", told, 4.0)
             if self.deaf:
@@ -345,7 +345,7 @@
             return 1.0
         if status == 421:
             harbour = json.loads(body).get("harbour")
-            return harbour if harbour in self.world.nodes and harbour != node else 1.0
+            return harbour if harbour in self.cloud.nodes and harbour != node else 1.0
         if status != 200:
             return 1.0
         answer = json.loads(body)
@@ -360,7 +360,7 @@
         self.awake.clear()
         await asyncio.sleep(min(for_s, 2.0))
         if not self.awake.is_set():  # the mates of its gangs notice
-            self.world.lost_mates |= {
+            self.cloud.lost_mates |= {
                 (share.rsplit("/", 1)[0], attempt)
                 for (share, attempt), task in self.shares.items()
                 if task["status"] == "running"
@@ -371,7 +371,7 @@
     def room(self) -> Room:
         """What is free on it."""
         runs = [
-            self.world.rules.jobs[share.rsplit("/", 1)[0]]
+            self.cloud.rules.jobs[share.rsplit("/", 1)[0]]
             for (share, _), task in self.shares.items()
             if task["status"] != "ended"
         ]
@@ -386,20 +386,20 @@
     async def _again(self, node: str, told: bytes, after_s: float | None = None) -> None:
         """A copy of a report arrives long after newer ones; nobody hears the answer."""
         await asyncio.sleep(
-            2 + 1.5 * self.world.lease_s * self.world.rng.random() if after_s is None else after_s
+            2 + 1.5 * self.cloud.lease_s * self.cloud.rng.random() if after_s is None else after_s
         )
         try:
-            await Client(self.world.nodes[node], 8080, keep=0).request(
+            await Client(self.cloud.nodes[node], 8080, keep=0).request(
                 "POST", "/checkin", told, 4.0
             )
         except NoAnswer:
             pass
 
     async def handle(self, request: Request) -> Answer:
-        held = self.world.held_orders
-        if held and request.target == "/orders" and self.world.rng.random() < held[0]:
+        held = self.cloud.held_orders
+        if held and request.target == "/orders" and self.cloud.rng.random() < held[0]:
             await asyncio.sleep(
-                self.world.rng.uniform(*held[1:])
+                self.cloud.rng.uniform(*held[1:])
             )  # carried out then, if token and session still match
         if self.deaf:
             await asyncio.sleep(60)
@@ -429,7 +429,7 @@
 
     def _start(self, share: str, attempt: int) -> None:
         job = share.rsplit("/", 1)[0]
-        run = self.world.rules.jobs.get(job)
+        run = self.cloud.rules.jobs.get(job)
         task = self.shares[share, attempt] = {"status": "pulling"}
         self.change.set()
         if run is None:
@@ -443,11 +443,11 @@
         if any(key[0] == share for key in busy):
             task.update(status="ended", more={"cause": "in_use"})
             return
-        used = sum(self.world.rules.jobs[key[0].rsplit("/", 1)[0]]["accelerators"] for key in busy)
+        used = sum(self.cloud.rules.jobs[key[0].rsplit("/", 1)[0]]["accelerators"] for key in busy)
         if used + run["accelerators"] > 4:
             task.update(status="ended", more={"cause": "no_room"})
             return
-        spawn(self.world.net, self.host, self._work(share, attempt, run, task))
+        spawn(self.cloud.net, self.host, self._work(share, attempt, run, task))
 
     async def _work(
         self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]
@@ -458,17 +458,17 @@
         if task["status"] != "pulling":
             return
         self.images.add(run["bundle"])
-        self.world.rules.started(job, int(number), self.place(attempt), self.now())
+        self.cloud.rules.started(job, int(number), self.place(attempt), self.now())
         gang = run["shape"] == "ensemble"
         task["status"] = "waiting" if gang else "running"
         self.change.set()
         if gang:
-            if not await self.world.meet(job, attempt, run["shares"], task):
+            if not await self.cloud.meet(job, attempt, run["shares"], task):
                 if task["status"] != "ended":
                     self._exit(share, attempt, "incomplete")
                 return
             task["status"] = "running"
-            self.world.gangs.setdefault((job, attempt), []).append((self, share))
+            self.cloud.gangs.setdefault((job, attempt), []).append((self, share))
             self.change.set()
         work = (
             run.get("spans", {}).get(int(number), run["expect_s"])
@@ -478,8 +478,8 @@
         # A gang has one progress, that of its first task to save in an attempt. Kept for each task alone, one resumed behind the other, and was
         # not done when the whole was.
         saved = job if gang else share
-        left = work - self.world.saved.get(saved, 0.0)
-        failing = run.get("fails", 0) or self.error_share > self.world.rng.random()
+        left = work - self.cloud.saved.get(saved, 0.0)
+        failing = run.get("fails", 0) or self.error_share > self.cloud.rng.random()
         while left > 0:
             step = min(left, 0.5)
             await asyncio.sleep(step)
@@ -489,18 +489,18 @@
                 if (
                     run["snapshot_s"]
                     and task.get("more", {}).get("kept")
-                    and self.world.saved_in.get(saved) != attempt
+                    and self.cloud.saved_in.get(saved) != attempt
                 ):
-                    self.world.saved[saved], self.world.saved_in[saved] = work - left, attempt
+                    self.cloud.saved[saved], self.cloud.saved_in[saved] = work - left, attempt
                 return
             if failing:
                 run["fails"] = max(0, run.get("fails", 0) - 1)
                 self._exit(share, attempt, "error")
                 return
-            if gang and self.world.broken_gang(job, attempt):
+            if gang and self.cloud.broken_gang(job, attempt):
                 self._exit(share, attempt, "mates_gone")
                 return
-        for mate, its in self.world.gangs.get((job, attempt), []) if gang else [(self, share)]:
+        for mate, its in self.cloud.gangs.get((job, attempt), []) if gang else [(self, share)]:
             if (its, attempt) in mate.shares and mate.shares[its, attempt]["status"] == "running":
                 mate._exit(its, attempt, "done")
 
@@ -517,18 +517,18 @@
         task = self.shares.get((share, attempt))
         if task is not None and task["status"] != "ended":
             task.update(status="ended", more={"cause": "stopped"})
-        self.world.rules.left(job, int(number), self.name, done)
+        self.cloud.rules.left(job, int(number), self.name, done)
         if not done:
-            self.world.lost_mates.add((job, attempt))
+            self.cloud.lost_mates.add((job, attempt))
 
     def die(self) -> None:
         self.dead = True
         for share, attempt in list(self.shares):
             self._gone(share, attempt)
-        self.world.net.kill(self.host)
+        self.cloud.net.kill(self.host)
 
 
-class World:
+class FakeCloud:
     """The cloud, its machines, and the nodes' addresses."""
 
     def __init__(
@@ -549,20 +549,22 @@
         self.lease_s = lease_s
         self.report_s = report_s
         self.rng = random.Random(net.rng.random())
-        self.workers: dict[str, Worker] = {}
+        self.workers: dict[str, FakeWorker] = {}
         self.charters: dict[str, list[str]] = {}
         self.saved: dict[str, float] = {}  # progress of tasks, and of gangs as a whole
         self.saved_in: dict[str, int] = {}  # attempt
         self.lost_mates: set[tuple[str, int]] = set()
         self.waiting: dict[tuple[str, int], int] = {}
-        self.gangs: dict[tuple[str, int], list[tuple[Worker, str]]] = {}  # they complete jointly
+        self.gangs: dict[
+            tuple[str, int], list[tuple[FakeWorker, str]]
+        ] = {}  # they complete jointly
         self.number = 0
         self.keep = 0  # connections to a controller that a worker keeps between its reports
         self.late_reports = 0.0  # share of reports of which a copy arrives again, later
         self.kept_share = (
             0.0  # share of which a copy is kept until the lead or a shard changes hands
         )
-        self.kept: list[tuple[Worker, bytes]] = []
+        self.kept: list[tuple[FakeWorker, bytes]] = []
         self.boot_s = 6.0
         self.held_orders: tuple[float, float, float] | None = (
             None  # share of direct commands held up, for how long at least and at most
@@ -574,7 +576,7 @@
 
     async def start(self) -> None:
         self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
-        await self.server.start(CLOUD, 8443)
+        await self.server.start(CLOUD_HOST, 8443)
 
     def changed_hands(self, path: str, value: Any) -> None:
         """The lead or a shard has somebody new: the copies that were kept reach every controller within the next moments."""
@@ -615,8 +617,8 @@
         spawn(self.net, worker.host, up())
         return name
 
-    def worker(self, *words: Any) -> Worker:
-        return Worker(self, *words)
+    def worker(self, *words: Any) -> FakeWorker:
+        return FakeWorker(self, *words)
 
     def broken_gang(self, job: str, attempt: int) -> bool:
         return (job, attempt) in self.lost_mates
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,24 +9,24 @@
 from ashdock.controller import Controller
 from ashdock.net.http import Server, plain_connections
 from ashdock.settings import Operators, Other, Outside, Settings, Shared
-from tests.fakes import CLOUD, STATE, State, Worker, World
+from tests.fakes import CLOUD_HOST, STORE_HOST, FakeCloud, FakeStore, FakeWorker
 from tests.invariants import Rules
 from tests.virtual_time import Net, spawn
 
 ZONES = ["a", "b", "c"]
 
 
-class FleetWorker(Worker):
-    world: FleetWorld
+class FleetWorker(FakeWorker):
+    cloud: FleetCloud
     waited = 0.0  # the longest that it went without a good answer
 
     async def run(self) -> None:
         self.renewed = self.now()
         await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
         loop = asyncio.get_running_loop()
-        loop.call_at(self.renewed + self.world.lease_s, self._expired)
-        nodes = list(self.world.nodes)
-        at = self.world.rng.randrange(len(nodes))
+        loop.call_at(self.renewed + self.cloud.lease_s, self._expired)
+        nodes = list(self.cloud.nodes)
+        at = self.cloud.rng.randrange(len(nodes))
         while not self.dead:
             before = self.renewed
             pause = await self._report(nodes[at % len(nodes)])
@@ -43,7 +43,7 @@
             await asyncio.sleep(0.5)
             try:
                 async with asyncio.timeout(
-                    self.world.report_s * (0.75 + 0.5 * self.world.rng.random()) - 0.5
+                    self.cloud.report_s * (0.75 + 0.5 * self.cloud.rng.random()) - 0.5
                 ):
                     await self.change.wait()
             except TimeoutError:
@@ -53,16 +53,16 @@
         if self.dead:
             return
         loop = asyncio.get_running_loop()
-        if self.now() - self.renewed >= self.world.lease_s:
+        if self.now() - self.renewed >= self.cloud.lease_s:
             running = [key for key, task in self.shares.items() if task["status"] != "ended"]
-            self.world.killed += len(running)
+            self.cloud.killed += len(running)
             for share, attempt in list(self.shares):
                 self._gone(share, attempt)
             self.shares.clear()
             self.tenure += 1
             self.renewed = self.now()
             self.change.set()
-        loop.call_at(self.renewed + self.world.lease_s + 1e-3, self._expired)
+        loop.call_at(self.renewed + self.cloud.lease_s + 1e-3, self._expired)
 
     async def _work(
         self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]
@@ -73,21 +73,21 @@
         if task["status"] != "pulling":
             return
         self.images.add(run["bundle"])
-        self.world.rules.started(job, int(number), self.place(attempt), self.now())
+        self.cloud.rules.started(job, int(number), self.place(attempt), self.now())
         if run["shape"] == "ensemble":
             task["status"] = "waiting"
             self.change.set()
-            mates = self.world.meeting.setdefault((job, attempt), [])
+            mates = self.cloud.meeting.setdefault((job, attempt), [])
             mates.append((self, share, task))
             if len(mates) < run["shares"]:
                 return  # the last to come starts them all, and ends them
-            del self.world.meeting[job, attempt]
-            self.world.running[job, attempt] = mates
+            del self.cloud.meeting[job, attempt]
+            self.cloud.running[job, attempt] = mates
             for mate, _, theirs in mates:
                 theirs["status"] = "running"
                 mate.change.set()
             await asyncio.sleep(run["expect_s"])
-            if self.world.running.pop((job, attempt), None) is not None:
+            if self.cloud.running.pop((job, attempt), None) is not None:
                 for mate, its, _ in mates:
                     mate._exit(its, attempt, "done")
             return
@@ -105,10 +105,10 @@
         super()._gone(share, attempt, done)
         job = share.rsplit("/", 1)[0]
         if not done:
-            waiting = self.world.meeting.get((job, attempt))
+            waiting = self.cloud.meeting.get((job, attempt))
             if waiting is not None:
                 waiting[:] = [mate for mate in waiting if mate[0] is not self]
-            for mate, its, task in self.world.running.pop((job, attempt), ()):
+            for mate, its, task in self.cloud.running.pop((job, attempt), ()):
                 if mate is not self and task["status"] == "running":
                     asyncio.get_running_loop().call_later(2.0, mate._mates_gone, its, attempt)
 
@@ -118,7 +118,7 @@
             self._exit(share, attempt, "mates_gone")
 
 
-class FleetWorld(World):
+class FleetCloud(FakeCloud):
     def __init__(self, *words: Any) -> None:
         super().__init__(*words)
         self.keep = 1
@@ -126,7 +126,7 @@
         self.meeting: dict[tuple[str, int], list[Any]] = {}
         self.running: dict[tuple[str, int], list[Any]] = {}
 
-    def worker(self, *words: Any) -> Worker:
+    def worker(self, *words: Any) -> FakeWorker:
         return FleetWorker(self, *words)
 
 
@@ -140,9 +140,9 @@
         self.rules = Rules(
             shared.workers.cancel_s, {team.name: team.gpus_max for team in shared.teams}
         )
-        self.state = State(net)
+        self.store = FakeStore(net)
         nodes = {f"n{n}": f"10.0.0.{n}" for n in range(3)}
-        self.world = FleetWorld(
+        self.cloud = FleetCloud(
             net, self.rules, nodes, ZONES, machines, shared.workers.lease_s, shared.workers.report_s
         )
         self.machines = machines
@@ -150,25 +150,25 @@
 
     @property
     def killed(self) -> int:
-        return self.world.killed
+        return self.cloud.killed
 
     def longest(self) -> float:
         """The longest that any worker went without a good answer."""
         return max(
             (
                 worker.waited
-                for worker in self.world.workers.values()
+                for worker in self.cloud.workers.values()
                 if isinstance(worker, FleetWorker)
             ),
             default=0.0,
         )
 
     async def start(self) -> None:
-        spawn(self.net, STATE, self.state.start())
-        spawn(self.net, CLOUD, self.world.start())
+        spawn(self.net, STORE_HOST, self.store.start())
+        spawn(self.net, CLOUD_HOST, self.cloud.start())
         await asyncio.sleep(0.01)
         for n in range(self.machines):
-            self.world.boot(ZONES[n % 3], False, self.rng.random() * self.shared.workers.report_s)
+            self.cloud.boot(ZONES[n % 3], False, self.rng.random() * self.shared.workers.report_s)
         for n in range(3):
             self.boot(n)
 
@@ -179,7 +179,7 @@
             ZONES[n],
             f"10.0.0.{n}:8080",
             f"10.0.0.{n}:8081",
-            Outside(f"{CLOUD}:8443", f"{STATE}:2379"),
+            Outside(f"{CLOUD_HOST}:8443", f"{STORE_HOST}:2379"),
             self.shared,
             others,
             Operators(),
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -21,7 +21,7 @@
 from tests.cluster import ZONES, Service, job
 from tests.courses import wrong
 from tests.ends import played
-from tests.fakes import CLOUD, STATE, Worker
+from tests.fakes import CLOUD_HOST, STORE_HOST, FakeWorker
 from tests.virtual_time import spawn
 
 COURSE_S = 60.0
@@ -50,8 +50,8 @@
 )  # how long a trouble lasts: also longer than `cancel_s`
 
 
-def some(service: Service, rng: random.Random, share: float) -> list[Worker]:
-    return [worker for _, worker in sorted(service.world.workers.items()) if rng.random() < share]
+def some(service: Service, rng: random.Random, share: float) -> list[FakeWorker]:
+    return [worker for _, worker in sorted(service.cloud.workers.items()) if rng.random() < share]
 
 
 def node(rng: random.Random) -> str:
@@ -60,7 +60,7 @@
 
 def owner_of(service: Service, rng: random.Random) -> str:
     """One that owns a shard, where that is known."""
-    entry = service.state.keys.get(f"part/{rng.choice(('red', 'blue'))}")
+    entry = service.store.keys.get(f"part/{rng.choice(('red', 'blue'))}")
     return f"10.0.0.{entry[0]['owner'][1:]}" if entry else node(rng)
 
 
@@ -77,9 +77,9 @@
 
 async def refused(service: Service, rng: random.Random, for_s: float) -> None:
     host = owner_of(service, rng)
-    service.state.refusing.add(host)
+    service.store.refusing.add(host)
     await asyncio.sleep(for_s)
-    service.state.refusing.discard(host)
+    service.store.refusing.discard(host)
 
 
 def machines_are(what: str) -> Trouble:
@@ -104,9 +104,9 @@
     """A zone with its workers and its controller hears and is heard by nobody outside."""
     zone = rng.randrange(3)
     hosts = {f"10.0.0.{n}": n == zone for n in range(3)} | {
-        w.host: w.zone == ZONES[zone] for w in service.world.workers.values()
+        w.host: w.zone == ZONES[zone] for w in service.cloud.workers.values()
     }
-    out = [host for host, inside in hosts.items() if not inside] + [STATE, CLOUD, "users"]
+    out = [host for host, inside in hosts.items() if not inside] + [STORE_HOST, CLOUD_HOST, "users"]
     await _cut(
         service,
         for_s,
@@ -149,7 +149,7 @@
         for_s,
         [
             frozenset((host, other))
-            for other in (STATE, *(f"10.0.0.{n}" for n in range(3)))
+            for other in (STORE_HOST, *(f"10.0.0.{n}" for n in range(3)))
             if other != host
         ],
     )
@@ -186,7 +186,7 @@
     """Parts and lead go to another and back, within a second each."""
     for _ in range(3):
         for team in ("red", "blue"):
-            entry = service.state.keys.get(f"part/{team}")
+            entry = service.store.keys.get(f"part/{team}")
             owner = service.controllers.get(int(entry[0]["owner"][1:])) if entry else None
             if owner is not None and team in owner.owners:
                 owner.owners[team].transfer_to = f"n{rng.randrange(3)}"
@@ -230,18 +230,18 @@
 
     async def trouble(service: Service, rng: random.Random, for_s: float) -> None:
         kind = rng.choice(kinds)
-        service.state.lost = lambda writes: (
+        service.store.lost = lambda writes: (
             what if any(kind_of(write) == kind for write in writes) and rng.random() < 0.7 else ""
         )
         await asyncio.sleep(for_s)
-        service.state.lost = None
+        service.store.lost = None
 
     return trouble
 
 
 async def dies(service: Service, rng: random.Random, for_s: float) -> None:
-    if len(service.world.workers) > 2:
-        service.world.workers[rng.choice(sorted(service.world.workers))].die()
+    if len(service.cloud.workers) > 2:
+        service.cloud.workers[rng.choice(sorted(service.cloud.workers))].die()
 
 
 TROUBLES: dict[str, Trouble] = {
@@ -273,20 +273,20 @@
     "deaf": machines_are("deaf"),
     "mute": machines_are("mute"),
     "slow_links": while_set("net", "slow", 0.05, 0.3),
-    "reports_for_next": while_set("world", "kept_share", 0.3, 1.0),
-    "quick_boots": while_set("world", "boot_s", 1.0),
-    "outage": while_set("state", "down", True),
-    "slow_state": while_set("state", "slow", 0.1, 0.4, 1.0),
-    "late_writes": while_set("state", "apply_late", 0.05, 0.2),
-    "answers_lost": while_set("state", "lose_answers", 0.05, 0.2),
-    "late_reports": while_set("world", "late_reports", 0.1, 0.5),
-    "cloud_down": while_set("world", "down", True),
+    "reports_for_next": while_set("cloud", "kept_share", 0.3, 1.0),
+    "quick_boots": while_set("cloud", "boot_s", 1.0),
+    "outage": while_set("store", "down", True),
+    "slow_state": while_set("store", "slow", 0.1, 0.4, 1.0),
+    "late_writes": while_set("store", "apply_late", 0.05, 0.2),
+    "answers_lost": while_set("store", "lose_answers", 0.05, 0.2),
+    "late_reports": while_set("cloud", "late_reports", 0.1, 0.5),
+    "cloud_down": while_set("cloud", "down", True),
     "held_orders": while_set(
-        "world",
+        "cloud",
         "held_orders",
         *((share, 0.0, most) for share in (0.3, 1.0) for most in (3.0, 8.0, 30.0)),
     ),
-    "list_lags": while_set("world", "lag", 4.0, 10.0),
+    "list_lags": while_set("cloud", "lag", 4.0, 10.0),
 }
 
 
@@ -425,9 +425,9 @@
     async def main(net: virtual_time.Net) -> tuple[list[tuple[str, str]], list[str]]:
         net.observe = observe
         service = Service(net, machines=5, capacity=8, later=later)
-        service.state.applied = service.world.changed_hands
-        service.state.fenced = service.rules.applied
-        service.rules.room = service.world.rooms
+        service.store.applied = service.cloud.changed_hands
+        service.store.fenced = service.rules.applied
+        service.rules.room = service.cloud.rooms
         await service.start()
         await asyncio.sleep(1)
         runs = jobs()
@@ -436,7 +436,7 @@
 
         async def trouble(one: Met, luck: random.Random) -> None:
             await asyncio.sleep(one.at_s)
-            owner = service.state.keys.get("part/blue")
+            owner = service.store.keys.get("part/blue")
             if leads is not None and owner is not None:
                 for controller in service.controllers.values():
                     controller.elector.allowed = [f"n{(int(owner[0]['owner'][1:]) + leads) % 3}"]
@@ -477,7 +477,7 @@
         left = await service.until_final(sorted(rules.accepted), WITHIN_S)
         await asyncio.sleep(CANCEL_S)
         service.rules.end(service.now())
-        service.rules.accounted({path: value for path, (value, _, _) in service.state.keys.items()})
+        service.rules.accounted({path: value for path, (value, _, _) in service.store.keys.items()})
         return service.rules.broken, left
 
     broken, left = virtual_time.run(main, seed, patch)
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -465,9 +465,9 @@
     await asyncio.sleep(8)
     fleet.boot(owner)
     await asyncio.sleep(22)
-    fleet.state.down = True
+    fleet.store.down = True
     await asyncio.sleep(15)
-    fleet.state.down = False
+    fleet.store.down = False
     meter.slow.clear()
 
 
@@ -518,7 +518,7 @@
             users.spawn(trouble(net, fleet, meter))
         meter.profile = cProfile.Profile() if profile else None
         before, at = dict(meter.spent), users.now()
-        requests, counted = fleet.state.requests, fleet.state.counted
+        requests, counted = fleet.store.requests, fleet.store.counted
         starts = fleet.rules.starts
         kinds: Counter[str] = Counter()  # of what is written
 
@@ -531,7 +531,7 @@
                     + (" head" if path[-1] == "job" else "")
                 ] += 1
 
-        fleet.state.hook = count
+        fleet.store.hook = count
         for step in range(int(seconds / 5)):
             await asyncio.sleep(5)
             print(
@@ -549,7 +549,7 @@
         rows = users.served.counts(users.now())
         out.update(
             gaps=gaps.rows if gaps else [],
-            machines_rented=sum(map(len, fleet.world.charters.values())),
+            machines_rented=sum(map(len, fleet.cloud.charters.values())),
             jobs=len(
                 [
                     j
@@ -562,8 +562,8 @@
             core_mean=sum(cores) / len(cores),
             core_most=max(cores),
             mb=max(held(c) for c in alive) / 2**20,
-            requests=(fleet.state.requests - requests) / past,
-            writes=(fleet.state.counted - counted) / past,
+            requests=(fleet.store.requests - requests) / past,
+            writes=(fleet.store.counted - counted) / past,
             served={
                 " ".join(name): [*row, round(row.attainment, 3)]
                 for name, row in sorted(rows.items())
@@ -626,7 +626,7 @@
             f"{team} {fleet.rules.used.get(team, 0.0):.0f} of {held.get(team, 0)}"
             for team, _, _ in TEAMS
         )
-        + f" of {len(fleet.world.workers)}"
+        + f" of {len(fleet.cloud.workers)}"
     )
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -59,32 +59,32 @@
 
 async def state_down(service: Service) -> None:
     await asyncio.sleep(8)
-    service.state.down = True
+    service.store.down = True
     await asyncio.sleep(12)
-    service.state.down = False
+    service.store.down = False
 
 
 async def answers_lost(service: Service) -> None:
-    service.state.lose_answers = 0.1
+    service.store.lose_answers = 0.1
     await asyncio.sleep(40)
-    service.state.lose_answers = 0.0
+    service.store.lose_answers = 0.0
 
 
 async def applied_late(service: Service) -> None:
-    service.state.apply_late = 0.08
+    service.store.apply_late = 0.08
     await asyncio.sleep(40)
-    service.state.apply_late = 0.0
+    service.store.apply_late = 0.0
 
 
 async def workers_die(service: Service) -> None:
     await asyncio.sleep(9)
     for name in ["vm-000000", "vm-000001"]:
-        service.world.workers[name].die()
+        service.cloud.workers[name].die()
 
 
 async def node_without_workers(service: Service) -> None:
     await asyncio.sleep(7)
-    service.net.cut("10.0.0.0", *(worker.host for worker in service.world.workers.values()))
+    service.net.cut("10.0.0.0", *(worker.host for worker in service.cloud.workers.values()))
     await asyncio.sleep(15)
     service.net.heal()
 
@@ -103,7 +103,7 @@
         "10.2.0.2",
         "10.0.0.0",
         "10.0.0.1",
-        *(worker.host for worker in service.world.workers.values()),
+        *(worker.host for worker in service.cloud.workers.values()),
     ]
     service.net.cut("10.0.0.2", *others)
     await asyncio.sleep(15)
@@ -111,30 +111,30 @@
 
 
 async def cloud_down(service: Service) -> None:
-    service.world.down = True
+    service.cloud.down = True
     await asyncio.sleep(12)
-    service.world.down = False
+    service.cloud.down = False
 
 
 async def list_lags(service: Service) -> None:
     """The list is ten times as old as the settings say, also of a machine that dies and of those rented in its place."""
-    service.world.lag = 10.0
+    service.cloud.lag = 10.0
     await asyncio.sleep(9)
-    service.world.workers["vm-000001"].die()
+    service.cloud.workers["vm-000001"].die()
     service.crash(1)
 
 
 async def all_at_once(service: Service) -> None:
-    service.state.lose_answers = 0.1
+    service.store.lose_answers = 0.1
     await asyncio.sleep(6)
     service.crash(1)
-    service.net.cut("10.0.0.0", *(w.host for w in list(service.world.workers.values())[:2]))
+    service.net.cut("10.0.0.0", *(w.host for w in list(service.cloud.workers.values())[:2]))
     await asyncio.sleep(4)
-    service.world.workers["vm-000002"].die()
+    service.cloud.workers["vm-000002"].die()
     await asyncio.sleep(6)
     service.net.heal()
     service.crash(0)
-    service.state.lose_answers = 0.0
+    service.store.lose_answers = 0.0
 
 
 FAULTS = [
@@ -203,7 +203,7 @@
                     for n in list(service.controllers):
                         service.crash(n, 1.0)
 
-        service.state.hook = hook
+        service.store.hook = hook
         runs = [dict(run) for run in JOBS] + [job(9, shares=2, fails=4)]
         statuses = await asyncio.gather(*(service.submit(run) for run in runs))
         assert all(status in (200, 201) for status in statuses)
@@ -224,7 +224,7 @@
         assert where
         if silent:
             for name in where:
-                service.net.cut(service.world.workers[name].host, *service.world.nodes.values())
+                service.net.cut(service.cloud.workers[name].host, *service.cloud.nodes.values())
         assert await service.withdraw(run["id"]) == "withdrawn"
         await asyncio.sleep(25)
         assert not any(service.rules.on.values())
@@ -251,7 +251,7 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=3, fails=9))
         while not any(
-            path.startswith("park/") and value[0] for path, value in service.state.keys.items()
+            path.startswith("park/") and value[0] for path, value in service.store.keys.items()
         ):
             await asyncio.sleep(0.1)
             assert service.now() < 30
@@ -260,7 +260,7 @@
         assert await service.until_final(["req-000001"], 200) == []
         assert not any(
             path.startswith(("work/", "park/red")) and value[0]
-            for path, value in service.state.keys.items()
+            for path, value in service.store.keys.items()
         )
 
     play(monkeypatch, 6, day)
@@ -268,12 +268,12 @@
 
 def test_a_sick_machine_is_told_from_a_failing_job(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
-        service.world.workers["vm-000000"].error_share = 1.0
+        service.cloud.workers["vm-000000"].error_share = 1.0
         runs = [job(n, shares=4) for n in range(1, 7)]
         for run in runs:
             await service.submit(run)
         assert await service.until_final([run["id"] for run in runs], 200) == []
-        assert "vm-000000" not in service.world.workers
+        assert "vm-000000" not in service.cloud.workers
 
     play(monkeypatch, 8, day)
 
@@ -343,7 +343,7 @@
 def test_refused_at_once_while_the_state_service_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
         await service.submit(job(1))
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(3)
         client = Client("10.0.0.0", 8080, keep=0)
         before = service.now()
@@ -354,7 +354,7 @@
             status, _ = await client.request(method, target, body, 2.0)
             assert status == 503
         assert service.now() - before < 0.1
-        service.state.down = False
+        service.store.down = False
         assert await service.until_final(["req-000001"], 60) == []
 
     play(monkeypatch, 4, day)
@@ -393,12 +393,12 @@
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=12, expect_s=90.0))
-        while not any(worker.shares for worker in service.world.workers.values()):
+        while not any(worker.shares for worker in service.cloud.workers.values()):
             await asyncio.sleep(1.0)
         await asyncio.sleep(3)
         owner = next(c.label for c in service.controllers.values() if "red" in c.owners)
         other = next(n for n, c in service.controllers.items() if c.label != owner)
-        worker = next(w for w in service.world.workers.values() if w.shares)
+        worker = next(w for w in service.cloud.workers.values() if w.shares)
         client = Client(f"10.0.0.{other}", 8080, keep=0)
         front = service.controllers[other].front
         front.redirected.clear()  # it may have come by there by itself a moment ago, and have been passed on
@@ -424,7 +424,7 @@
         # Of two zones that are apart, one that cannot hear the owner either names a third that may.
         service.net.cut(f"10.0.0.{other}", f"10.0.0.{owner[1:]}")
         await asyncio.sleep(5)
-        worker = next(w for w in service.world.workers.values() if w.shares and w is not worker)
+        worker = next(w for w in service.cloud.workers.values() if w.shares and w is not worker)
         worker.tally += 1
         status, answer = await client.request(
             "POST", "/checkin", json.dumps(worker.message()).encode(), 4.0
@@ -438,12 +438,12 @@
     async def day(service: Service) -> None:
         await asyncio.sleep(3)
         await service.submit(job(1, shares=1))  # ends the watches under way
-        service.state.blind = True
+        service.store.blind = True
         await asyncio.sleep(0.5)
         runs = [job(n, shares=1, owner=owner) for n, owner in enumerate(["red", "blue"] * 4, 10)]
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(2)
-        service.state.blind = False
+        service.store.blind = False
         assert await service.until_final([run["id"] for run in runs], 120) == []
 
     play(monkeypatch, 13, day)
@@ -488,13 +488,13 @@
                 )
             )
 
-        service.state.hook = hook
+        service.store.hook = hook
         await service.start()
-        while service.world.workers:
+        while service.cloud.workers:
             await asyncio.sleep(1.0)
             assert service.now() < 60
         await asyncio.sleep(3)
-        assert not any(path.startswith("machine/") for path in service.state.keys)
+        assert not any(path.startswith("machine/") for path in service.store.keys)
         groups = [count for count in touched if count]
         assert max(groups) >= 8 and max(groups) <= shared().state.txn_ops
         assert sum(groups) <= 3 * 30  # recorded, given up, forgotten
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -94,7 +94,7 @@
 
     async def scenario(service: Service) -> None:
         await service.submit(job(1))
-        service.state.slow = 0.2
+        service.store.slow = 0.2
         n = next(n for n, c in service.controllers.items() if "red" in c.owners)
         controller = service.controllers[n]
         controller.owners["red"].release("released by the test")
@@ -125,7 +125,7 @@
             f"{label}.{revision}.0",
             f"n9.{revision}.7",
         ):
-            service.state.keys[f"charter/{name}"] = (value, 1, None)
+            service.store.keys[f"charter/{name}"] = (value, 1, None)
         carried_out: list[str] = []
 
         async def carry_out(intent: ProvisioningIntent, *_: Any, **__: Any) -> None:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -267,13 +267,13 @@
     """Wait until all jobs are done, all machines released, and only permanent keys are stored."""
     assert await service.until_final([submission["id"] for submission in JOBS], within_s) == []
     until = service.now() + within_s
-    while service.world.workers and service.now() < until:
+    while service.cloud.workers and service.now() < until:
         await asyncio.sleep(1.0)
-    assert not service.world.workers
+    assert not service.cloud.workers
     await asyncio.sleep(15)
     # `life/` is written by controllers that join after the cluster version was raised, for example
     # restarted ones.
-    remaining = {path.split("/")[0] for path in service.state.keys} - {"life"}
+    remaining = {path.split("/")[0] for path in service.store.keys} - {"life"}
     assert remaining == {"catalog", "job", "leader", "member", "part", "upgrade"}
 
 
@@ -306,11 +306,11 @@
                 if matching_writes == nth:
                     service.crash(leader, restart_after_s)
 
-        service.state.hook = hook
+        service.store.hook = hook
         for submission in JOBS:
             await service.submit(dict(submission))
         await wait_until_idle(service)
-        assert sum(len(names) for names in service.world.charters.values()) <= 8
+        assert sum(len(names) for names in service.cloud.charters.values()) <= 8
 
     play(monkeypatch, 61, scenario, machines=2, capacity=8)
 
@@ -332,7 +332,7 @@
         controller = service.controllers[first]
         leader, election = controller.leader, controller.elector.election
         assert leader is not None
-        term, calls = election.term, len(service.world.charters)
+        term, calls = election.term, len(service.cloud.charters)
         # Simulates a suspended process: its clock has advanced, and none of its code has run.
         election.lease_valid_until = time.monotonic() - paused_s
         with pytest.raises(NotLeaderError):
@@ -344,24 +344,24 @@
         )
         leader.allocator.scale_outs.append(scale_out)
         await asyncio.sleep(0.01)
-        assert len(service.world.charters) == calls and scale_out not in leader.allocator.scale_outs
+        assert len(service.cloud.charters) == calls and scale_out not in leader.allocator.scale_outs
         # After a renewal it continues in its term. Then another controller replaces it.
         assert await wait_for_leader(service) == first and election.term == term
-        service.state.keys["leader"] = (
+        service.store.keys["leader"] = (
             {"label": "n9", "incarnation": 1},
-            service.state.ledger + 1,
+            service.store.ledger + 1,
             None,
         )
-        await service.state._apply([])
-        path = next(path for path in service.state.keys if path.startswith("machine/"))
+        await service.store._apply([])
+        path = next(path for path in service.store.keys if path.startswith("machine/"))
         with pytest.raises(NotLeaderError):
             await leader.records._write_batch(
-                {path.removeprefix("machine/"): RecordWrite(service.state.keys[path][1], None)}
+                {path.removeprefix("machine/"): RecordWrite(service.store.keys[path][1], None)}
             )
-        assert path in service.state.keys
-        del service.state.keys["leader"]
-        await service.state._apply([{"delete": "leader"}])
-        service.state.changes.append({"delete": "leader", "stamp": service.state.ledger})
+        assert path in service.store.keys
+        del service.store.keys["leader"]
+        await service.store._apply([{"delete": "leader"}])
+        service.store.changes.append({"delete": "leader", "stamp": service.store.ledger})
         await service.until_final(["req-000001"], 90)
 
     play(monkeypatch, 62, scenario)
@@ -374,7 +374,7 @@
         await service.submit(job(1, shares=16, expect_s=70.0))
         await service.submit(job(2, owner="blue", shares=8, expect_s=70.0))
         key_writes: list[tuple[float, str]] = []
-        service.state.hook = lambda writes: key_writes.extend(
+        service.store.hook = lambda writes: key_writes.extend(
             (service.now(), w["value"]["label"]) for w in writes if w.get("set") == "leader"
         )
         await asyncio.sleep(20)
@@ -424,18 +424,18 @@
 ) -> None:
     async def scenario(service: Service) -> None:
         await wait_for_leader(service)
-        service.world.down = True
+        service.cloud.down = True
         for submission in JOBS:
             await service.submit(dict(submission))
         for _ in range(3):
             await asyncio.sleep(4)
             service.crash(await wait_for_leader(service), 0.3)
-        intents = [path for path in service.state.keys if path.startswith("charter/")]
+        intents = [path for path in service.store.keys if path.startswith("charter/")]
         assert intents
-        service.world.down = False
+        service.cloud.down = False
         await wait_until_idle(service)
         # Each intent is repeated under its own name, and nothing is scaled out in addition.
-        assert sum(len(names) for names in service.world.charters.values()) <= 8
+        assert sum(len(names) for names in service.cloud.charters.values()) <= 8
 
     play(monkeypatch, 65, scenario, machines=1, capacity=9)
 
@@ -451,7 +451,7 @@
 
     async def scenario(service: Service) -> None:
         delayed: list[list[str]] = []
-        handle = service.world.handle
+        handle = service.cloud.handle
 
         async def delay_releases(request: Any) -> Any:
             if request.target == "/hosts/release" and len(delayed) < 2:
@@ -461,8 +461,8 @@
                 await asyncio.sleep(60)
             return await handle(request)
 
-        service.world.handle = delay_releases  # type: ignore[method-assign]
-        service.world.server.handler = delay_releases
+        service.cloud.handle = delay_releases  # type: ignore[method-assign]
+        service.cloud.server.handler = delay_releases
         for submission in JOBS:
             await service.submit(dict(submission))
         await wait_until_idle(service)
@@ -521,11 +521,11 @@
     async def scenario(service: Service) -> None:
         service.net.kill("10.0.0.2")
         service.controllers.pop(2)
-        service.state.ledger += 1
-        service.state.keys["upgrade/node/n2"] = ({"forms": 2}, service.state.ledger, None)
+        service.store.ledger += 1
+        service.store.keys["upgrade/node/n2"] = ({"forms": 2}, service.store.ledger, None)
         await service.submit(job(1, shares=2))
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == 2
+        assert service.store.keys["upgrade/mark"][0]["forms"] == 2
         assert all(
             c.cluster_version.supports_dependencies
             and not c.cluster_version.fences_commands
@@ -534,7 +534,7 @@
         )
         service.boot(2)
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION and all(
+        assert service.store.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION and all(
             c.cluster_version.fences_commands for c in service.controllers.values()
         )
         assert await service.until_final(["req-000001"], 60) == []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -302,8 +302,8 @@
                 if seen[-1] == ("claimed" if moment == "read" else moment):
                     calls.append(spawn(service.net, "users", cancel(after_s[moment])))
 
-        service.state.applied = applied
-        service.state.slow = 0.1
+        service.store.applied = applied
+        service.store.slow = 0.1
         if moment == "just before":
             calls.append(spawn(service.net, "users", cancel(0.0)))
             await asyncio.sleep(0.06)
@@ -313,7 +313,7 @@
         while "claimed" not in seen:
             await asyncio.sleep(0.05)
         await asyncio.sleep(3.0)
-        service.state.slow = 0.0
+        service.store.slow = 0.0
         await asyncio.gather(*calls)
         assert calls and await owned(service) == new
         await asyncio.sleep(5.0)
@@ -426,11 +426,11 @@
     async def day(service: Service) -> None:
         await service.submit(job(1))
         n = await owned(service)
-        before = service.state.keys["part/red"]
+        before = service.store.keys["part/red"]
         other = service.controllers[(n + 1) % 3]
         late = ShardOwner(other, other.shared.teams[0], before[1] - 1)
         await asyncio.sleep(1)
-        assert late.phase is OwnershipPhase.LOST and service.state.keys["part/red"] == before
+        assert late.phase is OwnershipPhase.LOST and service.store.keys["part/red"] == before
         assert await service.until_final(["req-000001"], 60) == []
 
     play(monkeypatch, 71, day)
@@ -446,14 +446,14 @@
         for k in (n, *others):
             service.doors = [k]
             await service.poll("req-000001")
-        service.state.blind = True
+        service.store.blind = True
         service.doors = [n]
         while await service.poll("req-000001") != "done":
             await asyncio.sleep(0.1)
         for k in others:
             service.doors = [k]
             assert await service.poll("req-000001") == "done"
-        service.state.blind = False
+        service.store.blind = False
 
     play(monkeypatch, 72, day)
 
@@ -471,7 +471,7 @@
             )
         while not service.rules.on.get((ids[-1], 0)):
             await asyncio.sleep(0.05)
-        service.state.slow = 0.3
+        service.store.slow = 0.3
 
         async def ask() -> None:
             while True:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -67,7 +67,7 @@
             assert (await client.request("GET", "/v2/runs/req-000001", b"", 2.0))[0] == 503
             assert service.now() - before < 0.1
         await asyncio.sleep(22)
-        assert held <= set(service.world.workers)
+        assert held <= set(service.cloud.workers)
         if heard:
             assert service.rules.starts == starts and "red" not in service.controllers[at].owners
         del service.controllers[at]
@@ -88,14 +88,14 @@
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(2)
         calls: Counter[str] = Counter()
-        inner = service.state.handle
+        inner = service.store.handle
 
         async def count(request: Any) -> Any:
             calls["reads" if "/store/job/" in request.target else "other"] += 1
             calls["compares"] += request.target == "/txn" and b'"writes"' not in request.body
             return await inner(request)
 
-        service.state.server.handler = count
+        service.store.server.handler = count
         for controller in service.controllers.values():
             controller.store.write_limiter.tokens = (
                 -20 * controller.store.write_limiter.per_s
@@ -142,7 +142,7 @@
             "10.2.0.2",
             "10.0.0.0",
             "10.0.0.2",
-            *(w.host for w in service.world.workers.values()),
+            *(w.host for w in service.cloud.workers.values()),
         ]
         service.net.cut("10.0.0.1", *others)
 
@@ -170,7 +170,7 @@
         service = Service(net, machines=40, capacity=40)
         await service.start()
         await asyncio.sleep(1)
-        inner = service.state.handle
+        inner = service.store.handle
         on_commit: list[int] = []
 
         async def count(request: Any) -> Any:
@@ -185,9 +185,9 @@
                 )
             return await inner(request)
 
-        service.state.server.handler = count
-        service.state.slow = 0.3
-        while service.world.workers:
+        service.store.server.handler = count
+        service.store.slow = 0.3
+        while service.cloud.workers:
             await asyncio.sleep(1.0)
             assert service.now() < 90
         assert sum(on_commit) <= 2 * 40
@@ -212,7 +212,7 @@
                 for write in some
             )
 
-        service.state.hook = hook
+        service.store.hook = hook
         run = job(
             1,
             shares=1500,
@@ -254,7 +254,7 @@
                 await service.poll(run["id"])
             assert service.now() < 30
         await asyncio.sleep(10)
-        before = set(service.world.workers)
+        before = set(service.cloud.workers)
         sound = job(9, shares=4)
         await service.submit(sound)
         assert await service.until_final([sound["id"]], 40) == []
@@ -264,10 +264,10 @@
         assert not any(service.rules.on.values())
         assert not any(
             path.startswith(("work/", "park/")) and value
-            for path, (value, _, _) in service.state.keys.items()
+            for path, (value, _, _) in service.store.keys.items()
         )
         assert (
-            not any("suspect" in str(value) for value, _, _ in service.state.keys.values())
+            not any("suspect" in str(value) for value, _, _ in service.store.keys.values())
             and before
         )
 
@@ -281,20 +281,20 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=500.0))
         path = "work/red/req-000001/0"
-        while not service.state.keys.get(path, ({}, 0, 0))[0].get("p") or not service.rules.starts:
+        while not service.store.keys.get(path, ({}, 0, 0))[0].get("p") or not service.rules.starts:
             await asyncio.sleep(0.2)
-        inner = service.state.handle
+        inner = service.store.handle
 
         async def slow(request: Any) -> Any:
             if request.target == "/txn" and b'"status":"done"' in request.body:
                 await asyncio.sleep(1e6)
             return await inner(request)
 
-        service.state.server.handler = slow
+        service.store.server.handler = slow
         for n in range(3):
             service.crash(n, 1.0)
-        _, revision, permit = service.state.keys[path]
-        service.state.keys[path] = ({"a": 1, "d": [[0, 0]]}, revision, permit)
+        _, revision, permit = service.store.keys[path]
+        service.store.keys[path] = ({"a": 1, "d": [[0, 0]]}, revision, permit)
         answers = set()
         while service.now() < 25:
             for n in range(3):
@@ -316,35 +316,35 @@
     before was killed with it. The leader answers it, under whatever token it has; not while it cannot see what is recorded."""
 
     async def day(service: Service) -> None:
-        lease_s = service.world.lease_s
+        lease_s = service.cloud.lease_s
         asked: list[float] = []
-        inner = service.world.workers["vm-000000"]._report
+        inner = service.cloud.workers["vm-000000"]._report
 
         async def counted(node: str) -> Any:
             asked.append(service.now())
             return await inner(node)
 
-        monkeypatch.setattr(service.world.workers["vm-000000"], "_report", counted)
+        monkeypatch.setattr(service.cloud.workers["vm-000000"], "_report", counted)
         await asyncio.sleep(3 * lease_s)
         assert all(
-            worker.tenure == 1 and worker.token == 0 for worker in service.world.workers.values()
+            worker.tenure == 1 and worker.token == 0 for worker in service.cloud.workers.values()
         )
         late = [at for at in asked if at > lease_s]
-        assert len(late) < 2.5 * lease_s / service.world.report_s
+        assert len(late) < 2.5 * lease_s / service.cloud.report_s
         # Lent when its lease would have been over long ago: what is started goes on to its end.
         await service.submit(job(1, shares=8, expect_s=2 * lease_s))
         assert not await service.until_final(["req-000001"], 60)
-        assert all(worker.tenure == 1 for worker in service.world.workers.values())
+        assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
         assert service.rules.starts == 8
         leader = next(c for c in service.controllers.values() if c.leader)
-        free = next(w for w in service.world.workers.values() if not w.shares)
+        free = next(w for w in service.cloud.workers.values() if not w.shares)
         for down, status in [(False, 200), (True, 503)]:
-            service.state.down = down
+            service.store.down = down
             await asyncio.sleep(3.0)
-            client = Client(service.world.nodes[leader.label], 8080, keep=0)
+            client = Client(service.cloud.nodes[leader.label], 8080, keep=0)
             body = json.dumps(free.message() | {"berth": "vm-009999"}).encode()
             assert (await client.request("POST", "/checkin", body, 4.0))[0] == status
-        service.state.down = False
+        service.store.down = False
 
     play(monkeypatch, 33, day)
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -726,20 +726,20 @@
 
 
 async def transactions_late_or_unanswered(service: Service) -> None:
-    service.state.apply_late = service.state.lose_answers = 0.06
+    service.store.apply_late = service.store.lose_answers = 0.06
     await asyncio.sleep(30)
-    service.state.apply_late = service.state.lose_answers = 0.0
+    service.store.apply_late = service.store.lose_answers = 0.0
 
 
 async def watch_falls_behind(service: Service) -> None:
-    service.state.blind = True
+    service.store.blind = True
     await asyncio.sleep(6)
-    service.state.blind = False
+    service.store.blind = False
 
 
 async def limits_fall(service: Service) -> None:
     await asyncio.sleep(2)
-    service.state.limits, service.state.write_rps = (2048, 6), 100.0
+    service.store.limits, service.store.write_rps = (2048, 6), 100.0
 
 
 @pytest.mark.parametrize(
@@ -774,7 +774,7 @@
 
     service = play(monkeypatch, 31, day, later=SMALLER_LIMITS)
     # Every transaction kept to the smaller limits before the store applied them.
-    assert service.state.refused.get(400, 0) == 0
+    assert service.store.refused.get(400, 0) == 0
 
 
 @pytest.mark.parametrize(
@@ -795,19 +795,19 @@
 
         def hook(writes: list[dict[str, Any]]) -> None:
             if any(w.get("set") == step and w["value"]["status"] == "withdrawn" for w in writes):
-                service.state.hook = None
+                service.store.hook = None
                 team = "blue" if step.endswith("4") else "red"
                 for n, controller in list(service.controllers.items()):
                     if team in controller.owners:
                         service.crash(n, 3.0)
 
-        service.state.hook = hook
+        service.store.hook = hook
         await asyncio.sleep(1)
         assert await service.withdraw("req-000001") == "withdrawn"
         if step == "state":
-            service.state.down = True
+            service.store.down = True
             await asyncio.sleep(6)
-            service.state.down = False
+            service.store.down = False
         ids = [run["id"] for run in runs]
         await asyncio.sleep(1)
         # Submitted only now, it needs a job that was cancelled with its dependency.
@@ -896,13 +896,13 @@
                 "POST", "/v2/runs", json.dumps(job(1) | {"awaits": awaits}).encode(), 5.0
             )
             assert status == 200
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(2)
         status, _ = await client.request(
             "POST", "/v2/runs", json.dumps(job(90) | {"awaits": ["req-777777"]}).encode(), 5.0
         )
         assert status == 503
-        service.state.down = False
+        service.store.down = False
         await service.until_final(["req-000001"], 60)
 
     play(monkeypatch, 36, day)
@@ -931,21 +931,21 @@
             status, answer = await client.request("POST", "/v2/runs", body, 5.0)
             assert status == 503 and b"new version" in answer
             assert (
-                "upgrade/mark" not in service.state.keys
-                and "upgrade/node/n2" not in service.state.keys
+                "upgrade/mark" not in service.store.keys
+                and "upgrade/node/n2" not in service.store.keys
             )
-            written = [path for path in service.state.keys if path.startswith("work/")]
+            written = [path for path in service.store.keys if path.startswith("work/")]
             assert written and not any("w" in path.rsplit("/", 1)[1] for path in written)
-            assert not any("done_at" in str(value) for value, _, _ in service.state.keys.values())
+            assert not any("done_at" in str(value) for value, _, _ in service.store.keys.values())
         boot(2)
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION
+        assert service.store.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION
         service.crash(1, 0.5)  # a controller that has announced it still counts while it is down
         service.crash(2, 0.5)
         await asyncio.sleep(3)
         status, _ = await client.request("POST", "/v2/runs", body, 5.0)
         assert status == 201
-        service.state.limits = (2048, 6)
+        service.store.limits = (2048, 6)
         assert await service.until_final(["req-000001", "req-000002"], 200) == []
         service.rules.end()
         return service
@@ -971,13 +971,13 @@
         large = job(1, shares=400, cpus=0.1, accelerators=0.03125, ram_gb=0.1, expect_s=3.0)
         assert await service.submit(large) == 201 and await service.submit(wide) == 201
         await asyncio.sleep(4)
-        service.state.limits, service.state.write_rps = (700, 5), 60.0
+        service.store.limits, service.store.write_rps = (700, 5), 60.0
         await asyncio.sleep(4)
         service.crash(0, 2.0)
         assert await service.submit(job(3, shares=1)) in (200, 201)
         assert await service.until_final(["req-000001", "req-000002", "req-000003"], 240) == []
         await asyncio.sleep(5)
-        assert not any(path.startswith("work/") for path in service.state.keys)
+        assert not any(path.startswith("work/") for path in service.store.keys)
 
     service = play(
         monkeypatch,
@@ -986,9 +986,9 @@
         later=NextLimits(write_rps=60.0, value_kb=0.7, txn_ops=5) if announced else None,
     )
     if announced:
-        assert service.state.refused.get(400, 0) == 0
+        assert service.store.refused.get(400, 0) == 0
     else:
-        assert 0 < service.state.refused.get(400, 0) < 60
+        assert 0 < service.store.refused.get(400, 0) < 60
 
 
 def test_a_pipeline_costs_few_requests_and_writes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -998,7 +998,7 @@
 
         async def day(service: Service, waiting: bool = waiting) -> None:
             await service.submit(job(1, shares=1, expect_s=30.0))
-            before = service.state.requests, service.state.counted
+            before = service.store.requests, service.store.counted
             for n in range(2, 12):
                 await service.submit(
                     job(
@@ -1011,7 +1011,7 @@
                     )
                 )
             await asyncio.sleep(75)
-            cost.append((service.state.requests - before[0], service.state.counted - before[1]))
+            cost.append((service.store.requests - before[0], service.store.counted - before[1]))
             assert await service.until_final([f"req-{n:06d}" for n in range(1, 12)], 60) == []
 
         play(monkeypatch, 39, day)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -94,13 +94,13 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=8, expect_s=60.0))
         await asyncio.sleep(shared().workers.cancel_s + 2)
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(1)
         service.crash(await owned(service), downtime_s)
         await asyncio.sleep(1.5 * AGENT_LEASE_S)
-        service.state.down = False
+        service.store.down = False
         assert await service.until_final(["req-000001"], 60) == []
-        assert {worker.tenure for worker in service.world.workers.values()} == {1}
+        assert {worker.tenure for worker in service.cloud.workers.values()} == {1}
 
     play(monkeypatch, 41, day)
 
@@ -119,16 +119,16 @@
 
         def hook(writes: list[dict[str, Any]]) -> None:
             if any(write.get("set") == "job/req-000001" for write in writes):
-                service.state.hook = None
+                service.store.hook = None
                 service.crash(owner, 0.3)
                 asyncio.get_running_loop().call_later(
-                    0.01, lambda: setattr(service.state, "down", True)
+                    0.01, lambda: setattr(service.store, "down", True)
                 )
 
-        service.state.hook = hook
+        service.store.hook = hook
         spawn(service.net, "users", service.withdraw("req-000001"))
         await asyncio.sleep(outage_s)
-        service.state.down = False
+        service.store.down = False
         assert await service.withdraw("req-000001") == "withdrawn"
         await asyncio.sleep(shared().workers.cancel_s)
         assert await service.poll("req-000002") in ("running", "queued")
@@ -155,7 +155,7 @@
                 await asyncio.sleep(3.5)
         assert service.controllers[owner].owners.keys() >= {"red"}
         assert not [text for text in caplog.messages if "passing on" in text]
-        assert {worker.tenure for worker in service.world.workers.values()} == {1}
+        assert {worker.tenure for worker in service.cloud.workers.values()} == {1}
         assert await service.until_final(["req-000001"], 90) == []
 
     play(monkeypatch, 43, day)
@@ -172,9 +172,9 @@
         await asyncio.sleep(5)
         began = service.now()
         leader = next(n for n, c in service.controllers.items() if c.leader)
-        before = service.state.keys["leader"][1]
+        before = service.store.keys["leader"][1]
         service.crash(leader, downtime_s)
-        while service.state.keys.get("leader", (0, before))[1] == before:
+        while service.store.keys.get("leader", (0, before))[1] == before:
             await asyncio.sleep(0.02)
         assert service.now() < began + downtime_s + MEMBERSHIP_TTL_S / 2
         await asyncio.sleep(2 * MEMBERSHIP_TTL_S)  # the old lease ends, and takes nothing with it
@@ -226,11 +226,11 @@
         for _ in range(6):
             service.crash(owner, 0.3)
             await asyncio.sleep(1.5)
-        assert service.state.keys[f"life/n{owner}"][0]["ends"] >= 5
+        assert service.store.keys[f"life/n{owner}"][0]["ends"] >= 5
         assert not service.controllers[owner].owners and service.controllers[owner].leader is None
         shards = {
             path: value["owner"]
-            for path, (value, _, _) in service.state.keys.items()
+            for path, (value, _, _) in service.store.keys.items()
             if path.startswith("part/")
         }
         assert f"n{owner}" not in shards.values()
@@ -264,7 +264,7 @@
             await asyncio.sleep(every_s)
         claims = {
             path: revision
-            for path, (_, revision, _) in service.state.keys.items()
+            for path, (_, revision, _) in service.store.keys.items()
             if path.startswith("part/")
         }
         await asyncio.sleep(1)
@@ -276,7 +276,7 @@
         if every_s > 1:
             assert done >= 8  # most tasks end before the restarts do
         assert await service.until_final([run["id"] for run in runs], 60) == []
-        again = sum(service.state.keys[path][1] - revision > 0 for path, revision in claims.items())
+        again = sum(service.store.keys[path][1] - revision > 0 for path, revision in claims.items())
         assert again <= 2
 
     play(monkeypatch, 47, day)
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -15,7 +15,7 @@
 from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.mesh import MAX_UNSENT_BYTES
 from tests.cluster import Service, job, shared
-from tests.fakes import STATE
+from tests.fakes import STORE_HOST
 from tests.test_cluster import play
 from tests.test_restarts import owned
 from tests.virtual_time import spawn
@@ -237,7 +237,7 @@
 
     async def refuse(self) -> None:
         """Have the store refuse the owner, or each of the three controllers in turn."""
-        scenario, state = self.scenario, self.service.state
+        scenario, state = self.scenario, self.service.store
         refused = (self.owner, self.confirmer, self.third) if scenario.in_turn else (self.owner,)
         for n in refused:
             state.refusing = {self.hosts[n]} if scenario.refused_s else set()
@@ -248,7 +248,7 @@
         """Cut the workers off from the owner at the scenario's time."""
         if self.scenario.workers_cut_at is not None:
             await self.sleep_until(self.scenario.workers_cut_at)
-            workers = self.service.world.workers.values()
+            workers = self.service.cloud.workers.values()
             self.service.net.cut(self.hosts[self.owner], *(worker.host for worker in workers))
 
     def begin_faults(self) -> None:
@@ -268,9 +268,9 @@
         service = self.service
         service.doors = [self.confirmer]
         if self.scenario.response_lost:
-            service.state.lose_answers = 1.0
+            service.store.lose_answers = 1.0
             asyncio.get_running_loop().call_later(
-                0.5, lambda: setattr(service.state, "lose_answers", 0.0)
+                0.5, lambda: setattr(service.store, "lose_answers", 0.0)
             )
         statuses = await asyncio.gather(
             *(service.withdraw(f"req-{number:06d}") for number in numbers)
@@ -285,7 +285,7 @@
 
     async def store_outage(self) -> None:
         """Have the store fail for all controllers."""
-        state = self.service.state
+        state = self.service.store
         state.down = True
         await asyncio.sleep(self.scenario.outage_s)
         state.down, state.refusing = False, set()
@@ -293,7 +293,7 @@
     async def refuse_again(self) -> None:
         """Refuse the current owner, cancel other jobs, and have the store fail once more."""
         await asyncio.sleep(8)
-        self.service.state.refusing = {self.hosts[await owned(self.service)]}
+        self.service.store.refusing = {self.hosts[await owned(self.service)]}
         await self.cancel(3, 4)
         await self.store_outage()
 
@@ -308,7 +308,7 @@
 
 def incarnations(service: Service) -> dict[str, int]:
     """Return the incarnation of each worker's agent, by the worker's name."""
-    return {name: worker.tenure for name, worker in service.world.workers.items()}
+    return {name: worker.tenure for name, worker in service.cloud.workers.items()}
 
 
 async def owner_refused_alone(service: Service, scenario: Scenario) -> None:
@@ -381,7 +381,7 @@
         interval_count = len(link.intervals)
         writer = sender.mesh.peers[receiver.label].writer
         assert writer is not None and interval_count == 1
-        service.state.refusing = {f"10.0.0.{owner}"}
+        service.store.refusing = {f"10.0.0.{owner}"}
         synced_at = receiver.jobs.synced_at
         if lost == "full":
             # Only while the cancellation is sent; a link that stays full is closed later anyway.
@@ -406,7 +406,7 @@
             )
         else:
             assert len(link.intervals) == interval_count + 1 and known_until < service.now() - 2.5
-        service.state.refusing = set()
+        service.store.refusing = set()
         service.doors = [0, 1, 2]
         await asyncio.sleep(3)
         assert (
@@ -423,10 +423,10 @@
     async def scenario(service: Service) -> None:
         owner = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
-        service.state.refusing = {f"10.0.0.{owner}"}
+        service.store.refusing = {f"10.0.0.{owner}"}
         service.doors = [(owner + 1) % 3]
         assert await service.withdraw("req-000001") == "withdrawn"
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(2 * CANCEL_S)
         assert not service.controllers[owner].front.is_withdrawn("req-000001")
         assert all(
@@ -434,7 +434,7 @@
             for c in service.controllers.values()
             for link in c.cancellations.watermark.links.values()
         )
-        service.state.down, service.state.refusing = False, set()
+        service.store.down, service.store.refusing = False, set()
         await asyncio.sleep(LEASE_S)
 
     monkeypatch.setattr("ashdock.cluster_version.SUPPORTED_VERSION", 3)
@@ -456,7 +456,7 @@
     async def scenario(service: Service) -> None:
         n = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
-        service.world.held_orders = (1.0, delay_s, delay_s)
+        service.cloud.held_orders = (1.0, delay_s, delay_s)
         await service.submit(job(2, shape="daemon", shares=1))
         while not any(
             machine.outstanding_runs
@@ -467,9 +467,9 @@
             await asyncio.sleep(0.01)
         spawn(service.net, "users", service.withdraw("req-000002"))
         await asyncio.sleep(0.05)
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(2 * CANCEL_S)
-        service.state.down = False
+        service.store.down = False
         assert await service.withdraw("req-000002") == "withdrawn"
         await asyncio.sleep(LEASE_S)
 
@@ -501,13 +501,13 @@
         n = await start_long_job(service, 1)
         others = [f"10.0.0.{k}" for k in range(3) if k != n]
         service.net.cut(
-            f"10.0.0.{n}", *([STATE] if store_cut else []), *(others if peers_cut else [])
+            f"10.0.0.{n}", *([STORE_HOST] if store_cut else []), *(others if peers_cut else [])
         )
-        service.state.down = store_down
+        service.store.down = store_down
         await asyncio.sleep(6)
         assert service.controllers[n].ready() is ready
         service.net.heal()
-        service.state.down = False
+        service.store.down = False
         await asyncio.sleep(4)
         assert all(controller.ready() for controller in service.controllers.values())
 
@@ -531,21 +531,21 @@
         def fail_after_claim(writes: list[dict[str, object]]) -> None:
             if any(write.get("set") == "part/red" for write in writes):
                 asyncio.get_running_loop().call_later(
-                    0.004, lambda: setattr(service.state, "down", True)
+                    0.004, lambda: setattr(service.store, "down", True)
                 )
 
-        service.state.hook = fail_after_claim
-        service.state.refusing = {f"10.0.0.{n}"}
-        while not service.state.down:
+        service.store.hook = fail_after_claim
+        service.store.refusing = {f"10.0.0.{n}"}
+        while not service.store.down:
             await asyncio.sleep(0.05)
-        service.state.hook = None
-        assert service.state.keys["part/red"][0]["owner"] != f"n{n}"
+        service.store.hook = None
+        assert service.store.keys["part/red"][0]["owner"] != f"n{n}"
         await asyncio.sleep(MAX_WATERMARK_AGE_S + 2 * LEASE_S)
         assert incarnations(service) == incarnations_before
-        service.state.down, service.state.refusing = False, set()
+        service.store.down, service.store.refusing = False, set()
         await asyncio.sleep(2 * LEASE_S)
         assert service.rules.on.get(("req-000001", 0)) and {
-            worker.tenure for worker in service.world.workers.values()
+            worker.tenure for worker in service.cloud.workers.values()
         } == {1}
 
     play(monkeypatch, 66, scenario)
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -40,7 +40,7 @@
 from tests import meetings
 from tests.cluster import Service, job
 from tests.courses import wrong
-from tests.fakes import CLOUD, STATE
+from tests.fakes import CLOUD_HOST, STORE_HOST
 from tests.meetings import Met
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -85,8 +85,8 @@
 
 def kind_of(receiver: str) -> str:
     """Which of the protocol's parties a host is."""
-    if receiver in (STATE, CLOUD):
-        return "store" if receiver == STATE else "cloud"
+    if receiver in (STORE_HOST, CLOUD_HOST):
+        return "store" if receiver == STORE_HOST else "cloud"
     if receiver.startswith(CONTROLLERS):
         return "controllers"
     return "workers" if receiver.startswith(WORKERS) else "users"
@@ -106,7 +106,7 @@
         service.submit(job(number, shares=70, accelerators=0.1, cpus=0.1, expect_s=6.0))
     )
     await asyncio.sleep(2.0)
-    service.state.limits = (2048, 6)
+    service.store.limits = (2048, 6)
     await submitted
 
 
@@ -129,7 +129,7 @@
 
 async def many_fail(service: Service, rng: random.Random, for_s: float) -> None:
     """Every task that a worker starts meanwhile fails: retries in place, then parks."""
-    workers = list(service.world.workers.values())
+    workers = list(service.cloud.workers.values())
     for worker in workers:
         worker.error_share = 1.0
     await asyncio.sleep(for_s)
--- a/tests/users.py
+++ b/tests/users.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.cluster import Service, job
-from tests.fakes import Worker
+from tests.fakes import FakeWorker
 from tests.virtual_time import spawn
 
 LOOKS_MS = (0, 1, 3, 8, 20, 60)  # after what a user was told, at each controller
@@ -35,18 +35,18 @@
     service.heard.remove(heard)
 
 
-def running(service: Service) -> list[tuple[str, list[Worker]]]:
+def running(service: Service) -> list[tuple[str, list[FakeWorker]]]:
     """Jobs that run, have long to go and were not called off, with their machines."""
-    out: dict[str, list[Worker]] = {}
+    out: dict[str, list[FakeWorker]] = {}
     for (job_id, _), places in service.rules.on.items():
         run = service.rules.jobs[job_id]
         if job_id not in service.rules.asked_to_cancel and (
             run["shape"] == "daemon" or run["expect_s"] >= LONG_S
         ):
             out.setdefault(job_id, []).extend(
-                service.world.workers[place.machine]
+                service.cloud.workers[place.machine]
                 for place in places
-                if place.machine in service.world.workers
+                if place.machine in service.cloud.workers
             )
     return sorted(out.items())
 
