--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -24,7 +24,7 @@
     Workers,
 )
 from tests.fakes import CLOUD_HOST, STORE_HOST, FakeCloud, FakeStore
-from tests.invariants import Rules
+from tests.invariants import InvariantChecker
 from tests.virtual_time import Net, spawn
 
 ZONES = ["a", "b", "c"]
@@ -93,10 +93,10 @@
         self.later = later
         self.rng = random.Random(net.rng.random())
         limits = {team.name: team.gpus_max for team in TEAMS}
-        self.rules = Rules(shared().workers.cancel_s, limits)
+        self.invariants = InvariantChecker(shared().workers.cancel_s, limits)
         self.store = FakeStore(net)
         nodes = {f"n{n}": f"10.0.0.{n}" for n in range(3)}
-        self.cloud = FakeCloud(net, self.rules, nodes, ZONES, capacity, 6.0, 1.0)
+        self.cloud = FakeCloud(net, self.invariants, nodes, ZONES, capacity, 6.0, 1.0)
         self.machines = machines
         self.controllers: dict[int, Controller] = {}
         self.answers: dict[str, dict[str, Any]] = {}
@@ -120,7 +120,7 @@
     async def _watch_rules(self) -> None:
         while True:
             await asyncio.sleep(0.5)
-            self.rules.tick(self.now())
+            self.invariants.tick(self.now())
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -171,7 +171,7 @@
         got = await self.call("POST", "/v2/runs", self.body_of(run), 5.0, door)
         if got is None:
             return None
-        self.rules.answered(
+        self.invariants.answered(
             run["id"], got[0], got[1].get("status"), submission=True, now=self.now(), asked=asked
         )
         if got[0] in (200, 201):
@@ -180,7 +180,7 @@
 
     async def submit(self, run: dict[str, Any]) -> int:
         """As a user does it: the same submission until it is answered for good."""
-        self.rules.submitted(run)
+        self.invariants.submitted(run)
         for _ in range(60):
             status = await self._submitted(run)
             if status in (200, 201, 400, 422):
@@ -190,15 +190,15 @@
 
     async def repeat(self, job_id: str, door: int | None = None) -> int | None:
         """The same submission once more, at that controller."""
-        return await self._submitted(self.rules.jobs[job_id], door)
+        return await self._submitted(self.invariants.jobs[job_id], door)
 
     async def poll(self, job_id: str, door: int | None = None) -> str | None:
         asked = self.now()
         got = await self.call("GET", f"/v2/runs/{job_id}", b"", 2.0, door)
-        self.rules.asked(job_id, got is not None and got[0] in (200, 404), self.now())
+        self.invariants.asked(job_id, got is not None and got[0] in (200, 404), self.now())
         if not got:
             return None
-        self.rules.answered(job_id, got[0], got[1].get("status"), now=self.now(), asked=asked)
+        self.invariants.answered(job_id, got[0], got[1].get("status"), now=self.now(), asked=asked)
         if got[0] == 200:
             self.answers[job_id] = got[1]
             if got[1]["status"] in ("done", "withdrawn"):
@@ -206,16 +206,16 @@
         return got[1].get("status") if got[0] == 200 else str(got[0])
 
     async def withdraw(self, job_id: str, door: int | None = None) -> str | None:
-        self.rules.asked_to_cancel.add(job_id)
+        self.invariants.asked_to_cancel.add(job_id)
         for _ in range(40):
             asked = self.now()
             got = await self.call("POST", f"/v2/runs/{job_id}/withdraw", b"", 5.0, door)
             if got and got[0] == 200:
-                self.rules.answered(job_id, 200, got[1]["status"], now=self.now(), asked=asked)
+                self.invariants.answered(job_id, 200, got[1]["status"], now=self.now(), asked=asked)
                 self._heard(job_id, got[1]["status"])
                 return str(got[1]["status"])
             if got:
-                self.rules.answered(job_id, got[0], None, now=self.now(), asked=asked)
+                self.invariants.answered(job_id, got[0], None, now=self.now(), asked=asked)
             await asyncio.sleep(1.0)
         return None
 
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -360,7 +360,7 @@
             rng = random.Random(3)
             while True:
                 await asyncio.sleep(rng.expovariate(40.0))
-                jobs = sorted(self.fleet.rules.jobs)
+                jobs = sorted(self.fleet.invariants.jobs)
                 self.users.spawn(
                     self.users.ask({}, "GET", f"/v2/runs/{rng.choice(jobs)}", b"", 2.0)
                 )
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -110,8 +110,10 @@
         )
         await asyncio.sleep(COURSE_S / 2)
         left = await service.until_final([run["id"] for run in runs], WITHIN_S)
-        service.rules.end()
-        return service.rules.broken, left + ([] if withdrawn == "withdrawn" else ["req-000006"])
+        service.invariants.end()
+        return service.invariants.broken, left + (
+            [] if withdrawn == "withdrawn" else ["req-000006"]
+        )
 
     broken, left = virtual_time.run(main, seed, patch)
     return broken, left
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs, unquote
 
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
-from tests.invariants import On, Room, Rules
+from tests.invariants import InvariantChecker, On, Room
 from tests.virtual_time import CALLER, Net, spawn
 
 STORE_HOST, CLOUD_HOST = "10.2.0.1", "10.2.0.2"
@@ -371,7 +371,7 @@
     def room(self) -> Room:
         """What is free on it."""
         runs = [
-            self.cloud.rules.jobs[share.rsplit("/", 1)[0]]
+            self.cloud.invariants.jobs[share.rsplit("/", 1)[0]]
             for (share, _), task in self.shares.items()
             if task["status"] != "ended"
         ]
@@ -429,7 +429,7 @@
 
     def _start(self, share: str, attempt: int) -> None:
         job = share.rsplit("/", 1)[0]
-        run = self.cloud.rules.jobs.get(job)
+        run = self.cloud.invariants.jobs.get(job)
         task = self.shares[share, attempt] = {"status": "pulling"}
         self.change.set()
         if run is None:
@@ -443,7 +443,9 @@
         if any(key[0] == share for key in busy):
             task.update(status="ended", more={"cause": "in_use"})
             return
-        used = sum(self.cloud.rules.jobs[key[0].rsplit("/", 1)[0]]["accelerators"] for key in busy)
+        used = sum(
+            self.cloud.invariants.jobs[key[0].rsplit("/", 1)[0]]["accelerators"] for key in busy
+        )
         if used + run["accelerators"] > 4:
             task.update(status="ended", more={"cause": "no_room"})
             return
@@ -458,7 +460,7 @@
         if task["status"] != "pulling":
             return
         self.images.add(run["bundle"])
-        self.cloud.rules.started(job, int(number), self.place(attempt), self.now())
+        self.cloud.invariants.started(job, int(number), self.place(attempt), self.now())
         gang = run["shape"] == "ensemble"
         task["status"] = "waiting" if gang else "running"
         self.change.set()
@@ -517,7 +519,7 @@
         task = self.shares.get((share, attempt))
         if task is not None and task["status"] != "ended":
             task.update(status="ended", more={"cause": "stopped"})
-        self.cloud.rules.left(job, int(number), self.name, done)
+        self.cloud.invariants.left(job, int(number), self.name, done)
         if not done:
             self.cloud.lost_mates.add((job, attempt))
 
@@ -534,7 +536,7 @@
     def __init__(
         self,
         net: Net,
-        rules: Rules,
+        invariants: InvariantChecker,
         nodes: dict[str, str],
         zones: list[str],
         capacity: int,
@@ -542,7 +544,7 @@
         report_s: float,
     ) -> None:
         self.net = net
-        self.rules = rules
+        self.invariants = invariants
         self.nodes = nodes
         self.zones = zones
         self.capacity = capacity
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from ashdock.net.http import Server, plain_connections
 from ashdock.settings import Operators, Other, Outside, Settings, Shared
 from tests.fakes import CLOUD_HOST, STORE_HOST, FakeCloud, FakeStore, FakeWorker
-from tests.invariants import Rules
+from tests.invariants import InvariantChecker
 from tests.virtual_time import Net, spawn
 
 ZONES = ["a", "b", "c"]
@@ -73,7 +73,7 @@
         if task["status"] != "pulling":
             return
         self.images.add(run["bundle"])
-        self.cloud.rules.started(job, int(number), self.place(attempt), self.now())
+        self.cloud.invariants.started(job, int(number), self.place(attempt), self.now())
         if run["shape"] == "ensemble":
             task["status"] = "waiting"
             self.change.set()
@@ -137,13 +137,19 @@
         self.net = net
         self.shared = shared
         self.rng = random.Random(net.rng.random())
-        self.rules = Rules(
+        self.invariants = InvariantChecker(
             shared.workers.cancel_s, {team.name: team.gpus_max for team in shared.teams}
         )
         self.store = FakeStore(net)
         nodes = {f"n{n}": f"10.0.0.{n}" for n in range(3)}
         self.cloud = FleetCloud(
-            net, self.rules, nodes, ZONES, machines, shared.workers.lease_s, shared.workers.report_s
+            net,
+            self.invariants,
+            nodes,
+            ZONES,
+            machines,
+            shared.workers.lease_s,
+            shared.workers.report_s,
         )
         self.machines = machines
         self.controllers: dict[int, Controller] = {}
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Rules:
+class InvariantChecker:
     cancel_s: float
     limits: dict[str, float]  # team: GPUs at most
     jobs: dict[str, dict[str, Any]] = field(default_factory=dict)  # as submitted
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -426,8 +426,8 @@
         net.observe = observe
         service = Service(net, machines=5, capacity=8, later=later)
         service.store.applied = service.cloud.changed_hands
-        service.store.fenced = service.rules.applied
-        service.rules.room = service.cloud.rooms
+        service.store.fenced = service.invariants.applied
+        service.invariants.room = service.cloud.rooms
         await service.start()
         await asyncio.sleep(1)
         runs = jobs()
@@ -465,20 +465,22 @@
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.gather(*troubles)
         await asyncio.sleep(max(began + COURSE_S - service.now(), 0.0))
-        service.rules.calm_since = service.now()
+        service.invariants.calm_since = service.now()
         await asyncio.gather(*cancels)
         # One that was never told gave up; it is cancelled anew, or nothing of the day would end.
-        rules = service.rules
-        for one in sorted(rules.accepted):
-            if one not in rules.told and (
-                one in rules.asked_to_cancel or rules.jobs[one]["shape"] == "daemon"
+        invariants = service.invariants
+        for one in sorted(invariants.accepted):
+            if one not in invariants.told and (
+                one in invariants.asked_to_cancel or invariants.jobs[one]["shape"] == "daemon"
             ):
                 await service.withdraw(one)
-        left = await service.until_final(sorted(rules.accepted), WITHIN_S)
+        left = await service.until_final(sorted(invariants.accepted), WITHIN_S)
         await asyncio.sleep(CANCEL_S)
-        service.rules.end(service.now())
-        service.rules.accounted({path: value for path, (value, _, _) in service.store.keys.items()})
-        return service.rules.broken, left
+        service.invariants.end(service.now())
+        service.invariants.accounted(
+            {path: value for path, (value, _, _) in service.store.keys.items()}
+        )
+        return service.invariants.broken, left
 
     broken, left = virtual_time.run(main, seed, patch)
     return broken, left
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -255,7 +255,7 @@
         self.teams = [team[0] for team in (shape.teams if shape else TEAMS)]
         self.seed = seed
         self.rng = random.Random(seed)
-        self.served = fleet.rules.served = SloAttainment()
+        self.served = fleet.invariants.served = SloAttainment()
         self.number = 0
         self.took = HdrHistogram(1, 120_000, 3)  # of a submission until it is accepted, ms
         self.asked = HdrHistogram(1, 10_000, 3)  # of a question, ms
@@ -319,7 +319,7 @@
 
     async def one(self, run: dict[str, Any]) -> None:
         user: dict[str, Any] = {}
-        self.fleet.rules.submitted(run)
+        self.fleet.invariants.submitted(run)
         began, counts = self.now(), self.counts
         if counts:
             due_at = began + run["due_s"] if run["due_s"] else math.inf
@@ -337,7 +337,7 @@
         while status not in (200, 201):
             status = await self.ask(user, "POST", "/v2/runs", body, 5.0)
             if status is not None:
-                self.fleet.rules.answered(
+                self.fleet.invariants.answered(
                     run["id"], status, "queued", submission=True, now=self.now()
                 )
             if status not in (200, 201):
@@ -348,7 +348,9 @@
         self.served.record_accepted(run["id"])
         if counts:
             self.took.record_value(max(1, int((self.now() - began) * 1000)))
-        while any((run["id"], task) not in self.fleet.rules.done for task in range(run["shares"])):
+        while any(
+            (run["id"], task) not in self.fleet.invariants.done for task in range(run["shares"])
+        ):
             await asyncio.sleep(5.0 * (0.8 + 0.4 * self.rng.random()))
             at = self.now()
             status = await self.ask(user, "GET", f"/v2/runs/{run['id']}", b"", 2.0)
@@ -519,7 +521,7 @@
         meter.profile = cProfile.Profile() if profile else None
         before, at = dict(meter.spent), users.now()
         requests, counted = fleet.store.requests, fleet.store.counted
-        starts = fleet.rules.starts
+        starts = fleet.invariants.starts
         kinds: Counter[str] = Counter()  # of what is written
 
         def count(writes: list[dict[str, Any]]) -> None:
@@ -535,7 +537,7 @@
         for step in range(int(seconds / 5)):
             await asyncio.sleep(5)
             print(
-                f"  {times:g} times: {users.now():.0f} s, {fleet.rules.starts} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
+                f"  {times:g} times: {users.now():.0f} s, {fleet.invariants.starts} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
                 f"{time.perf_counter() - wall:.0f} s of real time, step {step}",
                 flush=True,
             )
@@ -553,9 +555,10 @@
             jobs=len(
                 [
                     j
-                    for j in fleet.rules.jobs
+                    for j in fleet.invariants.jobs
                     if any(
-                        (j, t) not in fleet.rules.done for t in range(fleet.rules.jobs[j]["shares"])
+                        (j, t) not in fleet.invariants.done
+                        for t in range(fleet.invariants.jobs[j]["shares"])
                     )
                 ]
             ),
@@ -572,10 +575,10 @@
             jain=round(
                 jain(row.attainment for (kind, _), row in rows.items() if kind == "team"), 4
             ),
-            starts=(fleet.rules.starts - starts) / past,
+            starts=(fleet.invariants.starts - starts) / past,
             written={kind: round(number / past, 2) for kind, number in kinds.most_common()},
             killed=fleet.killed,
-            broken=fleet.rules.broken[:5],
+            broken=fleet.invariants.broken[:5],
             submissions=users.took.get_total_count(),
             p50_ms=users.took.get_value_at_percentile(50),
             p99_ms=users.took.get_value_at_percentile(99),
@@ -623,7 +626,7 @@
     }
     return (
         " ".join(
-            f"{team} {fleet.rules.used.get(team, 0.0):.0f} of {held.get(team, 0)}"
+            f"{team} {fleet.invariants.used.get(team, 0.0):.0f} of {held.get(team, 0)}"
             for team, _, _ in TEAMS
         )
         + f" of {len(fleet.cloud.workers)}"
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -372,7 +372,7 @@
             'ashdock_sockets{use="workers"}' in page and "ashdock_connections_ended_total" in page
         )
         assert not await service.until_final(["req-000001", "req-000002"], 120)
-        assert not service.rules.broken
+        assert not service.invariants.broken
 
     virtual_time.run(main, 41, monkeypatch)
 
@@ -499,18 +499,18 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shape="daemon", shares=2))
         await service.submit(job(2, shape="daemon", shares=1))
-        while not service.rules.on.get(("req-000001", 0)):
+        while not service.invariants.on.get(("req-000001", 0)):
             await asyncio.sleep(0.2)
         processor = service.controllers[0].admission.processor
         monkeypatch.setattr(processor, "late_s", lambda now: late_s)
         response = await service.call("GET", "/v2/runs/req-000001", b"", 2.0, 0)
         assert response is not None and response[0] == status_request
-        service.rules.submitted(job(3))
+        service.invariants.submitted(job(3))
         response = await service.call("POST", "/v2/runs", service.body_of(job(3)), 5.0, 0)
         assert response is not None and response[0] == submission
         assert await service.withdraw("req-000001", 0) == "withdrawn"
         await asyncio.sleep(15)  # longer than two leases, shorter than `cancel_s`
-        assert not service.rules.on.get(("req-000001", 0)) and service.rules.on.get(
+        assert not service.invariants.on.get(("req-000001", 0)) and service.invariants.on.get(
             ("req-000002", 0)
         )
         assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -167,11 +167,11 @@
         await service.start()
         await asyncio.sleep(settle)
         await day(service)
-        service.rules.end()
+        service.invariants.end()
         return service
 
     service: Service = virtual_time.run(main, seed, monkeypatch)
-    assert service.rules.broken == []
+    assert service.invariants.broken == []
     return service
 
 
@@ -220,14 +220,14 @@
         run = job(1, shape="daemon", shares=2)
         await service.submit(run)
         await asyncio.sleep(10)
-        where = {place.machine for places in service.rules.on.values() for place in places}
+        where = {place.machine for places in service.invariants.on.values() for place in places}
         assert where
         if silent:
             for name in where:
                 service.net.cut(service.cloud.workers[name].host, *service.cloud.nodes.values())
         assert await service.withdraw(run["id"]) == "withdrawn"
         await asyncio.sleep(25)
-        assert not any(service.rules.on.values())
+        assert not any(service.invariants.on.values())
         assert await service.submit(run) == 200
 
     play(monkeypatch, 3, day)
@@ -313,7 +313,7 @@
     async def day(service: Service) -> None:
         client = Client("10.0.0.1", 8080, keep=0)
         await asyncio.sleep(2)
-        service.rules.submitted(job(1, shares=25))
+        service.invariants.submitted(job(1, shares=25))
         for body, expected in BAD_BODIES:
             status, answer = await client.request("POST", "/v2/runs", body, 2.0)
             assert status == expected, (body[:80], answer)
@@ -365,7 +365,7 @@
         await asyncio.sleep(3)
         runs = [job(n, shares=1, expect_s=1.0) for n in range(1, 301)]
         for run in runs:
-            service.rules.submitted(run)
+            service.invariants.submitted(run)
         client = Client("10.0.0.1", 8080, keep=0)
 
         async def one(run: dict[str, Any]) -> tuple[int, float]:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.cluster import job
-from tests.invariants import On, Room, Rules
+from tests.invariants import InvariantChecker, On, Room
 
-Act = Callable[[Rules], None]
+Act = Callable[[InvariantChecker], None]
 
 A, B, SPOT = (
     On("m1", "g4", "a", False, 1),
@@ -20,73 +20,73 @@
 FREE, ONE = Room(A, 4.0, 4.0, 64.0), Room(A, 4.0, 1.0, 64.0)
 
 
-def twice(r: Rules) -> None:
-    r.started("req-000001", 0, A, 1)
-    r.started("req-000001", 0, B, 2)
+def twice(checker: InvariantChecker) -> None:
+    checker.started("req-000001", 0, A, 1)
+    checker.started("req-000001", 0, B, 2)
 
 
-def over_quota(r: Rules) -> None:
+def over_quota(checker: InvariantChecker) -> None:
     for task in range(3):
-        r.started("req-000001", task, A, 1)
+        checker.started("req-000001", task, A, 1)
 
 
-def together(r: Rules) -> None:
-    r.started("req-000002", 0, A, 1)
-    r.started("req-000002", 1, B, 1)
+def together(checker: InvariantChecker) -> None:
+    checker.started("req-000002", 0, A, 1)
+    checker.started("req-000002", 1, B, 1)
 
 
-def spread(r: Rules) -> None:
-    r.started("req-000003", 0, A, 1)
-    r.started("req-000003", 1, A, 1)
+def spread(checker: InvariantChecker) -> None:
+    checker.started("req-000003", 0, A, 1)
+    checker.started("req-000003", 1, A, 1)
 
 
-def after_cancel(r: Rules) -> None:
-    r.asked_to_cancel.add("req-000001")
-    r.answered("req-000001", 200, "withdrawn", now=5)
-    r.started("req-000001", 0, A, 16)
+def after_cancel(checker: InvariantChecker) -> None:
+    checker.asked_to_cancel.add("req-000001")
+    checker.answered("req-000001", 200, "withdrawn", now=5)
+    checker.started("req-000001", 0, A, 16)
 
 
-def still_there(r: Rules) -> None:
-    r.asked_to_cancel.add("req-000001")
-    r.started("req-000001", 0, A, 1)
-    r.answered("req-000001", 200, "withdrawn", now=5)
-    r.tick(16)
+def still_there(checker: InvariantChecker) -> None:
+    checker.asked_to_cancel.add("req-000001")
+    checker.started("req-000001", 0, A, 1)
+    checker.answered("req-000001", 200, "withdrawn", now=5)
+    checker.tick(16)
 
 
-def clean(r: Rules) -> None:
-    r.started("req-000001", 0, A, 1)
-    r.answered("req-000001", 201, "queued", submission=True)
-    r.left("req-000001", 0, "m1")
-    r.started("req-000001", 0, B, 2)
+def clean(checker: InvariantChecker) -> None:
+    checker.started("req-000001", 0, A, 1)
+    checker.answered("req-000001", 201, "queued", submission=True)
+    checker.left("req-000001", 0, "m1")
+    checker.started("req-000001", 0, B, 2)
     for task in (0, 1, 2):
-        r.left("req-000001", task, "m2", done=True)
-    r.answered("req-000001", 200, "done")
+        checker.left("req-000001", task, "m2", done=True)
+    checker.answered("req-000001", 200, "done")
 
 
-def forgotten(r: Rules) -> None:
-    r.started("req-000001", 0, A, 1)
-    r.answered("req-000001", 201, "queued", submission=True)
-    r.answered("req-000001", 404, None)
+def forgotten(checker: InvariantChecker) -> None:
+    checker.started("req-000001", 0, A, 1)
+    checker.answered("req-000001", 201, "queued", submission=True)
+    checker.answered("req-000001", 404, None)
 
 
 def unanswered(since: float, answered: bool, until: float) -> Act:
     """All is calm from `since` on; one question is answered at 100 or not, then none is to `until`."""
 
-    def act(r: Rules) -> None:
-        r.started("req-000001", 0, A, 1)
-        r.answered("req-000001", 201, "queued", submission=True)
-        r.calm_since = since
-        r.asked("req-000001", answered, 100.0)
-        r.asked("req-000001", False, until)
+    def act(checker: InvariantChecker) -> None:
+        checker.started("req-000001", 0, A, 1)
+        checker.answered("req-000001", 201, "queued", submission=True)
+        checker.calm_since = since
+        checker.asked("req-000001", answered, 100.0)
+        checker.asked("req-000001", False, until)
 
     return act
 
 
 def stored(**keys: Any) -> Act:
-    def act(r: Rules) -> None:
-        r.started("req-000001", 0, A, 1)
-        r.answered("req-000001", 201, "queued", submission=True)
-        r.accounted(
+    def act(checker: InvariantChecker) -> None:
+        checker.started("req-000001", 0, A, 1)
+        checker.answered("req-000001", 201, "queued", submission=True)
+        checker.accounted(
             {
                 path.replace("_", "/", 3)
                 if path.startswith("work")
@@ -101,13 +101,13 @@
 def looked(at: float, asked: float, status: int, state: str | None = None) -> Act:
     """A user is told that it is accepted at 1, and at 5 that it is withdrawn; another answer, to what was asked then, comes at `at`."""
 
-    def act(r: Rules) -> None:
-        r.started("req-000001", 0, A, 1)
-        r.left("req-000001", 0, "m1")
-        r.answered("req-000001", 201, "queued", submission=True, now=1)
-        r.asked_to_cancel.add("req-000001")
-        r.answered("req-000001", 200, "withdrawn", now=5)
-        r.answered("req-000001", status, state, now=at, asked=asked)
+    def act(checker: InvariantChecker) -> None:
+        checker.started("req-000001", 0, A, 1)
+        checker.left("req-000001", 0, "m1")
+        checker.answered("req-000001", 201, "queued", submission=True, now=1)
+        checker.asked_to_cancel.add("req-000001")
+        checker.answered("req-000001", 200, "withdrawn", now=5)
+        checker.answered("req-000001", status, state, now=at, asked=asked)
 
     return act
 
@@ -115,15 +115,15 @@
 def waits(beside: list[Room], until: float, used: float = 0.0, **more: Any) -> Act:
     """From 10 on all is calm, and a job of two tasks of one accelerator each waits beside that room."""
 
-    def act(r: Rules) -> None:
-        r.started("req-000002", 0, A, 1)
-        r.submitted(job(6, owner="red", shares=2) | more)
-        r.answered("req-000006", 201, "queued", submission=True, now=5)
-        r.used["red"] = used
-        r.room = lambda: beside
+    def act(checker: InvariantChecker) -> None:
+        checker.started("req-000002", 0, A, 1)
+        checker.submitted(job(6, owner="red", shares=2) | more)
+        checker.answered("req-000006", 201, "queued", submission=True, now=5)
+        checker.used["red"] = used
+        checker.room = lambda: beside
         for now in (4.0, 10.0, 11.0, until):
-            r.calm_since = 10.0 if now >= 10 else None
-            r.tick(now)
+            checker.calm_since = 10.0 if now >= 10 else None
+            checker.tick(now)
 
     return act
 
@@ -131,34 +131,34 @@
 def begins(*began: float, **more: Any) -> Act:
     """Jobs accepted at 0 that begin then; the one of three tasks (the largest) first."""
 
-    def act(r: Rules) -> None:
+    def act(checker: InvariantChecker) -> None:
         for n, at in enumerate(began):
             run = (
                 job(10 + n, owner="blue", workload="w2", accelerators=0.5, shares=1 if n else 3)
                 | more
             )
-            r.submitted(run)
-            r.answered(run["id"], 201, "queued", submission=True, now=0.0)
+            checker.submitted(run)
+            checker.answered(run["id"], 201, "queued", submission=True, now=0.0)
             for task in range(run["shares"]):
-                r.started(run["id"], task, A, at)
-        r.end(400.0)
+                checker.started(run["id"], task, A, at)
+        checker.end(400.0)
 
     return act
 
 
 def txn(when: list[str], path: str) -> Act:
-    def act(r: Rules) -> None:
-        r.started("req-000001", 0, A, 1)
-        r.applied(set(when), [{"set": path, "value": {}}])
+    def act(checker: InvariantChecker) -> None:
+        checker.started("req-000001", 0, A, 1)
+        checker.applied(set(when), [{"set": path, "value": {}}])
 
     return act
 
 
 def bad(status: int, stored: bool = False) -> Act:
-    def act(r: Rules) -> None:
-        r.started("req-000001", 0, A, 1)
-        r.refused("req-900001", status, 422)
-        r.accounted({"job/req-900001": QUEUED} if stored else {})
+    def act(checker: InvariantChecker) -> None:
+        checker.started("req-000001", 0, A, 1)
+        checker.refused("req-900001", status, 422)
+        checker.accounted({"job/req-900001": QUEUED} if stored else {})
 
     return act
 
@@ -178,16 +178,16 @@
     ("quota", over_quota),
     ("wrong_place", together),
     ("wrong_place", spread),
-    ("wrong_place", lambda r: r.started("req-000002", 0, SPOT, 1)),
-    ("wrong_place", lambda r: r.started("req-000004", 0, A, 1)),
-    ("wrong_place", lambda r: r.started("req-000005", 0, A, 1)),
+    ("wrong_place", lambda checker: checker.started("req-000002", 0, SPOT, 1)),
+    ("wrong_place", lambda checker: checker.started("req-000004", 0, A, 1)),
+    ("wrong_place", lambda checker: checker.started("req-000005", 0, A, 1)),
     ("ran_cancelled", after_cancel),
     ("ran_cancelled", still_there),
     ("forgotten", forgotten),
-    ("invented", lambda r: r.answered("req-999999", 200, "queued")),
-    ("not_done", lambda r: r.answered("req-000001", 200, "done")),
-    ("went_back", lambda r: r.answered("req-000001", 200, "withdrawn")),
-    ("nothing_ran", lambda r: None),
+    ("invented", lambda checker: checker.answered("req-999999", 200, "queued")),
+    ("not_done", lambda checker: checker.answered("req-000001", 200, "done")),
+    ("went_back", lambda checker: checker.answered("req-000001", 200, "withdrawn")),
+    ("nothing_ran", lambda checker: None),
     (None, clean),
     # Close looks: an older answer to what was asked after a user was told something newer; one that was on its way is none.
     ("went_back", looked(6, 5.5, 200, "queued")),
@@ -256,15 +256,15 @@
     ("rule", "act"), PLANTED, ids=[str(rule) + str(n) for n, (rule, _) in enumerate(PLANTED)]
 )
 def test_planted(rule: str | None, act: Act) -> None:
-    rules = Rules(10.0, {"red": 2.0, "blue": 100.0})
-    rules.submitted(job(1, shares=3))
-    rules.submitted(job(2, owner="blue", shares=2, same_place=True))
-    rules.submitted(job(3, owner="blue", shares=2, spread=True))
-    rules.submitted(job(4, owner="blue", hulls=["g8"]))
-    rules.submitted(job(5, owner="blue", yard="b"))
-    act(rules)
-    rules.end()
-    broken = {name for name, _ in rules.broken}
+    checker = InvariantChecker(10.0, {"red": 2.0, "blue": 100.0})
+    checker.submitted(job(1, shares=3))
+    checker.submitted(job(2, owner="blue", shares=2, same_place=True))
+    checker.submitted(job(3, owner="blue", shares=2, spread=True))
+    checker.submitted(job(4, owner="blue", hulls=["g8"]))
+    checker.submitted(job(5, owner="blue", yard="b"))
+    act(checker)
+    checker.end()
+    broken = {name for name, _ in checker.broken}
     if rule is None:
         assert broken == set()
     else:
@@ -272,13 +272,13 @@
 
 
 def test_starts_after_a_confirmed_cancellation_are_counted() -> None:
-    rules = Rules(10.0, {"red": 4.0})
-    rules.submitted(job(1, shares=3))
-    rules.asked_to_cancel.add("req-000001")
-    rules.started("req-000001", 0, A, 1)
-    rules.answered("req-000001", 200, "withdrawn", now=5)
-    rules.started("req-000001", 1, A, 6)
-    rules.started("req-000001", 2, A, 15.5)
-    assert rules.late_starts == [("req-000001", 1), ("req-000001", 10.5)] and {
-        rule for rule, _ in rules.broken
+    checker = InvariantChecker(10.0, {"red": 4.0})
+    checker.submitted(job(1, shares=3))
+    checker.asked_to_cancel.add("req-000001")
+    checker.started("req-000001", 0, A, 1)
+    checker.answered("req-000001", 200, "withdrawn", now=5)
+    checker.started("req-000001", 1, A, 6)
+    checker.started("req-000001", 2, A, 15.5)
+    assert checker.late_starts == [("req-000001", 1), ("req-000001", 10.5)] and {
+        rule for rule, _ in checker.broken
     } == {"ran_cancelled"}
