--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -195,7 +195,7 @@
     async def poll(self, job_id: str, door: int | None = None) -> str | None:
         asked = self.now()
         got = await self.call("GET", f"/v2/runs/{job_id}", b"", 2.0, door)
-        self.invariants.asked(job_id, got is not None and got[0] in (200, 404), self.now())
+        self.invariants.queried(job_id, got is not None and got[0] in (200, 404), self.now())
         if not got:
             return None
         self.invariants.answered(job_id, got[0], got[1].get("status"), now=self.now(), asked=asked)
@@ -206,7 +206,7 @@
         return got[1].get("status") if got[0] == 200 else str(got[0])
 
     async def withdraw(self, job_id: str, door: int | None = None) -> str | None:
-        self.invariants.asked_to_cancel.add(job_id)
+        self.invariants.cancel_requested.add(job_id)
         for _ in range(40):
             asked = self.now()
             got = await self.call("POST", f"/v2/runs/{job_id}/withdraw", b"", 5.0, door)
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -111,7 +111,7 @@
         await asyncio.sleep(COURSE_S / 2)
         left = await service.until_final([run["id"] for run in runs], WITHIN_S)
         service.invariants.end()
-        return service.invariants.broken, left + (
+        return service.invariants.violations, left + (
             [] if withdrawn == "withdrawn" else ["req-000006"]
         )
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs, unquote
 
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
-from tests.invariants import InvariantChecker, On, Room
+from tests.invariants import FreeMachine, InvariantChecker, Placement
 from tests.virtual_time import CALLER, Net, spawn
 
 STORE_HOST, CLOUD_HOST = "10.2.0.1", "10.2.0.2"
@@ -254,8 +254,8 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def place(self, attempt: int) -> On:
-        return On(self.name, self.kind, self.zone, self.spot, attempt)
+    def place(self, attempt: int) -> Placement:
+        return Placement(self.name, self.kind, self.zone, self.spot, attempt)
 
     async def run(self) -> None:
         self.renewed = self.now()
@@ -368,14 +368,14 @@
         await asyncio.sleep(max(for_s - 2.0, 0.0))
         self.awake.set()
 
-    def room(self) -> Room:
+    def room(self) -> FreeMachine:
         """What is free on it."""
         runs = [
             self.cloud.invariants.jobs[share.rsplit("/", 1)[0]]
             for (share, _), task in self.shares.items()
             if task["status"] != "ended"
         ]
-        return Room(
+        return FreeMachine(
             self.place(0),
             *(
                 whole - sum(run[what] for run in runs)
@@ -460,7 +460,7 @@
         if task["status"] != "pulling":
             return
         self.images.add(run["bundle"])
-        self.cloud.invariants.started(job, int(number), self.place(attempt), self.now())
+        self.cloud.invariants.task_started(job, int(number), self.place(attempt), self.now())
         gang = run["shape"] == "ensemble"
         task["status"] = "waiting" if gang else "running"
         self.change.set()
@@ -519,7 +519,7 @@
         task = self.shares.get((share, attempt))
         if task is not None and task["status"] != "ended":
             task.update(status="ended", more={"cause": "stopped"})
-        self.cloud.invariants.left(job, int(number), self.name, done)
+        self.cloud.invariants.task_left(job, int(number), self.name, done)
         if not done:
             self.cloud.lost_mates.add((job, attempt))
 
@@ -593,7 +593,7 @@
                     worker._again(node, told, self.rng.choice((0.0, 0.3, 2.0)) * self.rng.random()),
                 )
 
-    def rooms(self) -> list[Room]:
+    def rooms(self) -> list[FreeMachine]:
         """Machines that could take work at this moment."""
         return [
             w.room()
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class On:
+class Placement:
     machine: str
     type: str
     zone: str
@@ -24,16 +24,16 @@
     attempt: int
 
 
-class Room(NamedTuple):
+class FreeMachine(NamedTuple):
     """A machine that could take work, and what is free on it."""
 
-    place: On
+    place: Placement
     cpus: float
     accelerators: float
     ram_gb: float
 
 
-def fits(run: dict[str, Any], room: Room) -> int:
+def fits(run: dict[str, Any], room: FreeMachine) -> int:
     """How many tasks of a job a machine's free room takes."""
     asked = (
         (run["cpus"], room.cpus),
@@ -48,120 +48,131 @@
     cancel_s: float
     limits: dict[str, float]  # team: GPUs at most
     jobs: dict[str, dict[str, Any]] = field(default_factory=dict)  # as submitted
-    on: dict[tuple[str, int], list[On]] = field(default_factory=dict)
-    used: dict[str, float] = field(default_factory=dict)  # GPUs, by team
-    done: set[tuple[str, int]] = field(default_factory=set)
+    placements: dict[tuple[str, int], list[Placement]] = field(default_factory=dict)
+    used_gpus: dict[str, float] = field(default_factory=dict)  # GPUs, by team
+    done_tasks: set[tuple[str, int]] = field(default_factory=set)
     accepted: set[str] = field(default_factory=set)
-    told: dict[str, str] = field(default_factory=dict)  # final states that users were told
-    told_at: dict[str, float] = field(default_factory=dict)  # when first
-    known_at: dict[str, float] = field(
+    final_states: dict[str, str] = field(default_factory=dict)  # final states that users were told
+    final_state_at: dict[str, float] = field(default_factory=dict)  # when first
+    acknowledged_at: dict[str, float] = field(
         default_factory=dict
     )  # when a user was first told that it is known
-    late_starts: list[tuple[str, float]] = field(
+    starts_after_cancellation: list[tuple[str, float]] = field(
         default_factory=list
     )  # after a confirmed cancellation, and how long after
-    began_at: dict[str, float] = field(
+    all_started_at: dict[str, float] = field(
         default_factory=dict
     )  # when all of its tasks had started at least once
-    begun: dict[str, set[int]] = field(default_factory=dict)
-    idle_since: dict[str, float] = field(
+    started_tasks: dict[str, set[int]] = field(default_factory=dict)
+    startable_since: dict[str, float] = field(
         default_factory=dict
     )  # since when it has waited beside room that fits
-    room: Callable[[], Iterable[Room]] | None = None  # machines that could take work at this moment
-    on_done: Callable[[str], None] | None = None  # called when a job's last task has ended well
-    asked_to_cancel: set[str] = field(default_factory=set)
-    cancelled_at: dict[str, float] = field(default_factory=dict)
+    free_machines: Callable[[], Iterable[FreeMachine]] | None = (
+        None  # machines that could take work at this moment
+    )
+    on_job_done: Callable[[str], None] | None = None  # called when a job's last task has ended well
+    cancel_requested: set[str] = field(default_factory=set)
+    cancel_confirmed_at: dict[str, float] = field(default_factory=dict)
     accepted_at: dict[str, float] = field(default_factory=dict)
-    calm_since: float | None = None  # when the last trouble was over
-    answered_at: dict[str, float] = field(
+    faults_over_at: float | None = None  # when the last trouble was over
+    last_answer_at: dict[str, float] = field(
         default_factory=dict
     )  # when a question about it was last answered
-    starts: int = 0
-    bad: set[str] = field(default_factory=set)  # submissions that are never to be stored
-    served: Any = None  # an ashdock.fairness.slo_attainment.Served, where that is counted
-    broken: list[tuple[str, str]] = field(default_factory=list)
+    start_count: int = 0
+    invalid_jobs: set[str] = field(default_factory=set)  # submissions that are never to be stored
+    slo_attainment: Any = None  # an ashdock.fairness.slo_attainment.Served, where that is counted
+    violations: list[tuple[str, str]] = field(default_factory=list)
 
-    def _break(self, rule: str, what: str) -> None:
-        self.broken.append((rule, what))
+    def _record_violation(self, rule: str, what: str) -> None:
+        self.violations.append((rule, what))
 
     def submitted(self, run: dict[str, Any]) -> None:
         self.jobs[run["id"]] = run
 
-    def started(self, job: str, task: int, place: On, now: float) -> None:
+    def task_started(self, job: str, task: int, place: Placement, now: float) -> None:
         """A task holds its image and is on a machine from here."""
-        self.starts += 1
-        if self.served is not None:
-            self.served.record_started(job, 1, now)
+        self.start_count += 1
+        if self.slo_attainment is not None:
+            self.slo_attainment.record_started(job, 1, now)
         run = self.jobs.get(job)
         if run is None:
             return
-        if self.on.get((job, task)):
-            self._break(
-                "ran_twice", f"{job}/{task} on {place.machine} and {self.on[job, task][0].machine}"
+        if self.placements.get((job, task)):
+            self._record_violation(
+                "ran_twice",
+                f"{job}/{task} on {place.machine} and {self.placements[job, task][0].machine}",
             )
-        others = [p for number in self._asks(run) for p in self.on.get((job, number), ())]
+        others = [
+            p
+            for number in self._tasks_with_related_places(run)
+            for p in self.placements.get((job, number), ())
+        ]
         if run.get("hulls") is not None and place.type not in run["hulls"]:
-            self._break("wrong_place", f"{job}/{task}: type {place.type}")
+            self._record_violation("wrong_place", f"{job}/{task}: type {place.type}")
         if run.get("yard") is not None and place.zone != run["yard"]:
-            self._break("wrong_place", f"{job}/{task}: zone {place.zone}")
+            self._record_violation("wrong_place", f"{job}/{task}: zone {place.zone}")
         if place.spot and not run["loaners"]:
-            self._break("wrong_place", f"{job}/{task}: spot")
+            self._record_violation("wrong_place", f"{job}/{task}: spot")
         if run["same_place"] and any(other.zone != place.zone for other in others):
-            self._break("wrong_place", f"{job}/{task}: not with the others")
+            self._record_violation("wrong_place", f"{job}/{task}: not with the others")
         here = sum(1 for other in others if other.zone == place.zone) + 1
         if run["spread"] and here > (run["shares"] + 1) // 2:
-            self._break("wrong_place", f"{job}/{task}: too many in {place.zone}")
-        self.on.setdefault((job, task), []).append(place)
-        used = self.used[run["owner"]] = self.used.get(run["owner"], 0.0) + run["accelerators"]
+            self._record_violation("wrong_place", f"{job}/{task}: too many in {place.zone}")
+        self.placements.setdefault((job, task), []).append(place)
+        used = self.used_gpus[run["owner"]] = (
+            self.used_gpus.get(run["owner"], 0.0) + run["accelerators"]
+        )
         if used > self.limits[run["owner"]] + 1e-6:
-            self._break("quota", f"{run['owner']} uses {used}")
-        if job in self.cancelled_at:
-            self.late_starts.append((job, now - self.cancelled_at[job]))
-            if now > self.cancelled_at[job] + self.cancel_s:
-                self._break("ran_cancelled", f"{job}/{task} starts")
-        begun = self.begun.setdefault(job, set())
+            self._record_violation("quota", f"{run['owner']} uses {used}")
+        if job in self.cancel_confirmed_at:
+            self.starts_after_cancellation.append((job, now - self.cancel_confirmed_at[job]))
+            if now > self.cancel_confirmed_at[job] + self.cancel_s:
+                self._record_violation("ran_cancelled", f"{job}/{task} starts")
+        begun = self.started_tasks.setdefault(job, set())
         begun.add(task)
         if len(begun) == run["shares"]:
-            self.began_at.setdefault(job, now)
+            self.all_started_at.setdefault(job, now)
         for need in run.get("awaits") or ():
-            if any((need, other) not in self.done for other in range(self.jobs[need]["shares"])):
-                self._break("too_early", f"{job}/{task} starts before {need} is done")
+            if any(
+                (need, other) not in self.done_tasks for other in range(self.jobs[need]["shares"])
+            ):
+                self._record_violation("too_early", f"{job}/{task} starts before {need} is done")
 
     @staticmethod
-    def _asks(run: dict[str, Any]) -> range:
+    def _tasks_with_related_places(run: dict[str, Any]) -> range:
         """The tasks whose places matter to where another may start."""
         return range(run["shares"] if run["same_place"] or run["spread"] else 0)
 
-    def left(self, job: str, task: int, machine: str, done: bool = False) -> None:
-        places = self.on.pop((job, task), [])
+    def task_left(self, job: str, task: int, machine: str, done: bool = False) -> None:
+        places = self.placements.pop((job, task), [])
         left = [place for place in places if place.machine != machine]
         if left:
-            self.on[job, task] = left
+            self.placements[job, task] = left
         if job in self.jobs:
             run = self.jobs[job]
-            self.used[run["owner"]] = self.used.get(run["owner"], 0.0) - run["accelerators"] * (
-                len(places) - len(left)
-            )
-        if done and (job, task) not in self.done:
-            self.done.add((job, task))
-            if self.on_done is not None and job in self.jobs and self._is_done(job):
-                self.on_done(job)
+            self.used_gpus[run["owner"]] = self.used_gpus.get(run["owner"], 0.0) - run[
+                "accelerators"
+            ] * (len(places) - len(left))
+        if done and (job, task) not in self.done_tasks:
+            self.done_tasks.add((job, task))
+            if self.on_job_done is not None and job in self.jobs and self._is_done(job):
+                self.on_job_done(job)
 
     def _is_done(self, job: str) -> bool:
-        return all((job, task) in self.done for task in range(self.jobs[job]["shares"]))
+        return all((job, task) in self.done_tasks for task in range(self.jobs[job]["shares"]))
 
     def tick(self, now: float) -> None:
-        for job, at in self.cancelled_at.items():
+        for job, at in self.cancel_confirmed_at.items():
             if now > at + self.cancel_s and any(
-                places for (j, _), places in self.on.items() if j == job
+                places for (j, _), places in self.placements.items() if j == job
             ):
-                self._break("ran_cancelled", f"{job} still runs")
-        if self.room is not None and self.calm_since is not None:
-            self._look_for_idle(now)
+                self._record_violation("ran_cancelled", f"{job} still runs")
+        if self.free_machines is not None and self.faults_over_at is not None:
+            self._check_startable_jobs(now)
 
     # -- what a transaction names ---------------------------------------------------------------------------
 
-    def applied(self, when: set[str], writes: list[dict[str, Any]]) -> None:
+    def transaction_applied(self, when: set[str], writes: list[dict[str, Any]]) -> None:
         """A transaction was carried out, and rests on the revisions of these keys: its own, or one that is late undoes what is newer; and those
         of whoever may write it, or one that was replaced goes on writing."""
         for write in writes:
@@ -184,28 +195,32 @@
                 names.append("leader or a part")
             for name in names:
                 if name not in when:
-                    self._break("unfenced", f"{path} is written whatever became of {name}")
+                    self._record_violation(
+                        "unfenced", f"{path} is written whatever became of {name}"
+                    )
 
     # -- what waits beside room ----------------------------------------------------------------------------
 
-    def _look_for_idle(self, now: float) -> None:
-        rooms = list(self.room()) if self.room else []
+    def _check_startable_jobs(self, now: float) -> None:
+        rooms = list(self.free_machines()) if self.free_machines else []
         for job in self.accepted:
             if (
-                job in self.told
-                or job in self.asked_to_cancel
+                job in self.final_states
+                or job in self.cancel_requested
                 or not self._could_start(self.jobs[job], rooms)
             ):
-                self.idle_since.pop(job, None)
-            elif now - self.idle_since.setdefault(job, now) > IDLE_S:
-                self._break("idle", f"{job} has waited {IDLE_S:g} s beside room that fits")
-                self.idle_since[job] = now
+                self.startable_since.pop(job, None)
+            elif now - self.startable_since.setdefault(job, now) > IDLE_S:
+                self._record_violation(
+                    "idle", f"{job} has waited {IDLE_S:g} s beside room that fits"
+                )
+                self.startable_since[job] = now
 
-    def _could_start(self, run: dict[str, Any], rooms: list[Room]) -> bool:
+    def _could_start(self, run: dict[str, Any], rooms: list[FreeMachine]) -> bool:
         """Whether a task of it (of an ensemble: all) waits and would find room."""
         job = run["id"]
         if any(
-            (need, task) not in self.done
+            (need, task) not in self.done_tasks
             for need in run.get("awaits") or ()
             for task in range(self.jobs[need]["shares"])
         ):
@@ -213,7 +228,7 @@
         waiting = [
             task
             for task in range(run["shares"])
-            if (job, task) not in self.done and not self.on.get((job, task))
+            if (job, task) not in self.done_tasks and not self.placements.get((job, task))
         ]
         if not waiting:
             return False
@@ -222,7 +237,7 @@
             return False  # some of it are still being stopped
         wanted = len(waiting) if together else 1
         if (
-            self.used.get(run["owner"], 0.0) + wanted * run["accelerators"]
+            self.used_gpus.get(run["owner"], 0.0) + wanted * run["accelerators"]
             > self.limits[run["owner"]] + 1e-6
         ):
             return False
@@ -241,7 +256,7 @@
                 zone: sum(
                     p.zone == zone
                     for task in range(run["shares"])
-                    for p in self.on.get((job, task), ())
+                    for p in self.placements.get((job, task), ())
                 )
                 for zone in by_zone
             }
@@ -249,7 +264,11 @@
                 zone: max(0, min(number, most - here[zone])) for zone, number in by_zone.items()
             }
         if run["same_place"] and not together:
-            taken = {p.zone for task in range(run["shares"]) for p in self.on.get((job, task), ())}
+            taken = {
+                p.zone
+                for task in range(run["shares"])
+                for p in self.placements.get((job, task), ())
+            }
             by_zone = {
                 zone: number for zone, number in by_zone.items() if not taken or zone in taken
             }
@@ -261,20 +280,20 @@
 
     # -- who was served ------------------------------------------------------------------------------------
 
-    def shares(self, now: float) -> dict[tuple[str, str], float]:
+    def served_shares(self, now: float) -> dict[tuple[str, str], float]:
         """By class, team and the largest jobs of each class: the share of what was accepted, and not called off, that began in time.
         What may still begin in time counts for nothing yet."""
         widest: dict[str, int] = {}
         due = [
             run
             for job, run in self.jobs.items()
-            if job in self.accepted and job not in self.asked_to_cancel
+            if job in self.accepted and job not in self.cancel_requested
         ]
         for run in due:
             widest[run["workload"]] = max(widest.get(run["workload"], 0), run["shares"])
         counts: dict[tuple[str, str], list[int]] = {}
         for run in due:
-            began, since = self.began_at.get(run["id"]), self.accepted_at[run["id"]]
+            began, since = self.all_started_at.get(run["id"]), self.accepted_at[run["id"]]
             if began is None and now <= since + BEGIN_S:
                 continue
             in_time = began is not None and began <= since + BEGIN_S
@@ -285,38 +304,40 @@
                 counts.setdefault(name, []).append(in_time)
         return {name: sum(had) / len(had) for name, had in counts.items()}
 
-    def asked(self, job: str, answered: bool, now: float) -> None:
+    def queried(self, job: str, answered: bool, now: float) -> None:
         """A question about a job, and whether it was answered: one of which no question is for `FORGOTTEN_S` once all is calm is forgotten,
         however others fare."""
         if answered:
-            self.answered_at[job] = now
+            self.last_answer_at[job] = now
         elif (
-            self.calm_since is not None
+            self.faults_over_at is not None
             and job in self.accepted
-            and now - max(self.calm_since, self.answered_at.get(job, 0.0)) > FORGOTTEN_S
+            and now - max(self.faults_over_at, self.last_answer_at.get(job, 0.0)) > FORGOTTEN_S
         ):
-            self._break("forgotten", f"{job}: no question was answered for {FORGOTTEN_S} s")
+            self._record_violation(
+                "forgotten", f"{job}: no question was answered for {FORGOTTEN_S} s"
+            )
 
-    def accounted(self, keys: dict[str, Any]) -> None:
+    def check_stored_jobs(self, keys: dict[str, Any]) -> None:
         """At the end of a day: each job that users were told is accepted is in the store, over or with its work beside it; and no other."""
-        for job in sorted(self.bad):
+        for job in sorted(self.invalid_jobs):
             if f"job/{job}" in keys:
-                self._break("took_bad", f"{job} is stored")
+                self._record_violation("took_bad", f"{job} is stored")
         for job in sorted(self.accepted):
             record = keys.get(f"job/{job}")
             if record is None:
-                self._break("forgotten", f"{job}: no record")
+                self._record_violation("forgotten", f"{job}: no record")
             elif (
                 record["status"] == "queued"
                 and f"work/{self.jobs[job]['owner']}/{job}/job" not in keys
             ):
-                self._break("forgotten", f"{job}: nobody would run it")
+                self._record_violation("forgotten", f"{job}: nobody would run it")
 
-    def refused(self, job: str, status: int, expected: int) -> None:
+    def invalid_submission_answered(self, job: str, status: int, expected: int) -> None:
         """The answer for good to a submission that can't run, or lacks a field."""
-        self.bad.add(job)
+        self.invalid_jobs.add(job)
         if status != expected:
-            self._break("took_bad", f"{job}: {status}, not {expected}")
+            self._record_violation("took_bad", f"{job}: {status}, not {expected}")
 
     def answered(
         self,
@@ -331,41 +352,43 @@
         asked = now if asked is None else asked
         if status in (200, 201):
             if job not in self.jobs:
-                self._break("invented", job)
+                self._record_violation("invented", job)
                 return
             if submission:
                 self.accepted.add(job)
                 self.accepted_at.setdefault(job, now)
-            self.known_at.setdefault(job, now)
-            before = self.told.get(job)
+            self.acknowledged_at.setdefault(job, now)
+            before = self.final_states.get(job)
             if (
                 before is not None
                 and state != before
-                and (state in ("done", "withdrawn") or asked >= self.told_at[job])
+                and (state in ("done", "withdrawn") or asked >= self.final_state_at[job])
             ):
-                self._break("went_back", f"{job}: {before} then {state}")
+                self._record_violation("went_back", f"{job}: {before} then {state}")
             if state == "withdrawn" and not self._may_be_withdrawn(job):
-                self._break("went_back", f"{job}: nobody cancelled it")
-            since = self._orphan_since(job)
+                self._record_violation("went_back", f"{job}: nobody cancelled it")
+            since = self._dependency_cancelled_at(job)
             if state in ("queued", "running") and since is not None and now > since + self.cancel_s:
-                self._break("orphaned", f"{job} is {state}")
+                self._record_violation("orphaned", f"{job} is {state}")
             if state == "done":
-                if any((job, task) not in self.done for task in range(self.jobs[job]["shares"])):
-                    self._break("not_done", job)
-                self.told[job] = state
+                if any(
+                    (job, task) not in self.done_tasks for task in range(self.jobs[job]["shares"])
+                ):
+                    self._record_violation("not_done", job)
+                self.final_states[job] = state
             if state == "withdrawn":
-                self.told[job] = state
-                self.cancelled_at.setdefault(job, now)
-            if job in self.told:
-                self.told_at.setdefault(job, now)
+                self.final_states[job] = state
+                self.cancel_confirmed_at.setdefault(job, now)
+            if job in self.final_states:
+                self.final_state_at.setdefault(job, now)
         elif (
-            job in self.known_at
-            and asked >= self.known_at[job]
+            job in self.acknowledged_at
+            and asked >= self.acknowledged_at[job]
             and (status == 404 or (submission and status in (400, 422)))
         ):
-            self._break("forgotten", f"{job}: {status}")
+            self._record_violation("forgotten", f"{job}: {status}")
 
-    def _before(self, job: str) -> set[str]:
+    def _with_dependencies(self, job: str) -> set[str]:
         """The job and all that it needs, directly or through others."""
         out, left = {job}, [job]
         while left:
@@ -376,21 +399,21 @@
         return out
 
     def _may_be_withdrawn(self, job: str) -> bool:
-        return bool(self._before(job) & self.asked_to_cancel)
+        return bool(self._with_dependencies(job) & self.cancel_requested)
 
-    def _orphan_since(self, job: str) -> float | None:
+    def _dependency_cancelled_at(self, job: str) -> float | None:
         """When its user was told that one before it is cancelled, or of the job itself if that came later."""
         told = [
-            self.cancelled_at[need]
-            for need in self._before(job) - {job}
-            if need in self.cancelled_at and need in self.asked_to_cancel
+            self.cancel_confirmed_at[need]
+            for need in self._with_dependencies(job) - {job}
+            if need in self.cancel_confirmed_at and need in self.cancel_requested
         ]
         return max(min(told), self.accepted_at.get(job, 0.0)) if told else None
 
     def end(self, now: float | None = None) -> None:
         """The day is over. With the time it is also told who was not served."""
-        if not self.starts:
-            self._break("nothing_ran", "")
-        for (kind, name), share in self.shares(now).items() if now is not None else ():
+        if not self.start_count:
+            self._record_violation("nothing_ran", "")
+        for (kind, name), share in self.served_shares(now).items() if now is not None else ():
             if share < HALF:
-                self._break("unserved", f"{kind} {name}: {share:.2f}")
+                self._record_violation("unserved", f"{kind} {name}: {share:.2f}")
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -426,8 +426,8 @@
         net.observe = observe
         service = Service(net, machines=5, capacity=8, later=later)
         service.store.applied = service.cloud.changed_hands
-        service.store.fenced = service.invariants.applied
-        service.invariants.room = service.cloud.rooms
+        service.store.fenced = service.invariants.transaction_applied
+        service.invariants.free_machines = service.cloud.rooms
         await service.start()
         await asyncio.sleep(1)
         runs = jobs()
@@ -465,22 +465,22 @@
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.gather(*troubles)
         await asyncio.sleep(max(began + COURSE_S - service.now(), 0.0))
-        service.invariants.calm_since = service.now()
+        service.invariants.faults_over_at = service.now()
         await asyncio.gather(*cancels)
         # One that was never told gave up; it is cancelled anew, or nothing of the day would end.
         invariants = service.invariants
         for one in sorted(invariants.accepted):
-            if one not in invariants.told and (
-                one in invariants.asked_to_cancel or invariants.jobs[one]["shape"] == "daemon"
+            if one not in invariants.final_states and (
+                one in invariants.cancel_requested or invariants.jobs[one]["shape"] == "daemon"
             ):
                 await service.withdraw(one)
         left = await service.until_final(sorted(invariants.accepted), WITHIN_S)
         await asyncio.sleep(CANCEL_S)
         service.invariants.end(service.now())
-        service.invariants.accounted(
+        service.invariants.check_stored_jobs(
             {path: value for path, (value, _, _) in service.store.keys.items()}
         )
-        return service.invariants.broken, left
+        return service.invariants.violations, left
 
     broken, left = virtual_time.run(main, seed, patch)
     return broken, left
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -255,7 +255,7 @@
         self.teams = [team[0] for team in (shape.teams if shape else TEAMS)]
         self.seed = seed
         self.rng = random.Random(seed)
-        self.served = fleet.invariants.served = SloAttainment()
+        self.served = fleet.invariants.slo_attainment = SloAttainment()
         self.number = 0
         self.took = HdrHistogram(1, 120_000, 3)  # of a submission until it is accepted, ms
         self.asked = HdrHistogram(1, 10_000, 3)  # of a question, ms
@@ -349,7 +349,8 @@
         if counts:
             self.took.record_value(max(1, int((self.now() - began) * 1000)))
         while any(
-            (run["id"], task) not in self.fleet.invariants.done for task in range(run["shares"])
+            (run["id"], task) not in self.fleet.invariants.done_tasks
+            for task in range(run["shares"])
         ):
             await asyncio.sleep(5.0 * (0.8 + 0.4 * self.rng.random()))
             at = self.now()
@@ -521,7 +522,7 @@
         meter.profile = cProfile.Profile() if profile else None
         before, at = dict(meter.spent), users.now()
         requests, counted = fleet.store.requests, fleet.store.counted
-        starts = fleet.invariants.starts
+        starts = fleet.invariants.start_count
         kinds: Counter[str] = Counter()  # of what is written
 
         def count(writes: list[dict[str, Any]]) -> None:
@@ -537,7 +538,7 @@
         for step in range(int(seconds / 5)):
             await asyncio.sleep(5)
             print(
-                f"  {times:g} times: {users.now():.0f} s, {fleet.invariants.starts} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
+                f"  {times:g} times: {users.now():.0f} s, {fleet.invariants.start_count} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
                 f"{time.perf_counter() - wall:.0f} s of real time, step {step}",
                 flush=True,
             )
@@ -557,7 +558,7 @@
                     j
                     for j in fleet.invariants.jobs
                     if any(
-                        (j, t) not in fleet.invariants.done
+                        (j, t) not in fleet.invariants.done_tasks
                         for t in range(fleet.invariants.jobs[j]["shares"])
                     )
                 ]
@@ -575,10 +576,10 @@
             jain=round(
                 jain(row.attainment for (kind, _), row in rows.items() if kind == "team"), 4
             ),
-            starts=(fleet.invariants.starts - starts) / past,
+            starts=(fleet.invariants.start_count - starts) / past,
             written={kind: round(number / past, 2) for kind, number in kinds.most_common()},
             killed=fleet.killed,
-            broken=fleet.invariants.broken[:5],
+            broken=fleet.invariants.violations[:5],
             submissions=users.took.get_total_count(),
             p50_ms=users.took.get_value_at_percentile(50),
             p99_ms=users.took.get_value_at_percentile(99),
@@ -626,7 +627,7 @@
     }
     return (
         " ".join(
-            f"{team} {fleet.invariants.used.get(team, 0.0):.0f} of {held.get(team, 0)}"
+            f"{team} {fleet.invariants.used_gpus.get(team, 0.0):.0f} of {held.get(team, 0)}"
             for team, _, _ in TEAMS
         )
         + f" of {len(fleet.cloud.workers)}"
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -372,7 +372,7 @@
             'ashdock_sockets{use="workers"}' in page and "ashdock_connections_ended_total" in page
         )
         assert not await service.until_final(["req-000001", "req-000002"], 120)
-        assert not service.invariants.broken
+        assert not service.invariants.violations
 
     virtual_time.run(main, 41, monkeypatch)
 
@@ -499,7 +499,7 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shape="daemon", shares=2))
         await service.submit(job(2, shape="daemon", shares=1))
-        while not service.invariants.on.get(("req-000001", 0)):
+        while not service.invariants.placements.get(("req-000001", 0)):
             await asyncio.sleep(0.2)
         processor = service.controllers[0].admission.processor
         monkeypatch.setattr(processor, "late_s", lambda now: late_s)
@@ -510,9 +510,9 @@
         assert response is not None and response[0] == submission
         assert await service.withdraw("req-000001", 0) == "withdrawn"
         await asyncio.sleep(15)  # longer than two leases, shorter than `cancel_s`
-        assert not service.invariants.on.get(("req-000001", 0)) and service.invariants.on.get(
-            ("req-000002", 0)
-        )
+        assert not service.invariants.placements.get(
+            ("req-000001", 0)
+        ) and service.invariants.placements.get(("req-000002", 0))
         assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
 
     play(monkeypatch, 92, day)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -171,7 +171,7 @@
         return service
 
     service: Service = virtual_time.run(main, seed, monkeypatch)
-    assert service.invariants.broken == []
+    assert service.invariants.violations == []
     return service
 
 
@@ -220,14 +220,16 @@
         run = job(1, shape="daemon", shares=2)
         await service.submit(run)
         await asyncio.sleep(10)
-        where = {place.machine for places in service.invariants.on.values() for place in places}
+        where = {
+            place.machine for places in service.invariants.placements.values() for place in places
+        }
         assert where
         if silent:
             for name in where:
                 service.net.cut(service.cloud.workers[name].host, *service.cloud.nodes.values())
         assert await service.withdraw(run["id"]) == "withdrawn"
         await asyncio.sleep(25)
-        assert not any(service.invariants.on.values())
+        assert not any(service.invariants.placements.values())
         assert await service.submit(run) == 200
 
     play(monkeypatch, 3, day)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -51,7 +51,7 @@
         await service.start()
         await asyncio.sleep(SETTLE_S)
         await scenario(service)
-        assert not service.invariants.broken
+        assert not service.invariants.violations
 
     virtual_time.run(main, SEED, monkeypatch)
 
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -154,7 +154,7 @@
             target = f"/v2/runs/req-{n % 60 + 1:06d}"
             cancels = n % 10 == 0 and target.rsplit("/", 1)[1] in users.jobs["red"]
             if cancels:
-                service.invariants.asked_to_cancel.add(target.rsplit("/", 1)[1])
+                service.invariants.cancel_requested.add(target.rsplit("/", 1)[1])
             method, target = ("POST", target + "/withdraw") if cancels else ("GET", target)
             try:
                 await Client(f"10.0.0.{n % 3}", 8080, keep=0).request(method, target, b"", 2.0)
@@ -201,7 +201,7 @@
             and max(users.retry_after_s) <= 10
         )
         assert not await service.until_final(users.jobs["blue"], 60)
-        assert not service.invariants.broken
+        assert not service.invariants.violations
 
     virtual_time.run(main, 51, monkeypatch)
 
@@ -233,7 +233,7 @@
             'ashdock_start_wait_seconds_bucket{class="w",le="+Inf",team="red"}' in pages
             and "ashdock_class_rises" in pages
         )
-        assert not service.invariants.broken
+        assert not service.invariants.violations
 
     virtual_time.run(main, 52, monkeypatch)
 
@@ -266,7 +266,7 @@
         ] == [0, 1, 1]
         await service.submit(job(2, owner="blue", shares=2))
         assert not await service.until_final(["req-000001", "req-000002"], 120)
-        assert not service.invariants.broken
+        assert not service.invariants.violations
         assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
 
     virtual_time.run(main, 53, monkeypatch)
@@ -297,8 +297,8 @@
             )
             assert await service.submit(gang) in (200, 201)
             while (
-                not any((gang["id"], 0) == key for key in service.invariants.on)
-                and (gang["id"], 0) not in service.invariants.done
+                not any((gang["id"], 0) == key for key in service.invariants.placements)
+                and (gang["id"], 0) not in service.invariants.done_tasks
             ):
                 await asyncio.sleep(0.1)
             start_waits_s.append(service.now() - began_at)
@@ -314,7 +314,7 @@
             sorted(start_waits_s)[len(start_waits_s) // 2] <= 4.0 and max(start_waits_s) <= 12.0
         ), sorted(start_waits_s)
         assert not await service.until_final([f"req-{number:06d}" for number in range(2, 14)], 60)
-        done = sum(1 for name, _ in service.invariants.done if name == "req-000001")
-        assert done > 100 and not service.invariants.broken
+        done = sum(1 for name, _ in service.invariants.done_tasks if name == "req-000001")
+        assert done > 100 and not service.invariants.violations
 
     virtual_time.run(main, 54, monkeypatch)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,63 +8,63 @@
 import pytest
 
 from tests.cluster import job
-from tests.invariants import InvariantChecker, On, Room
+from tests.invariants import FreeMachine, InvariantChecker, Placement
 
 Act = Callable[[InvariantChecker], None]
 
 A, B, SPOT = (
-    On("m1", "g4", "a", False, 1),
-    On("m2", "g4", "b", False, 2),
-    On("m3", "g4", "a", True, 1),
+    Placement("m1", "g4", "a", False, 1),
+    Placement("m2", "g4", "b", False, 2),
+    Placement("m3", "g4", "a", True, 1),
 )
-FREE, ONE = Room(A, 4.0, 4.0, 64.0), Room(A, 4.0, 1.0, 64.0)
+FREE, ONE = FreeMachine(A, 4.0, 4.0, 64.0), FreeMachine(A, 4.0, 1.0, 64.0)
 
 
 def twice(checker: InvariantChecker) -> None:
-    checker.started("req-000001", 0, A, 1)
-    checker.started("req-000001", 0, B, 2)
+    checker.task_started("req-000001", 0, A, 1)
+    checker.task_started("req-000001", 0, B, 2)
 
 
 def over_quota(checker: InvariantChecker) -> None:
     for task in range(3):
-        checker.started("req-000001", task, A, 1)
+        checker.task_started("req-000001", task, A, 1)
 
 
 def together(checker: InvariantChecker) -> None:
-    checker.started("req-000002", 0, A, 1)
-    checker.started("req-000002", 1, B, 1)
+    checker.task_started("req-000002", 0, A, 1)
+    checker.task_started("req-000002", 1, B, 1)
 
 
 def spread(checker: InvariantChecker) -> None:
-    checker.started("req-000003", 0, A, 1)
-    checker.started("req-000003", 1, A, 1)
+    checker.task_started("req-000003", 0, A, 1)
+    checker.task_started("req-000003", 1, A, 1)
 
 
 def after_cancel(checker: InvariantChecker) -> None:
-    checker.asked_to_cancel.add("req-000001")
+    checker.cancel_requested.add("req-000001")
     checker.answered("req-000001", 200, "withdrawn", now=5)
-    checker.started("req-000001", 0, A, 16)
+    checker.task_started("req-000001", 0, A, 16)
 
 
 def still_there(checker: InvariantChecker) -> None:
-    checker.asked_to_cancel.add("req-000001")
-    checker.started("req-000001", 0, A, 1)
+    checker.cancel_requested.add("req-000001")
+    checker.task_started("req-000001", 0, A, 1)
     checker.answered("req-000001", 200, "withdrawn", now=5)
     checker.tick(16)
 
 
 def clean(checker: InvariantChecker) -> None:
-    checker.started("req-000001", 0, A, 1)
+    checker.task_started("req-000001", 0, A, 1)
     checker.answered("req-000001", 201, "queued", submission=True)
-    checker.left("req-000001", 0, "m1")
-    checker.started("req-000001", 0, B, 2)
+    checker.task_left("req-000001", 0, "m1")
+    checker.task_started("req-000001", 0, B, 2)
     for task in (0, 1, 2):
-        checker.left("req-000001", task, "m2", done=True)
+        checker.task_left("req-000001", task, "m2", done=True)
     checker.answered("req-000001", 200, "done")
 
 
 def forgotten(checker: InvariantChecker) -> None:
-    checker.started("req-000001", 0, A, 1)
+    checker.task_started("req-000001", 0, A, 1)
     checker.answered("req-000001", 201, "queued", submission=True)
     checker.answered("req-000001", 404, None)
 
@@ -73,20 +73,20 @@
     """All is calm from `since` on; one question is answered at 100 or not, then none is to `until`."""
 
     def act(checker: InvariantChecker) -> None:
-        checker.started("req-000001", 0, A, 1)
+        checker.task_started("req-000001", 0, A, 1)
         checker.answered("req-000001", 201, "queued", submission=True)
-        checker.calm_since = since
-        checker.asked("req-000001", answered, 100.0)
-        checker.asked("req-000001", False, until)
+        checker.faults_over_at = since
+        checker.queried("req-000001", answered, 100.0)
+        checker.queried("req-000001", False, until)
 
     return act
 
 
 def stored(**keys: Any) -> Act:
     def act(checker: InvariantChecker) -> None:
-        checker.started("req-000001", 0, A, 1)
+        checker.task_started("req-000001", 0, A, 1)
         checker.answered("req-000001", 201, "queued", submission=True)
-        checker.accounted(
+        checker.check_stored_jobs(
             {
                 path.replace("_", "/", 3)
                 if path.startswith("work")
@@ -102,27 +102,27 @@
     """A user is told that it is accepted at 1, and at 5 that it is withdrawn; another answer, to what was asked then, comes at `at`."""
 
     def act(checker: InvariantChecker) -> None:
-        checker.started("req-000001", 0, A, 1)
-        checker.left("req-000001", 0, "m1")
+        checker.task_started("req-000001", 0, A, 1)
+        checker.task_left("req-000001", 0, "m1")
         checker.answered("req-000001", 201, "queued", submission=True, now=1)
-        checker.asked_to_cancel.add("req-000001")
+        checker.cancel_requested.add("req-000001")
         checker.answered("req-000001", 200, "withdrawn", now=5)
         checker.answered("req-000001", status, state, now=at, asked=asked)
 
     return act
 
 
-def waits(beside: list[Room], until: float, used: float = 0.0, **more: Any) -> Act:
+def waits(beside: list[FreeMachine], until: float, used: float = 0.0, **more: Any) -> Act:
     """From 10 on all is calm, and a job of two tasks of one accelerator each waits beside that room."""
 
     def act(checker: InvariantChecker) -> None:
-        checker.started("req-000002", 0, A, 1)
+        checker.task_started("req-000002", 0, A, 1)
         checker.submitted(job(6, owner="red", shares=2) | more)
         checker.answered("req-000006", 201, "queued", submission=True, now=5)
-        checker.used["red"] = used
-        checker.room = lambda: beside
+        checker.used_gpus["red"] = used
+        checker.free_machines = lambda: beside
         for now in (4.0, 10.0, 11.0, until):
-            checker.calm_since = 10.0 if now >= 10 else None
+            checker.faults_over_at = 10.0 if now >= 10 else None
             checker.tick(now)
 
     return act
@@ -140,7 +140,7 @@
             checker.submitted(run)
             checker.answered(run["id"], 201, "queued", submission=True, now=0.0)
             for task in range(run["shares"]):
-                checker.started(run["id"], task, A, at)
+                checker.task_started(run["id"], task, A, at)
         checker.end(400.0)
 
     return act
@@ -148,17 +148,17 @@
 
 def txn(when: list[str], path: str) -> Act:
     def act(checker: InvariantChecker) -> None:
-        checker.started("req-000001", 0, A, 1)
-        checker.applied(set(when), [{"set": path, "value": {}}])
+        checker.task_started("req-000001", 0, A, 1)
+        checker.transaction_applied(set(when), [{"set": path, "value": {}}])
 
     return act
 
 
 def bad(status: int, stored: bool = False) -> Act:
     def act(checker: InvariantChecker) -> None:
-        checker.started("req-000001", 0, A, 1)
-        checker.refused("req-900001", status, 422)
-        checker.accounted({"job/req-900001": QUEUED} if stored else {})
+        checker.task_started("req-000001", 0, A, 1)
+        checker.invalid_submission_answered("req-900001", status, 422)
+        checker.check_stored_jobs({"job/req-900001": QUEUED} if stored else {})
 
     return act
 
@@ -178,9 +178,9 @@
     ("quota", over_quota),
     ("wrong_place", together),
     ("wrong_place", spread),
-    ("wrong_place", lambda checker: checker.started("req-000002", 0, SPOT, 1)),
-    ("wrong_place", lambda checker: checker.started("req-000004", 0, A, 1)),
-    ("wrong_place", lambda checker: checker.started("req-000005", 0, A, 1)),
+    ("wrong_place", lambda checker: checker.task_started("req-000002", 0, SPOT, 1)),
+    ("wrong_place", lambda checker: checker.task_started("req-000004", 0, A, 1)),
+    ("wrong_place", lambda checker: checker.task_started("req-000005", 0, A, 1)),
     ("ran_cancelled", after_cancel),
     ("ran_cancelled", still_there),
     ("forgotten", forgotten),
@@ -264,21 +264,21 @@
     checker.submitted(job(5, owner="blue", yard="b"))
     act(checker)
     checker.end()
-    broken = {name for name, _ in checker.broken}
+    violated = {name for name, _ in checker.violations}
     if rule is None:
-        assert broken == set()
+        assert violated == set()
     else:
-        assert rule in broken
+        assert rule in violated
 
 
 def test_starts_after_a_confirmed_cancellation_are_counted() -> None:
     checker = InvariantChecker(10.0, {"red": 4.0})
     checker.submitted(job(1, shares=3))
-    checker.asked_to_cancel.add("req-000001")
-    checker.started("req-000001", 0, A, 1)
+    checker.cancel_requested.add("req-000001")
+    checker.task_started("req-000001", 0, A, 1)
     checker.answered("req-000001", 200, "withdrawn", now=5)
-    checker.started("req-000001", 1, A, 6)
-    checker.started("req-000001", 2, A, 15.5)
-    assert checker.late_starts == [("req-000001", 1), ("req-000001", 10.5)] and {
-        rule for rule, _ in checker.broken
+    checker.task_started("req-000001", 1, A, 6)
+    checker.task_started("req-000001", 2, A, 15.5)
+    assert checker.starts_after_cancellation == [("req-000001", 1), ("req-000001", 10.5)] and {
+        rule for rule, _ in checker.violations
     } == {"ran_cancelled"}
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -282,7 +282,7 @@
                 )
             )
         while not all(
-            service.invariants.on.get((f"req-{number:06d}", 0)) for number in range(1, 7)
+            service.invariants.placements.get((f"req-{number:06d}", 0)) for number in range(1, 7)
         ):
             await asyncio.sleep(0.2)
         old = await owned(service)
@@ -322,11 +322,13 @@
         assert {
             await service.poll(f"req-{number:06d}", n) for number in (1, 2, 3) for n in range(3)
         } == {"withdrawn"}
-        assert not any(service.invariants.on.get((f"req-{number:06d}", 0)) for number in (1, 2, 3))
+        assert not any(
+            service.invariants.placements.get((f"req-{number:06d}", 0)) for number in (1, 2, 3)
+        )
         # What was not cancelled has not noticed.
         assert (
-            all(service.invariants.on.get((f"req-{number:06d}", 0)) for number in (4, 5, 6))
-            and service.invariants.starts == 6
+            all(service.invariants.placements.get((f"req-{number:06d}", 0)) for number in (4, 5, 6))
+            and service.invariants.start_count == 6
         )
 
     play(monkeypatch, 81, day)
@@ -471,7 +473,7 @@
             await service.submit(
                 job(number, shares=1, expect_s=8.0, bundle="img", size_gb=0.1, accelerators=0.5)
             )
-        while not service.invariants.on.get((ids[-1], 0)):
+        while not service.invariants.placements.get((ids[-1], 0)):
             await asyncio.sleep(0.05)
         service.store.slow = 0.3
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -49,16 +49,18 @@
         runs = [job(1, shares=8, expect_s=60.0), job(2, shares=8, expect_s=60.0)]
         for run in runs:
             await service.submit(run)
-        while sum(len(places) for places in service.invariants.on.values()) < 16:
+        while sum(len(places) for places in service.invariants.placements.values()) < 16:
             await asyncio.sleep(0.5)
             assert service.now() < 40
         await asyncio.sleep(2)
-        held = {place.machine for places in service.invariants.on.values() for place in places}
+        held = {
+            place.machine for places in service.invariants.placements.values() for place in places
+        }
         at = next(n for n, c in service.controllers.items() if "red" in c.owners)
         refuse(service.controllers[at])
         if not heard:
             service.net.cut(f"10.0.0.{at}", *(f"10.0.0.{n}" for n in range(3) if n != at))
-        starts = service.invariants.starts
+        starts = service.invariants.start_count
         await asyncio.sleep(3)
         if heard:  # it knows that the others are served, and says so at once
             before = service.now()
@@ -70,7 +72,8 @@
         assert held <= set(service.cloud.workers)
         if heard:
             assert (
-                service.invariants.starts == starts and "red" not in service.controllers[at].owners
+                service.invariants.start_count == starts
+                and "red" not in service.controllers[at].owners
             )
         del service.controllers[at]
         service.crash(at)
@@ -226,14 +229,14 @@
             urgency="best_effort",
         )
         await service.submit(run)
-        while len(service.invariants.done) < 500:
+        while len(service.invariants.done_tasks) < 500:
             await asyncio.sleep(0.2)
             assert service.now() < 60
         service.crash(next(n for n, c in service.controllers.items() if "red" in c.owners), 2.0)
         assert await service.until_final(["req-000001"], 90) == []
         assert writes[0] < 1500 / 4
         # Nothing that had ended well was started again, but for what the crash kept from being written.
-        assert service.invariants.starts < 1500 * 1.2
+        assert service.invariants.start_count < 1500 * 1.2
 
     play(monkeypatch, 25, day)
 
@@ -263,7 +266,7 @@
         for run in runs:
             assert await service.withdraw(run["id"]) == "withdrawn"
         await asyncio.sleep(service.invariants.cancel_s / 2)
-        assert not any(service.invariants.on.values())
+        assert not any(service.invariants.placements.values())
         assert not any(
             path.startswith(("work/", "park/")) and value
             for path, (value, _, _) in service.store.keys.items()
@@ -285,7 +288,7 @@
         path = "work/red/req-000001/0"
         while (
             not service.store.keys.get(path, ({}, 0, 0))[0].get("p")
-            or not service.invariants.starts
+            or not service.invariants.start_count
         ):
             await asyncio.sleep(0.2)
         inner = service.store.handle
@@ -340,7 +343,7 @@
         await service.submit(job(1, shares=8, expect_s=2 * lease_s))
         assert not await service.until_final(["req-000001"], 60)
         assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
-        assert service.invariants.starts == 8
+        assert service.invariants.start_count == 8
         leader = next(c for c in service.controllers.values() if c.leader)
         free = next(w for w in service.cloud.workers.values() if not w.shares)
         for down, status in [(False, 200), (True, 503)]:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -770,7 +770,7 @@
             assert await service.until_final(["req-000004"], 120) == []
         assert await service.submit(runs[4]) in (200, 201)
         assert await service.until_final([run["id"] for run in runs], 200) == []
-        assert {service.invariants.told[run["id"]] for run in runs} == {"done"}
+        assert {service.invariants.final_states[run["id"]] for run in runs} == {"done"}
 
     service = play(monkeypatch, 31, day, later=SMALLER_LIMITS)
     # Every transaction kept to the smaller limits before the store applied them.
@@ -813,7 +813,9 @@
         # Submitted only now, it needs a job that was cancelled with its dependency.
         assert await service.submit(job(9, owner="blue", awaits=["req-000004"])) in (200, 201)
         assert await service.until_final([*ids, "req-000009"], 15) == []
-        assert {service.invariants.told[name] for name in [*ids, "req-000009"]} == {"withdrawn"}
+        assert {service.invariants.final_states[name] for name in [*ids, "req-000009"]} == {
+            "withdrawn"
+        }
         assert "req-000001" in service.answers["req-000005"]["reason"]
         assert await service.submit(job(10, shares=1)) == 201  # so that something runs
         assert await service.until_final(["req-000010"], 60) == []
@@ -836,7 +838,9 @@
         ]
         await asyncio.gather(*calls)
         assert await service.until_final([f"req-{20 + n:06d}" for n in numbers], 15) == []
-        assert {service.invariants.told[f"req-{20 + n:06d}"] for n in numbers} == {"withdrawn"}
+        assert {service.invariants.final_states[f"req-{20 + n:06d}"] for n in numbers} == {
+            "withdrawn"
+        }
         assert await service.submit(job(99, shares=1)) == 201
         assert await service.until_final(["req-000099"], 60) == []
 
@@ -851,7 +855,7 @@
         await service.submit(job(2, shares=1, awaits=["req-000001"], owner="blue"))
         assert (
             await service.until_final(["req-000002"], 60) == []
-            and service.invariants.told["req-000002"] == "done"
+            and service.invariants.final_states["req-000002"] == "done"
         )
 
     play(monkeypatch, 35, day)
@@ -950,7 +954,7 @@
         service.invariants.end()
         return service
 
-    assert virtual_time.run(main, 37, monkeypatch).invariants.broken == []
+    assert virtual_time.run(main, 37, monkeypatch).invariants.violations == []
 
 
 @pytest.mark.parametrize("announced", [True, False], ids=["announced", "unannounced"])
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -270,7 +270,9 @@
         await asyncio.sleep(1)
         assert all(service.controllers[n].ready() for n in range(3))
         done = sum(
-            len(service.invariants.done & {(run["id"], task) for task in range(run["shares"])})
+            len(
+                service.invariants.done_tasks & {(run["id"], task) for task in range(run["shares"])}
+            )
             for run in runs
         )
         if every_s > 1:
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -335,7 +335,9 @@
         await run.refuse_again()
     if scenario.keeps_work:
         assert incarnations(service) == incarnations_before
-        assert all(service.invariants.on.get((f"req-{number:06d}", 0)) for number in (3, 4, 5, 6))
+        assert all(
+            service.invariants.placements.get((f"req-{number:06d}", 0)) for number in (3, 4, 5, 6)
+        )
     service.doors = [0, 1, 2]
     await asyncio.sleep(LEASE_S)
     for number in (5, 6):
@@ -359,7 +361,7 @@
 async def start_long_job(service: Service, number: int) -> int:
     """Submit a long job, wait until it runs, and return the number of its shard's owner."""
     await service.submit(job(number, shape="daemon", shares=1))
-    while not service.invariants.on.get((f"req-{number:06d}", 0)):
+    while not service.invariants.placements.get((f"req-{number:06d}", 0)):
         await asyncio.sleep(0.2)
     return await owned(service)
 
@@ -402,7 +404,7 @@
             assert (
                 len(link.intervals) == interval_count
                 and known_until > service.now() - 2
-                and not service.invariants.on.get(("req-000001", 0))
+                and not service.invariants.placements.get(("req-000001", 0))
             )
         else:
             assert len(link.intervals) == interval_count + 1 and known_until < service.now() - 2.5
@@ -544,7 +546,7 @@
         assert incarnations(service) == incarnations_before
         service.store.down, service.store.refusing = False, set()
         await asyncio.sleep(2 * LEASE_S)
-        assert service.invariants.on.get(("req-000001", 0)) and {
+        assert service.invariants.placements.get(("req-000001", 0)) and {
             worker.tenure for worker in service.cloud.workers.values()
         } == {1}
 
--- a/tests/users.py
+++ b/tests/users.py
@@ -38,9 +38,9 @@
 def running(service: Service) -> list[tuple[str, list[FakeWorker]]]:
     """Jobs that run, have long to go and were not called off, with their machines."""
     out: dict[str, list[FakeWorker]] = {}
-    for (job_id, _), places in service.invariants.on.items():
+    for (job_id, _), places in service.invariants.placements.items():
         run = service.invariants.jobs[job_id]
-        if job_id not in service.invariants.asked_to_cancel and (
+        if job_id not in service.invariants.cancel_requested and (
             run["shape"] == "daemon" or run["expect_s"] >= LONG_S
         ):
             out.setdefault(job_id, []).extend(
@@ -86,9 +86,9 @@
                     service.net, "users", rng.choice((service.poll, service.repeat))(job_id, door)
                 )
 
-    service.invariants.on_done = ended
+    service.invariants.on_job_done = ended
     await asyncio.sleep(for_s)
-    service.invariants.on_done = None
+    service.invariants.on_job_done = None
 
 
 BAD: list[tuple[int, dict[str, Any]]] = [  # the status that a submission with this gets
@@ -117,8 +117,10 @@
     while service.now() < until:
         await asyncio.sleep(0.3 * rng.random())
         odd = rng.randrange(3)
-        done = sorted(job_id for job_id, word in service.invariants.told.items() if word == "done")
-        unfinished = sorted(service.invariants.accepted - service.invariants.told.keys())
+        done = sorted(
+            job_id for job_id, word in service.invariants.final_states.items() if word == "done"
+        )
+        unfinished = sorted(service.invariants.accepted - service.invariants.final_states.keys())
         if odd == 0 and unfinished:
             spawn(service.net, "users", service.repeat(rng.choice(unfinished), rng.randrange(3)))
         elif odd == 1 and done:
@@ -131,7 +133,9 @@
                 "POST", "/v2/runs", service.body_of(run), 5.0, rng.randrange(3)
             )
             if got is not None and got[0] in (200, 201, 400, 422):
-                service.invariants.refused(f"req-{number:06d}", got[0], expected)
+                service.invariants.invalid_submission_answered(
+                    f"req-{number:06d}", got[0], expected
+                )
 
 
 async def one_task_jobs(service: Service, rng: random.Random, for_s: float) -> None:
