--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -25,7 +25,7 @@
 )
 from tests.fakes import CLOUD_HOST, STORE_HOST, FakeCloud, FakeStore
 from tests.invariants import InvariantChecker
-from tests.virtual_time import Net, spawn
+from tests.virtual_time import Network, spawn
 
 ZONES = ["a", "b", "c"]
 TEAMS = [Team("red", gpus=8, gpus_max=24), Team("blue", gpus=8, gpus_max=16)]
@@ -87,7 +87,7 @@
 
 class Service:
     def __init__(
-        self, net: Net, machines: int = 4, capacity: int = 8, later: NextLimits | None = None
+        self, net: Network, machines: int = 4, capacity: int = 8, later: NextLimits | None = None
     ) -> None:
         self.net = net
         self.later = later
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -31,7 +31,7 @@
 from tests import cluster, virtual_time
 from tests.fleet import Fleet
 from tests.totals import Totals
-from tests.virtual_time import Net
+from tests.virtual_time import Network
 
 ROOT = Path(__file__).resolve().parent.parent
 FILL_S = 45.0  # until a fleet of either shape is at work
@@ -327,7 +327,7 @@
 class Play:
     """One deployment on the stand-ins, its users, and what is measured."""
 
-    net: Net
+    net: Network
     fleet: Fleet
     users: Any
 
@@ -400,7 +400,7 @@
     """What each controller used in so many seconds of a course, and the budget of each by its role."""
     out: dict[str, Any] = {}
 
-    async def main(net: Net) -> None:
+    async def main(net: Network) -> None:
         fleet = Fleet(net, shared_of(shape, times), int(shape.machines * times))
         await fleet.start()
         users = users_of(fleet, times, shape)
--- a/tests/courses.py
+++ b/tests/courses.py
@@ -25,7 +25,7 @@
 
 from tests.fakes import STORE_HOST
 from tests.fleet import Fleet
-from tests.virtual_time import Net, spawn
+from tests.virtual_time import Network, spawn
 
 DAYS = Path(__file__).with_name("days")
 
@@ -60,7 +60,7 @@
     return max(held, key=lambda n: (held[n], n), default=None)
 
 
-async def end_and_restart(net: Net, fleet: Fleet, ends: list[End], restart_s: float) -> None:
+async def end_and_restart(net: Network, fleet: Fleet, ends: list[End], restart_s: float) -> None:
     began = asyncio.get_running_loop().time()
 
     async def back(n: int) -> None:
@@ -84,7 +84,7 @@
     """How long it took from what became of a holder until the next one's claim, and until the first effect of that one's term."""
 
     def __init__(
-        self, net: Net, fleet: Fleet, restart_s: float, freeze: Callable[[str, float], None]
+        self, net: Network, fleet: Fleet, restart_s: float, freeze: Callable[[str, float], None]
     ) -> None:
         self.net, self.fleet, self.restart_s, self.freeze = net, fleet, restart_s, freeze
         self.rows: list[tuple[str, float | None, float | None]] = []
@@ -127,7 +127,7 @@
             elif change == "stood still":
                 self.freeze(host, CHANGE_S / 2)
             else:
-                self.net.cut(host, STORE_HOST)
+                self.net.partition(host, STORE_HOST)
                 await asyncio.sleep(CHANGE_S / 2)
                 self.net.heal()
             await asyncio.sleep(max(self.began + CHANGE_S - self._now(), 0.0))
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -40,7 +40,7 @@
             )
         elif trouble == 1:
             n = rng.randrange(3)
-            service.net.cut(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
+            service.net.partition(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
             spawn(service.net, "users", _later(rng.uniform(1, 8), service.net.heal))
         elif trouble == 2:
             service.store.apply_late = rng.choice((0.0, 0.05))
@@ -55,7 +55,7 @@
                 if rng.random() < 0.6
             ]
             for n in range(3):
-                service.net.cut(f"10.0.0.{n}", *workers)
+                service.net.partition(f"10.0.0.{n}", *workers)
             spawn(service.net, "users", _later(rng.uniform(5, 9), service.net.heal))
         for _ in range(rng.randrange(1, 6)):
             alive = sorted(service.controllers)
@@ -74,7 +74,7 @@
     """What broke on the day of that seed, and the jobs that were not over in time."""
     rng = random.Random(seed)
 
-    async def main(net: virtual_time.Net) -> tuple[list[tuple[str, str]], list[str]]:
+    async def main(net: virtual_time.Network) -> tuple[list[tuple[str, str]], list[str]]:
         service = Service(net, machines=5, capacity=8)
         await service.start()
         await asyncio.sleep(1)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -12,7 +12,7 @@
 
 from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
 from tests.invariants import FreeMachine, InvariantChecker, Placement
-from tests.virtual_time import CALLER, Net, spawn
+from tests.virtual_time import REMOTE_HOST, Network, spawn
 
 STORE_HOST, CLOUD_HOST = "10.2.0.1", "10.2.0.2"
 
@@ -22,7 +22,7 @@
 
 
 class FakeStore:
-    def __init__(self, net: Net) -> None:
+    def __init__(self, net: Network) -> None:
         self.net = net
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.ledger = 0
@@ -64,7 +64,7 @@
         asyncio.create_task(self._expire())
 
     def _refuses(self) -> bool:
-        return self.down or CALLER.get() in self.refusing
+        return self.down or REMOTE_HOST.get() in self.refusing
 
     async def _expire(self) -> None:
         while True:
@@ -535,7 +535,7 @@
 
     def __init__(
         self,
-        net: Net,
+        net: Network,
         invariants: InvariantChecker,
         nodes: dict[str, str],
         zones: list[str],
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -11,7 +11,7 @@
 from ashdock.settings import Operators, Other, Outside, Settings, Shared
 from tests.fakes import CLOUD_HOST, STORE_HOST, FakeCloud, FakeStore, FakeWorker
 from tests.invariants import InvariantChecker
-from tests.virtual_time import Net, spawn
+from tests.virtual_time import Network, spawn
 
 ZONES = ["a", "b", "c"]
 
@@ -133,7 +133,7 @@
 class Fleet:
     """Three controllers and their machines, all up from the start."""
 
-    def __init__(self, net: Net, shared: Shared, machines: int) -> None:
+    def __init__(self, net: Network, shared: Shared, machines: int) -> None:
         self.net = net
         self.shared = shared
         self.rng = random.Random(net.rng.random())
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -30,6 +30,7 @@
 CALM: dict[str, Any] = {
     "down": False,
     "slow": 0.0,
+    "max_extra_delay_s": 0.0,
     "apply_late": 0.0,
     "lose_answers": 0.0,
     "late_reports": 0.0,
@@ -118,10 +119,10 @@
     """Of a controller, or of all, timers fire up to seconds late, as where the processor is late."""
     hosts = [f"10.0.0.{n}" for n in range(3)] if rng.random() < 0.3 else [owner_of(service, rng)]
     late_s = rng.choice((0.5, 2.0, 5.0))
-    service.net.late |= dict.fromkeys(hosts, late_s)
+    service.net.max_timer_delay_s |= dict.fromkeys(hosts, late_s)
     await asyncio.sleep(for_s)
     for host in hosts:
-        service.net.late.pop(host, None)
+        service.net.max_timer_delay_s.pop(host, None)
 
 
 async def leaders_change(service: Service, rng: random.Random, for_s: float) -> None:
@@ -136,9 +137,9 @@
 
 
 async def _cut(service: Service, for_s: float, pairs: list[frozenset[str]]) -> None:
-    service.net.cuts |= set(pairs)
+    service.net.partitions |= set(pairs)
     await asyncio.sleep(for_s)
-    service.net.cuts -= set(pairs)
+    service.net.partitions -= set(pairs)
 
 
 async def apart(service: Service, rng: random.Random, for_s: float) -> None:
@@ -272,7 +273,7 @@
     "late_of_a_kind": of_writes("late"),
     "deaf": machines_are("deaf"),
     "mute": machines_are("mute"),
-    "slow_links": while_set("net", "slow", 0.05, 0.3),
+    "slow_links": while_set("net", "max_extra_delay_s", 0.05, 0.3),
     "reports_for_next": while_set("cloud", "kept_share", 0.3, 1.0),
     "quick_boots": while_set("cloud", "boot_s", 1.0),
     "outage": while_set("store", "down", True),
@@ -422,8 +423,8 @@
     """
     troubles_by_name = TROUBLES | (more or {})
 
-    async def main(net: virtual_time.Net) -> tuple[list[tuple[str, str]], list[str]]:
-        net.observe = observe
+    async def main(net: virtual_time.Network) -> tuple[list[tuple[str, str]], list[str]]:
+        net.on_write = observe
         service = Service(net, machines=5, capacity=8, later=later)
         service.store.applied = service.cloud.changed_hands
         service.store.fenced = service.invariants.transaction_applied
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -48,7 +48,7 @@
 from tests import cluster, cost, courses, virtual_time
 from tests.fleet import Fleet
 from tests.totals import Totals
-from tests.virtual_time import HOST, Net, SimLoop
+from tests.virtual_time import HOST_BY_TASK, Network, VirtualTimeLoop
 
 # One time the fleet: three teams with guarantees, the arrivals a second of two kinds of gangs and one of arrays, 662 machines of 4 GPUs.
 MACHINES = 662
@@ -203,30 +203,30 @@
                 act, with_ = job.throw, why
 
 
-def simulate(main: Callable[[Net], Any], seed: int, meter: Meter) -> Any:
-    loop = SimLoop()
-    net = Net(seed)
+def simulate(main: Callable[[Network], Any], seed: int, meter: Meter) -> Any:
+    loop = VirtualTimeLoop()
+    net = Network(seed)
 
     def factory(loop_: Any, job: Any, **more: Any) -> asyncio.Task[Any]:
         parent = None
         with contextlib.suppress(RuntimeError):
             parent = asyncio.current_task(loop_)
-        host = net.booting or HOST.get(parent)
+        host = net.spawning_host or HOST_BY_TASK.get(parent)
         task: asyncio.Task[Any] = asyncio.Task(
             meter.run(job, host) if host and host.startswith("10.0.0.") else job, loop=loop_, **more
         )
         if host is not None:
-            HOST[task] = host
-            net.remember(host, task)
+            HOST_BY_TASK[task] = host
+            net.track_task(host, task)
         return task
 
     loop.set_task_factory(factory)
-    HOST.clear()
+    HOST_BY_TASK.clear()
     with (
         mock.patch.object(asyncio, "open_connection", net.open_connection),
         mock.patch.object(asyncio, "start_server", net.start_server),
         mock.patch.object(time, "monotonic", lambda: loop.clock + meter.ahead()),
-        mock.patch.object(time, "time", lambda: loop.clock + virtual_time.WALL),
+        mock.patch.object(time, "time", lambda: loop.clock + virtual_time.WALL_CLOCK_START_S),
     ):
         try:
             return loop.run_until_complete(main(net))
@@ -459,7 +459,7 @@
     return int(asizeof.asizeof(*tables))
 
 
-async def trouble(net: Net, fleet: Fleet, meter: Meter) -> None:
+async def trouble(net: Network, fleet: Fleet, meter: Meter) -> None:
     """The hot team's owner ends and is back 8 s later, the next one computes three times slower, and the state service is down meanwhile."""
     await asyncio.sleep(30)
     owner = next((n for n, c in fleet.controllers.items() if HOT in c.owners), 0)
@@ -490,11 +490,11 @@
     out: dict[str, Any] = {"times": times, "machines": int(MACHINES * times)}
     wall = time.perf_counter()
 
-    async def main(net: Net) -> None:
+    async def main(net: Network) -> None:
         shared = shared_at(times, sockets, core)
         fleet = Fleet(net, shared, int(MACHINES * times))
         for n in range(3):
-            net.limits[f"10.0.0.{n}"] = sockets
+            net.socket_limits[f"10.0.0.{n}"] = sockets
         await fleet.start()
         users = Users(fleet, times, seed)
         virtual_time.spawn(net, "users", users.run())
@@ -586,8 +586,8 @@
             within_1s=share_within(users.took, 1000),
             asked_p99_ms=users.asked.get_value_at_percentile(99),
             errors=dict(users.errors),
-            sockets=max(net.most.get(f"10.0.0.{n}", 0) for n in range(3)),
-            refused=net.refused,
+            sockets=max(net.max_sockets.get(f"10.0.0.{n}", 0) for n in range(3)),
+            refused=net.refused_connections,
             late_s=max(
                 (
                     c.admission.processor.late_s(users.now())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -275,7 +275,7 @@
     goes out with the answer to the next report.
     """
 
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         async def handle(request: Request) -> Answer:
             return Answer(200, b"{}")
 
@@ -305,7 +305,7 @@
 def test_lease_renewal_does_not_wait_for_a_free_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         async def handle(request: Request) -> Answer:
             await asyncio.sleep(0.0 if request.target == "/renew" else 3.0)
             return Answer(200, b"{}")
@@ -338,10 +338,10 @@
     them and the users.
     """
 
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net, machines=40, capacity=40)
         for n in range(3):
-            net.limits[f"10.0.0.{n}"] = 64
+            net.socket_limits[f"10.0.0.{n}"] = 64
         service.limit = 64
         service.cloud.keep = 1  # workers keep their connections
         await service.start()
@@ -364,7 +364,7 @@
             await asyncio.sleep(0.5)
         assert late_or_failed == 0 and ready >= 55
         assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
-        assert net.most["10.0.0.0"] <= 64 and net.refused == 0
+        assert net.max_sockets["10.0.0.0"] <= 64 and net.refused_connections == 0
         page = (await Client("10.0.0.0", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
             1
         ].decode()
@@ -382,7 +382,7 @@
 ) -> None:
     """Connections without a request are closed in time, and requests over others are answered."""
 
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net)
         service.limit = 64
         await service.start()
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -84,14 +84,14 @@
 
 async def node_without_workers(service: Service) -> None:
     await asyncio.sleep(7)
-    service.net.cut("10.0.0.0", *(worker.host for worker in service.cloud.workers.values()))
+    service.net.partition("10.0.0.0", *(worker.host for worker in service.cloud.workers.values()))
     await asyncio.sleep(15)
     service.net.heal()
 
 
 async def node_without_state(service: Service) -> None:
     await asyncio.sleep(7)
-    service.net.cut("10.0.0.1", "10.2.0.1")
+    service.net.partition("10.0.0.1", "10.2.0.1")
     await asyncio.sleep(15)
     service.net.heal()
 
@@ -105,7 +105,7 @@
         "10.0.0.1",
         *(worker.host for worker in service.cloud.workers.values()),
     ]
-    service.net.cut("10.0.0.2", *others)
+    service.net.partition("10.0.0.2", *others)
     await asyncio.sleep(15)
     service.net.heal()
 
@@ -128,7 +128,7 @@
     service.store.lose_answers = 0.1
     await asyncio.sleep(6)
     service.crash(1)
-    service.net.cut("10.0.0.0", *(w.host for w in list(service.cloud.workers.values())[:2]))
+    service.net.partition("10.0.0.0", *(w.host for w in list(service.cloud.workers.values())[:2]))
     await asyncio.sleep(4)
     service.cloud.workers["vm-000002"].die()
     await asyncio.sleep(6)
@@ -162,7 +162,7 @@
     settle: float = 0.0,
     **more: Any,
 ) -> Service:
-    async def main(net: virtual_time.Net) -> Service:
+    async def main(net: virtual_time.Network) -> Service:
         service = Service(net, **more)
         await service.start()
         await asyncio.sleep(settle)
@@ -226,7 +226,9 @@
         assert where
         if silent:
             for name in where:
-                service.net.cut(service.cloud.workers[name].host, *service.cloud.nodes.values())
+                service.net.partition(
+                    service.cloud.workers[name].host, *service.cloud.nodes.values()
+                )
         assert await service.withdraw(run["id"]) == "withdrawn"
         await asyncio.sleep(25)
         assert not any(service.invariants.placements.values())
@@ -424,7 +426,7 @@
         )
         assert status == 421 and json.loads(answer)["harbour"] == owner
         # Of two zones that are apart, one that cannot hear the owner either names a third that may.
-        service.net.cut(f"10.0.0.{other}", f"10.0.0.{owner[1:]}")
+        service.net.partition(f"10.0.0.{other}", f"10.0.0.{owner[1:]}")
         await asyncio.sleep(5)
         worker = next(w for w in service.cloud.workers.values() if w.shares and w is not worker)
         worker.tally += 1
@@ -479,7 +481,7 @@
 def test_machines_given_up_together_cost_few_writes(monkeypatch: pytest.MonkeyPatch) -> None:
     """A mass return was a transaction for each machine to give it up, and one for each to forget it."""
 
-    async def main(net: virtual_time.Net) -> Service:
+    async def main(net: virtual_time.Network) -> Service:
         service = Service(net, machines=30, capacity=30)
         touched: list[int] = []
 
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -46,7 +46,7 @@
     Unlike with `tests.test_cluster.play`, it may end before any task has run.
     """
 
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net)
         await service.start()
         await asyncio.sleep(SETTLE_S)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -137,7 +137,7 @@
 def test_burst_of_one_team_does_not_delay_another(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
         waits = [
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -109,7 +109,7 @@
         await asyncio.gather(*(self.arrive(team, rate) for team, rate in rates.items()))
 
 
-async def started_service(net: virtual_time.Net) -> Service:
+async def started_service(net: virtual_time.Network) -> Service:
     service = Service(net, machines=12, capacity=12, later=NextLimits(write_rps=STORE_WRITES_PER_S))
     await service.start()
     await asyncio.sleep(8)
@@ -141,7 +141,7 @@
 async def controllers_partitioned(service: Service, users: TeamUsers) -> None:
     """Controllers that hear no other know only their own load, and their shares are out of date."""
     await asyncio.sleep(3)
-    service.net.cut("10.0.0.0", "10.0.0.1", "10.0.0.2")
+    service.net.partition("10.0.0.0", "10.0.0.1", "10.0.0.2")
     await asyncio.sleep(8)
     service.net.heal()
 
@@ -184,7 +184,7 @@
     max_accept_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = await started_service(net)
         users = TeamUsers(service)
         await asyncio.gather(users.run(rates), fault(service, users))
@@ -207,7 +207,7 @@
 
 
 def test_two_hot_teams_are_accepted_at_the_same_rate(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = await started_service(net)
         users = TeamUsers(service)
         burst = asyncio.create_task(users.run({"red": 40.0, "blue": 15.0}))
@@ -247,7 +247,7 @@
     behind.
     """
 
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net, machines=8, capacity=8)
         await service.start()
         await service.submit(job(1, shares=16, expect_s=60.0))
@@ -278,7 +278,7 @@
     Meanwhile the owner of the array crashes, and the store takes few writes.
     """
 
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = await started_service(net)
         await service.submit(job(1, shares=100_000, expect_s=1.5, urgency="best_effort"))
         start_waits_s: list[float] = []
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -59,7 +59,7 @@
         at = next(n for n, c in service.controllers.items() if "red" in c.owners)
         refuse(service.controllers[at])
         if not heard:
-            service.net.cut(f"10.0.0.{at}", *(f"10.0.0.{n}" for n in range(3) if n != at))
+            service.net.partition(f"10.0.0.{at}", *(f"10.0.0.{n}" for n in range(3) if n != at))
         starts = service.invariants.start_count
         await asyncio.sleep(3)
         if heard:  # it knows that the others are served, and says so at once
@@ -149,7 +149,7 @@
             "10.0.0.2",
             *(w.host for w in service.cloud.workers.values()),
         ]
-        service.net.cut("10.0.0.1", *others)
+        service.net.partition("10.0.0.1", *others)
 
         async def asks(n: int) -> None:
             for _ in range(60):
@@ -171,7 +171,7 @@
     """Each round of the leader sent the same transactions again: the line of writes grew faster than it was served, and a
     pool of machines that nobody wanted was paid for to the end of the day (found in inc-0137 and a drawn day)."""
 
-    async def main(net: virtual_time.Net) -> Service:
+    async def main(net: virtual_time.Network) -> Service:
         service = Service(net, machines=40, capacity=40)
         await service.start()
         await asyncio.sleep(1)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -915,7 +915,7 @@
 def test_the_cluster_version_waits_for_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two controllers announced the new version, and one of them restarts; the third did not."""
 
-    async def main(net: virtual_time.Net) -> Service:
+    async def main(net: virtual_time.Network) -> Service:
         service = Service(net, later=SMALLER_LIMITS)
         boot = service.boot
         service.boot = lambda n: boot(n) if n != 2 else None  # type: ignore[method-assign]
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -13,7 +13,7 @@
 def test_a_large_transaction_is_not_overtaken_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     """One that asks for a whole second's worth would else wait until no small request comes any more."""
 
-    async def main(net: virtual_time.Net) -> float:
+    async def main(net: virtual_time.Network) -> float:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
@@ -51,7 +51,7 @@
 def test_order_of_grants(
     asked: list[tuple[float, RequestPriority]], order: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def main(net: virtual_time.Net) -> list[int]:
+    async def main(net: virtual_time.Network) -> list[int]:
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
         granted: list[int] = []
@@ -68,7 +68,7 @@
 
 
 def test_a_cancelled_wait_takes_no_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def main(net: virtual_time.Net) -> tuple[float, float]:
+    async def main(net: virtual_time.Network) -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
@@ -86,7 +86,7 @@
 def test_demand_weighs_user_requests_most(monkeypatch: pytest.MonkeyPatch) -> None:
     """Else the owner of an array of 25,000 tasks takes the rate while other controllers refuse submissions."""
 
-    async def main(net: virtual_time.Net) -> dict[RequestPriority, float]:
+    async def main(net: virtual_time.Network) -> dict[RequestPriority, float]:
         demands = {}
         for priority in RequestPriority:
             rate_limiter = RateLimiter(10.0)
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -249,19 +249,19 @@
         if self.scenario.workers_cut_at is not None:
             await self.sleep_until(self.scenario.workers_cut_at)
             workers = self.service.cloud.workers.values()
-            self.service.net.cut(self.hosts[self.owner], *(worker.host for worker in workers))
+            self.service.net.partition(self.hosts[self.owner], *(worker.host for worker in workers))
 
     def begin_faults(self) -> None:
         """Start the faults that last from the refusal on."""
         service, scenario = self.service, self.scenario
         owner_host = self.hosts[self.owner]
         if scenario.max_timer_delay_s:
-            service.net.late = {owner_host: scenario.max_timer_delay_s}
+            service.net.max_timer_delay_s = {owner_host: scenario.max_timer_delay_s}
         spawn(service.net, "users", self.refuse())
         spawn(service.net, "users", self.cut_workers())
         for n, role in ((self.confirmer, "confirmer"), (self.third, "third")):
             if scenario.cut_peers in (role, "both"):
-                service.net.cut(owner_host, self.hosts[n])
+                service.net.partition(owner_host, self.hosts[n])
 
     async def cancel(self, *numbers: int) -> None:
         """Cancel these jobs as their users, through the confirmer."""
@@ -330,7 +330,7 @@
     await run.sleep_until(scenario.outage_at)
     await run.store_outage()
     service.net.heal()
-    service.net.late = {}
+    service.net.max_timer_delay_s = {}
     if scenario.refused_again:
         await run.refuse_again()
     if scenario.keeps_work:
@@ -502,7 +502,7 @@
     async def scenario(service: Service) -> None:
         n = await start_long_job(service, 1)
         others = [f"10.0.0.{k}" for k in range(3) if k != n]
-        service.net.cut(
+        service.net.partition(
             f"10.0.0.{n}", *([STORE_HOST] if store_cut else []), *(others if peers_cut else [])
         )
         service.store.down = store_down
--- a/tests/test_timelines.py
+++ b/tests/test_timelines.py
@@ -77,7 +77,7 @@
 def test_startups_and_failovers_after_a_crash_are_logged_and_exported(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net)
         await service.start()
         await service.submit(job(1, shares=16, expect_s=15.0))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -301,7 +301,7 @@
             raise ValueError("planted")
         return Answer(200, b"{}")
 
-    async def main(net: virtual_time.Net) -> bytes:
+    async def main(net: virtual_time.Network) -> bytes:
         server = Server(handle, plain_connections(10, idle_s=20.0, slow_s=5.0))
         await server.start("10.0.0.1", 80)
         reader, writer = await net.open_connection("10.0.0.1", 80)
@@ -319,7 +319,7 @@
     async def handle(request: Request) -> Answer:
         return Answer(200, b"{}")
 
-    async def main(net: virtual_time.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         server = Server(handle, plain_connections(3, idle_s=20.0, slow_s=5.0))
         await server.start("10.0.0.1", 80)
         silent = [await net.open_connection("10.0.0.1", 80) for _ in range(3)]
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -11,20 +11,20 @@
 from contextvars import Context, ContextVar
 from typing import Any, TypeVarTuple
 
-WALL = 1_700_000_000.0
-TIMERS = ("_set_result_unless_cancelled", "_on_timeout")  # of a sleep and of a timeout
-NUMBERS = itertools.count()  # of connections' ends and tasks, in the order of their making
+WALL_CLOCK_START_S = 1_700_000_000.0
+TIMER_CALLBACKS = ("_set_result_unless_cancelled", "_on_timeout")  # of a sleep and of a timeout
+SERIAL_NUMBERS = itertools.count()  # of connections' ends and tasks, in the order of their making
 Arguments = TypeVarTuple("Arguments")  # of a callback
-BACKLOG = 128  # connections that wait to be accepted
-CALLER: ContextVar[str] = ContextVar(
+ACCEPT_BACKLOG = 128  # connections that wait to be accepted
+REMOTE_HOST: ContextVar[str] = ContextVar(
     "caller", default="?"
 )  # the host that the connection being served comes from
 
 
-class _NoSelect(selectors.DefaultSelector):
+class _ClockAdvancingSelector(selectors.DefaultSelector):
     """Instead of waiting, time jumps."""
 
-    loop: SimLoop
+    loop: VirtualTimeLoop
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
@@ -34,11 +34,11 @@
         return []
 
 
-class SimLoop(asyncio.SelectorEventLoop):
-    net: Net | None = None
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    net: Network | None = None
 
     def __init__(self) -> None:
-        selector = _NoSelect()
+        selector = _ClockAdvancingSelector()
         selector.loop = self
         self.clock = 0.0
         super().__init__(selector)
@@ -54,10 +54,14 @@
         *args: *Arguments,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        if self.net is not None and self.net.late and callback.__name__ in TIMERS:
-            host = HOST.get(asyncio.current_task(self))
-            if host in self.net.late:
-                when += self.net.late[host] * self.net.rng.random()
+        if (
+            self.net is not None
+            and self.net.max_timer_delay_s
+            and callback.__name__ in TIMER_CALLBACKS
+        ):
+            host = HOST_BY_TASK.get(asyncio.current_task(self))
+            if host in self.net.max_timer_delay_s:
+                when += self.net.max_timer_delay_s[host] * self.net.rng.random()
         return super().call_at(when, callback, *args, context=context)
 
     def _process_events(self, event_list: list[Any]) -> None:
@@ -72,7 +76,7 @@
     def __new__(cls, *_: Any, **__: Any) -> _NumberedTask:
         """Numbered before it is made: making a task enters it into a set."""
         task = super().__new__(cls)
-        task.number = next(NUMBERS)
+        task.number = next(SERIAL_NUMBERS)
         return task
 
     def __hash__(self) -> int:
@@ -80,7 +84,7 @@
 
 
 class _Transport:
-    def __init__(self, end: End) -> None:
+    def __init__(self, end: ConnectionEnd) -> None:
         self.end = end
 
     def abort(self) -> None:
@@ -90,20 +94,20 @@
         return 0
 
 
-class End:
+class ConnectionEnd:
     """One end of a connection: what StreamWriter offers, delivered to the other end's reader."""
 
-    def __init__(self, net: Net, here: str, there: str) -> None:
+    def __init__(self, net: Network, local_host: str, remote_host: str) -> None:
         self.net = net
-        self.number = next(NUMBERS)
-        self.here = here
-        self.there = there
+        self.number = next(SERIAL_NUMBERS)
+        self.local_host = local_host
+        self.remote_host = remote_host
         self.reader = asyncio.StreamReader()
-        self.other: End | None = None
+        self.peer: ConnectionEnd | None = None
         self.closed = False
         self.transport = _Transport(self)
-        self.last = 0.0
-        self.held = (
+        self.last_arrival_at = 0.0
+        self.socket_counted = (
             False  # a socket of its process; one that has not been accepted yet waits in the kernel
         )
 
@@ -111,31 +115,39 @@
         """By number: a set of ends is iterated in the same order whatever their addresses are."""
         return self.number
 
-    def hold(self) -> None:
-        self.held = True
-        self.net.sockets[self.here] = self.net.sockets.get(self.here, 0) + 1
-        self.net.most[self.here] = max(self.net.most.get(self.here, 0), self.net.sockets[self.here])
+    def count_socket(self) -> None:
+        self.socket_counted = True
+        self.net.sockets[self.local_host] = self.net.sockets.get(self.local_host, 0) + 1
+        self.net.max_sockets[self.local_host] = max(
+            self.net.max_sockets.get(self.local_host, 0), self.net.sockets[self.local_host]
+        )
 
     def write(self, data: bytes) -> None:
         if not self.closed and data:
-            if self.net.observe is not None:
-                self.net.observe(
-                    asyncio.get_running_loop().time(), self.here, self.there, bytes(data)
+            if self.net.on_write is not None:
+                self.net.on_write(
+                    asyncio.get_running_loop().time(),
+                    self.local_host,
+                    self.remote_host,
+                    bytes(data),
                 )
             self._deliver(lambda other: other.reader.feed_data(bytes(data)))
 
-    def _deliver(self, act: Callable[[End], None]) -> None:
+    def _deliver(self, act: Callable[[ConnectionEnd], None]) -> None:
         loop = asyncio.get_running_loop()
-        other = self.other
+        other = self.peer
         assert other
         # In order, and held back while the network between the two is cut.
-        at = max(self.last + 1e-6, loop.time() + self.net.delay(self.here, self.there))
-        self.last = at
+        at = max(
+            self.last_arrival_at + 1e-6,
+            loop.time() + self.net.delay(self.local_host, self.remote_host),
+        )
+        self.last_arrival_at = at
 
         def arrive() -> None:
-            if self.net.is_cut(self.here, self.there):
+            if self.net.is_partitioned(self.local_host, self.remote_host):
                 loop.call_later(0.2, arrive)
-                self.last = max(self.last, loop.time() + 0.2)
+                self.last_arrival_at = max(self.last_arrival_at, loop.time() + 0.2)
                 return
             if not other.reader.at_eof() and not getattr(other.reader, "_eof", False):
                 act(other)
@@ -150,8 +162,8 @@
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            if self.held:
-                self.net.sockets[self.here] -= 1
+            if self.socket_counted:
+                self.net.sockets[self.local_host] -= 1
             self._deliver(lambda other: other.reader.feed_eof())
             if not getattr(self.reader, "_eof", False):
                 self.reader.feed_eof()
@@ -166,8 +178,8 @@
         return None
 
 
-class _SimServer:
-    def __init__(self, net: Net, where: str) -> None:
+class _VirtualServer:
+    def __init__(self, net: Network, where: str) -> None:
         self.net = net
         self.where = where
 
@@ -175,115 +187,117 @@
         self.net.servers.pop(self.where, None)
 
 
-class Net:
+class Network:
     """Hosts are the IP parts of addresses; the host that runs now is told by a task's name."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.servers: dict[str, tuple[str, Callable[..., Awaitable[None]]]] = {}
-        self.ends: dict[str, list[End]] = {}
-        self.cuts: set[frozenset[str]] = set()
+        self.connection_ends: dict[str, list[ConnectionEnd]] = {}
+        self.partitions: set[frozenset[str]] = set()
         self.tasks: dict[
             str, dict[asyncio.Task[Any], None]
         ] = {}  # in order, so that each run is alike
         self.sockets: dict[str, int] = {}  # host: how many it holds
-        self.most: dict[str, int] = {}  # and at the most has held
-        self.limits: dict[str, int] = {}  # host: beyond which new connections fail
-        self.waiting: dict[str, int] = {}  # host: connections that nobody has accepted yet
-        self.refused = 0
-        self.late: dict[str, float] = {}  # host: how late its timers fire, at most
-        self.slow = 0.0  # seconds more that each packet takes, at most
+        self.max_sockets: dict[str, int] = {}  # and at the most has held
+        self.socket_limits: dict[str, int] = {}  # host: beyond which new connections fail
+        self.unaccepted: dict[str, int] = {}  # host: connections that nobody has accepted yet
+        self.refused_connections = 0
+        self.max_timer_delay_s: dict[str, float] = {}  # host: how late its timers fire, at most
+        self.max_extra_delay_s = 0.0  # seconds more that each packet takes, at most
         # Called with the simulated time, sender, receiver and bytes of each write to a connection.
-        self.observe: Callable[[float, str, str, bytes], None] | None = None
-        self.booting = (
+        self.on_write: Callable[[float, str, str, bytes], None] | None = None
+        self.spawning_host = (
             ""  # the host that a task is being made for, if not for the one that makes it
         )
 
     def delay(self, a: str, b: str) -> float:
-        return 0.001 + self.rng.random() * (0.002 + self.slow)
+        return 0.001 + self.rng.random() * (0.002 + self.max_extra_delay_s)
 
-    def is_cut(self, a: str, b: str) -> bool:
-        return frozenset((a, b)) in self.cuts
+    def is_partitioned(self, a: str, b: str) -> bool:
+        return frozenset((a, b)) in self.partitions
 
-    def cut(self, a: str, *others: str) -> None:
-        self.cuts |= {frozenset((a, b)) for b in others}
+    def partition(self, a: str, *others: str) -> None:
+        self.partitions |= {frozenset((a, b)) for b in others}
 
     def heal(self) -> None:
-        self.cuts.clear()
+        self.partitions.clear()
 
     async def open_connection(self, host: str, port: int) -> tuple[asyncio.StreamReader, Any]:
-        here = HOST.get(asyncio.current_task(), "?")
+        here = HOST_BY_TASK.get(asyncio.current_task(), "?")
         where = f"{host}:{port}"
-        while self.is_cut(here, host):  # silence, as behind a cut: the caller's patience ends it
+        while self.is_partitioned(
+            here, host
+        ):  # silence, as behind a cut: the caller's patience ends it
             await asyncio.sleep(0.2)
         await asyncio.sleep(self.delay(here, host))
         if where not in self.servers:
             raise ConnectionRefusedError
         full = any(
-            self.sockets.get(end, 0) >= self.limits.get(end, 1 << 30) for end in (here, host)
+            self.sockets.get(end, 0) >= self.socket_limits.get(end, 1 << 30) for end in (here, host)
         )
-        if full or self.waiting.get(host, 0) >= BACKLOG:
-            self.refused += 1
+        if full or self.unaccepted.get(host, 0) >= ACCEPT_BACKLOG:
+            self.refused_connections += 1
             raise ConnectionRefusedError
         _, serve = self.servers[where]
-        near, far = End(self, here, host), End(self, host, here)
-        near.other, far.other = far, near
+        near, far = ConnectionEnd(self, here, host), ConnectionEnd(self, host, here)
+        near.peer, far.peer = far, near
         for where_, end in ((here, near), (host, far)):
-            ends = self.ends.setdefault(where_, [])
+            ends = self.connection_ends.setdefault(where_, [])
             ends.append(end)
             if len(ends) > 64 and len(ends) > 2 * self.sockets.get(where_, 0):
-                self.ends[where_] = [one for one in ends if not one.closed]
-        near.hold()
-        self.waiting[host] = self.waiting.get(host, 0) + 1
+                self.connection_ends[where_] = [one for one in ends if not one.closed]
+        near.count_socket()
+        self.unaccepted[host] = self.unaccepted.get(host, 0) + 1
         spawn(self, host, self._accepted(serve, far))
         return near.reader, near
 
-    async def _accepted(self, serve: Callable[..., Awaitable[None]], far: End) -> None:
-        self.waiting[far.here] = max(0, self.waiting.get(far.here, 0) - 1)
+    async def _accepted(self, serve: Callable[..., Awaitable[None]], far: ConnectionEnd) -> None:
+        self.unaccepted[far.local_host] = max(0, self.unaccepted.get(far.local_host, 0) - 1)
         if not far.closed:
-            far.hold()
-            CALLER.set(far.there)
+            far.count_socket()
+            REMOTE_HOST.set(far.remote_host)
             await serve(far.reader, far)
 
     async def start_server(
         self, serve: Callable[..., Awaitable[None]], host: str, port: int, **_: Any
-    ) -> _SimServer:
+    ) -> _VirtualServer:
         where = f"{host}:{port}"
         self.servers[where] = (host, serve)
-        return _SimServer(self, where)
+        return _VirtualServer(self, where)
 
-    def remember(self, host: str, task: asyncio.Task[Any]) -> None:
+    def track_task(self, host: str, task: asyncio.Task[Any]) -> None:
         self.tasks.setdefault(host, {})[task] = None
         task.add_done_callback(
-            lambda done: (self.tasks.get(host, {}).pop(done, None), HOST.pop(done, None))
+            lambda done: (self.tasks.get(host, {}).pop(done, None), HOST_BY_TASK.pop(done, None))
         )
 
     def kill(self, host: str) -> None:
-        """End a process without warning: its connections are reset, nothing of it goes on."""
+        """ConnectionEnd a process without warning: its connections are reset, nothing of it goes on."""
         for where in [where for where, (name, _) in self.servers.items() if name == host]:
             del self.servers[where]
-        self.waiting.pop(host, None)
+        self.unaccepted.pop(host, None)
         for task in list(self.tasks.pop(host, ())):
             task.cancel()
-        for end in self.ends.pop(host, []):
+        for end in self.connection_ends.pop(host, []):
             end.reset()
 
 
-HOST: dict[Any, str] = {}
+HOST_BY_TASK: dict[Any, str] = {}
 
 
-def spawn(net: Net, host: str, job: Any) -> asyncio.Task[Any]:
-    net.booting = host
+def spawn(net: Network, host: str, job: Any) -> asyncio.Task[Any]:
+    net.spawning_host = host
     task = asyncio.get_running_loop().create_task(job)
-    net.booting = ""
-    HOST[task] = host
-    net.remember(host, task)
+    net.spawning_host = ""
+    HOST_BY_TASK[task] = host
+    net.track_task(host, task)
     return task
 
 
-def run(main: Callable[[Net], Awaitable[Any]], seed: int, monkeypatch: Any) -> Any:
-    loop = SimLoop()
-    net = loop.net = Net(seed)
+def run(main: Callable[[Network], Awaitable[Any]], seed: int, monkeypatch: Any) -> Any:
+    loop = VirtualTimeLoop()
+    net = loop.net = Network(seed)
 
     def factory(loop_: Any, job: Any, **more: Any) -> asyncio.Task[Any]:
         parent = None
@@ -292,18 +306,18 @@
         except RuntimeError:
             pass
         task: asyncio.Task[Any] = _NumberedTask(job, loop=loop_, **more)
-        host = HOST.get(parent)
+        host = HOST_BY_TASK.get(parent)
         if host is not None:
-            HOST[task] = host
-            net.remember(host, task)
+            HOST_BY_TASK[task] = host
+            net.track_task(host, task)
         return task
 
     loop.set_task_factory(factory)
     monkeypatch.setattr(asyncio, "open_connection", net.open_connection)
     monkeypatch.setattr(asyncio, "start_server", net.start_server)
     monkeypatch.setattr(time, "monotonic", lambda: loop.clock)
-    monkeypatch.setattr(time, "time", lambda: loop.clock + WALL)
-    HOST.clear()
+    monkeypatch.setattr(time, "time", lambda: loop.clock + WALL_CLOCK_START_S)
+    HOST_BY_TASK.clear()
     try:
         return loop.run_until_complete(main(net))
     finally:
