--- a/tests/courses.py
+++ b/tests/courses.py
@@ -91,7 +91,7 @@
         self.began: float | None = None
         self.claimed: float | None = None
         self.effect: float | None = None
-        fleet.store.fenced = self._seen
+        fleet.store.on_compared = self._seen
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -43,8 +43,8 @@
             service.net.partition(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
             spawn(service.net, "users", _later(rng.uniform(1, 8), service.net.heal))
         elif trouble == 2:
-            service.store.apply_late = rng.choice((0.0, 0.05))
-            service.store.lose_answers = rng.choice((0.0, 0.05))
+            service.store.late_write_share = rng.choice((0.0, 0.05))
+            service.store.lost_answer_share = rng.choice((0.0, 0.05))
         elif trouble == 3 and len(service.cloud.workers) > 2 and rng.random() < 0.4:
             service.cloud.workers[rng.choice(sorted(service.cloud.workers))].die()
         elif trouble == 4:
@@ -62,7 +62,7 @@
             if alive:
                 service.crash(rng.choice(alive), rng.choice(BACK_S))
             await asyncio.sleep(2.0 * rng.random() ** 2)
-    service.store.apply_late = service.store.lose_answers = 0.0
+    service.store.late_write_share = service.store.lost_answer_share = 0.0
 
 
 async def _later(seconds: float, act: Callable[[], None]) -> None:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -18,19 +18,19 @@
 
 class FleetWorker(FakeWorker):
     cloud: FleetCloud
-    waited = 0.0  # the longest that it went without a good answer
+    longest_gap_s = 0.0  # the longest that it went without a good answer
 
     async def run(self) -> None:
-        self.renewed = self.now()
+        self.lease_renewed_at = self.now()
         await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
         loop = asyncio.get_running_loop()
-        loop.call_at(self.renewed + self.cloud.lease_s, self._expired)
+        loop.call_at(self.lease_renewed_at + self.cloud.lease_s, self._check_lease)
         nodes = list(self.cloud.nodes)
         at = self.cloud.rng.randrange(len(nodes))
-        while not self.dead:
-            before = self.renewed
-            pause = await self._report(nodes[at % len(nodes)])
-            self.waited = max(self.waited, self.renewed - before)
+        while not self.stopped:
+            before = self.lease_renewed_at
+            pause = await self._send_heartbeat(nodes[at % len(nodes)])
+            self.longest_gap_s = max(self.longest_gap_s, self.lease_renewed_at - before)
             if isinstance(pause, str):
                 at = nodes.index(pause)
                 await asyncio.sleep(0.25)
@@ -39,32 +39,32 @@
                 at += 1
                 await asyncio.sleep(pause)
                 continue
-            self.change.clear()
+            self.status_changed.clear()
             await asyncio.sleep(0.5)
             try:
                 async with asyncio.timeout(
                     self.cloud.report_s * (0.75 + 0.5 * self.cloud.rng.random()) - 0.5
                 ):
-                    await self.change.wait()
+                    await self.status_changed.wait()
             except TimeoutError:
                 pass
 
-    def _expired(self) -> None:
-        if self.dead:
+    def _check_lease(self) -> None:
+        if self.stopped:
             return
         loop = asyncio.get_running_loop()
-        if self.now() - self.renewed >= self.cloud.lease_s:
-            running = [key for key, task in self.shares.items() if task["status"] != "ended"]
-            self.cloud.killed += len(running)
-            for share, attempt in list(self.shares):
-                self._gone(share, attempt)
-            self.shares.clear()
-            self.tenure += 1
-            self.renewed = self.now()
-            self.change.set()
-        loop.call_at(self.renewed + self.cloud.lease_s + 1e-3, self._expired)
-
-    async def _work(
+        if self.now() - self.lease_renewed_at >= self.cloud.lease_s:
+            running = [key for key, task in self.tasks.items() if task["status"] != "ended"]
+            self.cloud.killed_tasks += len(running)
+            for share, attempt in list(self.tasks):
+                self._remove_task(share, attempt)
+            self.tasks.clear()
+            self.incarnation += 1
+            self.lease_renewed_at = self.now()
+            self.status_changed.set()
+        loop.call_at(self.lease_renewed_at + self.cloud.lease_s + 1e-3, self._check_lease)
+
+    async def _run_task(
         self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]
     ) -> None:
         job, number = share.rsplit("/", 1)
@@ -76,55 +76,55 @@
         self.cloud.invariants.task_started(job, int(number), self.place(attempt), self.now())
         if run["shape"] == "ensemble":
             task["status"] = "waiting"
-            self.change.set()
-            mates = self.cloud.meeting.setdefault((job, attempt), [])
+            self.status_changed.set()
+            mates = self.cloud.waiting_gangs.setdefault((job, attempt), [])
             mates.append((self, share, task))
             if len(mates) < run["shares"]:
                 return  # the last to come starts them all, and ends them
-            del self.cloud.meeting[job, attempt]
-            self.cloud.running[job, attempt] = mates
+            del self.cloud.waiting_gangs[job, attempt]
+            self.cloud.running_tasks_by_gang[job, attempt] = mates
             for mate, _, theirs in mates:
                 theirs["status"] = "running"
-                mate.change.set()
+                mate.status_changed.set()
             await asyncio.sleep(run["expect_s"])
-            if self.cloud.running.pop((job, attempt), None) is not None:
+            if self.cloud.running_tasks_by_gang.pop((job, attempt), None) is not None:
                 for mate, its, _ in mates:
-                    mate._exit(its, attempt, "done")
+                    mate._end_task(its, attempt, "done")
             return
         task["status"] = "running"
-        self.change.set()
+        self.status_changed.set()
         await asyncio.sleep(run["expect_s"])
         if (
-            (share, attempt) in self.shares
-            and self.shares[share, attempt] is task
+            (share, attempt) in self.tasks
+            and self.tasks[share, attempt] is task
             and task["status"] == "running"
         ):
-            self._exit(share, attempt, "done")
+            self._end_task(share, attempt, "done")
 
-    def _gone(self, share: str, attempt: int, done: bool = False) -> None:
-        super()._gone(share, attempt, done)
+    def _remove_task(self, share: str, attempt: int, done: bool = False) -> None:
+        super()._remove_task(share, attempt, done)
         job = share.rsplit("/", 1)[0]
         if not done:
-            waiting = self.cloud.meeting.get((job, attempt))
+            waiting = self.cloud.waiting_gangs.get((job, attempt))
             if waiting is not None:
                 waiting[:] = [mate for mate in waiting if mate[0] is not self]
-            for mate, its, task in self.cloud.running.pop((job, attempt), ()):
+            for mate, its, task in self.cloud.running_tasks_by_gang.pop((job, attempt), ()):
                 if mate is not self and task["status"] == "running":
-                    asyncio.get_running_loop().call_later(2.0, mate._mates_gone, its, attempt)
+                    asyncio.get_running_loop().call_later(2.0, mate._end_peer_task, its, attempt)
 
-    def _mates_gone(self, share: str, attempt: int) -> None:
-        task = self.shares.get((share, attempt))
+    def _end_peer_task(self, share: str, attempt: int) -> None:
+        task = self.tasks.get((share, attempt))
         if task is not None and task["status"] != "ended":
-            self._exit(share, attempt, "mates_gone")
+            self._end_task(share, attempt, "mates_gone")
 
 
 class FleetCloud(FakeCloud):
     def __init__(self, *words: Any) -> None:
         super().__init__(*words)
-        self.keep = 1
-        self.killed = 0  # tasks, by their workers' leases
-        self.meeting: dict[tuple[str, int], list[Any]] = {}
-        self.running: dict[tuple[str, int], list[Any]] = {}
+        self.kept_connections = 1
+        self.killed_tasks = 0  # tasks, by their workers' leases
+        self.waiting_gangs: dict[tuple[str, int], list[Any]] = {}
+        self.running_tasks_by_gang: dict[tuple[str, int], list[Any]] = {}
 
     def worker(self, *words: Any) -> FakeWorker:
         return FleetWorker(self, *words)
@@ -155,14 +155,14 @@
         self.controllers: dict[int, Controller] = {}
 
     @property
-    def killed(self) -> int:
-        return self.cloud.killed
+    def killed_tasks(self) -> int:
+        return self.cloud.killed_tasks
 
-    def longest(self) -> float:
+    def longest_gap_s(self) -> float:
         """The longest that any worker went without a good answer."""
         return max(
             (
-                worker.waited
+                worker.longest_gap_s
                 for worker in self.cloud.workers.values()
                 if isinstance(worker, FleetWorker)
             ),
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -29,14 +29,14 @@
 CANCEL_S = 20.0
 CALM: dict[str, Any] = {
     "down": False,
-    "slow": 0.0,
+    "extra_delay_s": 0.0,
     "max_extra_delay_s": 0.0,
-    "apply_late": 0.0,
-    "lose_answers": 0.0,
-    "late_reports": 0.0,
-    "held_orders": None,
-    "lag": 0.0,
-    "kept_share": 0.0,
+    "late_write_share": 0.0,
+    "lost_answer_share": 0.0,
+    "late_heartbeat_share": 0.0,
+    "held_commands": None,
+    "list_age_s": 0.0,
+    "held_heartbeat_share": 0.0,
     "boot_s": 6.0,
 }
 Trouble = Callable[[Service, random.Random, float], Awaitable[None]]
@@ -78,9 +78,9 @@
 
 async def refused(service: Service, rng: random.Random, for_s: float) -> None:
     host = owner_of(service, rng)
-    service.store.refusing.add(host)
+    service.store.refused_hosts.add(host)
     await asyncio.sleep(for_s)
-    service.store.refusing.discard(host)
+    service.store.refused_hosts.discard(host)
 
 
 def machines_are(what: str) -> Trouble:
@@ -231,11 +231,11 @@
 
     async def trouble(service: Service, rng: random.Random, for_s: float) -> None:
         kind = rng.choice(kinds)
-        service.store.lost = lambda writes: (
+        service.store.fault_for_writes = lambda writes: (
             what if any(kind_of(write) == kind for write in writes) and rng.random() < 0.7 else ""
         )
         await asyncio.sleep(for_s)
-        service.store.lost = None
+        service.store.fault_for_writes = None
 
     return trouble
 
@@ -271,23 +271,23 @@
 } | {
     "answer_lost_of_a_kind": of_writes("answer"),
     "late_of_a_kind": of_writes("late"),
-    "deaf": machines_are("deaf"),
-    "mute": machines_are("mute"),
+    "deaf": machines_are("loses_answers"),
+    "mute": machines_are("loses_heartbeats"),
     "slow_links": while_set("net", "max_extra_delay_s", 0.05, 0.3),
-    "reports_for_next": while_set("cloud", "kept_share", 0.3, 1.0),
+    "reports_for_next": while_set("cloud", "held_heartbeat_share", 0.3, 1.0),
     "quick_boots": while_set("cloud", "boot_s", 1.0),
     "outage": while_set("store", "down", True),
-    "slow_state": while_set("store", "slow", 0.1, 0.4, 1.0),
-    "late_writes": while_set("store", "apply_late", 0.05, 0.2),
-    "answers_lost": while_set("store", "lose_answers", 0.05, 0.2),
-    "late_reports": while_set("cloud", "late_reports", 0.1, 0.5),
+    "slow_state": while_set("store", "extra_delay_s", 0.1, 0.4, 1.0),
+    "late_writes": while_set("store", "late_write_share", 0.05, 0.2),
+    "answers_lost": while_set("store", "lost_answer_share", 0.05, 0.2),
+    "late_reports": while_set("cloud", "late_heartbeat_share", 0.1, 0.5),
     "cloud_down": while_set("cloud", "down", True),
     "held_orders": while_set(
         "cloud",
-        "held_orders",
+        "held_commands",
         *((share, 0.0, most) for share in (0.3, 1.0) for most in (3.0, 8.0, 30.0)),
     ),
-    "list_lags": while_set("cloud", "lag", 4.0, 10.0),
+    "list_lags": while_set("cloud", "list_age_s", 4.0, 10.0),
 }
 
 
@@ -426,9 +426,9 @@
     async def main(net: virtual_time.Network) -> tuple[list[tuple[str, str]], list[str]]:
         net.on_write = observe
         service = Service(net, machines=5, capacity=8, later=later)
-        service.store.applied = service.cloud.changed_hands
-        service.store.fenced = service.invariants.transaction_applied
-        service.invariants.free_machines = service.cloud.rooms
+        service.store.on_applied = service.cloud.owner_changed
+        service.store.on_compared = service.invariants.transaction_applied
+        service.invariants.free_machines = service.cloud.free_machines
         await service.start()
         await asyncio.sleep(1)
         runs = jobs()
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -521,7 +521,7 @@
             users.spawn(trouble(net, fleet, meter))
         meter.profile = cProfile.Profile() if profile else None
         before, at = dict(meter.spent), users.now()
-        requests, counted = fleet.store.requests, fleet.store.counted
+        requests, counted = fleet.store.request_count, fleet.store.write_count
         starts = fleet.invariants.start_count
         kinds: Counter[str] = Counter()  # of what is written
 
@@ -534,11 +534,11 @@
                     + (" head" if path[-1] == "job" else "")
                 ] += 1
 
-        fleet.store.hook = count
+        fleet.store.on_transaction = count
         for step in range(int(seconds / 5)):
             await asyncio.sleep(5)
             print(
-                f"  {times:g} times: {users.now():.0f} s, {fleet.invariants.start_count} starts, {fleet.killed} killed, GPUs {whole_of(fleet)}, "
+                f"  {times:g} times: {users.now():.0f} s, {fleet.invariants.start_count} starts, {fleet.killed_tasks} killed, GPUs {whole_of(fleet)}, "
                 f"{time.perf_counter() - wall:.0f} s of real time, step {step}",
                 flush=True,
             )
@@ -552,7 +552,7 @@
         rows = users.served.counts(users.now())
         out.update(
             gaps=gaps.rows if gaps else [],
-            machines_rented=sum(map(len, fleet.cloud.charters.values())),
+            machines_rented=sum(map(len, fleet.cloud.machines_by_intent.values())),
             jobs=len(
                 [
                     j
@@ -566,8 +566,8 @@
             core_mean=sum(cores) / len(cores),
             core_most=max(cores),
             mb=max(held(c) for c in alive) / 2**20,
-            requests=(fleet.store.requests - requests) / past,
-            writes=(fleet.store.counted - counted) / past,
+            requests=(fleet.store.request_count - requests) / past,
+            writes=(fleet.store.write_count - counted) / past,
             served={
                 " ".join(name): [*row, round(row.attainment, 3)]
                 for name, row in sorted(rows.items())
@@ -578,7 +578,7 @@
             ),
             starts=(fleet.invariants.start_count - starts) / past,
             written={kind: round(number / past, 2) for kind, number in kinds.most_common()},
-            killed=fleet.killed,
+            killed=fleet.killed_tasks,
             broken=fleet.invariants.violations[:5],
             submissions=users.took.get_total_count(),
             p50_ms=users.took.get_value_at_percentile(50),
@@ -596,7 +596,7 @@
                 ),
                 default=0.0,
             ),
-            longest_s=fleet.longest(),
+            longest_s=fleet.longest_gap_s(),
             real_s=time.perf_counter() - wall,
             takeovers={
                 team: [
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -343,7 +343,7 @@
         for n in range(3):
             net.socket_limits[f"10.0.0.{n}"] = 64
         service.limit = 64
-        service.cloud.keep = 1  # workers keep their connections
+        service.cloud.kept_connections = 1  # workers keep their connections
         await service.start()
         await service.submit(job(1, shares=24, expect_s=60.0))
         await service.submit(job(2, owner="blue", shares=16, expect_s=60.0))
@@ -363,7 +363,7 @@
             ] == 200
             await asyncio.sleep(0.5)
         assert late_or_failed == 0 and ready >= 55
-        assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
         assert net.max_sockets["10.0.0.0"] <= 64 and net.refused_connections == 0
         page = (await Client("10.0.0.0", 8080, keep=0).request("GET", "/metrics", b"", 2.0))[
             1
@@ -481,7 +481,7 @@
         assert await service.until_final(["req-000001"], 30) == []
         await asyncio.gather(*calls, return_exceptions=True)  # closed as too slow
         assert controller.admission.held_body_bytes == 0
-        assert not any(worker.tenure > 1 for worker in service.cloud.workers.values())
+        assert not any(worker.incarnation > 1 for worker in service.cloud.workers.values())
         assert await service.poll("req-000001", 0) == "done"
 
     play(monkeypatch, 91, day)
@@ -513,6 +513,6 @@
         assert not service.invariants.placements.get(
             ("req-000001", 0)
         ) and service.invariants.placements.get(("req-000002", 0))
-        assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
 
     play(monkeypatch, 92, day)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -65,15 +65,15 @@
 
 
 async def answers_lost(service: Service) -> None:
-    service.store.lose_answers = 0.1
+    service.store.lost_answer_share = 0.1
     await asyncio.sleep(40)
-    service.store.lose_answers = 0.0
+    service.store.lost_answer_share = 0.0
 
 
 async def applied_late(service: Service) -> None:
-    service.store.apply_late = 0.08
+    service.store.late_write_share = 0.08
     await asyncio.sleep(40)
-    service.store.apply_late = 0.0
+    service.store.late_write_share = 0.0
 
 
 async def workers_die(service: Service) -> None:
@@ -118,14 +118,14 @@
 
 async def list_lags(service: Service) -> None:
     """The list is ten times as old as the settings say, also of a machine that dies and of those rented in its place."""
-    service.cloud.lag = 10.0
+    service.cloud.list_age_s = 10.0
     await asyncio.sleep(9)
     service.cloud.workers["vm-000001"].die()
     service.crash(1)
 
 
 async def all_at_once(service: Service) -> None:
-    service.store.lose_answers = 0.1
+    service.store.lost_answer_share = 0.1
     await asyncio.sleep(6)
     service.crash(1)
     service.net.partition("10.0.0.0", *(w.host for w in list(service.cloud.workers.values())[:2]))
@@ -134,7 +134,7 @@
     await asyncio.sleep(6)
     service.net.heal()
     service.crash(0)
-    service.store.lose_answers = 0.0
+    service.store.lost_answer_share = 0.0
 
 
 FAULTS = [
@@ -203,7 +203,7 @@
                     for n in list(service.controllers):
                         service.crash(n, 1.0)
 
-        service.store.hook = hook
+        service.store.on_transaction = hook
         runs = [dict(run) for run in JOBS] + [job(9, shares=2, fails=4)]
         statuses = await asyncio.gather(*(service.submit(run) for run in runs))
         assert all(status in (200, 201) for status in statuses)
@@ -272,7 +272,7 @@
 
 def test_a_sick_machine_is_told_from_a_failing_job(monkeypatch: pytest.MonkeyPatch) -> None:
     async def day(service: Service) -> None:
-        service.cloud.workers["vm-000000"].error_share = 1.0
+        service.cloud.workers["vm-000000"].failure_share = 1.0
         runs = [job(n, shares=4) for n in range(1, 7)]
         for run in runs:
             await service.submit(run)
@@ -397,18 +397,18 @@
 
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=12, expect_s=90.0))
-        while not any(worker.shares for worker in service.cloud.workers.values()):
+        while not any(worker.tasks for worker in service.cloud.workers.values()):
             await asyncio.sleep(1.0)
         await asyncio.sleep(3)
         owner = next(c.label for c in service.controllers.values() if "red" in c.owners)
         other = next(n for n, c in service.controllers.items() if c.label != owner)
-        worker = next(w for w in service.cloud.workers.values() if w.shares)
+        worker = next(w for w in service.cloud.workers.values() if w.tasks)
         client = Client(f"10.0.0.{other}", 8080, keep=0)
         front = service.controllers[other].front
         front.redirected.clear()  # it may have come by there by itself a moment ago, and have been passed on
         front.relaying.clear()
-        for warrant, expected in [(0, 421), (worker.token, 200)]:
-            worker.tally += 1
+        for warrant, expected in [(0, 421), (worker.fencing_token, 200)]:
+            worker.sequence += 1
             status, answer = await client.request(
                 "POST",
                 "/checkin",
@@ -416,11 +416,11 @@
                 4.0,
             )
             assert status == expected, answer
-        assert json.loads(answer)["warrant"] == worker.token
+        assert json.loads(answer)["warrant"] == worker.fencing_token
         # Answered here a report ago, it has not been elsewhere: its machine has just changed hands.
         service.controllers[other].front.answered[worker.name] = service.now()
         service.controllers[other].front.relaying.clear()
-        worker.tally += 1
+        worker.sequence += 1
         status, answer = await client.request(
             "POST", "/checkin", json.dumps(worker.message()).encode(), 4.0
         )
@@ -428,8 +428,8 @@
         # Of two zones that are apart, one that cannot hear the owner either names a third that may.
         service.net.partition(f"10.0.0.{other}", f"10.0.0.{owner[1:]}")
         await asyncio.sleep(5)
-        worker = next(w for w in service.cloud.workers.values() if w.shares and w is not worker)
-        worker.tally += 1
+        worker = next(w for w in service.cloud.workers.values() if w.tasks and w is not worker)
+        worker.sequence += 1
         status, answer = await client.request(
             "POST", "/checkin", json.dumps(worker.message()).encode(), 4.0
         )
@@ -442,12 +442,12 @@
     async def day(service: Service) -> None:
         await asyncio.sleep(3)
         await service.submit(job(1, shares=1))  # ends the watches under way
-        service.store.blind = True
+        service.store.job_watches_lag = True
         await asyncio.sleep(0.5)
         runs = [job(n, shares=1, owner=owner) for n, owner in enumerate(["red", "blue"] * 4, 10)]
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(2)
-        service.store.blind = False
+        service.store.job_watches_lag = False
         assert await service.until_final([run["id"] for run in runs], 120) == []
 
     play(monkeypatch, 13, day)
@@ -492,7 +492,7 @@
                 )
             )
 
-        service.store.hook = hook
+        service.store.on_transaction = hook
         await service.start()
         while service.cloud.workers:
             await asyncio.sleep(1.0)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -94,7 +94,7 @@
 
     async def scenario(service: Service) -> None:
         await service.submit(job(1))
-        service.store.slow = 0.2
+        service.store.extra_delay_s = 0.2
         n = next(n for n, c in service.controllers.items() if "red" in c.owners)
         controller = service.controllers[n]
         controller.owners["red"].release("released by the test")
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -306,11 +306,11 @@
                 if matching_writes == nth:
                     service.crash(leader, restart_after_s)
 
-        service.store.hook = hook
+        service.store.on_transaction = hook
         for submission in JOBS:
             await service.submit(dict(submission))
         await wait_until_idle(service)
-        assert sum(len(names) for names in service.cloud.charters.values()) <= 8
+        assert sum(len(names) for names in service.cloud.machines_by_intent.values()) <= 8
 
     play(monkeypatch, 61, scenario, machines=2, capacity=8)
 
@@ -332,7 +332,7 @@
         controller = service.controllers[first]
         leader, election = controller.leader, controller.elector.election
         assert leader is not None
-        term, calls = election.term, len(service.cloud.charters)
+        term, calls = election.term, len(service.cloud.machines_by_intent)
         # Simulates a suspended process: its clock has advanced, and none of its code has run.
         election.lease_valid_until = time.monotonic() - paused_s
         with pytest.raises(NotLeaderError):
@@ -344,12 +344,15 @@
         )
         leader.allocator.scale_outs.append(scale_out)
         await asyncio.sleep(0.01)
-        assert len(service.cloud.charters) == calls and scale_out not in leader.allocator.scale_outs
+        assert (
+            len(service.cloud.machines_by_intent) == calls
+            and scale_out not in leader.allocator.scale_outs
+        )
         # After a renewal it continues in its term. Then another controller replaces it.
         assert await wait_for_leader(service) == first and election.term == term
         service.store.keys["leader"] = (
             {"label": "n9", "incarnation": 1},
-            service.store.ledger + 1,
+            service.store.revision + 1,
             None,
         )
         await service.store._apply([])
@@ -361,7 +364,7 @@
         assert path in service.store.keys
         del service.store.keys["leader"]
         await service.store._apply([{"delete": "leader"}])
-        service.store.changes.append({"delete": "leader", "stamp": service.store.ledger})
+        service.store.changes.append({"delete": "leader", "stamp": service.store.revision})
         await service.until_final(["req-000001"], 90)
 
     play(monkeypatch, 62, scenario)
@@ -374,7 +377,7 @@
         await service.submit(job(1, shares=16, expect_s=70.0))
         await service.submit(job(2, owner="blue", shares=8, expect_s=70.0))
         key_writes: list[tuple[float, str]] = []
-        service.store.hook = lambda writes: key_writes.extend(
+        service.store.on_transaction = lambda writes: key_writes.extend(
             (service.now(), w["value"]["label"]) for w in writes if w.get("set") == "leader"
         )
         await asyncio.sleep(20)
@@ -435,7 +438,7 @@
         service.cloud.down = False
         await wait_until_idle(service)
         # Each intent is repeated under its own name, and nothing is scaled out in addition.
-        assert sum(len(names) for names in service.cloud.charters.values()) <= 8
+        assert sum(len(names) for names in service.cloud.machines_by_intent.values()) <= 8
 
     play(monkeypatch, 65, scenario, machines=1, capacity=9)
 
@@ -521,8 +524,8 @@
     async def scenario(service: Service) -> None:
         service.net.kill("10.0.0.2")
         service.controllers.pop(2)
-        service.store.ledger += 1
-        service.store.keys["upgrade/node/n2"] = ({"forms": 2}, service.store.ledger, None)
+        service.store.revision += 1
+        service.store.keys["upgrade/node/n2"] = ({"forms": 2}, service.store.revision, None)
         await service.submit(job(1, shares=2))
         await asyncio.sleep(4)
         assert service.store.keys["upgrade/mark"][0]["forms"] == 2
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -129,9 +129,9 @@
     await asyncio.sleep(5)
     owner = await owner_of(service, "red")
     service.crash(owner, back_after=3.0)
-    service.store.slow = 0.05
+    service.store.extra_delay_s = 0.05
     await asyncio.sleep(6)
-    service.store.slow = 0.0
+    service.store.extra_delay_s = 0.0
 
 
 async def one_entry_point(service: Service, users: TeamUsers) -> None:
@@ -267,7 +267,7 @@
         await service.submit(job(2, owner="blue", shares=2))
         assert not await service.until_final(["req-000001", "req-000002"], 120)
         assert not service.invariants.violations
-        assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
 
     virtual_time.run(main, 53, monkeypatch)
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -304,8 +304,8 @@
                 if seen[-1] == ("claimed" if moment == "read" else moment):
                     calls.append(spawn(service.net, "users", cancel(after_s[moment])))
 
-        service.store.applied = applied
-        service.store.slow = 0.1
+        service.store.on_applied = applied
+        service.store.extra_delay_s = 0.1
         if moment == "just before":
             calls.append(spawn(service.net, "users", cancel(0.0)))
             await asyncio.sleep(0.06)
@@ -315,7 +315,7 @@
         while "claimed" not in seen:
             await asyncio.sleep(0.05)
         await asyncio.sleep(3.0)
-        service.store.slow = 0.0
+        service.store.extra_delay_s = 0.0
         await asyncio.gather(*calls)
         assert calls and await owned(service) == new
         await asyncio.sleep(5.0)
@@ -450,14 +450,14 @@
         for k in (n, *others):
             service.doors = [k]
             await service.poll("req-000001")
-        service.store.blind = True
+        service.store.job_watches_lag = True
         service.doors = [n]
         while await service.poll("req-000001") != "done":
             await asyncio.sleep(0.1)
         for k in others:
             service.doors = [k]
             assert await service.poll("req-000001") == "done"
-        service.store.blind = False
+        service.store.job_watches_lag = False
 
     play(monkeypatch, 72, day)
 
@@ -475,7 +475,7 @@
             )
         while not service.invariants.placements.get((ids[-1], 0)):
             await asyncio.sleep(0.05)
-        service.store.slow = 0.3
+        service.store.extra_delay_s = 0.3
 
         async def ask() -> None:
             while True:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -191,7 +191,7 @@
             return await inner(request)
 
         service.store.server.handler = count
-        service.store.slow = 0.3
+        service.store.extra_delay_s = 0.3
         while service.cloud.workers:
             await asyncio.sleep(1.0)
             assert service.now() < 90
@@ -217,7 +217,7 @@
                 for write in some
             )
 
-        service.store.hook = hook
+        service.store.on_transaction = hook
         run = job(
             1,
             shares=1500,
@@ -326,26 +326,27 @@
     async def day(service: Service) -> None:
         lease_s = service.cloud.lease_s
         asked: list[float] = []
-        inner = service.cloud.workers["vm-000000"]._report
+        inner = service.cloud.workers["vm-000000"]._send_heartbeat
 
         async def counted(node: str) -> Any:
             asked.append(service.now())
             return await inner(node)
 
-        monkeypatch.setattr(service.cloud.workers["vm-000000"], "_report", counted)
+        monkeypatch.setattr(service.cloud.workers["vm-000000"], "_send_heartbeat", counted)
         await asyncio.sleep(3 * lease_s)
         assert all(
-            worker.tenure == 1 and worker.token == 0 for worker in service.cloud.workers.values()
+            worker.incarnation == 1 and worker.fencing_token == 0
+            for worker in service.cloud.workers.values()
         )
         late = [at for at in asked if at > lease_s]
         assert len(late) < 2.5 * lease_s / service.cloud.report_s
         # Lent when its lease would have been over long ago: what is started goes on to its end.
         await service.submit(job(1, shares=8, expect_s=2 * lease_s))
         assert not await service.until_final(["req-000001"], 60)
-        assert all(worker.tenure == 1 for worker in service.cloud.workers.values())
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
         assert service.invariants.start_count == 8
         leader = next(c for c in service.controllers.values() if c.leader)
-        free = next(w for w in service.cloud.workers.values() if not w.shares)
+        free = next(w for w in service.cloud.workers.values() if not w.tasks)
         for down, status in [(False, 200), (True, 503)]:
             service.store.down = down
             await asyncio.sleep(3.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -726,20 +726,20 @@
 
 
 async def transactions_late_or_unanswered(service: Service) -> None:
-    service.store.apply_late = service.store.lose_answers = 0.06
+    service.store.late_write_share = service.store.lost_answer_share = 0.06
     await asyncio.sleep(30)
-    service.store.apply_late = service.store.lose_answers = 0.0
+    service.store.late_write_share = service.store.lost_answer_share = 0.0
 
 
 async def watch_falls_behind(service: Service) -> None:
-    service.store.blind = True
+    service.store.job_watches_lag = True
     await asyncio.sleep(6)
-    service.store.blind = False
+    service.store.job_watches_lag = False
 
 
 async def limits_fall(service: Service) -> None:
     await asyncio.sleep(2)
-    service.store.limits, service.store.write_rps = (2048, 6), 100.0
+    service.store.txn_limits, service.store.write_rps = (2048, 6), 100.0
 
 
 @pytest.mark.parametrize(
@@ -774,7 +774,7 @@
 
     service = play(monkeypatch, 31, day, later=SMALLER_LIMITS)
     # Every transaction kept to the smaller limits before the store applied them.
-    assert service.store.refused.get(400, 0) == 0
+    assert service.store.refused_by_status.get(400, 0) == 0
 
 
 @pytest.mark.parametrize(
@@ -795,13 +795,13 @@
 
         def hook(writes: list[dict[str, Any]]) -> None:
             if any(w.get("set") == step and w["value"]["status"] == "withdrawn" for w in writes):
-                service.store.hook = None
+                service.store.on_transaction = None
                 team = "blue" if step.endswith("4") else "red"
                 for n, controller in list(service.controllers.items()):
                     if team in controller.owners:
                         service.crash(n, 3.0)
 
-        service.store.hook = hook
+        service.store.on_transaction = hook
         await asyncio.sleep(1)
         assert await service.withdraw("req-000001") == "withdrawn"
         if step == "state":
@@ -949,7 +949,7 @@
         await asyncio.sleep(3)
         status, _ = await client.request("POST", "/v2/runs", body, 5.0)
         assert status == 201
-        service.store.limits = (2048, 6)
+        service.store.txn_limits = (2048, 6)
         assert await service.until_final(["req-000001", "req-000002"], 200) == []
         service.invariants.end()
         return service
@@ -975,7 +975,7 @@
         large = job(1, shares=400, cpus=0.1, accelerators=0.03125, ram_gb=0.1, expect_s=3.0)
         assert await service.submit(large) == 201 and await service.submit(wide) == 201
         await asyncio.sleep(4)
-        service.store.limits, service.store.write_rps = (700, 5), 60.0
+        service.store.txn_limits, service.store.write_rps = (700, 5), 60.0
         await asyncio.sleep(4)
         service.crash(0, 2.0)
         assert await service.submit(job(3, shares=1)) in (200, 201)
@@ -990,9 +990,9 @@
         later=NextLimits(write_rps=60.0, value_kb=0.7, txn_ops=5) if announced else None,
     )
     if announced:
-        assert service.store.refused.get(400, 0) == 0
+        assert service.store.refused_by_status.get(400, 0) == 0
     else:
-        assert 0 < service.store.refused.get(400, 0) < 60
+        assert 0 < service.store.refused_by_status.get(400, 0) < 60
 
 
 def test_a_pipeline_costs_few_requests_and_writes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -1002,7 +1002,7 @@
 
         async def day(service: Service, waiting: bool = waiting) -> None:
             await service.submit(job(1, shares=1, expect_s=30.0))
-            before = service.store.requests, service.store.counted
+            before = service.store.request_count, service.store.write_count
             for n in range(2, 12):
                 await service.submit(
                     job(
@@ -1015,7 +1015,9 @@
                     )
                 )
             await asyncio.sleep(75)
-            cost.append((service.store.requests - before[0], service.store.counted - before[1]))
+            cost.append(
+                (service.store.request_count - before[0], service.store.write_count - before[1])
+            )
             assert await service.until_final([f"req-{n:06d}" for n in range(1, 12)], 60) == []
 
         play(monkeypatch, 39, day)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -100,7 +100,7 @@
         await asyncio.sleep(1.5 * AGENT_LEASE_S)
         service.store.down = False
         assert await service.until_final(["req-000001"], 60) == []
-        assert {worker.tenure for worker in service.cloud.workers.values()} == {1}
+        assert {worker.incarnation for worker in service.cloud.workers.values()} == {1}
 
     play(monkeypatch, 41, day)
 
@@ -119,13 +119,13 @@
 
         def hook(writes: list[dict[str, Any]]) -> None:
             if any(write.get("set") == "job/req-000001" for write in writes):
-                service.store.hook = None
+                service.store.on_transaction = None
                 service.crash(owner, 0.3)
                 asyncio.get_running_loop().call_later(
                     0.01, lambda: setattr(service.store, "down", True)
                 )
 
-        service.store.hook = hook
+        service.store.on_transaction = hook
         spawn(service.net, "users", service.withdraw("req-000001"))
         await asyncio.sleep(outage_s)
         service.store.down = False
@@ -155,7 +155,7 @@
                 await asyncio.sleep(3.5)
         assert service.controllers[owner].owners.keys() >= {"red"}
         assert not [text for text in caplog.messages if "passing on" in text]
-        assert {worker.tenure for worker in service.cloud.workers.values()} == {1}
+        assert {worker.incarnation for worker in service.cloud.workers.values()} == {1}
         assert await service.until_final(["req-000001"], 90) == []
 
     play(monkeypatch, 43, day)
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -237,12 +237,12 @@
 
     async def refuse(self) -> None:
         """Have the store refuse the owner, or each of the three controllers in turn."""
-        scenario, state = self.scenario, self.service.store
+        scenario, store = self.scenario, self.service.store
         refused = (self.owner, self.confirmer, self.third) if scenario.in_turn else (self.owner,)
         for n in refused:
-            state.refusing = {self.hosts[n]} if scenario.refused_s else set()
+            store.refused_hosts = {self.hosts[n]} if scenario.refused_s else set()
             await asyncio.sleep(0.8 if scenario.in_turn else scenario.refused_s)
-        state.refusing = set()
+        store.refused_hosts = set()
 
     async def cut_workers(self) -> None:
         """Cut the workers off from the owner at the scenario's time."""
@@ -268,9 +268,9 @@
         service = self.service
         service.doors = [self.confirmer]
         if self.scenario.response_lost:
-            service.store.lose_answers = 1.0
+            service.store.lost_answer_share = 1.0
             asyncio.get_running_loop().call_later(
-                0.5, lambda: setattr(service.store, "lose_answers", 0.0)
+                0.5, lambda: setattr(service.store, "lost_answer_share", 0.0)
             )
         statuses = await asyncio.gather(
             *(service.withdraw(f"req-{number:06d}") for number in numbers)
@@ -285,15 +285,15 @@
 
     async def store_outage(self) -> None:
         """Have the store fail for all controllers."""
-        state = self.service.store
-        state.down = True
+        store = self.service.store
+        store.down = True
         await asyncio.sleep(self.scenario.outage_s)
-        state.down, state.refusing = False, set()
+        store.down, store.refused_hosts = False, set()
 
     async def refuse_again(self) -> None:
         """Refuse the current owner, cancel other jobs, and have the store fail once more."""
         await asyncio.sleep(8)
-        self.service.store.refusing = {self.hosts[await owned(self.service)]}
+        self.service.store.refused_hosts = {self.hosts[await owned(self.service)]}
         await self.cancel(3, 4)
         await self.store_outage()
 
@@ -308,7 +308,7 @@
 
 def incarnations(service: Service) -> dict[str, int]:
     """Return the incarnation of each worker's agent, by the worker's name."""
-    return {name: worker.tenure for name, worker in service.cloud.workers.items()}
+    return {name: worker.incarnation for name, worker in service.cloud.workers.items()}
 
 
 async def owner_refused_alone(service: Service, scenario: Scenario) -> None:
@@ -383,7 +383,7 @@
         interval_count = len(link.intervals)
         writer = sender.mesh.peers[receiver.label].writer
         assert writer is not None and interval_count == 1
-        service.store.refusing = {f"10.0.0.{owner}"}
+        service.store.refused_hosts = {f"10.0.0.{owner}"}
         synced_at = receiver.jobs.synced_at
         if lost == "full":
             # Only while the cancellation is sent; a link that stays full is closed later anyway.
@@ -408,7 +408,7 @@
             )
         else:
             assert len(link.intervals) == interval_count + 1 and known_until < service.now() - 2.5
-        service.store.refusing = set()
+        service.store.refused_hosts = set()
         service.doors = [0, 1, 2]
         await asyncio.sleep(3)
         assert (
@@ -425,7 +425,7 @@
     async def scenario(service: Service) -> None:
         owner = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
-        service.store.refusing = {f"10.0.0.{owner}"}
+        service.store.refused_hosts = {f"10.0.0.{owner}"}
         service.doors = [(owner + 1) % 3]
         assert await service.withdraw("req-000001") == "withdrawn"
         service.store.down = True
@@ -436,7 +436,7 @@
             for c in service.controllers.values()
             for link in c.cancellations.watermark.links.values()
         )
-        service.store.down, service.store.refusing = False, set()
+        service.store.down, service.store.refused_hosts = False, set()
         await asyncio.sleep(LEASE_S)
 
     monkeypatch.setattr("ashdock.cluster_version.SUPPORTED_VERSION", 3)
@@ -458,7 +458,7 @@
     async def scenario(service: Service) -> None:
         n = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
-        service.cloud.held_orders = (1.0, delay_s, delay_s)
+        service.cloud.held_commands = (1.0, delay_s, delay_s)
         await service.submit(job(2, shape="daemon", shares=1))
         while not any(
             machine.outstanding_runs
@@ -536,18 +536,18 @@
                     0.004, lambda: setattr(service.store, "down", True)
                 )
 
-        service.store.hook = fail_after_claim
-        service.store.refusing = {f"10.0.0.{n}"}
+        service.store.on_transaction = fail_after_claim
+        service.store.refused_hosts = {f"10.0.0.{n}"}
         while not service.store.down:
             await asyncio.sleep(0.05)
-        service.store.hook = None
+        service.store.on_transaction = None
         assert service.store.keys["part/red"][0]["owner"] != f"n{n}"
         await asyncio.sleep(MAX_WATERMARK_AGE_S + 2 * LEASE_S)
         assert incarnations(service) == incarnations_before
-        service.store.down, service.store.refusing = False, set()
+        service.store.down, service.store.refused_hosts = False, set()
         await asyncio.sleep(2 * LEASE_S)
         assert service.invariants.placements.get(("req-000001", 0)) and {
-            worker.tenure for worker in service.cloud.workers.values()
+            worker.incarnation for worker in service.cloud.workers.values()
         } == {1}
 
     play(monkeypatch, 66, scenario)
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -106,7 +106,7 @@
         service.submit(job(number, shares=70, accelerators=0.1, cpus=0.1, expect_s=6.0))
     )
     await asyncio.sleep(2.0)
-    service.store.limits = (2048, 6)
+    service.store.txn_limits = (2048, 6)
     await submitted
 
 
@@ -131,10 +131,10 @@
     """Every task that a worker starts meanwhile fails: retries in place, then parks."""
     workers = list(service.cloud.workers.values())
     for worker in workers:
-        worker.error_share = 1.0
+        worker.failure_share = 1.0
     await asyncio.sleep(for_s)
     for worker in workers:
-        worker.error_share = 0.0
+        worker.failure_share = 0.0
 
 
 EXTRA = {trouble.__name__: trouble for trouble in (limits_shrink, dependencies, many_fail)}
