--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the state service, the cloud and the workers, as far as the protocol describes them."""
+"""Fakes of the store, the cloud and the workers, as far as the protocol describes them."""
 
 from __future__ import annotations
 
@@ -18,51 +18,54 @@
 
 
 def reply(status: int, body: Any) -> Answer:
+    """Return an answer with a JSON body."""
     return Answer(status, json.dumps(body).encode())
 
 
 class FakeStore:
+    """A key-value store with revisions, leases, watches and compare-and-swap transactions.
+
+    Its faults and limits are attributes that a test sets while it runs.
+    """
+
     def __init__(self, net: Network) -> None:
+        """Create an empty store without faults or limits."""
         self.net = net
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}  # path: value, revision, lease
         self.revision = 0
         self.changes: list[dict[str, Any]] = []
-        self.leases: dict[int, tuple[float, float]] = {}  # ends at, ttl
+        self.leases: dict[int, tuple[float, float]] = {}  # lease: when it expires, its TTL in s
         self.last_lease = 0
         self.down = False
-        self.refused_hosts: set[str] = (
-            set()
-        )  # hosts that it refuses alone: their watches wait, their leases run out
-        self.extra_delay_s = 0.0  # seconds more that it takes to answer
-        self.lost_answer_share = 0.0  # share of transactions whose answer never comes
-        self.late_write_share = 0.0  # share of transactions applied only seconds later, unanswered
+        # Hosts whose requests alone are refused; their watches wait and their leases expire.
+        self.refused_hosts: set[str] = set()
+        self.extra_delay_s = 0.0  # added to the time that a request takes
+        self.lost_answer_share = 0.0  # of transactions with writes: applied, but not answered
+        self.late_write_share = 0.0  # of transactions: applied only 2 to 12 s later, not answered
         self.rng = random.Random(net.rng.random())
         self.changed = asyncio.Condition()
-        self.job_watches_lag = (
-            False  # watches of jobs see nothing, and then have fallen too far behind
-        )
-        self.txn_limits: tuple[float, int] | None = (
-            None  # bytes of a value and changes of a transaction that it takes
-        )
-        self.write_rps: float | None = None
+        # While set, watches of jobs return nothing; then they are told that they fell behind (410).
+        self.job_watches_lag = False
+        # The largest value in bytes and the most writes of a transaction that are accepted.
+        self.txn_limits: tuple[float, int] | None = None
+        self.write_rps: float | None = None  # token bucket: writes a second, and the largest burst
         self.tokens, self.refilled_at = 0.0, 0.0
-        self.refused_by_status: dict[int, int] = {}  # by status
+        self.refused_by_status: dict[int, int] = {}  # transactions beyond a limit
         self.write_count = 0  # puts and deletes
         self.request_count = 0
         self.on_transaction: Any = (
-            None  # called with each transaction's writes before they are applied
-        )
-        self.on_compared: Any = (
-            None  # called with the paths that a transaction which is applied names, and its writes
-        )
-        self.fault_for_writes: Callable[[list[dict[str, Any]]], str] | None = (
-            None  # "answer" or "late" for writes whose answer alone is lost, or that are late
-        )
-        self.on_applied: Callable[[str, Any], None] | None = (
-            None  # called with each path that was written, and its value
+            None  # called with a transaction's writes before they are applied
         )
+        # Called with the paths that an applied transaction compares, and with its writes.
+        self.on_compared: Any = None
+        # Returns, for a transaction's writes, "answer" to lose only the answer, "late" to apply
+        # them late as well, or "" for no fault.
+        self.fault_for_writes: Callable[[list[dict[str, Any]]], str] | None = None
+        # Called with each path that was written or deleted, and its value.
+        self.on_applied: Callable[[str, Any], None] | None = None
 
     async def start(self) -> None:
+        """Start to listen and to expire leases."""
         self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
         await self.server.start(STORE_HOST, 2379)
         asyncio.create_task(self._expire_leases())
@@ -75,13 +78,15 @@
             await asyncio.sleep(0.05)
             now = asyncio.get_running_loop().time()
             if self.down:
-                self.leases = {hold: (now + ttl, ttl) for hold, (_, ttl) in self.leases.items()}
+                self.leases = {lease: (now + ttl, ttl) for lease, (_, ttl) in self.leases.items()}
                 continue
-            for hold in [hold for hold, (ends, _) in self.leases.items() if ends < now]:
-                del self.leases[hold]
-                gone = [path for path, (_, _, permit) in self.keys.items() if permit == hold]
-                if gone:
-                    await self._apply([{"delete": path} for path in gone])
+            for lease in [
+                lease for lease, (expires_at, _) in self.leases.items() if expires_at < now
+            ]:
+                del self.leases[lease]
+                expired = [path for path, (_, _, held_by) in self.keys.items() if held_by == lease]
+                if expired:
+                    await self._apply([{"delete": path} for path in expired])
 
     async def _apply(self, writes: list[dict[str, Any]]) -> int:
         self.revision += 1
@@ -100,10 +105,11 @@
         return self.revision
 
     async def handle(self, request: Request) -> Answer:
+        """Answer a request to the store."""
         path, _, query = request.target.partition("?")
-        words = {key: value[0] for key, value in parse_qs(query).items()}
+        parameters = {key: value[0] for key, value in parse_qs(query).items()}
         if path == "/changes":
-            return await self._watch(words)
+            return await self._watch(parameters)
         if self._refuses():
             return reply(503, {"error": "trouble"})
         self.request_count += 1
@@ -116,39 +122,40 @@
             found = sorted(
                 key
                 for key in self.keys
-                if key.startswith(words["under"]) and key > words.get("from", "")
+                if key.startswith(parameters["under"]) and key > parameters.get("from", "")
             )
-            most = int(words.get("most", 1000))
+            page_size = int(parameters.get("most", 1000))
             entries = [
                 {"path": key, "value": self.keys[key][0], "stamp": self.keys[key][1]}
-                for key in found[:most]
+                for key in found[:page_size]
             ]
             return reply(
-                200, {"entries": entries, "truncated": len(found) > most, "ledger": self.revision}
+                200,
+                {"entries": entries, "truncated": len(found) > page_size, "ledger": self.revision},
             )
         key = unquote(path.removeprefix("/store/"))
         if key not in self.keys:
             return reply(404, {"ledger": self.revision})
-        value, revision, permit = self.keys[key]
-        return reply(200, {"path": key, "value": value, "stamp": revision, "permit": permit})
+        value, revision, lease = self.keys[key]
+        return reply(200, {"path": key, "value": value, "stamp": revision, "permit": lease})
 
     async def _txn(self, body: dict[str, Any]) -> Answer:
         writes = body.get("writes", [])
-        lost = self.fault_for_writes(writes) if self.fault_for_writes and writes else ""
-        if lost == "late" or self.rng.random() < self.late_write_share:
+        fault = self.fault_for_writes(writes) if self.fault_for_writes and writes else ""
+        if fault == "late" or self.rng.random() < self.late_write_share:
             asyncio.create_task(self._commit_late(body))
             await asyncio.sleep(60)
         answer = await self._commit(body)
-        if lost or (writes and self.rng.random() < self.lost_answer_share):
+        if fault or (writes and self.rng.random() < self.lost_answer_share):
             await asyncio.sleep(60)
         return answer
 
     def _limit_status(self, writes: list[dict[str, Any]]) -> int:
-        """The status of a transaction beyond the limits, as they are at this moment and without notice; 0 within them."""
+        """Return the error status of a transaction that is beyond the limits, or 0."""
         if self.txn_limits:
-            most, ops = self.txn_limits
-            if len(writes) > ops or any(
-                len(json.dumps(w["value"], separators=(",", ":"))) > most
+            max_value_bytes, max_writes = self.txn_limits
+            if len(writes) > max_writes or any(
+                len(json.dumps(w["value"], separators=(",", ":"))) > max_value_bytes
                 for w in writes
                 if "set" in w
             ):
@@ -165,7 +172,7 @@
         return 0
 
     async def _commit_late(self, body: dict[str, Any]) -> None:
-        await asyncio.sleep(2 + 10 * self.rng.random())  # also after newer ones
+        await asyncio.sleep(2 + 10 * self.rng.random())  # so that newer ones may precede it
         await self._commit(body)
 
     async def _commit(self, body: dict[str, Any]) -> Answer:
@@ -179,10 +186,10 @@
         ]
         if failed:
             return reply(409, {"failed": failed, "ledger": self.revision})
-        trouble = self._limit_status(writes)
-        if trouble:
-            self.refused_by_status[trouble] = self.refused_by_status.get(trouble, 0) + 1
-            return reply(trouble, {"error": "too large" if trouble == 400 else "too many"})
+        status = self._limit_status(writes)
+        if status:
+            self.refused_by_status[status] = self.refused_by_status.get(status, 0) + 1
+            return reply(status, {"error": "too large" if status == 400 else "too many"})
         self.write_count += len(writes)
         if self.on_transaction:
             self.on_transaction(writes)
@@ -195,30 +202,36 @@
         if path == "/holds":
             ttl = json.loads(request.body)["ttl_ms"] / 1000
             self.last_lease += 1
-            hold = self.last_lease
-            self.leases[hold] = (now + ttl, ttl)
-            return reply(200, {"permit": hold})
-        hold = int(path.split("/")[2])
-        if hold not in self.leases:
+            lease = self.last_lease
+            self.leases[lease] = (now + ttl, ttl)
+            return reply(200, {"permit": lease})
+        lease = int(path.split("/")[2])
+        if lease not in self.leases:
             return reply(404, {})
-        ttl = self.leases[hold][1]
-        self.leases[hold] = (now + ttl, ttl)
-        return reply(200, {"permit": hold})
+        ttl = self.leases[lease][1]
+        self.leases[lease] = (now + ttl, ttl)
+        return reply(200, {"permit": lease})
 
-    async def _watch(self, words: dict[str, str]) -> Answer:
+    async def _watch(self, parameters: dict[str, str]) -> Answer:
         loop = asyncio.get_running_loop()
-        until = loop.time() + int(words.get("hold_ms", 0)) / 1000
-        after = int(words["from"])
-        while self.job_watches_lag and words["under"] == "job/":
+        until = loop.time() + int(parameters.get("hold_ms", 0)) / 1000
+        after = int(parameters["from"])
+        while self.job_watches_lag and parameters["under"] == "job/":
             await asyncio.sleep(0.1)
             if not self.job_watches_lag:
                 return reply(410, {})
         while True:
-            new = self.changes[bisect_right(self.changes, after, key=lambda c: c["stamp"]) :]
-            news = [c for c in new if (c.get("set") or c["delete"]).startswith(words["under"])]
-            # In an outage it waits beyond its time, as an open watch does.
-            if not self._refuses() and (news or loop.time() >= until):
-                return reply(200, {"ledger": self.revision, "news": news})
+            later_changes = self.changes[
+                bisect_right(self.changes, after, key=lambda c: c["stamp"]) :
+            ]
+            watched = [
+                c
+                for c in later_changes
+                if (c.get("set") or c["delete"]).startswith(parameters["under"])
+            ]
+            # In an outage it waits beyond its time limit, as an open connection does.
+            if not self._refuses() and (watched or loop.time() >= until):
+                return reply(200, {"ledger": self.revision, "news": watched})
             try:
                 async with asyncio.timeout(min(max(until - loop.time(), 0.05), 0.5)):
                     async with self.changed:
@@ -228,11 +241,16 @@
 
 
 class FakeWorker:
-    """One machine's worker. Faults: `hang`, `error_share`; and whatever the network does."""
+    """The worker of one machine, which sends heartbeats to a controller and runs its commands.
+
+    Its faults are `hang`, `die`, `failure_share`, `loses_answers`, `loses_heartbeats` and those of
+    the network.
+    """
 
     def __init__(
         self, cloud: FakeCloud, name: str, machine_type: str, zone: str, spot: bool, number: int
     ) -> None:
+        """Create the worker of the `number`-th machine, which determines its address."""
         self.cloud = cloud
         self.name = name
         self.machine_type = machine_type
@@ -243,27 +261,30 @@
         self.incarnation = 1
         self.sequence = 0
         self.fencing_token = 0
-        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}  # by (share, try)
+        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}  # by task and attempt
         self.lease_renewed_at = 0.0
-        self.failure_share = 0.0
-        self.reclaim_at: float | None = None
+        self.failure_share = 0.0  # of its tasks, that exit with an error
+        self.reclaim_at: float | None = None  # when the cloud takes back its spot machine
         self.stopped = False
-        self.loses_answers = False  # its reports arrive; answers and direct commands to it are lost
-        self.loses_heartbeats = False  # it reaches no controller; direct commands reach it
+        self.loses_answers = False  # and direct commands; its heartbeats arrive
+        self.loses_heartbeats = False  # it reaches no controller; direct commands arrive
         self.up = False
-        self.not_hung = asyncio.Event()  # cleared while it hangs
+        self.not_hung = asyncio.Event()
         self.not_hung.set()
         self.status_changed = asyncio.Event()
         self.images: set[str] = set()
         self.clients: dict[str, Client] = {}
 
     def now(self) -> float:
+        """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
-    def place(self, attempt: int) -> Placement:
+    def placement(self, attempt: int) -> Placement:
+        """Return this machine as the place of an attempt."""
         return Placement(self.name, self.machine_type, self.zone, self.spot, attempt)
 
     async def run(self) -> None:
+        """Send heartbeats to one controller after the other until the worker is stopped."""
         self.lease_renewed_at = self.now()
         self.up = True
         await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
@@ -294,21 +315,22 @@
         while not self.stopped:
             await asyncio.sleep(0.1)
             if self.now() - self.lease_renewed_at > self.cloud.lease_s:
-                for share, attempt in list(self.tasks):
-                    self._remove_task(share, attempt)
+                for task_id, attempt in list(self.tasks):
+                    self._remove_task(task_id, attempt)
                 self.tasks.clear()
                 self.incarnation += 1
                 self.lease_renewed_at = self.now()
                 self.status_changed.set()
 
     def message(self) -> dict[str, Any]:
+        """Return the next heartbeat."""
         self.sequence += 1
-        out = []
-        for (share, attempt), task in self.tasks.items():
-            out.append(
-                {"share": share, "try": attempt, "status": task["status"], **task.get("more", {})}
+        tasks = []
+        for (task_id, attempt), task in self.tasks.items():
+            tasks.append(
+                {"share": task_id, "try": attempt, "status": task["status"], **task.get("more", {})}
             )
-        recall = None if self.reclaim_at is None else max(0.0, self.reclaim_at - self.now())
+        reclaim_in_s = None if self.reclaim_at is None else max(0.0, self.reclaim_at - self.now())
         return {
             "berth": self.name,
             "address": self.address,
@@ -318,19 +340,23 @@
             "tenure": self.incarnation,
             "tally": self.sequence,
             "warrant": self.fencing_token,
-            "recall_s": recall,
-            "shares": out,
+            "recall_s": reclaim_in_s,
+            "shares": tasks,
         }
 
     async def _send_heartbeat(self, node: str) -> float | str:
-        """0 to stay, a pause before the next node, or the node to go to."""
-        sent, tenure = self.now(), self.incarnation
+        """Send a heartbeat to a controller.
+
+        Returns 0 to stay with this controller, the pause in seconds before the next one, or
+        the name of the controller to go to.
+        """
+        sent_at, incarnation = self.now(), self.incarnation
         client = self.clients.setdefault(
             node, Client(self.cloud.nodes[node], 8080, keep=self.cloud.kept_connections)
         )
         for other in [name for name in self.clients if name != node]:
             self.clients.pop(other).close()
-        told = json.dumps(self.message()).encode()
+        heartbeat = json.dumps(self.message()).encode()
         if self.loses_heartbeats:
             await asyncio.sleep(4.0)
             return 1.0
@@ -338,85 +364,87 @@
             self.cloud.held_heartbeat_share
             and self.cloud.rng.random() < self.cloud.held_heartbeat_share
         ):
-            self.cloud.held_heartbeats.append((self, told))
+            self.cloud.held_heartbeats.append((self, heartbeat))
         if (
             self.cloud.late_heartbeat_share
             and self.cloud.rng.random() < self.cloud.late_heartbeat_share
         ):
-            spawn(self.cloud.net, self.host, self._resend_heartbeat(node, told))
+            spawn(self.cloud.net, self.host, self._resend_heartbeat(node, heartbeat))
         try:
-            status, body = await client.request("POST", "/checkin", told, 4.0)
+            status, body = await client.request("POST", "/checkin", heartbeat, 4.0)
             if self.loses_answers:
                 await asyncio.sleep(4.0)
                 return 1.0
             if not self.not_hung.is_set():
                 await self.not_hung.wait()
-                if self.now() - sent > 4.0:
-                    return 1.0  # dropped, as any answer that comes so late
+                if self.now() - sent_at > 4.0:
+                    return 1.0  # dropped, like any answer after the timeout
         except NoAnswer:
             return 1.0
         if status == 421:
-            harbour = json.loads(body).get("harbour")
-            return harbour if harbour in self.cloud.nodes and harbour != node else 1.0
+            owner = json.loads(body).get("harbour")
+            return owner if owner in self.cloud.nodes and owner != node else 1.0
         if status != 200:
             return 1.0
         answer = json.loads(body)
         if (
             answer["warrant"] >= self.fencing_token
-            and tenure == self.incarnation
+            and incarnation == self.incarnation
             and not self.stopped
         ):
             self.fencing_token = answer["warrant"]
-            self.lease_renewed_at = sent
+            self.lease_renewed_at = sent_at
             self._execute_commands(answer["orders"])
         return 0.0
 
     async def hang(self, for_s: float) -> None:
-        """It carries nothing out for so long, and then goes on; what it was sent meanwhile is carried out then."""
+        """Stop working for a time, then go on and execute what was received meanwhile."""
         self.not_hung.clear()
         await asyncio.sleep(min(for_s, 2.0))
-        if not self.not_hung.is_set():  # the mates of its gangs notice
+        if not self.not_hung.is_set():  # the other tasks of its gangs notice after 2 s
             self.cloud.broken_gangs |= {
-                (share.rsplit("/", 1)[0], attempt)
-                for (share, attempt), task in self.tasks.items()
+                (task_id.rsplit("/", 1)[0], attempt)
+                for (task_id, attempt), task in self.tasks.items()
                 if task["status"] == "running"
             }
         await asyncio.sleep(max(for_s - 2.0, 0.0))
         self.not_hung.set()
 
     def free_resources(self) -> FreeMachine:
-        """What is free on it."""
-        runs = [
-            self.cloud.invariants.jobs[share.rsplit("/", 1)[0]]
-            for (share, _), task in self.tasks.items()
+        """Return the machine with its free resources."""
+        jobs = [
+            self.cloud.invariants.jobs[task_id.rsplit("/", 1)[0]]
+            for (task_id, _), task in self.tasks.items()
             if task["status"] != "ended"
         ]
         return FreeMachine(
-            self.place(0),
+            self.placement(0),
             *(
-                whole - sum(run[what] for run in runs)
-                for what, whole in (("cpus", 32), ("accelerators", 4), ("ram_gb", 192))
+                total - sum(job[resource] for job in jobs)
+                for resource, total in (("cpus", 32), ("accelerators", 4), ("ram_gb", 192))
             ),
         )
 
-    async def _resend_heartbeat(self, node: str, told: bytes, after_s: float | None = None) -> None:
-        """A copy of a report arrives long after newer ones; nobody hears the answer."""
+    async def _resend_heartbeat(
+        self, node: str, heartbeat: bytes, after_s: float | None = None
+    ) -> None:
+        """Deliver a copy of a heartbeat long after newer ones; its answer is ignored."""
         await asyncio.sleep(
             2 + 1.5 * self.cloud.lease_s * self.cloud.rng.random() if after_s is None else after_s
         )
         try:
             await Client(self.cloud.nodes[node], 8080, keep=0).request(
-                "POST", "/checkin", told, 4.0
+                "POST", "/checkin", heartbeat, 4.0
             )
         except NoAnswer:
             pass
 
     async def handle(self, request: Request) -> Answer:
+        """Answer a request of a controller."""
         held = self.cloud.held_commands
         if held and request.target == "/orders" and self.cloud.rng.random() < held[0]:
-            await asyncio.sleep(
-                self.cloud.rng.uniform(*held[1:])
-            )  # carried out then, if token and session still match
+            # Executed after the delay, if fencing token and incarnation still match.
+            await asyncio.sleep(self.cloud.rng.uniform(*held[1:]))
         if self.loses_answers:
             await asyncio.sleep(60)
             return reply(503, {})
@@ -432,72 +460,72 @@
         self._execute_commands(body["orders"])
         return reply(200, self.message())
 
-    def _execute_commands(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
-            key = (order["share"], order["try"])
+    def _execute_commands(self, commands: list[dict[str, Any]]) -> None:
+        for command in commands:
+            key = (command["share"], command["try"])
             task = self.tasks.get(key)
-            if order["verb"] == "run" and task is None:
+            if command["verb"] == "run" and task is None:
                 self._start_task(*key)
-            elif order["verb"] == "kill" and task and task["status"] != "ended":
-                self._end_task(*key, "stopped", kept=order["leeway_s"] > 0)
-            elif order["verb"] == "forget" and task and task["status"] == "ended":
+            elif command["verb"] == "kill" and task and task["status"] != "ended":
+                self._end_task(*key, "stopped", saved=command["leeway_s"] > 0)
+            elif command["verb"] == "forget" and task and task["status"] == "ended":
                 del self.tasks[key]
 
-    def _start_task(self, share: str, attempt: int) -> None:
-        job = share.rsplit("/", 1)[0]
-        run = self.cloud.invariants.jobs.get(job)
-        task = self.tasks[share, attempt] = {"status": "pulling"}
+    def _start_task(self, task_id: str, attempt: int) -> None:
+        job = task_id.rsplit("/", 1)[0]
+        spec = self.cloud.invariants.jobs.get(job)
+        task = self.tasks[task_id, attempt] = {"status": "pulling"}
         self.status_changed.set()
-        if run is None:
+        if spec is None:
             task.update(status="ended", more={"cause": "no_such"})
             return
         busy = [
             key
             for key, other in self.tasks.items()
-            if other["status"] != "ended" and key != (share, attempt)
+            if other["status"] != "ended" and key != (task_id, attempt)
         ]
-        if any(key[0] == share for key in busy):
+        if any(key[0] == task_id for key in busy):
             task.update(status="ended", more={"cause": "in_use"})
             return
         used = sum(
             self.cloud.invariants.jobs[key[0].rsplit("/", 1)[0]]["accelerators"] for key in busy
         )
-        if used + run["accelerators"] > 4:
+        if used + spec["accelerators"] > 4:
             task.update(status="ended", more={"cause": "no_room"})
             return
-        spawn(self.cloud.net, self.host, self._run_task(share, attempt, run, task))
+        spawn(self.cloud.net, self.host, self._run_task(task_id, attempt, spec, task))
 
     async def _run_task(
-        self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]
+        self, task_id: str, attempt: int, spec: dict[str, Any], task: dict[str, Any]
     ) -> None:
-        job, number = share.rsplit("/", 1)
-        if run["bundle"] not in self.images:
-            await asyncio.sleep(run["size_gb"] / 2)
+        job, number = task_id.rsplit("/", 1)
+        if spec["bundle"] not in self.images:
+            await asyncio.sleep(spec["size_gb"] / 2)
         if task["status"] != "pulling":
             return
-        self.images.add(run["bundle"])
-        self.cloud.invariants.task_started(job, int(number), self.place(attempt), self.now())
-        gang = run["shape"] == "ensemble"
+        self.images.add(spec["bundle"])
+        self.cloud.invariants.task_started(job, int(number), self.placement(attempt), self.now())
+        gang = spec["shape"] == "ensemble"
         task["status"] = "waiting" if gang else "running"
         self.status_changed.set()
         if gang:
-            if not await self.cloud.wait_for_gang(job, attempt, run["shares"], task):
+            if not await self.cloud.wait_for_gang(job, attempt, spec["shares"], task):
                 if task["status"] != "ended":
-                    self._end_task(share, attempt, "incomplete")
+                    self._end_task(task_id, attempt, "incomplete")
                 return
             task["status"] = "running"
-            self.cloud.running_gangs.setdefault((job, attempt), []).append((self, share))
+            self.cloud.running_gangs.setdefault((job, attempt), []).append((self, task_id))
             self.status_changed.set()
         work = (
-            run.get("spans", {}).get(int(number), run["expect_s"])
-            if run["shape"] != "daemon"
+            spec.get("spans", {}).get(int(number), spec["expect_s"])
+            if spec["shape"] != "daemon"
             else 1e9
         )
-        # A gang has one progress, that of its first task to save in an attempt. Kept for each task alone, one resumed behind the other, and was
-        # not done when the whole was.
-        saved = job if gang else share
-        left = work - self.cloud.saved_progress_s.get(saved, 0.0)
-        failing = run.get("fails", 0) or self.failure_share > self.cloud.rng.random()
+        # A gang has one checkpoint per attempt, that of its first task to save. With a checkpoint
+        # of its own, a task resumed behind the others and was not done when the gang was.
+        saved_by = job if gang else task_id
+        left = work - self.cloud.saved_progress_s.get(saved_by, 0.0)
+        failing = spec.get("fails", 0) or self.failure_share > self.cloud.rng.random()
         while left > 0:
             step = min(left, 0.5)
             await asyncio.sleep(step)
@@ -505,39 +533,41 @@
             left -= step
             if task["status"] == "ended":
                 if (
-                    run["snapshot_s"]
+                    spec["snapshot_s"]
                     and task.get("more", {}).get("kept")
-                    and self.cloud.saved_in_attempt.get(saved) != attempt
+                    and self.cloud.saved_in_attempt.get(saved_by) != attempt
                 ):
-                    self.cloud.saved_progress_s[saved], self.cloud.saved_in_attempt[saved] = (
+                    self.cloud.saved_progress_s[saved_by], self.cloud.saved_in_attempt[saved_by] = (
                         work - left,
                         attempt,
                     )
                 return
             if failing:
-                run["fails"] = max(0, run.get("fails", 0) - 1)
-                self._end_task(share, attempt, "error")
+                spec["fails"] = max(0, spec.get("fails", 0) - 1)
+                self._end_task(task_id, attempt, "error")
                 return
             if gang and self.cloud.is_gang_broken(job, attempt):
-                self._end_task(share, attempt, "mates_gone")
+                self._end_task(task_id, attempt, "mates_gone")
                 return
-        for mate, its in (
-            self.cloud.running_gangs.get((job, attempt), []) if gang else [(self, share)]
+        for worker, peer_id in (
+            self.cloud.running_gangs.get((job, attempt), []) if gang else [(self, task_id)]
         ):
-            if (its, attempt) in mate.tasks and mate.tasks[its, attempt]["status"] == "running":
-                mate._end_task(its, attempt, "done")
+            if (peer_id, attempt) in worker.tasks and worker.tasks[peer_id, attempt][
+                "status"
+            ] == "running":
+                worker._end_task(peer_id, attempt, "done")
 
-    def _end_task(self, share: str, attempt: int, cause: str, kept: bool = False) -> None:
-        task = self.tasks.get((share, attempt))
+    def _end_task(self, task_id: str, attempt: int, cause: str, saved: bool = False) -> None:
+        task = self.tasks.get((task_id, attempt))
         if task is None:
-            return  # its lease ended meanwhile, and it was forgotten
-        task.update(status="ended", more={"cause": cause, "kept": kept})
-        self._remove_task(share, attempt, cause == "done")
+            return  # removed meanwhile, because the lease of its worker expired
+        task.update(status="ended", more={"cause": cause, "kept": saved})
+        self._remove_task(task_id, attempt, cause == "done")
         self.status_changed.set()
 
-    def _remove_task(self, share: str, attempt: int, done: bool = False) -> None:
-        job, number = share.rsplit("/", 1)
-        task = self.tasks.get((share, attempt))
+    def _remove_task(self, task_id: str, attempt: int, done: bool = False) -> None:
+        job, number = task_id.rsplit("/", 1)
+        task = self.tasks.get((task_id, attempt))
         if task is not None and task["status"] != "ended":
             task.update(status="ended", more={"cause": "stopped"})
         self.cloud.invariants.task_left(job, int(number), self.name, done)
@@ -545,14 +575,15 @@
             self.cloud.broken_gangs.add((job, attempt))
 
     def die(self) -> None:
+        """Stop the machine at once, with all tasks on it."""
         self.stopped = True
-        for share, attempt in list(self.tasks):
-            self._remove_task(share, attempt)
+        for task_id, attempt in list(self.tasks):
+            self._remove_task(task_id, attempt)
         self.cloud.net.kill(self.host)
 
 
 class FakeCloud:
-    """The cloud, its machines, and the nodes' addresses."""
+    """The cloud with its machines, and the state that the workers on them share."""
 
     def __init__(
         self,
@@ -564,6 +595,17 @@
         lease_s: float,
         report_s: float,
     ) -> None:
+        """Create a cloud without machines.
+
+        Args:
+            net: The network that all hosts are on.
+            invariants: Is told of the starts and ends of tasks.
+            nodes: Addresses of the controllers, by name.
+            zones: Zones in which machines may be rented.
+            capacity: The most machines that may be rented at once.
+            lease_s: Tasks of a worker end if no controller answers it for so long.
+            report_s: Time between the heartbeats of a worker.
+        """
         self.net = net
         self.invariants = invariants
         self.nodes = nodes
@@ -574,52 +616,55 @@
         self.rng = random.Random(net.rng.random())
         self.workers: dict[str, FakeWorker] = {}
         self.machines_by_intent: dict[str, list[str]] = {}
-        self.saved_progress_s: dict[str, float] = {}  # progress of tasks, and of gangs as a whole
-        self.saved_in_attempt: dict[str, int] = {}  # attempt
-        self.broken_gangs: set[tuple[str, int]] = set()
-        self.gang_arrivals: dict[tuple[str, int], int] = {}
-        self.running_gangs: dict[
-            tuple[str, int], list[tuple[FakeWorker, str]]
-        ] = {}  # they complete jointly
-        self.number = 0
-        self.kept_connections = (
-            0  # connections to a controller that a worker keeps between its reports
-        )
-        self.late_heartbeat_share = 0.0  # share of reports of which a copy arrives again, later
-        self.held_heartbeat_share = (
-            0.0  # share of which a copy is kept until the lead or a shard changes hands
-        )
+        self.saved_progress_s: dict[str, float] = {}  # by task, and for gangs by job
+        self.saved_in_attempt: dict[str, int] = {}  # by task, and for gangs by job
+        self.broken_gangs: set[tuple[str, int]] = set()  # (job, attempt)
+        self.gang_arrivals: dict[tuple[str, int], int] = {}  # tasks that are ready, by job, attempt
+        # Tasks that complete together, with their workers, by job and attempt.
+        self.running_gangs: dict[tuple[str, int], list[tuple[FakeWorker, str]]] = {}
+        self.number = 0  # of the next machine
+        self.kept_connections = 0  # to a controller, that a worker keeps between its heartbeats
+        self.late_heartbeat_share = 0.0  # of heartbeats: a copy is delivered again later
+        # Share of heartbeats of which a copy is held until the leader or a shard's owner changes.
+        self.held_heartbeat_share = 0.0
         self.held_heartbeats: list[tuple[FakeWorker, bytes]] = []
         self.boot_s = 6.0
-        self.held_commands: tuple[float, float, float] | None = (
-            None  # share of direct commands held up, for how long at least and at most
-        )
+        # Share of the direct commands that are delayed, and the least and the greatest delay in s.
+        self.held_commands: tuple[float, float, float] | None = None
         self.down = False
-        self.list_age_s = 0.0  # how old the machine lists are that it gives
-        self.machine_lists: list[tuple[float, list[dict[str, Any]]]] = []
+        self.list_age_s = 0.0  # age of the machine lists that are returned
+        self.machine_lists: list[tuple[float, list[dict[str, Any]]]] = []  # with their times
         self.booted_at: dict[str, float] = {}
 
     async def start(self) -> None:
+        """Start to listen."""
         self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
         await self.server.start(CLOUD_HOST, 8443)
 
     def owner_changed(self, path: str, value: Any) -> None:
-        """The lead or a shard has somebody new: the copies that were kept reach every controller within the next moments."""
+        """Deliver the held heartbeats to every controller if another one leads or owns a shard.
+
+        Each arrives after up to 2 s. At most the last 100 are delivered; all are discarded.
+
+        Args:
+            path: The path that was written in the store.
+            value: Its new value; None if it was deleted.
+        """
         if value is None or not (path == "leader" or path.startswith("part/")):
             return
-        kept, self.held_heartbeats = self.held_heartbeats[-100:], []
-        for worker, told in kept:
+        held, self.held_heartbeats = self.held_heartbeats[-100:], []
+        for worker, heartbeat in held:
             for node in self.nodes:
                 spawn(
                     self.net,
                     worker.host,
                     worker._resend_heartbeat(
-                        node, told, self.rng.choice((0.0, 0.3, 2.0)) * self.rng.random()
+                        node, heartbeat, self.rng.choice((0.0, 0.3, 2.0)) * self.rng.random()
                     ),
                 )
 
     def free_machines(self) -> list[FreeMachine]:
-        """Machines that could take work at this moment."""
+        """Return the machines that could run tasks now, with their free resources."""
         return [
             w.free_resources()
             for w in self.workers.values()
@@ -629,28 +674,32 @@
             and w.reclaim_at is None
         ]
 
-    def boot(self, zone: str, spot: bool, after: float) -> str:
+    def boot(self, zone: str, spot: bool, delay_s: float) -> str:
+        """Rent a machine whose worker starts after a delay; return its name."""
         name = f"vm-{self.number:06d}"
         worker = self.worker(name, "g4", zone, spot, self.number)
         self.number += 1
         self.workers[name] = worker
         self.booted_at[name] = asyncio.get_running_loop().time()
 
-        async def up() -> None:
-            await asyncio.sleep(after)
+        async def start_worker() -> None:
+            await asyncio.sleep(delay_s)
             if not worker.stopped:
                 await worker.run()
 
-        spawn(self.net, worker.host, up())
+        spawn(self.net, worker.host, start_worker())
         return name
 
-    def worker(self, *words: Any) -> FakeWorker:
-        return FakeWorker(self, *words)
+    def worker(self, *arguments: Any) -> FakeWorker:
+        """Create the worker of a new machine."""
+        return FakeWorker(self, *arguments)
 
     def is_gang_broken(self, job: str, attempt: int) -> bool:
+        """Return whether a task of the attempt ended before it was done, or its machine hangs."""
         return (job, attempt) in self.broken_gangs
 
     async def wait_for_gang(self, job: str, attempt: int, size: int, task: dict[str, Any]) -> bool:
+        """Wait up to 30 s for all tasks of a gang's attempt; return whether all are ready."""
         key = (job, attempt)
         self.gang_arrivals[key] = self.gang_arrivals.get(key, 0) + 1
         for _ in range(300):
@@ -663,11 +712,12 @@
         return False
 
     async def handle(self, request: Request) -> Answer:
+        """Answer a request to the cloud."""
         path = request.target.partition("?")[0]
         if self.down:
             return reply(503, {"error": "trouble"})
         if path == "/catalog":
-            shape = {
+            machine_type = {
                 "label": "g4",
                 "cpus": 32,
                 "accelerators": 4,
@@ -679,7 +729,7 @@
                 "boot_s": 6.0,
                 "yards": self.zones,
             }
-            return reply(200, {"hulls": [shape]})
+            return reply(200, {"hulls": [machine_type]})
         if path == "/hosts" and request.method == "POST":
             body = json.loads(request.body)
             if body["charter"] not in self.machines_by_intent:
@@ -700,15 +750,15 @@
             return reply(200, {})
         now = asyncio.get_running_loop().time()
         self._record_machine_list(now)
-        none: list[dict[str, Any]] = []
+        no_hosts: list[dict[str, Any]] = []
         hosts = next(
             (hosts for at, hosts in reversed(self.machine_lists) if at <= now - self.list_age_s),
-            none,
+            no_hosts,
         )
         return reply(200, {"berths": hosts, "truncated": False})
 
     def _record_machine_list(self, now: float) -> None:
-        """What the list shows of this moment, once that is as old as lists are."""
+        """Record the present machines, to be returned once the list has the age of `list_age_s`."""
         hosts = [
             {
                 "id": w.name,
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -73,7 +73,7 @@
         if task["status"] != "pulling":
             return
         self.images.add(run["bundle"])
-        self.cloud.invariants.task_started(job, int(number), self.place(attempt), self.now())
+        self.cloud.invariants.task_started(job, int(number), self.placement(attempt), self.now())
         if run["shape"] == "ensemble":
             task["status"] = "waiting"
             self.status_changed.set()
