--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -53,9 +53,8 @@
         self.refused_by_status: dict[int, int] = {}  # transactions beyond a limit
         self.write_count = 0  # puts and deletes
         self.request_count = 0
-        self.on_transaction: Any = (
-            None  # called with a transaction's writes before they are applied
-        )
+        # Called with the writes of each transaction before they are applied.
+        self.on_transaction: Any = None
         # Called with the paths that an applied transaction compares, and with its writes.
         self.on_compared: Any = None
         # Returns, for a transaction's writes, "answer" to lose only the answer, "late" to apply
