--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -99,25 +99,25 @@
         self.cloud = FakeCloud(net, self.invariants, nodes, ZONES, capacity, 6.0, 1.0)
         self.machines = machines
         self.controllers: dict[int, Controller] = {}
-        self.answers: dict[str, dict[str, Any]] = {}
-        self.limit = 400  # sockets of a controller
-        self.doors = [0, 1, 2]  # controllers that users reach
-        self.heard: list[
+        self.last_answers: dict[str, dict[str, Any]] = {}
+        self.max_connections = 400  # sockets of a controller
+        self.entry_points = [0, 1, 2]  # controllers that users reach
+        self.on_first_told: list[
             Callable[[str, str], None]
         ] = []  # called with each job and what a user was just told of it for the first time
-        self.words: set[tuple[str, str]] = set()  # that were told so
+        self.told: set[tuple[str, str]] = set()  # that were told so
 
     async def start(self) -> None:
         spawn(self.net, STORE_HOST, self.store.start())
         spawn(self.net, CLOUD_HOST, self.cloud.start())
-        spawn(self.net, "users", self._watch_rules())
+        spawn(self.net, "users", self._check_invariants())
         await asyncio.sleep(0.01)
         for n in range(self.machines):
             self.cloud.boot(ZONES[n % 3], False, 0.0)
         for n in range(3):
             self.boot(n)
 
-    async def _watch_rules(self) -> None:
+    async def _check_invariants(self) -> None:
         while True:
             await asyncio.sleep(0.5)
             self.invariants.tick(self.now())
@@ -127,32 +127,34 @@
 
     def boot(self, n: int) -> None:
         told = settings(n, self.later)
-        told.settings.machine_limits.max_connections = self.limit
+        told.settings.machine_limits.max_connections = self.max_connections
         controller = Controller(told, random.Random(self.rng.random()))
         self.controllers[n] = controller
         spawn(self.net, f"10.0.0.{n}", controller.run())
 
-    def crash(self, n: int, back_after: float = 2.0) -> None:
+    def crash(self, n: int, restart_after_s: float = 2.0) -> None:
         self.net.kill(f"10.0.0.{n}")
         self.controllers.pop(n, None)
 
         async def back() -> None:
-            await asyncio.sleep(back_after)
+            await asyncio.sleep(restart_after_s)
             self.boot(n)
 
         spawn(self.net, "users", back())
 
-    def _heard(self, job_id: str, word: str) -> None:
-        if (job_id, word) not in self.words:
-            self.words.add((job_id, word))
-            for act in self.heard:
+    def _notify_first_told(self, job_id: str, word: str) -> None:
+        if (job_id, word) not in self.told:
+            self.told.add((job_id, word))
+            for act in self.on_first_told:
                 act(job_id, word)
 
     async def call(
-        self, method: str, target: str, body: bytes, timeout: float, door: int | None = None
+        self, method: str, target: str, body: bytes, timeout: float, entry_point: int | None = None
     ) -> tuple[int, dict[str, Any]] | None:
         client = Client(
-            f"10.0.0.{self.rng.choice(self.doors) if door is None else door}", 8080, keep=0
+            f"10.0.0.{self.rng.choice(self.entry_points) if entry_point is None else entry_point}",
+            8080,
+            keep=0,
         )
         try:
             status, answer = await client.request(method, target, body, timeout)
@@ -166,53 +168,55 @@
             {key: value for key, value in run.items() if key not in ("fails", "spans")}
         ).encode()
 
-    async def _submitted(self, run: dict[str, Any], door: int | None = None) -> int | None:
+    async def _send_submission(
+        self, run: dict[str, Any], entry_point: int | None = None
+    ) -> int | None:
         asked = self.now()
-        got = await self.call("POST", "/v2/runs", self.body_of(run), 5.0, door)
+        got = await self.call("POST", "/v2/runs", self.body_of(run), 5.0, entry_point)
         if got is None:
             return None
         self.invariants.answered(
             run["id"], got[0], got[1].get("status"), submission=True, now=self.now(), asked=asked
         )
         if got[0] in (200, 201):
-            self._heard(run["id"], "accepted")
+            self._notify_first_told(run["id"], "accepted")
         return got[0]
 
     async def submit(self, run: dict[str, Any]) -> int:
         """As a user does it: the same submission until it is answered for good."""
         self.invariants.submitted(run)
         for _ in range(60):
-            status = await self._submitted(run)
+            status = await self._send_submission(run)
             if status in (200, 201, 400, 422):
                 return status
             await asyncio.sleep(1.0)
         return 0
 
-    async def repeat(self, job_id: str, door: int | None = None) -> int | None:
+    async def repeat(self, job_id: str, entry_point: int | None = None) -> int | None:
         """The same submission once more, at that controller."""
-        return await self._submitted(self.invariants.jobs[job_id], door)
+        return await self._send_submission(self.invariants.jobs[job_id], entry_point)
 
-    async def poll(self, job_id: str, door: int | None = None) -> str | None:
+    async def poll(self, job_id: str, entry_point: int | None = None) -> str | None:
         asked = self.now()
-        got = await self.call("GET", f"/v2/runs/{job_id}", b"", 2.0, door)
+        got = await self.call("GET", f"/v2/runs/{job_id}", b"", 2.0, entry_point)
         self.invariants.queried(job_id, got is not None and got[0] in (200, 404), self.now())
         if not got:
             return None
         self.invariants.answered(job_id, got[0], got[1].get("status"), now=self.now(), asked=asked)
         if got[0] == 200:
-            self.answers[job_id] = got[1]
+            self.last_answers[job_id] = got[1]
             if got[1]["status"] in ("done", "withdrawn"):
-                self._heard(job_id, got[1]["status"])
+                self._notify_first_told(job_id, got[1]["status"])
         return got[1].get("status") if got[0] == 200 else str(got[0])
 
-    async def withdraw(self, job_id: str, door: int | None = None) -> str | None:
+    async def cancel(self, job_id: str, entry_point: int | None = None) -> str | None:
         self.invariants.cancel_requested.add(job_id)
         for _ in range(40):
             asked = self.now()
-            got = await self.call("POST", f"/v2/runs/{job_id}/withdraw", b"", 5.0, door)
+            got = await self.call("POST", f"/v2/runs/{job_id}/withdraw", b"", 5.0, entry_point)
             if got and got[0] == 200:
                 self.invariants.answered(job_id, 200, got[1]["status"], now=self.now(), asked=asked)
-                self._heard(job_id, got[1]["status"])
+                self._notify_first_told(job_id, got[1]["status"])
                 return str(got[1]["status"])
             if got:
                 self.invariants.answered(job_id, got[0], None, now=self.now(), asked=asked)
--- a/tests/ends.py
+++ b/tests/ends.py
@@ -105,9 +105,7 @@
         spawn(net, "users", ends(service, rng))
         statuses = await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(rng.uniform(5, COURSE_S))
-        withdrawn = (
-            await service.withdraw("req-000006") if statuses[5] in (200, 201) else "withdrawn"
-        )
+        withdrawn = await service.cancel("req-000006") if statuses[5] in (200, 201) else "withdrawn"
         await asyncio.sleep(COURSE_S / 2)
         left = await service.until_final([run["id"] for run in runs], WITHIN_S)
         service.invariants.end()
--- a/tests/meetings.py
+++ b/tests/meetings.py
@@ -445,7 +445,7 @@
 
         async def cancel(number: int, at_s: float) -> str | None:
             await asyncio.sleep(at_s)
-            return await service.withdraw(f"req-{number:06d}")
+            return await service.cancel(f"req-{number:06d}")
 
         async def ask(luck: random.Random) -> None:
             while True:
@@ -474,7 +474,7 @@
             if one not in invariants.final_states and (
                 one in invariants.cancel_requested or invariants.jobs[one]["shape"] == "daemon"
             ):
-                await service.withdraw(one)
+                await service.cancel(one)
         left = await service.until_final(sorted(invariants.accepted), WITHIN_S)
         await asyncio.sleep(CANCEL_S)
         service.invariants.end(service.now())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -342,7 +342,7 @@
         service = Service(net, machines=40, capacity=40)
         for n in range(3):
             net.socket_limits[f"10.0.0.{n}"] = 64
-        service.limit = 64
+        service.max_connections = 64
         service.cloud.kept_connections = 1  # workers keep their connections
         await service.start()
         await service.submit(job(1, shares=24, expect_s=60.0))
@@ -384,7 +384,7 @@
 
     async def main(net: virtual_time.Network) -> None:
         service = Service(net)
-        service.limit = 64
+        service.max_connections = 64
         await service.start()
         await asyncio.sleep(5)
         silent = [await net.open_connection("10.0.0.0", 8080) for _ in range(200)]
@@ -508,7 +508,7 @@
         service.invariants.submitted(job(3))
         response = await service.call("POST", "/v2/runs", service.body_of(job(3)), 5.0, 0)
         assert response is not None and response[0] == submission
-        assert await service.withdraw("req-000001", 0) == "withdrawn"
+        assert await service.cancel("req-000001", 0) == "withdrawn"
         await asyncio.sleep(15)  # longer than two leases, shorter than `cancel_s`
         assert not service.invariants.placements.get(
             ("req-000001", 0)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -229,7 +229,7 @@
                 service.net.partition(
                     service.cloud.workers[name].host, *service.cloud.nodes.values()
                 )
-        assert await service.withdraw(run["id"]) == "withdrawn"
+        assert await service.cancel(run["id"]) == "withdrawn"
         await asyncio.sleep(25)
         assert not any(service.invariants.placements.values())
         assert await service.submit(run) == 200
@@ -244,9 +244,9 @@
         assert await service.until_final(["req-000002"], 60) == []
         await asyncio.sleep(20)
         await service.poll("req-000001")
-        answer = service.answers["req-000001"]
+        answer = service.last_answers["req-000001"]
         assert answer["status"] == "queued" and "error on vm-" in answer["reason"]
-        assert await service.withdraw("req-000001") == "withdrawn"
+        assert await service.cancel("req-000001") == "withdrawn"
 
     play(monkeypatch, 5, day)
 
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -128,7 +128,7 @@
     """The owner of the hot team's shard crashes, and the store is slow during the failover."""
     await asyncio.sleep(5)
     owner = await owner_of(service, "red")
-    service.crash(owner, back_after=3.0)
+    service.crash(owner, restart_after_s=3.0)
     service.store.extra_delay_s = 0.05
     await asyncio.sleep(6)
     service.store.extra_delay_s = 0.0
@@ -253,7 +253,7 @@
         await service.submit(job(1, shares=16, expect_s=60.0))
         await asyncio.sleep(5)
         for n in (1, 2):
-            service.crash(n, back_after=14.0)
+            service.crash(n, restart_after_s=14.0)
         await asyncio.sleep(12)
         slow = service.controllers[0]
         assert set(slow.owners) == {"red", "blue"} and slow.leader is not None
@@ -307,7 +307,7 @@
         for number in range(2, 14):
             gangs.append(asyncio.create_task(run_gang(number, "blue" if number % 2 else "red")))
             if number == 5:
-                service.crash(await owner_of(service, "red"), back_after=3.0)
+                service.crash(await owner_of(service, "red"), restart_after_s=3.0)
             await asyncio.sleep(2)
         await asyncio.gather(*gangs)
         assert (
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -294,7 +294,7 @@
         async def cancel(after_s: float) -> None:
             await asyncio.sleep(after_s)
             await asyncio.gather(
-                *(service.withdraw(f"req-{number:06d}", doors[door]) for number in (1, 2, 3))
+                *(service.cancel(f"req-{number:06d}", doors[door]) for number in (1, 2, 3))
             )
 
         def applied(path: str, value: Any) -> None:
@@ -448,14 +448,14 @@
         n = await owned(service)
         others = [k for k in range(3) if k != n]
         for k in (n, *others):
-            service.doors = [k]
+            service.entry_points = [k]
             await service.poll("req-000001")
         service.store.job_watches_lag = True
-        service.doors = [n]
+        service.entry_points = [n]
         while await service.poll("req-000001") != "done":
             await asyncio.sleep(0.1)
         for k in others:
-            service.doors = [k]
+            service.entry_points = [k]
             assert await service.poll("req-000001") == "done"
         service.store.job_watches_lag = False
 
@@ -485,7 +485,7 @@
 
         async def cancel(one: str, after_s: float) -> Any:
             await asyncio.sleep(after_s)
-            return await service.withdraw(one)
+            return await service.cancel(one)
 
         spawn(service.net, "users", ask())
         told = await asyncio.gather(*(cancel(one, 2.0 + 0.55 * n) for n, one in enumerate(ids)))
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -124,7 +124,7 @@
         for controller in service.controllers.values():
             controller.store.write_limiter.tokens = 1.0
         # A change is seen at once, whichever controller is asked.
-        assert await service.withdraw("req-000007") == "withdrawn"
+        assert await service.cancel("req-000007") == "withdrawn"
         for n in range(3):
             _, body = await Client(f"10.0.0.{n}", 8080, keep=0).request(
                 "GET", "/v2/runs/req-000007", b"", 2.0
@@ -252,7 +252,8 @@
         for run in runs:
             await service.submit(run)
         while not all(
-            "error on vm-" in service.answers.get(run["id"], {}).get("reason", "") for run in runs
+            "error on vm-" in service.last_answers.get(run["id"], {}).get("reason", "")
+            for run in runs
         ):
             await asyncio.sleep(0.5)
             for run in runs:
@@ -264,7 +265,7 @@
         await service.submit(sound)
         assert await service.until_final([sound["id"]], 40) == []
         for run in runs:
-            assert await service.withdraw(run["id"]) == "withdrawn"
+            assert await service.cancel(run["id"]) == "withdrawn"
         await asyncio.sleep(service.invariants.cancel_s / 2)
         assert not any(service.invariants.placements.values())
         assert not any(
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -765,7 +765,9 @@
             assert await service.submit(run) in (200, 201)
         if fault is quiet:
             assert await service.poll("req-000004") == "queued"
-            assert service.answers["req-000004"]["reason"] == "waits for req-000002, req-000003"
+            assert (
+                service.last_answers["req-000004"]["reason"] == "waits for req-000002, req-000003"
+            )
             # The last job is then submitted when all that it needs is done.
             assert await service.until_final(["req-000004"], 120) == []
         assert await service.submit(runs[4]) in (200, 201)
@@ -803,7 +805,7 @@
 
         service.store.on_transaction = hook
         await asyncio.sleep(1)
-        assert await service.withdraw("req-000001") == "withdrawn"
+        assert await service.cancel("req-000001") == "withdrawn"
         if step == "state":
             service.store.down = True
             await asyncio.sleep(6)
@@ -816,7 +818,7 @@
         assert {service.invariants.final_states[name] for name in [*ids, "req-000009"]} == {
             "withdrawn"
         }
-        assert "req-000001" in service.answers["req-000005"]["reason"]
+        assert "req-000001" in service.last_answers["req-000005"]["reason"]
         assert await service.submit(job(10, shares=1)) == 201  # so that something runs
         assert await service.until_final(["req-000010"], 60) == []
 
@@ -831,7 +833,7 @@
         numbers = range(1, 9)
         await asyncio.gather(*(service.submit(job(n, expect_s=20.0, shares=1)) for n in numbers))
         await asyncio.sleep(3 * seed)
-        calls: list[Any] = [service.withdraw(f"req-{n:06d}") for n in numbers]
+        calls: list[Any] = [service.cancel(f"req-{n:06d}") for n in numbers]
         calls += [
             service.submit(job(20 + n, awaits=[f"req-{n:06d}"], owner="blue" if n % 2 else "red"))
             for n in numbers
@@ -851,7 +853,7 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=1.0))
         assert await service.until_final(["req-000001"], 60) == []
-        assert await service.withdraw("req-000001") == "done"
+        assert await service.cancel("req-000001") == "done"
         await service.submit(job(2, shares=1, awaits=["req-000001"], owner="blue"))
         assert (
             await service.until_final(["req-000002"], 60) == []
@@ -885,7 +887,7 @@
         await service.submit(job(1, shares=1, expect_s=2.0))
         await service.submit(job(2, shape="daemon", shares=1))
         await service.submit(job(3, shape="daemon", shares=1))
-        await service.withdraw("req-000003")
+        await service.cancel("req-000003")
         client = Client("10.0.0.1", 8080, keep=0)
         for n, (awaits, expected) in enumerate(AWAITS, 50):
             run = job(n if n < 59 else n + 1, shares=1, expect_s=1.0) | {"awaits": awaits}
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -126,10 +126,10 @@
                 )
 
         service.store.on_transaction = hook
-        spawn(service.net, "users", service.withdraw("req-000001"))
+        spawn(service.net, "users", service.cancel("req-000001"))
         await asyncio.sleep(outage_s)
         service.store.down = False
-        assert await service.withdraw("req-000001") == "withdrawn"
+        assert await service.cancel("req-000001") == "withdrawn"
         await asyncio.sleep(shared().workers.cancel_s)
         assert await service.poll("req-000002") in ("running", "queued")
 
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -266,14 +266,14 @@
     async def cancel(self, *numbers: int) -> None:
         """Cancel these jobs as their users, through the confirmer."""
         service = self.service
-        service.doors = [self.confirmer]
+        service.entry_points = [self.confirmer]
         if self.scenario.response_lost:
             service.store.lost_answer_share = 1.0
             asyncio.get_running_loop().call_later(
                 0.5, lambda: setattr(service.store, "lost_answer_share", 0.0)
             )
         statuses = await asyncio.gather(
-            *(service.withdraw(f"req-{number:06d}") for number in numbers)
+            *(service.cancel(f"req-{number:06d}") for number in numbers)
         )
         assert set(statuses) == {"withdrawn"}
 
@@ -338,7 +338,7 @@
         assert all(
             service.invariants.placements.get((f"req-{number:06d}", 0)) for number in (3, 4, 5, 6)
         )
-    service.doors = [0, 1, 2]
+    service.entry_points = [0, 1, 2]
     await asyncio.sleep(LEASE_S)
     for number in (5, 6):
         assert await service.poll(f"req-{number:06d}") in ("running", "queued")
@@ -392,8 +392,8 @@
             )
         elif lost == "closed":
             writer.close()
-        service.doors = [(owner + 1) % 3]
-        assert await service.withdraw("req-000001") == "withdrawn"
+        service.entry_points = [(owner + 1) % 3]
+        assert await service.cancel("req-000001") == "withdrawn"
         if lost == "full":
             writer.transport.get_write_buffer_size = lambda: 0  # type: ignore[method-assign]
         await asyncio.sleep(0.05)
@@ -409,7 +409,7 @@
         else:
             assert len(link.intervals) == interval_count + 1 and known_until < service.now() - 2.5
         service.store.refused_hosts = set()
-        service.doors = [0, 1, 2]
+        service.entry_points = [0, 1, 2]
         await asyncio.sleep(3)
         assert (
             receiver.cancellations.watermark.known_until(receiver.jobs.synced_at, service.now())
@@ -426,8 +426,8 @@
         owner = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
         service.store.refused_hosts = {f"10.0.0.{owner}"}
-        service.doors = [(owner + 1) % 3]
-        assert await service.withdraw("req-000001") == "withdrawn"
+        service.entry_points = [(owner + 1) % 3]
+        assert await service.cancel("req-000001") == "withdrawn"
         service.store.down = True
         await asyncio.sleep(2 * CANCEL_S)
         assert not service.controllers[owner].front.is_withdrawn("req-000001")
@@ -467,12 +467,12 @@
             for machine in owner.shard.machines.values()
         ):
             await asyncio.sleep(0.01)
-        spawn(service.net, "users", service.withdraw("req-000002"))
+        spawn(service.net, "users", service.cancel("req-000002"))
         await asyncio.sleep(0.05)
         service.store.down = True
         await asyncio.sleep(2 * CANCEL_S)
         service.store.down = False
-        assert await service.withdraw("req-000002") == "withdrawn"
+        assert await service.cancel("req-000002") == "withdrawn"
         await asyncio.sleep(LEASE_S)
 
     play(monkeypatch, 64, scenario)
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -124,7 +124,7 @@
     for run in runs:
         await service.submit(run)
     if rng.random() < 0.3:
-        await service.withdraw(names[1])
+        await service.cancel(names[1])
 
 
 async def many_fail(service: Service, rng: random.Random, for_s: float) -> None:
--- a/tests/users.py
+++ b/tests/users.py
@@ -19,20 +19,24 @@
     """Whatever a user is told, all controllers are asked about again and again within milliseconds, the submission is repeated there, and
     some jobs are called off at once."""
 
-    async def look(job_id: str, door: int, ms: int) -> None:
+    async def look(job_id: str, entry_point: int, ms: int) -> None:
         await asyncio.sleep(ms / 1000)
-        await (service.repeat(job_id, door) if rng.random() < 0.3 else service.poll(job_id, door))
+        await (
+            service.repeat(job_id, entry_point)
+            if rng.random() < 0.3
+            else service.poll(job_id, entry_point)
+        )
 
     def heard(job_id: str, word: str) -> None:
-        for door in range(3):
+        for entry_point in range(3):
             for ms in LOOKS_MS:
-                spawn(service.net, "users", look(job_id, door, ms))
+                spawn(service.net, "users", look(job_id, entry_point, ms))
         if word == "accepted" and rng.random() < 0.1:
-            spawn(service.net, "users", service.withdraw(job_id, rng.randrange(3)))
+            spawn(service.net, "users", service.cancel(job_id, rng.randrange(3)))
 
-    service.heard.append(heard)
+    service.on_first_told.append(heard)
     await asyncio.sleep(for_s)
-    service.heard.remove(heard)
+    service.on_first_told.remove(heard)
 
 
 def running(service: Service) -> list[tuple[str, list[FakeWorker]]]:
@@ -63,7 +67,7 @@
 
     async def cancel(job_id: str, after_s: float) -> None:
         await asyncio.sleep(after_s)
-        await service.withdraw(job_id)
+        await service.cancel(job_id)
 
     calls = [
         spawn(service.net, "users", cancel(job_id, 0.2 * rng.random())) for job_id, _ in chosen
@@ -80,10 +84,12 @@
 
     def ended(job_id: str) -> None:
         if rng.random() < 0.5:
-            spawn(service.net, "users", service.withdraw(job_id, rng.randrange(3)))
-            for door in range(3):
+            spawn(service.net, "users", service.cancel(job_id, rng.randrange(3)))
+            for entry_point in range(3):
                 spawn(
-                    service.net, "users", rng.choice((service.poll, service.repeat))(job_id, door)
+                    service.net,
+                    "users",
+                    rng.choice((service.poll, service.repeat))(job_id, entry_point),
                 )
 
     service.invariants.on_job_done = ended
@@ -124,7 +130,7 @@
         if odd == 0 and unfinished:
             spawn(service.net, "users", service.repeat(rng.choice(unfinished), rng.randrange(3)))
         elif odd == 1 and done:
-            spawn(service.net, "users", service.withdraw(rng.choice(done), rng.randrange(3)))
+            spawn(service.net, "users", service.cancel(rng.choice(done), rng.randrange(3)))
         else:
             number += 1
             expected, change = rng.choice(BAD)
@@ -145,7 +151,7 @@
         if await service.submit(run) not in (200, 201) or cancel_after_s is None:
             return
         await asyncio.sleep(cancel_after_s)
-        await service.withdraw(run["id"])
+        await service.cancel(run["id"])
 
     calls, until = [], service.now() + for_s
     number = 100_000 + 1000 * rng.randrange(500)
