--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""A whole service in simulated time: three controllers, the stand-ins, users, and the rules watching."""
+"""A cluster in virtual time: three controllers, the fakes, users, and the invariant checker."""
 
 from __future__ import annotations
 
@@ -32,6 +32,7 @@
 
 
 def shared() -> Shared:
+    """Return the settings that all controllers share."""
     return Shared(
         size=3,
         zones=ZONES,
@@ -43,9 +44,10 @@
     )
 
 
-def settings(n: int, later: NextLimits | None = None) -> Settings:
+def settings(n: int, next_limits: NextLimits | None = None) -> Settings:
+    """Return the settings of controller n, with the smaller store limits that are announced."""
     common = shared()
-    common.state.next = later
+    common.state.next = next_limits
     others = [Other(f"n{k}", f"10.0.0.{k}:8081", "a") for k in range(3) if k != n]
     return Settings(
         f"n{n}",
@@ -60,6 +62,11 @@
 
 
 def job(number: int, **more: Any) -> dict[str, Any]:
+    """Return a submission with defaults; `more` replaces or adds fields.
+
+    Two fields are for the fake workers only and are not sent: `fails`, how many attempts exit with
+    an error, and `spans`, how long tasks run, by number, in seconds.
+    """
     run: dict[str, Any] = {
         "id": f"req-{number:06d}",
         "workload": "w",
@@ -86,11 +93,24 @@
 
 
 class Service:
+    """Three controllers with a fake store, cloud and workers, and the requests of their users.
+
+    The answers to submissions, status requests and cancellations are checked by the invariants.
+    """
+
     def __init__(
         self, net: Network, machines: int = 4, capacity: int = 8, later: NextLimits | None = None
     ) -> None:
+        """Create a cluster that is not started yet.
+
+        Args:
+            net: The network that all hosts are on.
+            machines: How many machines are rented from the start.
+            capacity: The most machines that may be rented at once.
+            later: The smaller limits of the store that the settings announce.
+        """
         self.net = net
-        self.later = later
+        self.next_limits = later
         self.rng = random.Random(net.rng.random())
         limits = {team.name: team.gpus_max for team in TEAMS}
         self.invariants = InvariantChecker(shared().workers.cancel_s, limits)
@@ -99,15 +119,15 @@
         self.cloud = FakeCloud(net, self.invariants, nodes, ZONES, capacity, 6.0, 1.0)
         self.machines = machines
         self.controllers: dict[int, Controller] = {}
-        self.last_answers: dict[str, dict[str, Any]] = {}
-        self.max_connections = 400  # sockets of a controller
-        self.entry_points = [0, 1, 2]  # controllers that users reach
-        self.on_first_told: list[
-            Callable[[str, str], None]
-        ] = []  # called with each job and what a user was just told of it for the first time
-        self.told: set[tuple[str, str]] = set()  # that were told so
+        self.last_answers: dict[str, dict[str, Any]] = {}  # to status requests, by job
+        self.max_connections = 400  # open connections of a controller
+        self.entry_points = [0, 1, 2]  # numbers of the controllers that users ask
+        # Called with a job and its state when a user is told of that state for the first time.
+        self.on_first_told: list[Callable[[str, str], None]] = []
+        self.told: set[tuple[str, str]] = set()  # (job, state)
 
     async def start(self) -> None:
+        """Start the fakes and the controllers; all machines are up at once."""
         spawn(self.net, STORE_HOST, self.store.start())
         spawn(self.net, CLOUD_HOST, self.cloud.start())
         spawn(self.net, "users", self._check_invariants())
@@ -123,34 +143,41 @@
             self.invariants.tick(self.now())
 
     def now(self) -> float:
+        """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     def boot(self, n: int) -> None:
-        told = settings(n, self.later)
-        told.settings.machine_limits.max_connections = self.max_connections
-        controller = Controller(told, random.Random(self.rng.random()))
+        """Start controller n."""
+        own_settings = settings(n, self.next_limits)
+        own_settings.settings.machine_limits.max_connections = self.max_connections
+        controller = Controller(own_settings, random.Random(self.rng.random()))
         self.controllers[n] = controller
         spawn(self.net, f"10.0.0.{n}", controller.run())
 
     def crash(self, n: int, restart_after_s: float = 2.0) -> None:
+        """End controller n without warning, and start it again later."""
         self.net.kill(f"10.0.0.{n}")
         self.controllers.pop(n, None)
 
-        async def back() -> None:
+        async def restart() -> None:
             await asyncio.sleep(restart_after_s)
             self.boot(n)
 
-        spawn(self.net, "users", back())
+        spawn(self.net, "users", restart())
 
-    def _notify_first_told(self, job_id: str, word: str) -> None:
-        if (job_id, word) not in self.told:
-            self.told.add((job_id, word))
-            for act in self.on_first_told:
-                act(job_id, word)
+    def _notify_first_told(self, job_id: str, state: str) -> None:
+        if (job_id, state) not in self.told:
+            self.told.add((job_id, state))
+            for callback in self.on_first_told:
+                callback(job_id, state)
 
     async def call(
         self, method: str, target: str, body: bytes, timeout: float, entry_point: int | None = None
     ) -> tuple[int, dict[str, Any]] | None:
+        """Send a request to a controller, by default a random entry point.
+
+        Returns the status and the body of the answer, or None without an answer.
+        """
         client = Client(
             f"10.0.0.{self.rng.choice(self.entry_points) if entry_point is None else entry_point}",
             8080,
@@ -164,6 +191,7 @@
 
     @staticmethod
     def body_of(run: dict[str, Any]) -> bytes:
+        """Return the body of a submission, without the fields for the fake workers."""
         return json.dumps(
             {key: value for key, value in run.items() if key not in ("fails", "spans")}
         ).encode()
@@ -172,18 +200,23 @@
         self, run: dict[str, Any], entry_point: int | None = None
     ) -> int | None:
         asked = self.now()
-        got = await self.call("POST", "/v2/runs", self.body_of(run), 5.0, entry_point)
-        if got is None:
+        answer = await self.call("POST", "/v2/runs", self.body_of(run), 5.0, entry_point)
+        if answer is None:
             return None
         self.invariants.answered(
-            run["id"], got[0], got[1].get("status"), submission=True, now=self.now(), asked=asked
+            run["id"],
+            answer[0],
+            answer[1].get("status"),
+            submission=True,
+            now=self.now(),
+            asked=asked,
         )
-        if got[0] in (200, 201):
+        if answer[0] in (200, 201):
             self._notify_first_told(run["id"], "accepted")
-        return got[0]
+        return answer[0]
 
     async def submit(self, run: dict[str, Any]) -> int:
-        """As a user does it: the same submission until it is answered for good."""
+        """Submit a job until the answer is final; return its status, or 0 after 60 attempts."""
         self.invariants.submitted(run)
         for _ in range(60):
             status = await self._send_submission(run)
@@ -193,43 +226,57 @@
         return 0
 
     async def repeat(self, job_id: str, entry_point: int | None = None) -> int | None:
-        """The same submission once more, at that controller."""
+        """Submit a job once more; return the status, or None without an answer."""
         return await self._send_submission(self.invariants.jobs[job_id], entry_point)
 
     async def poll(self, job_id: str, entry_point: int | None = None) -> str | None:
+        """Request the state of a job.
+
+        Returns the state, another status than 200 as text, or None without an answer.
+        """
         asked = self.now()
-        got = await self.call("GET", f"/v2/runs/{job_id}", b"", 2.0, entry_point)
-        self.invariants.queried(job_id, got is not None and got[0] in (200, 404), self.now())
-        if not got:
+        answer = await self.call("GET", f"/v2/runs/{job_id}", b"", 2.0, entry_point)
+        self.invariants.queried(job_id, answer is not None and answer[0] in (200, 404), self.now())
+        if not answer:
             return None
-        self.invariants.answered(job_id, got[0], got[1].get("status"), now=self.now(), asked=asked)
-        if got[0] == 200:
-            self.last_answers[job_id] = got[1]
-            if got[1]["status"] in ("done", "withdrawn"):
-                self._notify_first_told(job_id, got[1]["status"])
-        return got[1].get("status") if got[0] == 200 else str(got[0])
+        self.invariants.answered(
+            job_id, answer[0], answer[1].get("status"), now=self.now(), asked=asked
+        )
+        if answer[0] == 200:
+            self.last_answers[job_id] = answer[1]
+            if answer[1]["status"] in ("done", "withdrawn"):
+                self._notify_first_told(job_id, answer[1]["status"])
+        return answer[1].get("status") if answer[0] == 200 else str(answer[0])
 
     async def cancel(self, job_id: str, entry_point: int | None = None) -> str | None:
+        """Cancel a job, repeated until it is confirmed.
+
+        Returns the state of the job, or None after 40 attempts.
+        """
         self.invariants.cancel_requested.add(job_id)
         for _ in range(40):
             asked = self.now()
-            got = await self.call("POST", f"/v2/runs/{job_id}/withdraw", b"", 5.0, entry_point)
-            if got and got[0] == 200:
-                self.invariants.answered(job_id, 200, got[1]["status"], now=self.now(), asked=asked)
-                self._notify_first_told(job_id, got[1]["status"])
-                return str(got[1]["status"])
-            if got:
-                self.invariants.answered(job_id, got[0], None, now=self.now(), asked=asked)
+            answer = await self.call("POST", f"/v2/runs/{job_id}/withdraw", b"", 5.0, entry_point)
+            if answer and answer[0] == 200:
+                self.invariants.answered(
+                    job_id, 200, answer[1]["status"], now=self.now(), asked=asked
+                )
+                self._notify_first_told(job_id, answer[1]["status"])
+                return str(answer[1]["status"])
+            if answer:
+                self.invariants.answered(job_id, answer[0], None, now=self.now(), asked=asked)
             await asyncio.sleep(1.0)
         return None
 
-    async def until_final(self, jobs: list[str], within: float) -> list[str]:
-        """Polls until all are over; the ones that are not in time."""
-        until = self.now() + within
-        left = list(jobs)
-        while left and self.now() < until:
+    async def until_final(self, jobs: list[str], timeout_s: float) -> list[str]:
+        """Poll jobs until all are in a final state; return those that are not in time."""
+        until = self.now() + timeout_s
+        unfinished = list(jobs)
+        while unfinished and self.now() < until:
             await asyncio.sleep(1.0)
-            left = [
-                job_id for job_id in left if await self.poll(job_id) not in ("done", "withdrawn")
+            unfinished = [
+                job_id
+                for job_id in unfinished
+                if await self.poll(job_id) not in ("done", "withdrawn")
             ]
-        return left
+        return unfinished
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -300,7 +300,7 @@
     # -- jobs that started in time -----------------------------------------------------------------
 
     def served_shares(self, now: float) -> dict[tuple[str, str], float]:
-        """Return the share of jobs that started in time, by class, by team and for the largest jobs.
+        """Return the share of jobs that started in time, by class, team and largest jobs.
 
         Jobs that were not accepted or that were cancelled do not count, nor do jobs that may still
         start in time. The keys are ("class", class), ("team", team) and ("largest", class).
@@ -347,7 +347,7 @@
             )
 
     def check_stored_jobs(self, keys: dict[str, Any]) -> None:
-        """Check that the store has all accepted jobs, queued ones with tasks, and no invalid job."""
+        """Check that the store has all accepted jobs, with tasks if queued, and no invalid one."""
         for job in sorted(self.invalid_jobs):
             if f"job/{job}" in keys:
                 self._record_violation("took_bad", f"{job} is stored")
