--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,7 @@
-"""Thousands of machines, light enough to simulate: the stand-ins' workers with a timer where those look again and again."""
+"""A cluster with thousands of machines, whose workers are cheap enough to simulate.
+
+They use timers where those of `tests/fakes.py` poll, and a gang has one timer for all its tasks.
+"""
 
 from __future__ import annotations
 
@@ -17,10 +20,13 @@
 
 
 class FleetWorker(FakeWorker):
+    """A worker without polling, which measures how long it is without a lease renewal."""
+
     cloud: FleetCloud
-    longest_gap_s = 0.0  # the longest that it went without a good answer
+    longest_gap_s = 0.0  # between two renewals of its lease
 
     async def run(self) -> None:
+        """Send heartbeats to one controller after the other until the worker is stopped."""
         self.lease_renewed_at = self.now()
         await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
         loop = asyncio.get_running_loop()
@@ -28,9 +34,11 @@
         nodes = list(self.cloud.nodes)
         at = self.cloud.rng.randrange(len(nodes))
         while not self.stopped:
-            before = self.lease_renewed_at
+            previous_renewal_at = self.lease_renewed_at
             pause = await self._send_heartbeat(nodes[at % len(nodes)])
-            self.longest_gap_s = max(self.longest_gap_s, self.lease_renewed_at - before)
+            self.longest_gap_s = max(
+                self.longest_gap_s, self.lease_renewed_at - previous_renewal_at
+            )
             if isinstance(pause, str):
                 at = nodes.index(pause)
                 await asyncio.sleep(0.25)
@@ -54,10 +62,10 @@
             return
         loop = asyncio.get_running_loop()
         if self.now() - self.lease_renewed_at >= self.cloud.lease_s:
-            running = [key for key, task in self.tasks.items() if task["status"] != "ended"]
-            self.cloud.killed_tasks += len(running)
-            for share, attempt in list(self.tasks):
-                self._remove_task(share, attempt)
+            running_tasks = [key for key, task in self.tasks.items() if task["status"] != "ended"]
+            self.cloud.killed_tasks += len(running_tasks)
+            for task_id, attempt in list(self.tasks):
+                self._remove_task(task_id, attempt)
             self.tasks.clear()
             self.incarnation += 1
             self.lease_renewed_at = self.now()
@@ -65,75 +73,82 @@
         loop.call_at(self.lease_renewed_at + self.cloud.lease_s + 1e-3, self._check_lease)
 
     async def _run_task(
-        self, share: str, attempt: int, run: dict[str, Any], task: dict[str, Any]
+        self, task_id: str, attempt: int, spec: dict[str, Any], task: dict[str, Any]
     ) -> None:
-        job, number = share.rsplit("/", 1)
-        if run["bundle"] not in self.images:
-            await asyncio.sleep(run["size_gb"] / 0.6)
+        job, number = task_id.rsplit("/", 1)
+        if spec["bundle"] not in self.images:
+            await asyncio.sleep(spec["size_gb"] / 0.6)
         if task["status"] != "pulling":
             return
-        self.images.add(run["bundle"])
+        self.images.add(spec["bundle"])
         self.cloud.invariants.task_started(job, int(number), self.placement(attempt), self.now())
-        if run["shape"] == "ensemble":
+        if spec["shape"] == "ensemble":
             task["status"] = "waiting"
             self.status_changed.set()
-            mates = self.cloud.waiting_gangs.setdefault((job, attempt), [])
-            mates.append((self, share, task))
-            if len(mates) < run["shares"]:
-                return  # the last to come starts them all, and ends them
+            peers = self.cloud.waiting_gangs.setdefault((job, attempt), [])
+            peers.append((self, task_id, task))
+            if len(peers) < spec["shares"]:
+                return  # the task that is ready last starts and ends the whole gang
             del self.cloud.waiting_gangs[job, attempt]
-            self.cloud.running_tasks_by_gang[job, attempt] = mates
-            for mate, _, theirs in mates:
-                theirs["status"] = "running"
-                mate.status_changed.set()
-            await asyncio.sleep(run["expect_s"])
+            self.cloud.running_tasks_by_gang[job, attempt] = peers
+            for peer, _, peer_task in peers:
+                peer_task["status"] = "running"
+                peer.status_changed.set()
+            await asyncio.sleep(spec["expect_s"])
             if self.cloud.running_tasks_by_gang.pop((job, attempt), None) is not None:
-                for mate, its, _ in mates:
-                    mate._end_task(its, attempt, "done")
+                for peer, peer_id, _ in peers:
+                    peer._end_task(peer_id, attempt, "done")
             return
         task["status"] = "running"
         self.status_changed.set()
-        await asyncio.sleep(run["expect_s"])
+        await asyncio.sleep(spec["expect_s"])
         if (
-            (share, attempt) in self.tasks
-            and self.tasks[share, attempt] is task
+            (task_id, attempt) in self.tasks
+            and self.tasks[task_id, attempt] is task
             and task["status"] == "running"
         ):
-            self._end_task(share, attempt, "done")
+            self._end_task(task_id, attempt, "done")
 
-    def _remove_task(self, share: str, attempt: int, done: bool = False) -> None:
-        super()._remove_task(share, attempt, done)
-        job = share.rsplit("/", 1)[0]
+    def _remove_task(self, task_id: str, attempt: int, done: bool = False) -> None:
+        super()._remove_task(task_id, attempt, done)
+        job = task_id.rsplit("/", 1)[0]
         if not done:
-            waiting = self.cloud.waiting_gangs.get((job, attempt))
-            if waiting is not None:
-                waiting[:] = [mate for mate in waiting if mate[0] is not self]
-            for mate, its, task in self.cloud.running_tasks_by_gang.pop((job, attempt), ()):
-                if mate is not self and task["status"] == "running":
-                    asyncio.get_running_loop().call_later(2.0, mate._end_peer_task, its, attempt)
-
-    def _end_peer_task(self, share: str, attempt: int) -> None:
-        task = self.tasks.get((share, attempt))
+            waiting_peers = self.cloud.waiting_gangs.get((job, attempt))
+            if waiting_peers is not None:
+                waiting_peers[:] = [peer for peer in waiting_peers if peer[0] is not self]
+            for peer, peer_id, task in self.cloud.running_tasks_by_gang.pop((job, attempt), ()):
+                if peer is not self and task["status"] == "running":
+                    asyncio.get_running_loop().call_later(
+                        2.0, peer._end_peer_task, peer_id, attempt
+                    )
+
+    def _end_peer_task(self, task_id: str, attempt: int) -> None:
+        task = self.tasks.get((task_id, attempt))
         if task is not None and task["status"] != "ended":
-            self._end_task(share, attempt, "mates_gone")
+            self._end_task(task_id, attempt, "mates_gone")
 
 
 class FleetCloud(FakeCloud):
-    def __init__(self, *words: Any) -> None:
-        super().__init__(*words)
+    """A cloud whose machines run `FleetWorker`."""
+
+    def __init__(self, *arguments: Any) -> None:
+        """Create a cloud without machines; the arguments are those of `FakeCloud`."""
+        super().__init__(*arguments)
         self.kept_connections = 1
-        self.killed_tasks = 0  # tasks, by their workers' leases
+        self.killed_tasks = 0  # because the lease of their worker expired
         self.waiting_gangs: dict[tuple[str, int], list[Any]] = {}
         self.running_tasks_by_gang: dict[tuple[str, int], list[Any]] = {}
 
-    def worker(self, *words: Any) -> FakeWorker:
-        return FleetWorker(self, *words)
+    def worker(self, *arguments: Any) -> FakeWorker:
+        """Create the worker of a new machine."""
+        return FleetWorker(self, *arguments)
 
 
 class Fleet:
-    """Three controllers and their machines, all up from the start."""
+    """Three controllers and their machines, all rented from the start."""
 
     def __init__(self, net: Network, shared: Shared, machines: int) -> None:
+        """Create a fleet of `machines` machines that is not started yet."""
         self.net = net
         self.shared = shared
         self.rng = random.Random(net.rng.random())
@@ -156,10 +171,11 @@
 
     @property
     def killed_tasks(self) -> int:
+        """Number of tasks that ended because the lease of their worker expired."""
         return self.cloud.killed_tasks
 
     def longest_gap_s(self) -> float:
-        """The longest that any worker went without a good answer."""
+        """Return the longest time in seconds between two lease renewals of any worker."""
         return max(
             (
                 worker.longest_gap_s
@@ -170,6 +186,7 @@
         )
 
     async def start(self) -> None:
+        """Start the fakes, the controllers and all machines."""
         spawn(self.net, STORE_HOST, self.store.start())
         spawn(self.net, CLOUD_HOST, self.cloud.start())
         await asyncio.sleep(0.01)
@@ -179,8 +196,9 @@
             self.boot(n)
 
     def boot(self, n: int) -> None:
+        """Start controller n."""
         others = [Other(f"n{k}", f"10.0.0.{k}:8081", ZONES[k]) for k in range(3) if k != n]
-        told = Settings(
+        settings = Settings(
             f"n{n}",
             ZONES[n],
             f"10.0.0.{n}:8080",
@@ -190,5 +208,5 @@
             others,
             Operators(),
         )
-        self.controllers[n] = controller = Controller(told, random.Random(self.rng.random()))
+        self.controllers[n] = controller = Controller(settings, random.Random(self.rng.random()))
         spawn(self.net, f"10.0.0.{n}", controller.run())
