--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -31,7 +31,7 @@
 from ashdock.status_reader import KnownJob
 from tests import virtual_time
 from tests.cluster import Service, job, shared
-from tests.test_cluster import play
+from tests.test_cluster import run_scenario
 from tests.virtual_time import spawn
 
 
@@ -484,7 +484,7 @@
         assert not any(worker.incarnation > 1 for worker in service.cloud.workers.values())
         assert await service.poll("req-000001", 0) == "done"
 
-    play(monkeypatch, 91, day)
+    run_scenario(monkeypatch, 91, day)
 
 
 @pytest.mark.parametrize(
@@ -515,4 +515,4 @@
         ) and service.invariants.placements.get(("req-000002", 0))
         assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
 
-    play(monkeypatch, 92, day)
+    run_scenario(monkeypatch, 92, day)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -36,7 +36,7 @@
 ]
 
 
-async def quiet(service: Service) -> None:
+async def no_fault(service: Service) -> None:
     await asyncio.sleep(1)
 
 
@@ -51,13 +51,13 @@
         service.crash(n, 3.0)
 
 
-async def roll(service: Service) -> None:
+async def rolling_restart(service: Service) -> None:
     for n in range(3):
         await asyncio.sleep(5)
         service.crash(n, 2.0)
 
 
-async def state_down(service: Service) -> None:
+async def store_down(service: Service) -> None:
     await asyncio.sleep(8)
     service.store.down = True
     await asyncio.sleep(12)
@@ -70,7 +70,7 @@
     service.store.lost_answer_share = 0.0
 
 
-async def applied_late(service: Service) -> None:
+async def writes_applied_late(service: Service) -> None:
     service.store.late_write_share = 0.08
     await asyncio.sleep(40)
     service.store.late_write_share = 0.0
@@ -82,21 +82,21 @@
         service.cloud.workers[name].die()
 
 
-async def node_without_workers(service: Service) -> None:
+async def controller_without_workers(service: Service) -> None:
     await asyncio.sleep(7)
     service.net.partition("10.0.0.0", *(worker.host for worker in service.cloud.workers.values()))
     await asyncio.sleep(15)
     service.net.heal()
 
 
-async def node_without_state(service: Service) -> None:
+async def controller_without_store(service: Service) -> None:
     await asyncio.sleep(7)
     service.net.partition("10.0.0.1", "10.2.0.1")
     await asyncio.sleep(15)
     service.net.heal()
 
 
-async def node_alone(service: Service) -> None:
+async def controller_isolated(service: Service) -> None:
     await asyncio.sleep(7)
     others = [
         "10.2.0.1",
@@ -116,7 +116,7 @@
     service.cloud.down = False
 
 
-async def list_lags(service: Service) -> None:
+async def outdated_machine_lists(service: Service) -> None:
     """The list is ten times as old as the settings say, also of a machine that dies and of those rented in its place."""
     service.cloud.list_age_s = 10.0
     await asyncio.sleep(9)
@@ -124,7 +124,7 @@
     service.crash(1)
 
 
-async def all_at_once(service: Service) -> None:
+async def combined_faults(service: Service) -> None:
     service.store.lost_answer_share = 0.1
     await asyncio.sleep(6)
     service.crash(1)
@@ -138,24 +138,24 @@
 
 
 FAULTS = [
-    quiet,
+    no_fault,
     crash_one,
     crash_all,
-    roll,
-    state_down,
+    rolling_restart,
+    store_down,
     answers_lost,
-    applied_late,
+    writes_applied_late,
     workers_die,
-    node_without_workers,
-    node_without_state,
-    node_alone,
+    controller_without_workers,
+    controller_without_store,
+    controller_isolated,
     cloud_down,
-    list_lags,
-    all_at_once,
+    outdated_machine_lists,
+    combined_faults,
 ]
 
 
-def play(
+def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
     seed: int,
     day: Callable[[Service], Awaitable[Any]],
@@ -185,7 +185,7 @@
         assert all(status in (200, 201) for status in statuses)
         assert await service.until_final([run["id"] for run in JOBS], 240) == []
 
-    play(monkeypatch, 7, day)
+    run_scenario(monkeypatch, 7, day)
 
 
 @pytest.mark.parametrize("step", ["work/", "job/", "machine/", "part/", "park/"])
@@ -209,7 +209,7 @@
         assert all(status in (200, 201) for status in statuses)
         assert await service.until_final([run["id"] for run in runs], 240) == []
 
-    play(monkeypatch, 11, day)
+    run_scenario(monkeypatch, 11, day)
 
 
 @pytest.mark.parametrize("silent", [False, True], ids=["reachable", "unreachable"])
@@ -234,7 +234,7 @@
         assert not any(service.invariants.placements.values())
         assert await service.submit(run) == 200
 
-    play(monkeypatch, 3, day)
+    run_scenario(monkeypatch, 3, day)
 
 
 def test_a_failing_job_says_why_and_stays_queued(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -248,7 +248,7 @@
         assert answer["status"] == "queued" and "error on vm-" in answer["reason"]
         assert await service.cancel("req-000001") == "withdrawn"
 
-    play(monkeypatch, 5, day)
+    run_scenario(monkeypatch, 5, day)
 
 
 def test_parks_outlive_their_controllers(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -267,7 +267,7 @@
             for path, value in service.store.keys.items()
         )
 
-    play(monkeypatch, 6, day)
+    run_scenario(monkeypatch, 6, day)
 
 
 def test_a_sick_machine_is_told_from_a_failing_job(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -279,7 +279,7 @@
         assert await service.until_final([run["id"] for run in runs], 200) == []
         assert "vm-000000" not in service.cloud.workers
 
-    play(monkeypatch, 8, day)
+    run_scenario(monkeypatch, 8, day)
 
 
 BAD_BODIES = [
@@ -341,7 +341,7 @@
         assert sum(page.count("ashdock_leads 1.0") for page in pages) == 1
         await service.until_final(["req-000001"], 120)
 
-    play(monkeypatch, 2, day)
+    run_scenario(monkeypatch, 2, day)
 
 
 def test_refused_at_once_while_the_state_service_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -361,7 +361,7 @@
         service.store.down = False
         assert await service.until_final(["req-000001"], 60) == []
 
-    play(monkeypatch, 4, day)
+    run_scenario(monkeypatch, 4, day)
 
 
 def test_a_flood_is_refused_at_once_and_taken_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -386,7 +386,7 @@
         assert all(status in (200, 201) for status in statuses)
         assert await service.until_final([run["id"] for run in runs[:20]], 120) == []
 
-    play(monkeypatch, 12, day)
+    run_scenario(monkeypatch, 12, day)
 
 
 def test_a_worker_that_lost_its_owner_is_relayed_for_at_once(
@@ -435,7 +435,7 @@
         )
         assert status == 421 and json.loads(answer)["harbour"] not in (owner, f"n{other}")
 
-    play(monkeypatch, 14, day)
+    run_scenario(monkeypatch, 14, day)
 
 
 def test_jobs_accepted_while_a_watch_fell_behind_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -450,7 +450,7 @@
         service.store.job_watches_lag = False
         assert await service.until_final([run["id"] for run in runs], 120) == []
 
-    play(monkeypatch, 13, day)
+    run_scenario(monkeypatch, 13, day)
 
 
 def test_frames_over_their_limit_are_refused_and_counts_are_split(
@@ -475,7 +475,7 @@
             other.label, ForwardedHeartbeat(1, b"x" * frames.MAX_BODY_BYTES)
         ) and owner.mesh.send(other.label, ForwardedHeartbeat(1, b"x"))
 
-    play(monkeypatch, 16, day)
+    run_scenario(monkeypatch, 16, day)
 
 
 def test_machines_given_up_together_cost_few_writes(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -43,7 +43,7 @@
 ) -> None:
     """Run a scenario on a simulated cluster.
 
-    Unlike with `tests.test_cluster.play`, it may end before any task has run.
+    Unlike with `tests.test_cluster.run_scenario`, it may end before any task has run.
     """
 
     async def main(net: virtual_time.Network) -> None:
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -28,7 +28,7 @@
 )
 from tests.cluster import Service, job
 from tests.election_model import FENCES, Model, random_walks, search
-from tests.test_cluster import play
+from tests.test_cluster import run_scenario
 from tests.test_wire import GOOD
 from tests.virtual_time import spawn
 
@@ -312,7 +312,7 @@
         await wait_until_idle(service)
         assert sum(len(names) for names in service.cloud.machines_by_intent.values()) <= 8
 
-    play(monkeypatch, 61, scenario, machines=2, capacity=8)
+    run_scenario(monkeypatch, 61, scenario, machines=2, capacity=8)
 
 
 @pytest.mark.parametrize("paused_s", [1.0, 10.0, 60.0])
@@ -367,7 +367,7 @@
         service.store.changes.append({"delete": "leader", "stamp": service.store.revision})
         await service.until_final(["req-000001"], 90)
 
-    play(monkeypatch, 62, scenario)
+    run_scenario(monkeypatch, 62, scenario)
 
 
 def test_leadership_is_transferred_by_load_and_by_the_operators_list(
@@ -400,7 +400,7 @@
             and "ashdock_duty_gap_seconds_bucket" in page
         )
 
-    play(monkeypatch, 63, scenario)
+    run_scenario(monkeypatch, 63, scenario)
 
 
 def test_a_crashed_successor_delays_the_next_leader_by_a_store_lease_only(
@@ -419,7 +419,7 @@
         assert service.now() - began < 3.0  # a store lease, and one campaign
         assert await service.until_final(["req-000001"], 60) == []
 
-    play(monkeypatch, 64, scenario)
+    run_scenario(monkeypatch, 64, scenario)
 
 
 def test_each_of_three_crashing_leaders_reconciles_earlier_intents_before_it_decides(
@@ -440,7 +440,7 @@
         # Each intent is repeated under its own name, and nothing is scaled out in addition.
         assert sum(len(names) for names in service.cloud.machines_by_intent.values()) <= 8
 
-    play(monkeypatch, 65, scenario, machines=1, capacity=9)
+    run_scenario(monkeypatch, 65, scenario, machines=1, capacity=9)
 
 
 def test_a_delayed_release_affects_no_machine_in_use(
@@ -471,7 +471,7 @@
         await wait_until_idle(service)
         assert delayed
 
-    play(monkeypatch, 66, scenario, machines=4, capacity=8)
+    run_scenario(monkeypatch, 66, scenario, machines=4, capacity=8)
 
 
 async def _call_later(seconds: float, function: Any, *arguments: Any) -> None:
@@ -510,7 +510,7 @@
         assert leader.allocator.pending_reclaims[name][0] == "blue"
         assert await service.until_final(["req-000001"], 120) == []
 
-    play(monkeypatch, 67, scenario)
+    run_scenario(monkeypatch, 67, scenario)
 
 
 def test_commands_are_not_fenced_while_a_controller_has_an_intermediate_version(
@@ -542,4 +542,4 @@
         )
         assert await service.until_final(["req-000001"], 60) == []
 
-    play(monkeypatch, 68, scenario)
+    run_scenario(monkeypatch, 68, scenario)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,7 +12,7 @@
 from tests import meetings
 from tests.cluster import Service, job
 from tests.meetings import Met
-from tests.test_cluster import play
+from tests.test_cluster import run_scenario
 from tests.test_core import commit, heartbeat, queued_record, shard_with, spec, start_one_task
 from tests.test_restarts import owned
 from tests.virtual_time import spawn
@@ -331,7 +331,7 @@
             and service.invariants.start_count == 6
         )
 
-    play(monkeypatch, 81, day)
+    run_scenario(monkeypatch, 81, day)
 
 
 # -- what the courses do not reach: each line of a proof that could be taken away without any of them failing ---------------
@@ -437,7 +437,7 @@
         assert late.phase is OwnershipPhase.LOST and service.store.keys["part/red"] == before
         assert await service.until_final(["req-000001"], 60) == []
 
-    play(monkeypatch, 71, day)
+    run_scenario(monkeypatch, 71, day)
 
 
 def test_nobody_who_is_behind_gives_an_older_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -459,7 +459,7 @@
             assert await service.poll("req-000001") == "done"
         service.store.job_watches_lag = False
 
-    play(monkeypatch, 72, day)
+    run_scenario(monkeypatch, 72, day)
 
 
 def test_a_cancellation_that_meets_the_outcome_is_one_or_the_other(
@@ -494,4 +494,4 @@
         for one, word in zip(ids, told, strict=True):
             assert await service.poll(one) == word
 
-    play(monkeypatch, 73, day)
+    run_scenario(monkeypatch, 73, day)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -17,7 +17,7 @@
 from ashdock.wire.messages import Heartbeat
 from tests import virtual_time
 from tests.cluster import Service, job
-from tests.test_cluster import play
+from tests.test_cluster import run_scenario
 from tests.virtual_time import spawn
 
 
@@ -80,7 +80,7 @@
         service.net.heal()
         assert await service.until_final([run["id"] for run in runs], 150) == []
 
-    play(monkeypatch, 21, day)
+    run_scenario(monkeypatch, 21, day)
 
 
 def test_a_flood_of_questions_costs_few_requests(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -131,7 +131,7 @@
             )
             assert b'"withdrawn"' in body
 
-    play(monkeypatch, 22, day)
+    run_scenario(monkeypatch, 22, day)
 
 
 def test_rules_hold_under_a_flood_while_a_controller_is_silent(
@@ -162,7 +162,7 @@
         assert await service.until_final([run["id"] for run in runs], 120) == []
         await asyncio.gather(*tasks)
 
-    play(monkeypatch, 23, day)
+    run_scenario(monkeypatch, 23, day)
 
 
 def test_machines_are_given_up_once_however_slow_the_state_service(
@@ -238,7 +238,7 @@
         # Nothing that had ended well was started again, but for what the crash kept from being written.
         assert service.invariants.start_count < 1500 * 1.2
 
-    play(monkeypatch, 25, day)
+    run_scenario(monkeypatch, 25, day)
 
 
 def test_a_job_with_a_mistake_is_told_early_and_cancelled_in_time(
@@ -277,7 +277,7 @@
             and before
         )
 
-    play(monkeypatch, 26, day)
+    run_scenario(monkeypatch, 26, day)
 
 
 def test_a_job_is_told_done_only_once_that_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -317,7 +317,7 @@
             await asyncio.sleep(0.1)
         assert "queued" in answers and "done" not in answers
 
-    play(monkeypatch, 27, day)
+    run_scenario(monkeypatch, 27, day)
 
 
 def test_a_machine_that_is_lent_to_nobody_keeps_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -356,7 +356,7 @@
             assert (await client.request("POST", "/checkin", body, 4.0))[0] == status
         service.store.down = False
 
-    play(monkeypatch, 33, day)
+    run_scenario(monkeypatch, 33, day)
 
 
 def test_a_loan_under_way_is_not_decided_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -404,4 +404,4 @@
         monkeypatch.setattr(leader.assignments, "_write_assignments", inner)
         assert not await service.until_final(["req-000001"], 90)
 
-    play(monkeypatch, 34, day)
+    run_scenario(monkeypatch, 34, day)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -34,7 +34,7 @@
 )
 from tests import test_cluster, virtual_time
 from tests.cluster import Service, job, shared
-from tests.test_cluster import crash_all, quiet, roll, state_down
+from tests.test_cluster import crash_all, no_fault, rolling_restart, store_down
 from tests.test_core import G4, commit, heartbeat, queued_record, shard_with, spec
 from tests.virtual_time import spawn
 
@@ -710,7 +710,7 @@
     **more: Any,
 ) -> Service:
     # The settling time is enough for the new cluster version to come into force.
-    return test_cluster.play(monkeypatch, seed, day, settle=4.0, **more)
+    return test_cluster.run_scenario(monkeypatch, seed, day, settle=4.0, **more)
 
 
 def pipeline(first: int, **more: Any) -> list[dict[str, Any]]:
@@ -745,10 +745,10 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        quiet,
-        state_down,
+        no_fault,
+        store_down,
         crash_all,
-        roll,
+        rolling_restart,
         transactions_late_or_unanswered,
         watch_falls_behind,
         limits_fall,
@@ -763,7 +763,7 @@
         runs = [*pipeline(1), *pipeline(11, owner="blue")]
         for run in runs[:4] + runs[5:]:
             assert await service.submit(run) in (200, 201)
-        if fault is quiet:
+        if fault is no_fault:
             assert await service.poll("req-000004") == "queued"
             assert (
                 service.last_answers["req-000004"]["reason"] == "waits for req-000002, req-000003"
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -19,7 +19,7 @@
 from ashdock.wire.peer_messages import Hello, OwnershipClaims, PeerHeartbeat
 from tests import ends
 from tests.cluster import Service, job, shared
-from tests.test_cluster import play
+from tests.test_cluster import run_scenario
 from tests.virtual_time import spawn
 
 DOWNTIMES_S = [0.05, 0.3, 1.0]  # between the end of a process and the start of the next
@@ -102,7 +102,7 @@
         assert await service.until_final(["req-000001"], 60) == []
         assert {worker.incarnation for worker in service.cloud.workers.values()} == {1}
 
-    play(monkeypatch, 41, day)
+    run_scenario(monkeypatch, 41, day)
 
 
 @pytest.mark.parametrize("outage_s", [5.0, 12.0, 60.0])
@@ -133,7 +133,7 @@
         await asyncio.sleep(shared().workers.cancel_s)
         assert await service.poll("req-000002") in ("running", "queued")
 
-    play(monkeypatch, 42, day)
+    run_scenario(monkeypatch, 42, day)
 
 
 # -- restarts that the other controllers do not notice ----------------------------------------------------------
@@ -158,7 +158,7 @@
         assert {worker.incarnation for worker in service.cloud.workers.values()} == {1}
         assert await service.until_final(["req-000001"], 90) == []
 
-    play(monkeypatch, 43, day)
+    run_scenario(monkeypatch, 43, day)
 
 
 @pytest.mark.parametrize("downtime_s", [0.05, 0.3, 0.6])
@@ -180,7 +180,7 @@
         await asyncio.sleep(2 * MEMBERSHIP_TTL_S)  # the old lease ends, and takes nothing with it
         assert [n for n, c in service.controllers.items() if c.leader] == [leader]
 
-    play(monkeypatch, 44, day)
+    run_scenario(monkeypatch, 44, day)
 
 
 def test_frames_of_an_earlier_incarnation_are_dropped_after_the_hello_of_a_later_one(
@@ -213,7 +213,7 @@
         )
         assert list(controller.mesh.links.values()).count("n1") == 1
 
-    play(monkeypatch, 45, day)
+    run_scenario(monkeypatch, 45, day)
 
 
 def test_shards_of_a_controller_in_a_crash_loop_are_owned_by_others_until_it_is_steady(
@@ -245,7 +245,7 @@
             0
         ] == 200
 
-    play(monkeypatch, 46, day)
+    run_scenario(monkeypatch, 46, day)
 
 
 @pytest.mark.parametrize("every_s", [0.7, 1.5, 4.0])
@@ -281,7 +281,7 @@
         again = sum(service.store.keys[path][1] - revision > 0 for path, revision in claims.items())
         assert again <= 2
 
-    play(monkeypatch, 47, day)
+    run_scenario(monkeypatch, 47, day)
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -16,7 +16,7 @@
 from ashdock.net.mesh import MAX_UNSENT_BYTES
 from tests.cluster import Service, job, shared
 from tests.fakes import STORE_HOST
-from tests.test_cluster import play
+from tests.test_cluster import run_scenario
 from tests.test_restarts import owned
 from tests.virtual_time import spawn
 
@@ -346,7 +346,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_cancelled_tasks_end_in_time(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    play(
+    run_scenario(
         monkeypatch,
         61,
         lambda service: owner_refused_alone(service, SCENARIOS[name]),
@@ -416,7 +416,7 @@
             > service.now() - 2
         )
 
-    play(monkeypatch, 62, scenario)
+    run_scenario(monkeypatch, 62, scenario)
 
 
 def test_with_an_earlier_cluster_version_nothing_is_sent_and_the_deadline_holds(
@@ -440,7 +440,7 @@
         await asyncio.sleep(LEASE_S)
 
     monkeypatch.setattr("ashdock.cluster_version.SUPPORTED_VERSION", 3)
-    play(monkeypatch, 63, scenario)
+    run_scenario(monkeypatch, 63, scenario)
 
 
 # -- delayed run command -------------------------------------------------------------------------
@@ -475,7 +475,7 @@
         assert await service.cancel("req-000002") == "withdrawn"
         await asyncio.sleep(LEASE_S)
 
-    play(monkeypatch, 64, scenario)
+    run_scenario(monkeypatch, 64, scenario)
 
 
 # -- cut off from the store and the peers, but not from users ------------------------------------
@@ -513,7 +513,7 @@
         await asyncio.sleep(4)
         assert all(controller.ready() for controller in service.controllers.values())
 
-    play(monkeypatch, 65, scenario)
+    run_scenario(monkeypatch, 65, scenario)
 
 
 def test_a_failover_that_meets_an_outage_leaves_the_workers_with_the_earlier_owner(
@@ -550,4 +550,4 @@
             worker.incarnation for worker in service.cloud.workers.values()
         } == {1}
 
-    play(monkeypatch, 66, scenario)
+    run_scenario(monkeypatch, 66, scenario)
