--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""Whole-service runs, seeded, in simulated time. Each fault is a case; every rule is checked in each."""
+"""A simulated cluster under faults: the invariants hold and all jobs end, in seeded runs."""
 
 from __future__ import annotations
 
@@ -117,7 +117,7 @@
 
 
 async def outdated_machine_lists(service: Service) -> None:
-    """The list is ten times as old as the settings say, also of a machine that dies and of those rented in its place."""
+    """Let machine lists be ten times as old as the settings say, while a machine is replaced."""
     service.cloud.list_age_s = 10.0
     await asyncio.sleep(9)
     service.cloud.workers["vm-000001"].die()
@@ -158,15 +158,25 @@
 def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
     seed: int,
-    day: Callable[[Service], Awaitable[Any]],
+    scenario: Callable[[Service], Awaitable[Any]],
     settle: float = 0.0,
     **more: Any,
 ) -> Service:
+    """Run a scenario on a started cluster and check that no invariant was violated.
+
+    Args:
+        monkeypatch: Replaces the clock and the network.
+        seed: Seed of the run.
+        scenario: What happens, on the started cluster.
+        settle: Seconds between the start of the cluster and the scenario.
+        more: Further arguments of `Service`.
+    """
+
     async def main(net: virtual_time.Network) -> Service:
         service = Service(net, **more)
         await service.start()
         await asyncio.sleep(settle)
-        await day(service)
+        await scenario(service)
         service.invariants.end()
         return service
 
@@ -176,30 +186,30 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
-def test_rules_hold_and_jobs_end(
+def test_invariants_hold_and_jobs_end(
     fault: Callable[[Service], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         spawn(service.net, "users", fault(service))
         statuses = await asyncio.gather(*(service.submit(dict(run)) for run in JOBS))
         assert all(status in (200, 201) for status in statuses)
         assert await service.until_final([run["id"] for run in JOBS], 240) == []
 
-    run_scenario(monkeypatch, 7, day)
+    run_scenario(monkeypatch, 7, scenario)
 
 
-@pytest.mark.parametrize("step", ["work/", "job/", "machine/", "part/", "park/"])
+@pytest.mark.parametrize("prefix", ["work/", "job/", "machine/", "part/", "park/"])
 @pytest.mark.parametrize("nth", [1, 4])
-def test_crash_at_each_step(step: str, nth: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """All controllers end at the moment the nth transaction that touches such a key is applied, answer unsent."""
+def test_crash_at_each_write(prefix: str, nth: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """All controllers crash when the nth transaction on such keys is applied but not answered."""
 
-    async def day(service: Service) -> None:
-        seen = [0]
+    async def scenario(service: Service) -> None:
+        matching_count = [0]
 
         def hook(writes: list[dict[str, Any]]) -> None:
-            if any((write.get("set") or write["delete"]).startswith(step) for write in writes):
-                seen[0] += 1
-                if seen[0] == nth:
+            if any((write.get("set") or write["delete"]).startswith(prefix) for write in writes):
+                matching_count[0] += 1
+                if matching_count[0] == nth:
                     for n in list(service.controllers):
                         service.crash(n, 1.0)
 
@@ -209,23 +219,23 @@
         assert all(status in (200, 201) for status in statuses)
         assert await service.until_final([run["id"] for run in runs], 240) == []
 
-    run_scenario(monkeypatch, 11, day)
+    run_scenario(monkeypatch, 11, scenario)
 
 
-@pytest.mark.parametrize("silent", [False, True], ids=["reachable", "unreachable"])
-def test_cancelled_work_is_gone_in_time(silent: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Even where its machine hears no controller: that machine is released, which ends all on it."""
+@pytest.mark.parametrize("unreachable", [False, True], ids=["reachable", "unreachable"])
+def test_cancelled_tasks_end_in_time(unreachable: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A machine that no controller reaches is released, which ends the tasks on it."""
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         run = job(1, shape="daemon", shares=2)
         await service.submit(run)
         await asyncio.sleep(10)
-        where = {
+        machines = {
             place.machine for places in service.invariants.placements.values() for place in places
         }
-        assert where
-        if silent:
-            for name in where:
+        assert machines
+        if unreachable:
+            for name in machines:
                 service.net.partition(
                     service.cloud.workers[name].host, *service.cloud.nodes.values()
                 )
@@ -234,11 +244,11 @@
         assert not any(service.invariants.placements.values())
         assert await service.submit(run) == 200
 
-    run_scenario(monkeypatch, 3, day)
+    run_scenario(monkeypatch, 3, scenario)
 
 
-def test_a_failing_job_says_why_and_stays_queued(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(service: Service) -> None:
+def test_a_failing_job_gives_the_reason_and_stays_queued(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=1, fails=50))
         await service.submit(job(2, shares=2))
         assert await service.until_final(["req-000002"], 60) == []
@@ -248,11 +258,11 @@
         assert answer["status"] == "queued" and "error on vm-" in answer["reason"]
         assert await service.cancel("req-000001") == "withdrawn"
 
-    run_scenario(monkeypatch, 5, day)
+    run_scenario(monkeypatch, 5, scenario)
 
 
 def test_parks_outlive_their_controllers(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=3, fails=9))
         while not any(
             path.startswith("park/") and value[0] for path, value in service.store.keys.items()
@@ -267,11 +277,11 @@
             for path, value in service.store.keys.items()
         )
 
-    run_scenario(monkeypatch, 6, day)
+    run_scenario(monkeypatch, 6, scenario)
 
 
-def test_a_sick_machine_is_told_from_a_failing_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(service: Service) -> None:
+def test_a_faulty_machine_is_told_apart_from_a_failing_job(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(service: Service) -> None:
         service.cloud.workers["vm-000000"].failure_share = 1.0
         runs = [job(n, shares=4) for n in range(1, 7)]
         for run in runs:
@@ -279,10 +289,10 @@
         assert await service.until_final([run["id"] for run in runs], 200) == []
         assert "vm-000000" not in service.cloud.workers
 
-    run_scenario(monkeypatch, 8, day)
+    run_scenario(monkeypatch, 8, scenario)
 
 
-BAD_BODIES = [
+INVALID_BODIES = [
     (b"", 400),
     (b"{", 400),
     (b"[]", 400),
@@ -313,12 +323,12 @@
 ]
 
 
-def test_answers_to_bad_input(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(service: Service) -> None:
+def test_answers_to_invalid_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(service: Service) -> None:
         client = Client("10.0.0.1", 8080, keep=0)
         await asyncio.sleep(2)
         service.invariants.submitted(job(1, shares=25))
-        for body, expected in BAD_BODIES:
+        for body, expected in INVALID_BODIES:
             status, answer = await client.request("POST", "/v2/runs", body, 2.0)
             assert status == expected, (body[:80], answer)
         for method, target, expected in [
@@ -341,11 +351,13 @@
         assert sum(page.count("ashdock_leads 1.0") for page in pages) == 1
         await service.until_final(["req-000001"], 120)
 
-    run_scenario(monkeypatch, 2, day)
+    run_scenario(monkeypatch, 2, scenario)
 
 
-def test_refused_at_once_while_the_state_service_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(service: Service) -> None:
+def test_requests_are_refused_at_once_while_the_store_is_down(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1))
         service.store.down = True
         await asyncio.sleep(3)
@@ -361,23 +373,23 @@
         service.store.down = False
         assert await service.until_final(["req-000001"], 60) == []
 
-    run_scenario(monkeypatch, 4, day)
+    run_scenario(monkeypatch, 4, scenario)
 
 
-def test_a_flood_is_refused_at_once_and_taken_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(service: Service) -> None:
+def test_overload_is_refused_at_once_and_accepted_on_retry(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(service: Service) -> None:
         await asyncio.sleep(3)
         runs = [job(n, shares=1, expect_s=1.0) for n in range(1, 301)]
         for run in runs:
             service.invariants.submitted(run)
         client = Client("10.0.0.1", 8080, keep=0)
 
-        async def one(run: dict[str, Any]) -> tuple[int, float]:
+        async def submit_once(run: dict[str, Any]) -> tuple[int, float]:
             before = service.now()
             status, _ = await client.request("POST", "/v2/runs", json.dumps(run).encode(), 5.0)
             return status, service.now() - before
 
-        answers = await asyncio.gather(*(one(run) for run in runs))
+        answers = await asyncio.gather(*(submit_once(run) for run in runs))
         assert {status for status, _ in answers} <= {201, 429, 503} and 429 in {
             status for status, _ in answers
         }
@@ -386,16 +398,19 @@
         assert all(status in (200, 201) for status in statuses)
         assert await service.until_final([run["id"] for run in runs[:20]], 120) == []
 
-    run_scenario(monkeypatch, 12, day)
+    run_scenario(monkeypatch, 12, scenario)
 
 
-def test_a_worker_that_lost_its_owner_is_relayed_for_at_once(
+def test_heartbeats_of_a_worker_cut_off_from_its_owner_are_forwarded_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """When two zones were apart, workers that could not reach their owner were sent back to it by the next node, waited out
-    another report there, and came to be relayed for when their lease was over: all their tasks were killed."""
+    """A worker that cannot reach the owner of its shard must not lose its lease.
 
-    async def day(service: Service) -> None:
+    The next controller used to redirect it back to the owner, and forwarded its heartbeats only
+    when it came again. By then its lease was over, and all its tasks were killed.
+    """
+
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=12, expect_s=90.0))
         while not any(worker.tasks for worker in service.cloud.workers.values()):
             await asyncio.sleep(1.0)
@@ -405,19 +420,21 @@
         worker = next(w for w in service.cloud.workers.values() if w.tasks)
         client = Client(f"10.0.0.{other}", 8080, keep=0)
         front = service.controllers[other].front
-        front.redirected.clear()  # it may have come by there by itself a moment ago, and have been passed on
+        # The worker may have been redirected by this controller a moment ago.
+        front.redirected.clear()
         front.relaying.clear()
-        for warrant, expected in [(0, 421), (worker.fencing_token, 200)]:
+        for fencing_token, expected in [(0, 421), (worker.fencing_token, 200)]:
             worker.sequence += 1
             status, answer = await client.request(
                 "POST",
                 "/checkin",
-                json.dumps(worker.message() | {"warrant": warrant}).encode(),
+                json.dumps(worker.message() | {"warrant": fencing_token}).encode(),
                 4.0,
             )
             assert status == expected, answer
         assert json.loads(answer)["warrant"] == worker.fencing_token
-        # Answered here a report ago, it has not been elsewhere: its machine has just changed hands.
+        # This controller answered its last heartbeat. So it does not come because it cannot reach
+        # the owner, but because its machine has just been assigned to another shard.
         service.controllers[other].front.answered[worker.name] = service.now()
         service.controllers[other].front.relaying.clear()
         worker.sequence += 1
@@ -425,7 +442,7 @@
             "POST", "/checkin", json.dumps(worker.message()).encode(), 4.0
         )
         assert status == 421 and json.loads(answer)["harbour"] == owner
-        # Of two zones that are apart, one that cannot hear the owner either names a third that may.
+        # A controller that is cut off from the owner redirects to the third, which may reach it.
         service.net.partition(f"10.0.0.{other}", f"10.0.0.{owner[1:]}")
         await asyncio.sleep(5)
         worker = next(w for w in service.cloud.workers.values() if w.tasks and w is not worker)
@@ -435,13 +452,13 @@
         )
         assert status == 421 and json.loads(answer)["harbour"] not in (owner, f"n{other}")
 
-    run_scenario(monkeypatch, 14, day)
+    run_scenario(monkeypatch, 14, scenario)
 
 
-def test_jobs_accepted_while_a_watch_fell_behind_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def day(service: Service) -> None:
+def test_jobs_accepted_while_a_watch_lags_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(service: Service) -> None:
         await asyncio.sleep(3)
-        await service.submit(job(1, shares=1))  # ends the watches under way
+        await service.submit(job(1, shares=1))  # ends the open watches
         service.store.job_watches_lag = True
         await asyncio.sleep(0.5)
         runs = [job(n, shares=1, owner=owner) for n, owner in enumerate(["red", "blue"] * 4, 10)]
@@ -450,15 +467,19 @@
         service.store.job_watches_lag = False
         assert await service.until_final([run["id"] for run in runs], 120) == []
 
-    run_scenario(monkeypatch, 13, day)
+    run_scenario(monkeypatch, 13, scenario)
 
 
-def test_frames_over_their_limit_are_refused_and_counts_are_split(
+def test_frames_over_their_limit_are_refused_and_task_counts_are_split(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Counts of more than 5000 jobs were cut off, and a frame over its limit ended the loop that sent it."""
+    """Task counts are sent in several frames, and a frame over its limit is refused.
+
+    Counts of more than 5000 jobs used to be truncated, and a frame over its limit ended the loop
+    that sent it.
+    """
 
-    async def day(service: Service) -> None:
+    async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=1))
         await asyncio.sleep(3)
         owner = next(c for c in service.controllers.values() if "red" in c.owners)
@@ -475,18 +496,18 @@
             other.label, ForwardedHeartbeat(1, b"x" * frames.MAX_BODY_BYTES)
         ) and owner.mesh.send(other.label, ForwardedHeartbeat(1, b"x"))
 
-    run_scenario(monkeypatch, 16, day)
+    run_scenario(monkeypatch, 16, scenario)
 
 
-def test_machines_given_up_together_cost_few_writes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A mass return was a transaction for each machine to give it up, and one for each to forget it."""
+def test_machines_released_together_take_few_transactions(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Releasing many machines used to take two transactions for each: to mark and to delete it."""
 
     async def main(net: virtual_time.Network) -> Service:
         service = Service(net, machines=30, capacity=30)
-        touched: list[int] = []
+        machine_writes: list[int] = []
 
         def hook(writes: list[dict[str, Any]]) -> None:
-            touched.append(
+            machine_writes.append(
                 sum(
                     (write.get("set") or write["delete"]).startswith("machine/") for write in writes
                 )
@@ -499,9 +520,12 @@
             assert service.now() < 60
         await asyncio.sleep(3)
         assert not any(path.startswith("machine/") for path in service.store.keys)
-        groups = [count for count in touched if count]
-        assert max(groups) >= 8 and max(groups) <= shared().state.txn_ops
-        assert sum(groups) <= 3 * 30  # recorded, given up, forgotten
+        writes_per_transaction = [count for count in machine_writes if count]
+        assert (
+            max(writes_per_transaction) >= 8
+            and max(writes_per_transaction) <= shared().state.txn_ops
+        )
+        assert sum(writes_per_transaction) <= 3 * 30  # recorded, marked for release, deleted
         return service
 
     virtual_time.run(main, 15, monkeypatch)
