--- a/tests/cost.py
+++ b/tests/cost.py
@@ -30,10 +30,10 @@
 from pympler import asizeof
 
 from ashdock.settings import Shared, Team
-from tests import simtime, whole
+from tests import cluster, virtual_time
 from tests.fleet import Fleet
-from tests.simtime import Net
 from tests.totals import Totals
+from tests.virtual_time import Network
 
 ROOT = Path(__file__).resolve().parent.parent
 FLEET_FILL_S = 45.0  # until the machines of either shape are running tasks
@@ -118,7 +118,7 @@
 
 def settings_for(shape: Shape, times: float) -> Shared:
     """Return the shared settings of a deployment whose fleet and quotas are `times` as large."""
-    shared = whole.shared()
+    shared = cluster.shared()
     shared.teams = [
         Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in shape.teams
     ]
@@ -338,7 +338,7 @@
 class CourseRun:
     """A deployment on the stand-ins and its users; each method is a course of that name."""
 
-    net: Net
+    net: Network
     fleet: Fleet
     users: Any
 
@@ -369,9 +369,9 @@
 
     async def outage(self) -> None:
         """Take the state service down for the duration of a machine lease."""
-        self.fleet.state.down = True
+        self.fleet.store.down = True
         await asyncio.sleep(self.fleet.shared.workers.lease_s)
-        self.fleet.state.down = False
+        self.fleet.store.down = False
 
     async def flood(self) -> None:
         """Add 40 status queries per second from users."""
@@ -380,7 +380,7 @@
             rng = random.Random(3)
             while True:
                 await asyncio.sleep(rng.expovariate(40.0))
-                jobs = sorted(self.fleet.rules.jobs)
+                jobs = sorted(self.fleet.invariants.jobs)
                 self.users.spawn(
                     self.users.send_request({}, "GET", f"/v2/runs/{rng.choice(jobs)}", b"", 2.0)
                 )
@@ -422,11 +422,11 @@
     """Run a course and return each controller's use over `seconds`, by its number and role."""
     out: dict[str, Any] = {}
 
-    async def main(net: Net) -> None:
+    async def main(net: Network) -> None:
         fleet = Fleet(net, settings_for(shape, times), int(shape.machines * times))
         await fleet.start()
         users = users_of(fleet, times, shape)
-        simtime.spawn(net, "users", users.run())
+        virtual_time.spawn(net, "users", users.run())
         run = CourseRun(net, fleet, users)
         await asyncio.sleep(2.0 if course == "filling" else FLEET_FILL_S)
         for n in range(3):
--- a/tests/fault_combinations.py
+++ b/tests/fault_combinations.py
@@ -19,12 +19,12 @@
 import pytest
 
 from ashdock.settings import NextLimits
-from tests import simtime, users
+from tests import users, virtual_time
+from tests.cluster import ZONES, Service, job
+from tests.fakes import CLOUD_HOST, STORE_HOST, FakeWorker
 from tests.restarts import run_seeds
 from tests.scenarios import exit_with_usage_error
-from tests.simtime import spawn
-from tests.standins import CLOUD, STATE, Worker
-from tests.whole import ZONES, Service, job
+from tests.virtual_time import spawn
 
 FAULT_PHASE_S = 60.0
 FINISH_LIMIT_S = 240.0  # all jobs must reach a final state within this time after the last fault
@@ -32,13 +32,14 @@
 # Values of the attributes that `attribute_fault` sets, while there is no fault.
 DEFAULTS: dict[str, Any] = {
     "down": False,
-    "slow": 0.0,
-    "apply_late": 0.0,
-    "lose_answers": 0.0,
-    "late_reports": 0.0,
-    "held_orders": None,
-    "lag": 0.0,
-    "kept_share": 0.0,
+    "extra_delay_s": 0.0,
+    "max_extra_delay_s": 0.0,
+    "late_write_share": 0.0,
+    "lost_answer_share": 0.0,
+    "late_heartbeat_share": 0.0,
+    "held_commands": None,
+    "list_age_s": 0.0,
+    "held_heartbeat_share": 0.0,
     "boot_s": 6.0,
 }
 # Injects a fault into the service for this many seconds; what it affects is drawn.
@@ -46,9 +47,9 @@
 DURATIONS_S = (0.4, 1.2, 3.0, 7.0, 15.0, 28.0, 28.0)  # of a fault; some exceed `cancel_s`
 
 
-def sample_workers(service: Service, rng: random.Random, share: float) -> list[Worker]:
+def sample_workers(service: Service, rng: random.Random, share: float) -> list[FakeWorker]:
     """Return each worker with a probability of `share`."""
-    return [worker for _, worker in sorted(service.world.workers.items()) if rng.random() < share]
+    return [worker for _, worker in sorted(service.cloud.workers.items()) if rng.random() < share]
 
 
 def random_controller(rng: random.Random) -> str:
@@ -58,7 +59,7 @@
 
 def random_owner(service: Service, rng: random.Random) -> str:
     """Return the host of the controller that owns a shard, or of any if the shard has no owner."""
-    entry = service.state.keys.get(f"part/{rng.choice(('red', 'blue'))}")
+    entry = service.store.keys.get(f"part/{rng.choice(('red', 'blue'))}")
     return f"10.0.0.{entry[0]['owner'][1:]}" if entry else random_controller(rng)
 
 
@@ -76,9 +77,9 @@
 async def refused(service: Service, rng: random.Random, for_s: float) -> None:
     """The store refuses the requests of one shard owner."""
     host = random_owner(service, rng)
-    service.state.refusing.add(host)
+    service.store.refused_hosts.add(host)
     await asyncio.sleep(for_s)
-    service.state.refusing.discard(host)
+    service.store.refused_hosts.discard(host)
 
 
 def worker_flag_fault(flag: str) -> Fault:
@@ -104,9 +105,13 @@
     """A zone is partitioned off: its workers and its controller reach nobody outside of it."""
     zone = rng.randrange(3)
     hosts = {f"10.0.0.{n}": n == zone for n in range(3)} | {
-        w.host: w.zone == ZONES[zone] for w in service.world.workers.values()
+        w.host: w.zone == ZONES[zone] for w in service.cloud.workers.values()
     }
-    outside = [host for host, inside in hosts.items() if not inside] + [STATE, CLOUD, "users"]
+    outside = [host for host, inside in hosts.items() if not inside] + [
+        STORE_HOST,
+        CLOUD_HOST,
+        "users",
+    ]
     await _cut(
         service,
         for_s,
@@ -120,10 +125,10 @@
         [f"10.0.0.{n}" for n in range(3)] if rng.random() < 0.3 else [random_owner(service, rng)]
     )
     late_s = rng.choice((0.5, 2.0, 5.0))
-    service.net.late |= dict.fromkeys(hosts, late_s)
+    service.net.max_timer_delay_s |= dict.fromkeys(hosts, late_s)
     await asyncio.sleep(for_s)
     for host in hosts:
-        service.net.late.pop(host, None)
+        service.net.max_timer_delay_s.pop(host, None)
 
 
 async def leaders_change(service: Service, rng: random.Random, for_s: float) -> None:
@@ -138,9 +143,9 @@
 
 
 async def _cut(service: Service, for_s: float, pairs: list[frozenset[str]]) -> None:
-    service.net.cuts |= set(pairs)
+    service.net.partitions |= set(pairs)
     await asyncio.sleep(for_s)
-    service.net.cuts -= set(pairs)
+    service.net.partitions -= set(pairs)
 
 
 async def apart(service: Service, rng: random.Random, for_s: float) -> None:
@@ -151,7 +156,7 @@
         for_s,
         [
             frozenset((host, other))
-            for other in (STATE, *(f"10.0.0.{n}" for n in range(3)))
+            for other in (STORE_HOST, *(f"10.0.0.{n}" for n in range(3)))
             if other != host
         ],
     )
@@ -197,7 +202,7 @@
     """Both shards are handed over to random controllers, three times within three seconds."""
     for _ in range(3):
         for team in ("red", "blue"):
-            entry = service.state.keys.get(f"part/{team}")
+            entry = service.store.keys.get(f"part/{team}")
             owner = service.controllers.get(int(entry[0]["owner"][1:])) if entry else None
             if owner is not None and team in owner.owners:
                 owner.owners[team].transfer_to = f"n{rng.randrange(3)}"
@@ -245,21 +250,21 @@
 
     async def inject(service: Service, rng: random.Random, for_s: float) -> None:
         kind = rng.choice(kinds)
-        service.state.lost = lambda writes: (
+        service.store.fault_for_writes = lambda writes: (
             outcome
             if any(write_kind(write) == kind for write in writes) and rng.random() < 0.7
             else ""
         )
         await asyncio.sleep(for_s)
-        service.state.lost = None
+        service.store.fault_for_writes = None
 
     return inject
 
 
 async def dies(service: Service, rng: random.Random, for_s: float) -> None:
     """A machine dies, if more than two are left."""
-    if len(service.world.workers) > 2:
-        service.world.workers[rng.choice(sorted(service.world.workers))].die()
+    if len(service.cloud.workers) > 2:
+        service.cloud.workers[rng.choice(sorted(service.cloud.workers))].die()
 
 
 # By the names that `--only` takes. `draw_faults` draws from the sorted names, so a renamed, new or
@@ -290,23 +295,23 @@
 } | {
     "answer_lost_of_a_kind": unanswered_writes("answer"),
     "late_of_a_kind": unanswered_writes("late"),
-    "deaf": worker_flag_fault("deaf"),
-    "mute": worker_flag_fault("mute"),
-    "slow_links": attribute_fault("net", "slow", 0.05, 0.3),
-    "reports_for_next": attribute_fault("world", "kept_share", 0.3, 1.0),
-    "quick_boots": attribute_fault("world", "boot_s", 1.0),
-    "outage": attribute_fault("state", "down", True),
-    "slow_state": attribute_fault("state", "slow", 0.1, 0.4, 1.0),
-    "late_writes": attribute_fault("state", "apply_late", 0.05, 0.2),
-    "answers_lost": attribute_fault("state", "lose_answers", 0.05, 0.2),
-    "late_reports": attribute_fault("world", "late_reports", 0.1, 0.5),
-    "cloud_down": attribute_fault("world", "down", True),
+    "deaf": worker_flag_fault("loses_answers"),
+    "mute": worker_flag_fault("loses_heartbeats"),
+    "slow_links": attribute_fault("net", "max_extra_delay_s", 0.05, 0.3),
+    "reports_for_next": attribute_fault("cloud", "held_heartbeat_share", 0.3, 1.0),
+    "quick_boots": attribute_fault("cloud", "boot_s", 1.0),
+    "outage": attribute_fault("store", "down", True),
+    "slow_state": attribute_fault("store", "extra_delay_s", 0.1, 0.4, 1.0),
+    "late_writes": attribute_fault("store", "late_write_share", 0.05, 0.2),
+    "answers_lost": attribute_fault("store", "lost_answer_share", 0.05, 0.2),
+    "late_reports": attribute_fault("cloud", "late_heartbeat_share", 0.1, 0.5),
+    "cloud_down": attribute_fault("cloud", "down", True),
     "held_orders": attribute_fault(
-        "world",
-        "held_orders",
+        "cloud",
+        "held_commands",
         *((share, 0.0, most) for share in (0.3, 1.0) for most in (3.0, 8.0, 30.0)),
     ),
-    "list_lags": attribute_fault("world", "lag", 4.0, 10.0),
+    "list_lags": attribute_fault("cloud", "list_age_s", 4.0, 10.0),
 }
 
 
@@ -463,12 +468,12 @@
     """
     faults_by_name = FAULTS | (extra_faults or {})
 
-    async def main(net: simtime.Net) -> tuple[list[tuple[str, str]], list[str]]:
-        net.observe = observe
+    async def main(net: virtual_time.Network) -> tuple[list[tuple[str, str]], list[str]]:
+        net.on_write = observe
         service = Service(net, machines=5, capacity=8, later=next_limits)
-        service.state.applied = service.world.changed_hands
-        service.state.fenced = service.rules.applied
-        service.rules.room = service.world.rooms
+        service.store.on_applied = service.cloud.owner_changed
+        service.store.on_compared = service.invariants.transaction_applied
+        service.invariants.free_machines = service.cloud.free_machines
         await service.start()
         await asyncio.sleep(1)
         runs = initial_jobs()
@@ -477,7 +482,7 @@
 
         async def inject(fault: ScheduledFault, fault_rng: random.Random) -> None:
             await asyncio.sleep(fault.at_s)
-            owner = service.state.keys.get("part/blue")
+            owner = service.store.keys.get("part/blue")
             if leader_offset is not None and owner is not None:
                 for controller in service.controllers.values():
                     controller.elector.allowed = [
@@ -487,7 +492,7 @@
 
         async def cancel(number: int, at_s: float) -> str | None:
             await asyncio.sleep(at_s)
-            return await service.withdraw(f"req-{number:06d}")
+            return await service.cancel(f"req-{number:06d}")
 
         async def poll_jobs(poll_rng: random.Random) -> None:
             while True:
@@ -512,23 +517,26 @@
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.gather(*fault_tasks)
         await asyncio.sleep(max(started_at + FAULT_PHASE_S - service.now(), 0.0))
-        service.rules.calm_since = service.now()
+        service.invariants.faults_over_at = service.now()
         await asyncio.gather(*cancel_tasks)
         # A user gives up on a cancellation that is not confirmed, and a daemon runs until it is
         # cancelled: without another cancellation such jobs would never reach a final state.
-        rules = service.rules
-        for job_id in sorted(rules.accepted):
-            if job_id not in rules.told and (
-                job_id in rules.asked_to_cancel or rules.jobs[job_id]["shape"] == "daemon"
+        invariants = service.invariants
+        for job_id in sorted(invariants.accepted):
+            if job_id not in invariants.final_states and (
+                job_id in invariants.cancel_requested
+                or invariants.jobs[job_id]["shape"] == "daemon"
             ):
-                await service.withdraw(job_id)
-        unfinished = await service.until_final(sorted(rules.accepted), FINISH_LIMIT_S)
+                await service.cancel(job_id)
+        unfinished = await service.until_final(sorted(invariants.accepted), FINISH_LIMIT_S)
         await asyncio.sleep(CANCEL_DEADLINE_S)
-        service.rules.end(service.now())
-        service.rules.accounted({path: value for path, (value, _, _) in service.state.keys.items()})
-        return service.rules.broken, unfinished
+        service.invariants.end(service.now())
+        service.invariants.check_stored_jobs(
+            {path: value for path, (value, _, _) in service.store.keys.items()}
+        )
+        return service.invariants.violations, unfinished
 
-    violations, unfinished = simtime.run(main, seed, monkeypatch)
+    violations, unfinished = virtual_time.run(main, seed, monkeypatch)
     return violations, unfinished
 
 
--- a/tests/restarts.py
+++ b/tests/restarts.py
@@ -18,9 +18,9 @@
 
 import pytest
 
-from tests import simtime
-from tests.simtime import spawn
-from tests.whole import Service, job
+from tests import virtual_time
+from tests.cluster import Service, job
+from tests.virtual_time import spawn
 
 DOWNTIMES_S = (0.05, 0.3, 1.0, 2.5)  # between the end of a process and the start of the next
 CRASH_PHASE_S = 40.0
@@ -33,39 +33,39 @@
     while service.now() < until:
         await asyncio.sleep(rng.choice((0.4, 3.0, 8.0)) * rng.random())
         fault = rng.randrange(7)  # 5 and 6: no fault besides the crashes
-        if fault == 0 and not service.state.down:
-            service.state.down = True
+        if fault == 0 and not service.store.down:
+            service.store.down = True
             spawn(
                 service.net,
                 "users",
-                _call_later(rng.uniform(2, 9), lambda: setattr(service.state, "down", False)),
+                _call_later(rng.uniform(2, 9), lambda: setattr(service.store, "down", False)),
             )
         elif fault == 1:
             n = rng.randrange(3)
-            service.net.cut(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
+            service.net.partition(f"10.0.0.{n}", rng.choice(["10.2.0.1", f"10.0.0.{(n + 1) % 3}"]))
             spawn(service.net, "users", _call_later(rng.uniform(1, 8), service.net.heal))
         elif fault == 2:
-            service.state.apply_late = rng.choice((0.0, 0.05))
-            service.state.lose_answers = rng.choice((0.0, 0.05))
-        elif fault == 3 and len(service.world.workers) > 2 and rng.random() < 0.4:
-            service.world.workers[rng.choice(sorted(service.world.workers))].die()
+            service.store.late_write_share = rng.choice((0.0, 0.05))
+            service.store.lost_answer_share = rng.choice((0.0, 0.05))
+        elif fault == 3 and len(service.cloud.workers) > 2 and rng.random() < 0.4:
+            service.cloud.workers[rng.choice(sorted(service.cloud.workers))].die()
         elif fault == 4:
             # Some of these workers lose their leases and return with an incarnation that the store
             # does not name.
             workers = [
                 worker.host
-                for _, worker in sorted(service.world.workers.items())
+                for _, worker in sorted(service.cloud.workers.items())
                 if rng.random() < 0.6
             ]
             for n in range(3):
-                service.net.cut(f"10.0.0.{n}", *workers)
+                service.net.partition(f"10.0.0.{n}", *workers)
             spawn(service.net, "users", _call_later(rng.uniform(5, 9), service.net.heal))
         for _ in range(rng.randrange(1, 6)):
             alive = sorted(service.controllers)
             if alive:
                 service.crash(rng.choice(alive), rng.choice(DOWNTIMES_S))
             await asyncio.sleep(2.0 * rng.random() ** 2)
-    service.state.apply_late = service.state.lose_answers = 0.0
+    service.store.late_write_share = service.store.lost_answer_share = 0.0
 
 
 async def _call_later(delay_s: float, callback: Callable[[], None]) -> None:
@@ -77,7 +77,7 @@
     """Return the violations on the day of this seed, and the jobs not final in time."""
     rng = random.Random(seed)
 
-    async def main(net: simtime.Net) -> tuple[list[tuple[str, str]], list[str]]:
+    async def main(net: virtual_time.Network) -> tuple[list[tuple[str, str]], list[str]]:
         service = Service(net, machines=5, capacity=8)
         await service.start()
         await asyncio.sleep(1)
@@ -108,17 +108,15 @@
         spawn(net, "users", crash_in_bursts(service, rng))
         statuses = await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(rng.uniform(5, CRASH_PHASE_S))
-        withdrawn = (
-            await service.withdraw("req-000006") if statuses[5] in (200, 201) else "withdrawn"
-        )
+        withdrawn = await service.cancel("req-000006") if statuses[5] in (200, 201) else "withdrawn"
         await asyncio.sleep(CRASH_PHASE_S / 2)
         unfinished = await service.until_final([run["id"] for run in runs], FINISH_LIMIT_S)
-        service.rules.end()
-        return service.rules.broken, unfinished + (
+        service.invariants.end()
+        return service.invariants.violations, unfinished + (
             [] if withdrawn == "withdrawn" else ["req-000006"]
         )
 
-    violations, unfinished = simtime.run(main, seed, monkeypatch)
+    violations, unfinished = virtual_time.run(main, seed, monkeypatch)
     return violations, unfinished
 
 
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -55,10 +55,10 @@
 from ashdock.fairness.slo_attainment import MIN_ATTAINMENT, SloAttainment, jain
 from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import Objective, Team
-from tests import cost, scenarios, simtime, whole
+from tests import cluster, cost, scenarios, virtual_time
 from tests.fleet import Fleet
-from tests.simtime import HOST, Net, SimLoop
 from tests.totals import Totals
+from tests.virtual_time import HOST_BY_TASK, Network, VirtualTimeLoop
 
 # The fleet for `--times 1`: 662 machines of 4 GPUs, three teams (name, guaranteed GPUs, maximum
 # GPUs), and the arrivals per second of two classes of gang jobs and one of array jobs.
@@ -216,33 +216,33 @@
                 resume, value = coroutine.throw, error
 
 
-def simulate(main: Callable[[Net], Any], seed: int, meter: Meter) -> Any:
+def simulate(main: Callable[[Network], Any], seed: int, meter: Meter) -> Any:
     """Run `main` in simulated time; the controllers' tasks are charged to the meter."""
-    loop = SimLoop()
-    net = Net(seed)
+    loop = VirtualTimeLoop()
+    net = Network(seed)
 
     def create_task(loop_: Any, coroutine: Any, **options: Any) -> asyncio.Task[Any]:
         parent = None
         with contextlib.suppress(RuntimeError):
             parent = asyncio.current_task(loop_)
-        host = net.booting or HOST.get(parent)
+        host = net.spawning_host or HOST_BY_TASK.get(parent)
         task: asyncio.Task[Any] = asyncio.Task(
             meter.run(coroutine, host) if host and host.startswith("10.0.0.") else coroutine,
             loop=loop_,
             **options,
         )
         if host is not None:
-            HOST[task] = host
-            net.remember(host, task)
+            HOST_BY_TASK[task] = host
+            net.track_task(host, task)
         return task
 
     loop.set_task_factory(create_task)
-    HOST.clear()
+    HOST_BY_TASK.clear()
     with (
         mock.patch.object(asyncio, "open_connection", net.open_connection),
         mock.patch.object(asyncio, "start_server", net.start_server),
         mock.patch.object(time, "monotonic", lambda: loop.clock + meter.step_elapsed_s()),
-        mock.patch.object(time, "time", lambda: loop.clock + simtime.WALL),
+        mock.patch.object(time, "time", lambda: loop.clock + virtual_time.WALL_CLOCK_START_S),
     ):
         try:
             return loop.run_until_complete(main(net))
@@ -275,7 +275,7 @@
         self.teams = [team[0] for team in (shape.teams if shape else TEAMS)]
         self.seed = seed
         self.rng = random.Random(seed)
-        self.served = fleet.rules.served = SloAttainment()
+        self.served = fleet.invariants.slo_attainment = SloAttainment()
         self.number = 0
         self.submission_ms = HdrHistogram(1, 120_000, 3)  # from submission to acceptance
         self.query_ms = HdrHistogram(1, 10_000, 3)  # latency of a status query
@@ -348,7 +348,7 @@
     async def run_job(self, run: dict[str, Any]) -> None:
         """Submit a job, with retries for 60 s, and query it until all its tasks are done."""
         user: dict[str, Any] = {}
-        self.fleet.rules.submitted(run)
+        self.fleet.invariants.submitted(run)
         began, measured = self.now(), self.measuring
         if measured:
             due_at = began + run["due_s"] if run["due_s"] else math.inf
@@ -366,7 +366,7 @@
         while status not in (200, 201):
             status = await self.send_request(user, "POST", "/v2/runs", body, 5.0)
             if status is not None:
-                self.fleet.rules.answered(
+                self.fleet.invariants.answered(
                     run["id"], status, "queued", submission=True, now=self.now()
                 )
             if status not in (200, 201):
@@ -377,7 +377,10 @@
         self.served.record_accepted(run["id"])
         if measured:
             self.submission_ms.record_value(max(1, int((self.now() - began) * 1000)))
-        while any((run["id"], task) not in self.fleet.rules.done for task in range(run["shares"])):
+        while any(
+            (run["id"], task) not in self.fleet.invariants.done_tasks
+            for task in range(run["shares"])
+        ):
             await asyncio.sleep(5.0 * (0.8 + 0.4 * self.rng.random()))
             asked_at = self.now()
             status = await self.send_request(user, "GET", f"/v2/runs/{run['id']}", b"", 2.0)
@@ -399,7 +402,7 @@
         )
         run_s = template["expect_s"] * (0.5 + rng.random())
         owner = HOT_TEAM if hot else rng.choices(self.teams, [1.1, 1.6, 1.0][: len(self.teams)])[0]
-        return whole.job(
+        return cluster.job(
             self.number,
             workload=job_class,
             owner=owner,
@@ -455,7 +458,7 @@
 
 def settings_for(times: float, sockets: int, core: float) -> Any:
     """Return the shared settings for a fleet and quotas that are `times` as large."""
-    shared = whole.shared()
+    shared = cluster.shared()
     shared.teams = [
         Team(name, gpus=low * times, gpus_max=high * times) for name, low, high in TEAMS
     ]
@@ -505,7 +508,7 @@
     return int(asizeof.asizeof(*tables))
 
 
-async def inject_hot_faults(net: Net, fleet: Fleet, meter: Meter) -> None:
+async def inject_hot_faults(net: Network, fleet: Fleet, meter: Meter) -> None:
     """Restart the hot team's owner after 8 s, slow the next controller down, and stop the store.
 
     The next controller computes three times slower until the end of the store's outage of 15 s.
@@ -517,9 +520,9 @@
     await asyncio.sleep(8)
     fleet.boot(owner)
     await asyncio.sleep(22)
-    fleet.state.down = True
+    fleet.store.down = True
     await asyncio.sleep(15)
-    fleet.state.down = False
+    fleet.store.down = False
     meter.slowdowns.clear()
 
 
@@ -542,14 +545,14 @@
     out: dict[str, Any] = {"times": times, "machines": int(MACHINES * times)}
     started_s = time.perf_counter()
 
-    async def main(net: Net) -> None:
+    async def main(net: Network) -> None:
         shared = settings_for(times, sockets, core)
         fleet = Fleet(net, shared, int(MACHINES * times))
         for n in range(3):
-            net.limits[f"10.0.0.{n}"] = sockets
+            net.socket_limits[f"10.0.0.{n}"] = sockets
         await fleet.start()
         users = Users(fleet, times, seed)
-        simtime.spawn(net, "users", users.run())
+        virtual_time.spawn(net, "users", users.run())
         await asyncio.sleep(75)
         if course == "alone":
             for n in (1, 2):
@@ -576,8 +579,8 @@
             users.spawn(inject_hot_faults(net, fleet, meter))
         meter.profile = cProfile.Profile() if profile else None
         cpu_before, measured_from = dict(meter.cpu_s), users.now()
-        requests_before, writes_before = fleet.state.requests, fleet.state.counted
-        starts_before = fleet.rules.starts
+        requests_before, writes_before = fleet.store.request_count, fleet.store.write_count
+        starts_before = fleet.invariants.start_count
         writes_by_kind: Counter[str] = Counter()
 
         def count_writes(writes: list[dict[str, Any]]) -> None:
@@ -589,12 +592,12 @@
                     + (" head" if path[-1] == "job" else "")
                 ] += 1
 
-        fleet.state.hook = count_writes
+        fleet.store.on_transaction = count_writes
         for step in range(int(seconds / 5)):
             await asyncio.sleep(5)
             print(
-                f"  {times:g} times: {users.now():.0f} s, {fleet.rules.starts} starts, "
-                f"{fleet.killed} killed, GPUs {format_team_usage(fleet)}, "
+                f"  {times:g} times: {users.now():.0f} s, {fleet.invariants.start_count} starts, "
+                f"{fleet.killed_tasks} killed, GPUs {format_team_usage(fleet)}, "
                 f"{time.perf_counter() - started_s:.0f} s of real time, step {step}",
                 flush=True,
             )
@@ -608,21 +611,22 @@
         rows = users.served.counts(users.now())
         out.update(
             gaps=gaps.rows if gaps else [],
-            machines_rented=sum(map(len, fleet.world.charters.values())),
+            machines_rented=sum(map(len, fleet.cloud.machines_by_intent.values())),
             jobs=len(
                 [
                     j
-                    for j in fleet.rules.jobs
+                    for j in fleet.invariants.jobs
                     if any(
-                        (j, t) not in fleet.rules.done for t in range(fleet.rules.jobs[j]["shares"])
+                        (j, t) not in fleet.invariants.done_tasks
+                        for t in range(fleet.invariants.jobs[j]["shares"])
                     )
                 ]
             ),
             core_mean=sum(cores) / len(cores),
             core_most=max(cores),
             mb=max(table_bytes(c) for c in alive) / 2**20,
-            requests=(fleet.state.requests - requests_before) / elapsed_s,
-            writes=(fleet.state.counted - writes_before) / elapsed_s,
+            requests=(fleet.store.request_count - requests_before) / elapsed_s,
+            writes=(fleet.store.write_count - writes_before) / elapsed_s,
             served={
                 " ".join(name): [*row, round(row.attainment, 3)]
                 for name, row in sorted(rows.items())
@@ -631,20 +635,20 @@
             jain=round(
                 jain(row.attainment for (kind, _), row in rows.items() if kind == "team"), 4
             ),
-            starts=(fleet.rules.starts - starts_before) / elapsed_s,
+            starts=(fleet.invariants.start_count - starts_before) / elapsed_s,
             written={
                 kind: round(number / elapsed_s, 2) for kind, number in writes_by_kind.most_common()
             },
-            killed=fleet.killed,
-            broken=fleet.rules.broken[:5],
+            killed=fleet.killed_tasks,
+            broken=fleet.invariants.violations[:5],
             submissions=users.submission_ms.get_total_count(),
             p50_ms=users.submission_ms.get_value_at_percentile(50),
             p99_ms=users.submission_ms.get_value_at_percentile(99),
             within_1s=share_within(users.submission_ms, 1000),
             asked_p99_ms=users.query_ms.get_value_at_percentile(99),
             errors=dict(users.errors),
-            sockets=max(net.most.get(f"10.0.0.{n}", 0) for n in range(3)),
-            refused=net.refused,
+            sockets=max(net.max_sockets.get(f"10.0.0.{n}", 0) for n in range(3)),
+            refused=net.refused_connections,
             late_s=max(
                 (
                     c.admission.processor.late_s(users.now())
@@ -653,7 +657,7 @@
                 ),
                 default=0.0,
             ),
-            longest_s=fleet.longest(),
+            longest_s=fleet.longest_gap_s(),
             real_s=time.perf_counter() - started_s,
             takeovers={
                 team: [
@@ -684,10 +688,10 @@
     }
     return (
         " ".join(
-            f"{team} {fleet.rules.used.get(team, 0.0):.0f} of {machines_by_team.get(team, 0)}"
+            f"{team} {fleet.invariants.used_gpus.get(team, 0.0):.0f} of {machines_by_team.get(team, 0)}"
             for team, _, _ in TEAMS
         )
-        + f" of {len(fleet.world.workers)}"
+        + f" of {len(fleet.cloud.workers)}"
     )
 
 
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -24,9 +24,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple, NoReturn
 
+from tests.fakes import STORE_HOST
 from tests.fleet import Fleet
-from tests.simtime import Net, spawn
-from tests.standins import STATE
+from tests.virtual_time import Network, spawn
 
 DAYS_PATH = Path(__file__).with_name("days")
 
@@ -68,7 +68,9 @@
     return max(machines, key=lambda n: (machines[n], n), default=None)
 
 
-async def crash_and_restart(net: Net, fleet: Fleet, crashes: list[Crash], restart_s: float) -> None:
+async def crash_and_restart(
+    net: Network, fleet: Fleet, crashes: list[Crash], restart_s: float
+) -> None:
     """Crash controllers at the given times from now on, and boot each again after `restart_s`."""
     started_at = asyncio.get_running_loop().time()
 
@@ -103,7 +105,7 @@
     """
 
     def __init__(
-        self, net: Net, fleet: Fleet, restart_s: float, freeze: Callable[[str, float], None]
+        self, net: Network, fleet: Fleet, restart_s: float, freeze: Callable[[str, float], None]
     ) -> None:
         """Watch the transactions of the fleet's store.
 
@@ -118,7 +120,7 @@
         self.fault_at: float | None = None
         self.claim_after_s: float | None = None
         self.first_write_after_s: float | None = None
-        fleet.state.fenced = self._on_transaction
+        fleet.store.on_compared = self._on_transaction
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -159,7 +161,7 @@
             elif fault == "freeze":
                 self.freeze(host, LEADER_FAULT_INTERVAL_S / 2)
             else:
-                self.net.cut(host, STATE)
+                self.net.partition(host, STORE_HOST)
                 await asyncio.sleep(LEADER_FAULT_INTERVAL_S / 2)
                 self.net.heal()
             await asyncio.sleep(max(self.fault_at + LEADER_FAULT_INTERVAL_S - self._now(), 0.0))
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -13,12 +13,12 @@
 
 from ashdock.shard_owner import OwnershipPhase, ShardOwner
 from tests import fault_combinations
+from tests.cluster import Service, job
 from tests.fault_combinations import ScheduledFault
-from tests.simtime import spawn
+from tests.test_cluster import run_scenario
 from tests.test_core import commit, heartbeat, queued_record, shard_with, spec, start_one_task
 from tests.test_restarts import wait_for_owner
-from tests.test_whole import play
-from tests.whole import Service, job
+from tests.virtual_time import spawn
 
 # Most faults come twice, so that the second time they meet the state that the first time left.
 COMBINATIONS: dict[str, list[ScheduledFault]] = {
@@ -299,7 +299,9 @@
                     size_gb=0.5,
                 )
             )
-        while not all(service.rules.on.get((f"req-{number:06d}", 0)) for number in range(1, 7)):
+        while not all(
+            service.invariants.placements.get((f"req-{number:06d}", 0)) for number in range(1, 7)
+        ):
             await asyncio.sleep(0.2)
         old = await wait_for_owner(service)
         new = (old + 1) % 3
@@ -311,7 +313,7 @@
             await asyncio.sleep(after_s)
             await asyncio.gather(
                 *(
-                    service.withdraw(f"req-{number:06d}", controllers[receiver])
+                    service.cancel(f"req-{number:06d}", controllers[receiver])
                     for number in (1, 2, 3)
                 )
             )
@@ -323,8 +325,8 @@
                 if steps[-1] == ("claimed" if moment == "loaded" else moment):
                     calls.append(spawn(service.net, "users", cancel(after_s[moment])))
 
-        service.state.applied = applied
-        service.state.slow = 0.1
+        service.store.on_applied = applied
+        service.store.extra_delay_s = 0.1
         if moment == "just before":
             calls.append(spawn(service.net, "users", cancel(0.0)))
             await asyncio.sleep(0.06)
@@ -334,21 +336,23 @@
         while "claimed" not in steps:
             await asyncio.sleep(0.05)
         await asyncio.sleep(3.0)
-        service.state.slow = 0.0
+        service.store.extra_delay_s = 0.0
         await asyncio.gather(*calls)
         assert calls and await wait_for_owner(service) == new
         await asyncio.sleep(5.0)
         assert {
             await service.poll(f"req-{number:06d}", n) for number in (1, 2, 3) for n in range(3)
         } == {"withdrawn"}
-        assert not any(service.rules.on.get((f"req-{number:06d}", 0)) for number in (1, 2, 3))
+        assert not any(
+            service.invariants.placements.get((f"req-{number:06d}", 0)) for number in (1, 2, 3)
+        )
         # The other jobs still run, and no task was started twice.
         assert (
-            all(service.rules.on.get((f"req-{number:06d}", 0)) for number in (4, 5, 6))
-            and service.rules.starts == 6
+            all(service.invariants.placements.get((f"req-{number:06d}", 0)) for number in (4, 5, 6))
+            and service.invariants.start_count == 6
         )
 
-    play(monkeypatch, 81, day)
+    run_scenario(monkeypatch, 81, day)
 
 
 # -- safety conditions that the combinations do not reach: no test above fails without them --------
@@ -444,14 +448,14 @@
     async def day(service: Service) -> None:
         await service.submit(job(1))
         n = await wait_for_owner(service)
-        before = service.state.keys["part/red"]
+        before = service.store.keys["part/red"]
         other = service.controllers[(n + 1) % 3]
         stale = ShardOwner(other, other.shared.teams[0], before[1] - 1)
         await asyncio.sleep(1)
-        assert stale.phase is OwnershipPhase.LOST and service.state.keys["part/red"] == before
+        assert stale.phase is OwnershipPhase.LOST and service.store.keys["part/red"] == before
         assert await service.until_final(["req-000001"], 60) == []
 
-    play(monkeypatch, 71, day)
+    run_scenario(monkeypatch, 71, day)
 
 
 def test_a_controller_that_lags_gives_no_older_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -462,18 +466,18 @@
         n = await wait_for_owner(service)
         others = [k for k in range(3) if k != n]
         for k in (n, *others):
-            service.doors = [k]
+            service.entry_points = [k]
             await service.poll("req-000001")
-        service.state.blind = True
-        service.doors = [n]
+        service.store.job_watches_lag = True
+        service.entry_points = [n]
         while await service.poll("req-000001") != "done":
             await asyncio.sleep(0.1)
         for k in others:
-            service.doors = [k]
+            service.entry_points = [k]
             assert await service.poll("req-000001") == "done"
-        service.state.blind = False
+        service.store.job_watches_lag = False
 
-    play(monkeypatch, 72, day)
+    run_scenario(monkeypatch, 72, day)
 
 
 def test_a_cancellation_that_races_the_outcome_has_one_result(
@@ -487,9 +491,9 @@
             await service.submit(
                 job(number, shares=1, expect_s=8.0, bundle="img", size_gb=0.1, accelerators=0.5)
             )
-        while not service.rules.on.get((ids[-1], 0)):
+        while not service.invariants.placements.get((ids[-1], 0)):
             await asyncio.sleep(0.05)
-        service.state.slow = 0.3
+        service.store.extra_delay_s = 0.3
 
         async def poll_jobs() -> None:
             while True:
@@ -499,7 +503,7 @@
 
         async def cancel(job_id: str, after_s: float) -> Any:
             await asyncio.sleep(after_s)
-            return await service.withdraw(job_id)
+            return await service.cancel(job_id)
 
         spawn(service.net, "users", poll_jobs())
         answers = await asyncio.gather(
@@ -510,4 +514,4 @@
         for job_id, answer in zip(ids, answers, strict=True):
             assert await service.poll(job_id) == answer
 
-    play(monkeypatch, 73, day)
+    run_scenario(monkeypatch, 73, day)
--- a/tests/test_hot.py
+++ b/tests/test_hot.py
@@ -14,8 +14,8 @@
 from ashdock.fairness.slo_attainment import jain
 from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import NextLimits
-from tests import simtime
-from tests.whole import Service, job
+from tests import virtual_time
+from tests.cluster import Service, job
 
 BURST_S = 20.0
 STORE_WRITES_PER_S = 30.0  # enough for 15 submissions a second if nothing else is written
@@ -49,7 +49,7 @@
         service, began_at = self.service, self.service.now()
         self.number += 1
         submission = job(self.number, owner=team, shares=1, expect_s=2.0)
-        service.rules.submitted(submission)
+        service.invariants.submitted(submission)
         for n in range(30):
             running = [number for number in self.entry_points if number in service.controllers]
             try:
@@ -59,7 +59,7 @@
                 )
             except NoResponseError:
                 status, headers = 0, {}
-            service.rules.answered(
+            service.invariants.answered(
                 submission["id"], status, "queued", submission=True, now=service.now()
             )
             if status in (200, 201):
@@ -109,7 +109,7 @@
         await asyncio.gather(*(self.arrive(team, rate) for team, rate in rates.items()))
 
 
-async def started_service(net: simtime.Net) -> Service:
+async def started_service(net: virtual_time.Network) -> Service:
     service = Service(net, machines=12, capacity=12, later=NextLimits(write_rps=STORE_WRITES_PER_S))
     await service.start()
     await asyncio.sleep(8)
@@ -128,10 +128,10 @@
     """The owner of the hot team's shard crashes, and the store is slow during the failover."""
     await asyncio.sleep(5)
     owner = await owner_of(service, "red")
-    service.crash(owner, back_after=3.0)
-    service.state.slow = 0.05
+    service.crash(owner, restart_after_s=3.0)
+    service.store.extra_delay_s = 0.05
     await asyncio.sleep(6)
-    service.state.slow = 0.0
+    service.store.extra_delay_s = 0.0
 
 
 async def one_entry_point(service: Service, users: TeamUsers) -> None:
@@ -141,7 +141,7 @@
 async def controllers_partitioned(service: Service, users: TeamUsers) -> None:
     """Controllers that hear no other know only their own load, and their shares are out of date."""
     await asyncio.sleep(3)
-    service.net.cut("10.0.0.0", "10.0.0.1", "10.0.0.2")
+    service.net.partition("10.0.0.0", "10.0.0.1", "10.0.0.2")
     await asyncio.sleep(8)
     service.net.heal()
 
@@ -154,7 +154,7 @@
             target = f"/v2/runs/req-{n % 60 + 1:06d}"
             cancels = n % 10 == 0 and target.rsplit("/", 1)[1] in users.jobs["red"]
             if cancels:
-                service.rules.asked_to_cancel.add(target.rsplit("/", 1)[1])
+                service.invariants.cancel_requested.add(target.rsplit("/", 1)[1])
             method, target = ("POST", target + "/withdraw") if cancels else ("GET", target)
             try:
                 await Client(f"10.0.0.{n % 3}", 8080, max_idle=0).request(method, target, b"", 2.0)
@@ -184,7 +184,7 @@
     max_accept_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = await started_service(net)
         users = TeamUsers(service)
         await asyncio.gather(users.run(rates), fault(service, users))
@@ -201,13 +201,13 @@
             and max(users.retry_after_s) <= 10
         )
         assert not await service.until_final(users.jobs["blue"], 60)
-        assert not service.rules.broken
+        assert not service.invariants.violations
 
-    simtime.run(main, 51, monkeypatch)
+    virtual_time.run(main, 51, monkeypatch)
 
 
 def test_two_hot_teams_are_accepted_at_the_same_rate(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = await started_service(net)
         users = TeamUsers(service)
         burst = asyncio.create_task(users.run({"red": 40.0, "blue": 15.0}))
@@ -235,9 +235,9 @@
             'ashdock_start_wait_seconds_bucket{class="w",le="+Inf",team="red"}' in pages
             and "ashdock_class_rises" in pages
         )
-        assert not service.rules.broken
+        assert not service.invariants.violations
 
-    simtime.run(main, 52, monkeypatch)
+    virtual_time.run(main, 52, monkeypatch)
 
 
 def test_controller_that_stays_behind_hands_a_shard_over(
@@ -249,13 +249,13 @@
     behind.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net, machines=8, capacity=8)
         await service.start()
         await service.submit(job(1, shares=16, expect_s=60.0))
         await asyncio.sleep(5)
         for n in (1, 2):
-            service.crash(n, back_after=14.0)
+            service.crash(n, restart_after_s=14.0)
         await asyncio.sleep(12)
         slow = service.controllers[0]
         assert set(slow.owners) == {"red", "blue"} and slow.leader is not None
@@ -268,10 +268,10 @@
         ] == [0, 1, 1]
         await service.submit(job(2, owner="blue", shares=2))
         assert not await service.until_final(["req-000001", "req-000002"], 120)
-        assert not service.rules.broken
-        assert all(worker.tenure == 1 for worker in service.world.workers.values())
+        assert not service.invariants.violations
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
 
-    simtime.run(main, 53, monkeypatch)
+    virtual_time.run(main, 53, monkeypatch)
 
 
 def test_gangs_start_beside_an_array_of_100_000_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -280,7 +280,7 @@
     Meanwhile the owner of the array crashes, and the store takes few writes.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = await started_service(net)
         await service.submit(job(1, shares=100_000, expect_s=1.5, urgency="best_effort"))
         start_waits_s: list[float] = []
@@ -299,8 +299,8 @@
             )
             assert await service.submit(gang) in (200, 201)
             while (
-                not any((gang["id"], 0) == key for key in service.rules.on)
-                and (gang["id"], 0) not in service.rules.done
+                not any((gang["id"], 0) == key for key in service.invariants.placements)
+                and (gang["id"], 0) not in service.invariants.done_tasks
             ):
                 await asyncio.sleep(0.1)
             start_waits_s.append(service.now() - began_at)
@@ -309,14 +309,14 @@
         for number in range(2, 14):
             gangs.append(asyncio.create_task(run_gang(number, "blue" if number % 2 else "red")))
             if number == 5:
-                service.crash(await owner_of(service, "red"), back_after=3.0)
+                service.crash(await owner_of(service, "red"), restart_after_s=3.0)
             await asyncio.sleep(2)
         await asyncio.gather(*gangs)
         assert (
             sorted(start_waits_s)[len(start_waits_s) // 2] <= 4.0 and max(start_waits_s) <= 12.0
         ), sorted(start_waits_s)
         assert not await service.until_final([f"req-{number:06d}" for number in range(2, 14)], 60)
-        done = sum(1 for name, _ in service.rules.done if name == "req-000001")
-        assert done > 100 and not service.rules.broken
+        done = sum(1 for name, _ in service.invariants.done_tasks if name == "req-000001")
+        assert done > 100 and not service.invariants.violations
 
-    simtime.run(main, 54, monkeypatch)
+    virtual_time.run(main, 54, monkeypatch)
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -7,13 +7,13 @@
 import pytest
 
 from ashdock.net.rate_limiter import RateLimiter, RequestPriority, fair_share
-from tests import simtime
+from tests import virtual_time
 
 
 def test_large_transaction_is_not_starved(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without a queue, a request for a full bucket waits until no small ones arrive any more."""
 
-    async def main(net: simtime.Net) -> float:
+    async def main(net: virtual_time.Network) -> float:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
@@ -31,7 +31,7 @@
             task.cancel()
         return waited_s
 
-    assert simtime.run(main, 1, monkeypatch) < 3.0
+    assert virtual_time.run(main, 1, monkeypatch) < 3.0
 
 
 USER, NORMAL, BACKGROUND = RequestPriority
@@ -53,7 +53,7 @@
 def test_order_of_grants(
     requests: list[tuple[float, RequestPriority]], order: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def main(net: simtime.Net) -> list[int]:
+    async def main(net: virtual_time.Network) -> list[int]:
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
         granted: list[int] = []
@@ -66,11 +66,11 @@
         assert rate_limiter.queued == 0
         return granted
 
-    assert simtime.run(main, 1, monkeypatch) == order
+    assert virtual_time.run(main, 1, monkeypatch) == order
 
 
 def test_cancelled_wait_takes_no_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def main(net: simtime.Net) -> tuple[float, float]:
+    async def main(net: virtual_time.Network) -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         rate_limiter = RateLimiter(10.0)
         rate_limiter.try_acquire(10.0)
@@ -81,7 +81,7 @@
         await rate_limiter.acquire(2)
         return loop.time() - started_at, rate_limiter.queued
 
-    waited_s, queued = simtime.run(main, 1, monkeypatch)
+    waited_s, queued = virtual_time.run(main, 1, monkeypatch)
     assert waited_s <= 0.11 and queued == 0
 
 
@@ -92,7 +92,7 @@
     refuse submissions.
     """
 
-    async def main(net: simtime.Net) -> dict[RequestPriority, float]:
+    async def main(net: virtual_time.Network) -> dict[RequestPriority, float]:
         demands = {}
         for priority in RequestPriority:
             rate_limiter = RateLimiter(10.0)
@@ -100,7 +100,7 @@
             demands[priority] = rate_limiter.demand
         return demands
 
-    demands = simtime.run(main, 1, monkeypatch)
+    demands = virtual_time.run(main, 1, monkeypatch)
     assert demands[USER] > 3 * demands[NORMAL] > 9 * demands[BACKGROUND]
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -19,9 +19,9 @@
 from ashdock.wire.messages import Heartbeat, TaskReport
 from ashdock.wire.peer_messages import Hello, OwnershipClaims, PeerHeartbeat
 from tests import restarts
-from tests.simtime import spawn
-from tests.test_whole import play
-from tests.whole import Service, job, shared
+from tests.cluster import Service, job, shared
+from tests.test_cluster import run_scenario
+from tests.virtual_time import spawn
 
 DOWNTIMES_S = [0.05, 0.3, 1.0]  # between the end of a process and the start of the next
 AGENT_LEASE_S = 6.0
@@ -100,15 +100,15 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=8, expect_s=60.0))
         await asyncio.sleep(shared().workers.cancel_s + 2)
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(1)
         service.crash(await wait_for_owner(service), downtime_s)
         await asyncio.sleep(1.5 * AGENT_LEASE_S)
-        service.state.down = False
+        service.store.down = False
         assert await service.until_final(["req-000001"], 60) == []
-        assert {worker.tenure for worker in service.world.workers.values()} == {1}
+        assert {worker.incarnation for worker in service.cloud.workers.values()} == {1}
 
-    play(monkeypatch, 41, day)
+    run_scenario(monkeypatch, 41, day)
 
 
 @pytest.mark.parametrize("outage_s", [5.0, 12.0, 60.0])
@@ -128,21 +128,21 @@
 
         def hook(writes: list[dict[str, Any]]) -> None:
             if any(write.get("set") == "job/req-000001" for write in writes):
-                service.state.hook = None
+                service.store.on_transaction = None
                 service.crash(owner, 0.3)
                 asyncio.get_running_loop().call_later(
-                    0.01, lambda: setattr(service.state, "down", True)
+                    0.01, lambda: setattr(service.store, "down", True)
                 )
 
-        service.state.hook = hook
-        spawn(service.net, "users", service.withdraw("req-000001"))
+        service.store.on_transaction = hook
+        spawn(service.net, "users", service.cancel("req-000001"))
         await asyncio.sleep(outage_s)
-        service.state.down = False
-        assert await service.withdraw("req-000001") == "withdrawn"
+        service.store.down = False
+        assert await service.cancel("req-000001") == "withdrawn"
         await asyncio.sleep(shared().workers.cancel_s)
         assert await service.poll("req-000002") in ("running", "queued")
 
-    play(monkeypatch, 42, day)
+    run_scenario(monkeypatch, 42, day)
 
 
 # -- restarts that the other controllers do not notice ---------------------------------------------
@@ -168,10 +168,10 @@
                 await asyncio.sleep(3.5)
         assert service.controllers[owner].owners.keys() >= {"red"}
         assert not [text for text in caplog.messages if "forwarding heartbeats" in text]
-        assert {worker.tenure for worker in service.world.workers.values()} == {1}
+        assert {worker.incarnation for worker in service.cloud.workers.values()} == {1}
         assert await service.until_final(["req-000001"], 90) == []
 
-    play(monkeypatch, 43, day)
+    run_scenario(monkeypatch, 43, day)
 
 
 @pytest.mark.parametrize("downtime_s", [0.05, 0.3, 0.6])
@@ -185,15 +185,15 @@
         await asyncio.sleep(5)
         started_at = service.now()
         leader = next(n for n, c in service.controllers.items() if c.leader)
-        before = service.state.keys["leader"][1]
+        before = service.store.keys["leader"][1]
         service.crash(leader, downtime_s)
-        while service.state.keys.get("leader", (0, before))[1] == before:
+        while service.store.keys.get("leader", (0, before))[1] == before:
             await asyncio.sleep(0.02)
         assert service.now() < started_at + downtime_s + MEMBERSHIP_TTL_S / 2
         await asyncio.sleep(2 * MEMBERSHIP_TTL_S)  # the old lease expires and deletes no key
         assert [n for n, c in service.controllers.items() if c.leader] == [leader]
 
-    play(monkeypatch, 44, day)
+    run_scenario(monkeypatch, 44, day)
 
 
 def test_frames_of_an_earlier_incarnation_are_dropped_after_the_hello_of_a_later_one(
@@ -226,7 +226,7 @@
         )
         assert list(controller.mesh.inbound_links.values()).count("n1") == 1
 
-    play(monkeypatch, 45, day)
+    run_scenario(monkeypatch, 45, day)
 
 
 def test_shards_of_a_controller_in_a_crash_loop_are_owned_by_others_until_it_is_steady(
@@ -239,11 +239,11 @@
         for _ in range(6):
             service.crash(owner, 0.3)
             await asyncio.sleep(1.5)
-        assert service.state.keys[f"life/n{owner}"][0]["ends"] >= 5
+        assert service.store.keys[f"life/n{owner}"][0]["ends"] >= 5
         assert not service.controllers[owner].owners and service.controllers[owner].leader is None
         shards = {
             path: value["owner"]
-            for path, (value, _, _) in service.state.keys.items()
+            for path, (value, _, _) in service.store.keys.items()
             if path.startswith("part/")
         }
         assert f"n{owner}" not in shards.values()
@@ -258,7 +258,7 @@
             await Client(f"10.0.0.{owner}", 8080, max_idle=0).request("GET", "/ready", b"", 2.0)
         )[0] == 200
 
-    play(monkeypatch, 46, day)
+    run_scenario(monkeypatch, 46, day)
 
 
 @pytest.mark.parametrize("every_s", [0.7, 1.5, 4.0])
@@ -277,24 +277,26 @@
             await asyncio.sleep(every_s)
         claims = {
             path: revision
-            for path, (_, revision, _) in service.state.keys.items()
+            for path, (_, revision, _) in service.store.keys.items()
             if path.startswith("part/")
         }
         await asyncio.sleep(1)
         assert all(service.controllers[n].ready() for n in range(3))
         done = sum(
-            len(service.rules.done & {(run["id"], task) for task in range(run["shares"])})
+            len(
+                service.invariants.done_tasks & {(run["id"], task) for task in range(run["shares"])}
+            )
             for run in runs
         )
         if every_s > 1:
             assert done >= 8  # most tasks end before the restarts do
         assert await service.until_final([run["id"] for run in runs], 60) == []
         reclaimed = sum(
-            service.state.keys[path][1] - revision > 0 for path, revision in claims.items()
+            service.store.keys[path][1] - revision > 0 for path, revision in claims.items()
         )
         assert reclaimed <= 2
 
-    play(monkeypatch, 47, day)
+    run_scenario(monkeypatch, 47, day)
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -14,11 +14,11 @@
 
 from ashdock.cancellation.watermark import CancellationWatermark
 from ashdock.net.mesh import MAX_UNSENT_BYTES
-from tests.simtime import spawn
-from tests.standins import STATE
+from tests.cluster import Service, job, shared
+from tests.fakes import STORE_HOST
+from tests.test_cluster import run_scenario
 from tests.test_restarts import wait_for_owner
-from tests.test_whole import play
-from tests.whole import Service, job, shared
+from tests.virtual_time import spawn
 
 CANCEL_S, LEASE_S, TTL_S = 20.0, 6.0, 1.0
 # Watermark age up to which agent leases may be renewed, before the allowance for clock drift.
@@ -237,43 +237,43 @@
 
     async def refuse(self) -> None:
         """Have the store refuse the owner, or each of the three controllers in turn."""
-        scenario, state = self.scenario, self.service.state
+        scenario, store = self.scenario, self.service.store
         refused = (self.owner, self.confirmer, self.third) if scenario.in_turn else (self.owner,)
         for n in refused:
-            state.refusing = {self.hosts[n]} if scenario.refused_s else set()
+            store.refused_hosts = {self.hosts[n]} if scenario.refused_s else set()
             await asyncio.sleep(0.8 if scenario.in_turn else scenario.refused_s)
-        state.refusing = set()
+        store.refused_hosts = set()
 
     async def cut_workers(self) -> None:
         """Cut the workers off from the owner at the scenario's time."""
         if self.scenario.workers_cut_at is not None:
             await self.sleep_until(self.scenario.workers_cut_at)
-            workers = self.service.world.workers.values()
-            self.service.net.cut(self.hosts[self.owner], *(worker.host for worker in workers))
+            workers = self.service.cloud.workers.values()
+            self.service.net.partition(self.hosts[self.owner], *(worker.host for worker in workers))
 
     def begin_faults(self) -> None:
         """Start the faults that last from the refusal on."""
         service, scenario = self.service, self.scenario
         owner_host = self.hosts[self.owner]
         if scenario.max_timer_delay_s:
-            service.net.late = {owner_host: scenario.max_timer_delay_s}
+            service.net.max_timer_delay_s = {owner_host: scenario.max_timer_delay_s}
         spawn(service.net, "users", self.refuse())
         spawn(service.net, "users", self.cut_workers())
         for n, role in ((self.confirmer, "confirmer"), (self.third, "third")):
             if scenario.cut_peers in (role, "both"):
-                service.net.cut(owner_host, self.hosts[n])
+                service.net.partition(owner_host, self.hosts[n])
 
     async def cancel(self, *numbers: int) -> None:
         """Cancel these jobs as their users, through the confirmer."""
         service = self.service
-        service.doors = [self.confirmer]
+        service.entry_points = [self.confirmer]
         if self.scenario.response_lost:
-            service.state.lose_answers = 1.0
+            service.store.lost_answer_share = 1.0
             asyncio.get_running_loop().call_later(
-                0.5, lambda: setattr(service.state, "lose_answers", 0.0)
+                0.5, lambda: setattr(service.store, "lost_answer_share", 0.0)
             )
         statuses = await asyncio.gather(
-            *(service.withdraw(f"req-{number:06d}") for number in numbers)
+            *(service.cancel(f"req-{number:06d}") for number in numbers)
         )
         assert set(statuses) == {"withdrawn"}
 
@@ -285,15 +285,15 @@
 
     async def store_outage(self) -> None:
         """Have the store fail for all controllers."""
-        state = self.service.state
-        state.down = True
+        store = self.service.store
+        store.down = True
         await asyncio.sleep(self.scenario.outage_s)
-        state.down, state.refusing = False, set()
+        store.down, store.refused_hosts = False, set()
 
     async def refuse_again(self) -> None:
         """Refuse the current owner, cancel other jobs, and have the store fail once more."""
         await asyncio.sleep(8)
-        self.service.state.refusing = {self.hosts[await wait_for_owner(self.service)]}
+        self.service.store.refused_hosts = {self.hosts[await wait_for_owner(self.service)]}
         await self.cancel(3, 4)
         await self.store_outage()
 
@@ -308,7 +308,7 @@
 
 def incarnations(service: Service) -> dict[str, int]:
     """Return the incarnation of each worker's agent, by the worker's name."""
-    return {name: worker.tenure for name, worker in service.world.workers.items()}
+    return {name: worker.incarnation for name, worker in service.cloud.workers.items()}
 
 
 async def owner_refused_alone(service: Service, scenario: Scenario) -> None:
@@ -330,13 +330,15 @@
     await run.sleep_until(scenario.outage_at)
     await run.store_outage()
     service.net.heal()
-    service.net.late = {}
+    service.net.max_timer_delay_s = {}
     if scenario.refused_again:
         await run.refuse_again()
     if scenario.keeps_work:
         assert incarnations(service) == incarnations_before
-        assert all(service.rules.on.get((f"req-{number:06d}", 0)) for number in (3, 4, 5, 6))
-    service.doors = [0, 1, 2]
+        assert all(
+            service.invariants.placements.get((f"req-{number:06d}", 0)) for number in (3, 4, 5, 6)
+        )
+    service.entry_points = [0, 1, 2]
     await asyncio.sleep(LEASE_S)
     for number in (5, 6):
         assert await service.poll(f"req-{number:06d}") in ("running", "queued")
@@ -344,7 +346,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_cancelled_tasks_end_in_time(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    play(
+    run_scenario(
         monkeypatch,
         61,
         lambda service: owner_refused_alone(service, SCENARIOS[name]),
@@ -359,7 +361,7 @@
 async def start_long_job(service: Service, number: int) -> int:
     """Submit a long job, wait until it runs, and return the number of its shard's owner."""
     await service.submit(job(number, shape="daemon", shares=1))
-    while not service.rules.on.get((f"req-{number:06d}", 0)):
+    while not service.invariants.placements.get((f"req-{number:06d}", 0)):
         await asyncio.sleep(0.2)
     return await wait_for_owner(service)
 
@@ -381,7 +383,7 @@
         interval_count = len(link.intervals)
         writer = sender.mesh.peers[receiver.label].writer
         assert writer is not None and interval_count == 1
-        service.state.refusing = {f"10.0.0.{owner}"}
+        service.store.refused_hosts = {f"10.0.0.{owner}"}
         synced_at = receiver.jobs.synced_at
         if lost == "full":
             # Only while the cancellation is sent; a link that stays full is closed later anyway.
@@ -390,8 +392,8 @@
             )
         elif lost == "closed":
             writer.close()
-        service.doors = [(owner + 1) % 3]
-        assert await service.withdraw("req-000001") == "withdrawn"
+        service.entry_points = [(owner + 1) % 3]
+        assert await service.cancel("req-000001") == "withdrawn"
         if lost == "full":
             writer.transport.get_write_buffer_size = lambda: 0  # type: ignore[method-assign]
         await asyncio.sleep(0.05)
@@ -402,19 +404,19 @@
             assert (
                 len(link.intervals) == interval_count
                 and known_until > service.now() - 2
-                and not service.rules.on.get(("req-000001", 0))
+                and not service.invariants.placements.get(("req-000001", 0))
             )
         else:
             assert len(link.intervals) == interval_count + 1 and known_until < service.now() - 2.5
-        service.state.refusing = set()
-        service.doors = [0, 1, 2]
+        service.store.refused_hosts = set()
+        service.entry_points = [0, 1, 2]
         await asyncio.sleep(3)
         assert (
             receiver.cancellations.watermark.known_until(receiver.jobs.synced_at, service.now())
             > service.now() - 2
         )
 
-    play(monkeypatch, 62, scenario)
+    run_scenario(monkeypatch, 62, scenario)
 
 
 def test_with_an_earlier_cluster_version_nothing_is_sent_and_the_deadline_holds(
@@ -423,10 +425,10 @@
     async def scenario(service: Service) -> None:
         owner = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
-        service.state.refusing = {f"10.0.0.{owner}"}
-        service.doors = [(owner + 1) % 3]
-        assert await service.withdraw("req-000001") == "withdrawn"
-        service.state.down = True
+        service.store.refused_hosts = {f"10.0.0.{owner}"}
+        service.entry_points = [(owner + 1) % 3]
+        assert await service.cancel("req-000001") == "withdrawn"
+        service.store.down = True
         await asyncio.sleep(2 * CANCEL_S)
         assert not service.controllers[owner].front.is_withdrawn("req-000001")
         assert all(
@@ -434,11 +436,11 @@
             for c in service.controllers.values()
             for link in c.cancellations.watermark.links.values()
         )
-        service.state.down, service.state.refusing = False, set()
+        service.store.down, service.store.refused_hosts = False, set()
         await asyncio.sleep(LEASE_S)
 
     monkeypatch.setattr("ashdock.cluster_version.SUPPORTED_VERSION", 3)
-    play(monkeypatch, 63, scenario)
+    run_scenario(monkeypatch, 63, scenario)
 
 
 # -- delayed run command -------------------------------------------------------------------------
@@ -456,7 +458,7 @@
     async def scenario(service: Service) -> None:
         n = await start_long_job(service, 1)
         await asyncio.sleep(CANCEL_S)
-        service.world.held_orders = (1.0, delay_s, delay_s)
+        service.cloud.held_commands = (1.0, delay_s, delay_s)
         await service.submit(job(2, shape="daemon", shares=1))
         while not any(
             machine.outstanding_runs
@@ -465,15 +467,15 @@
             for machine in owner.shard.machines.values()
         ):
             await asyncio.sleep(0.01)
-        spawn(service.net, "users", service.withdraw("req-000002"))
+        spawn(service.net, "users", service.cancel("req-000002"))
         await asyncio.sleep(0.05)
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(2 * CANCEL_S)
-        service.state.down = False
-        assert await service.withdraw("req-000002") == "withdrawn"
+        service.store.down = False
+        assert await service.cancel("req-000002") == "withdrawn"
         await asyncio.sleep(LEASE_S)
 
-    play(monkeypatch, 64, scenario)
+    run_scenario(monkeypatch, 64, scenario)
 
 
 # -- cut off from the store and the peers, but not from users ------------------------------------
@@ -500,18 +502,18 @@
     async def scenario(service: Service) -> None:
         n = await start_long_job(service, 1)
         others = [f"10.0.0.{k}" for k in range(3) if k != n]
-        service.net.cut(
-            f"10.0.0.{n}", *([STATE] if store_cut else []), *(others if peers_cut else [])
+        service.net.partition(
+            f"10.0.0.{n}", *([STORE_HOST] if store_cut else []), *(others if peers_cut else [])
         )
-        service.state.down = store_down
+        service.store.down = store_down
         await asyncio.sleep(6)
         assert service.controllers[n].ready() is ready
         service.net.heal()
-        service.state.down = False
+        service.store.down = False
         await asyncio.sleep(4)
         assert all(controller.ready() for controller in service.controllers.values())
 
-    play(monkeypatch, 65, scenario)
+    run_scenario(monkeypatch, 65, scenario)
 
 
 def test_a_failover_that_meets_an_outage_leaves_the_workers_with_the_earlier_owner(
@@ -531,21 +533,21 @@
         def fail_after_claim(writes: list[dict[str, object]]) -> None:
             if any(write.get("set") == "part/red" for write in writes):
                 asyncio.get_running_loop().call_later(
-                    0.004, lambda: setattr(service.state, "down", True)
+                    0.004, lambda: setattr(service.store, "down", True)
                 )
 
-        service.state.hook = fail_after_claim
-        service.state.refusing = {f"10.0.0.{n}"}
-        while not service.state.down:
+        service.store.on_transaction = fail_after_claim
+        service.store.refused_hosts = {f"10.0.0.{n}"}
+        while not service.store.down:
             await asyncio.sleep(0.05)
-        service.state.hook = None
-        assert service.state.keys["part/red"][0]["owner"] != f"n{n}"
+        service.store.on_transaction = None
+        assert service.store.keys["part/red"][0]["owner"] != f"n{n}"
         await asyncio.sleep(MAX_WATERMARK_AGE_S + 2 * LEASE_S)
         assert incarnations(service) == incarnations_before
-        service.state.down, service.state.refusing = False, set()
+        service.store.down, service.store.refused_hosts = False, set()
         await asyncio.sleep(2 * LEASE_S)
-        assert service.rules.on.get(("req-000001", 0)) and {
-            worker.tenure for worker in service.world.workers.values()
+        assert service.invariants.placements.get(("req-000001", 0)) and {
+            worker.incarnation for worker in service.cloud.workers.values()
         } == {1}
 
-    play(monkeypatch, 66, scenario)
+    run_scenario(monkeypatch, 66, scenario)
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -10,7 +10,7 @@
     python -m tests.traces play --seed S --out FILE   write the messages of one day, one JSON array
                                                       per line
 
-A day is a run of whole controllers in simulated time (`tests/simtime.py`). It repeats to the byte
+A day is a run of whole controllers in simulated time (`tests/virtual_time.py`). It repeats to the byte
 in a process whose PYTHONHASHSEED is 0: `play` requires that variable, the other commands set it for
 their child processes. Bad input (an unknown commit, a seed that is not recorded, a data file that
 is missing or truncated) prints one line that names it and exits with status 2.
@@ -43,9 +43,9 @@
 from ashdock import cluster_version
 from ashdock.settings import NextLimits
 from tests import fault_combinations, scenarios
+from tests.cluster import Service, job
+from tests.fakes import CLOUD_HOST, STORE_HOST
 from tests.fault_combinations import ScheduledFault
-from tests.standins import CLOUD, STATE
-from tests.whole import Service, job
 
 ROOT = Path(__file__).resolve().parent.parent
 TRACES_FILE = ROOT / "tests" / "data" / "traces.json"
@@ -88,8 +88,8 @@
 
 def receiver_kind(receiver: str) -> str:
     """Return which party of the protocol a host is."""
-    if receiver in (STATE, CLOUD):
-        return "store" if receiver == STATE else "cloud"
+    if receiver in (STORE_HOST, CLOUD_HOST):
+        return "store" if receiver == STORE_HOST else "cloud"
     if receiver.startswith(CONTROLLERS):
         return "controllers"
     return "workers" if receiver.startswith(WORKERS) else "users"
@@ -109,7 +109,7 @@
         service.submit(job(number, shares=70, accelerators=0.1, cpus=0.1, expect_s=6.0))
     )
     await asyncio.sleep(2.0)
-    service.state.limits = (2048, 6)
+    service.store.txn_limits = (2048, 6)
     await submitted
 
 
@@ -130,17 +130,17 @@
     for run in runs:
         await service.submit(run)
     if rng.random() < 0.3:
-        await service.withdraw(names[1])
+        await service.cancel(names[1])
 
 
 async def mass_task_failure(service: Service, rng: random.Random, for_s: float) -> None:
     """Let every task that the present workers start in this time fail: retries, then parks."""
-    workers = list(service.world.workers.values())
+    workers = list(service.cloud.workers.values())
     for worker in workers:
-        worker.error_share = 1.0
+        worker.failure_share = 1.0
     await asyncio.sleep(for_s)
     for worker in workers:
-        worker.error_share = 0.0
+        worker.failure_share = 0.0
 
 
 EXTRA_FAULTS = {
