--- a/tests/users.py
+++ b/tests/users.py
@@ -1,6 +1,6 @@
 """User behavior that makes faults worse: immediate requests, cancellations, repeats and mistakes.
 
-The names of the functions are names of faults in `tests/meetings.py`, from which seeded days are
+The names of the functions are names of faults in `tests/fault_combinations.py`, from which seeded days are
 drawn, so renaming a function changes these days.
 """
 
