--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -20,8 +20,8 @@
 # second as late, and a refused one is retried after a second at the earliest. With a lower limit,
 # submissions that would have been in time were late.
 MAX_WRITE_WAIT_S = 0.8
-STATUS_TIMEOUT_S = 2.0  # users wait this long for the answer to a status request
-SUBMISSION_TIMEOUT_S = 5.0  # users wait this long for the answer to a submission
+STATUS_TIMEOUT_S = 2.0  # users wait this long for the response to a status request
+SUBMISSION_TIMEOUT_S = 5.0  # users wait this long for the response to a submission
 
 
 class Resource(Enum):
@@ -34,7 +34,7 @@
 
 
 class Refusal(NamedTuple):
-    """The answer to a refused request.
+    """The response to a refused request.
 
     Attributes:
         status: HTTP status.
--- a/ashdock/admission/processor.py
+++ b/ashdock/admission/processor.py
@@ -17,7 +17,7 @@
 def shard_cpu_share(shards: int) -> float:
     """Return the processor share of one shard's scheduling cycles where so many are owned.
 
-    A fixed quarter for each of three shards and for the leader left no time for the answers that
+    A fixed quarter for each of three shards and for the leader left no time for the responses that
     keep the leases of their workers.
     """
     return min(MAX_SHARD_CPU_SHARE, ALL_CYCLES_CPU_SHARE / max(shards, 1))
--- a/ashdock/cancellation/broadcaster.py
+++ b/ashdock/cancellation/broadcaster.py
@@ -69,7 +69,7 @@
         self.last_received: dict[str, int] = {}
 
     def broadcast(self, job_id: str, team: str, revision: int, at: float) -> None:
-        """Send a durable cancellation to all peers; must precede any answer to a user.
+        """Send a durable cancellation to all peers; must precede any response to a user.
 
         Args:
             job_id: The cancelled job.
--- a/ashdock/cancellation/orphan_leases.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -1,11 +1,11 @@
 """Renews the leases of agents whose shard's owner is gone while the store does not answer.
 
 A controller that crashes during a store outage restarts at once, but neither it nor another
-controller can claim its shards until the outage is over. Without an answer, the leases of all
+controller can claim its shards until the outage is over. Without a response, the leases of all
 agents of these shards would expire. A controller that has been running since before the outage may
 answer instead. It answers with the fencing token that the agent already has, so no owner loses its
-claim, and without commands: it neither starts nor stops tasks, and its answer proves nothing about
-them. It must not keep tasks alive whose cancellation was confirmed to a user:
+claim, and without commands: it neither starts nor stops tasks, and its response proves nothing
+about them. It must not keep tasks alive whose cancellation was confirmed to a user:
 
 - It knows every cancellation recorded up to `synced_at`, and renews no lease of an agent that runs
   tasks of a job that it knows to be cancelled.
--- a/ashdock/connectivity.py
+++ b/ashdock/connectivity.py
@@ -53,8 +53,8 @@
     def state_fresh(self) -> bool:
         """Whether what is known of the store's contents is fresh.
 
-        That is so while no request has failed since the last answer, and the last request that was
-        answered began less than `ttl_s` ago.
+        That is so while no request has failed since the last response, and the last request that
+        was answered began less than `ttl_s` ago.
         """
         return self.store.unavailable_since is None and self.store.silent_for < self.ttl_s
 
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -25,7 +25,7 @@
 from ashdock.election.fencing import TermFence
 from ashdock.election_loop import ElectionLoop
 from ashdock.frame_dispatch import FrameDispatcher
-from ashdock.front import Front, refusal_answer, socket_use_of
+from ashdock.front import Front, refusal_response, socket_use_of
 from ashdock.gossip import (
     Gossip,
     HeartbeatSource,
@@ -441,8 +441,8 @@
             self.front.handle,
             admission.connections,
             socket_use_of,
-            lambda: refusal_answer(admission.refuse_connection(time.monotonic())),
+            lambda: refusal_response(admission.refuse_connection(time.monotonic())),
             admission,
-            lambda: refusal_answer(admission.refuse_body(time.monotonic())),
+            lambda: refusal_response(admission.refuse_body(time.monotonic())),
             admission.memory.buffer_bytes,
         )
--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -134,7 +134,7 @@
             self.backoffs.pop((scale_out.type, scale_out.zone, scale_out.spot), None)
 
     def scale_out_failed(self, scale_out: ScaleOut, now: float, no_capacity: bool) -> None:
-        """Note that a scale-out rented nothing, either for lack of capacity or with no answer."""
+        """Note that a scale-out rented nothing, either for lack of capacity or with no response."""
         self.scale_outs.remove(scale_out)
         if no_capacity:
             self._back_off(scale_out, now)
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -90,7 +90,7 @@
         Args:
             heartbeat: The worker's status.
             now: The time.
-            checkin: Whether the worker sent it as a request of its own. If not, it was the answer
+            checkin: Whether the worker sent it as a request of its own. If not, it was the response
                 to direct commands.
 
         Returns:
@@ -257,7 +257,7 @@
 
         The worker refuses commands of earlier owners from then on, and reports the tasks that they
         started before. That leaves our own run commands, of which none may be in flight. Direct
-        ones are in `outstanding_runs`, which the caller checks. One that was sent in an answer can
+        ones are in `outstanding_runs`, which the caller checks. One that was sent in a response can
         arrive until the worker has sent a later heartbeat than the one answered. A run command that
         was sent, while the task was neither reported nor stopped since, is simply repeated.
         """
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -2,7 +2,7 @@
 
 Every transaction is a compare-and-swap on the revision of the shard's claim and of each key that it
 writes. Callbacks apply its effects in memory once the store has answered. Whether a transaction
-without an answer was applied shows in the revisions of its keys.
+without a response was applied shows in the revisions of its keys.
 """
 
 from __future__ import annotations
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -65,7 +65,7 @@
             sent.
         placed_at: When it was placed, in seconds.
         phase: Its phase.
-        start_answered: Incarnation and sequence number of the heartbeat whose answer carried the
+        start_answered: Incarnation and sequence number of the heartbeat whose response carried the
             run command.
         worker_reported: Whether its worker has reported it.
         from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may
@@ -138,15 +138,15 @@
         self.phase = PlacementPhase.START_SENT
         self.from_earlier_owner = True
 
-    def start_sent_in_answer(self, incarnation: int, sequence: int) -> None:
-        """Record that the answer to that heartbeat carries its run command."""
+    def start_sent_in_response(self, incarnation: int, sequence: int) -> None:
+        """Record that the response to that heartbeat carries its run command."""
         if self.phase is PlacementPhase.COMMITTED:
             self.phase = PlacementPhase.START_SENT
         self.start_answered = (incarnation, sequence)
         self.incarnation = incarnation
 
     def start_sent_directly(self, incarnation: int) -> None:
-        """Record that its run command is sent to its worker directly, not in an answer."""
+        """Record that its run command is sent to its worker directly, not in a response."""
         self.incarnation = incarnation
         if self.phase is PlacementPhase.COMMITTED:
             self.phase = PlacementPhase.START_SENT
--- a/ashdock/core/task_commands.py
+++ b/ashdock/core/task_commands.py
@@ -1,6 +1,6 @@
 """Commands for a machine's worker: which tasks to run, kill and forget.
 
-They are sent in the answers to heartbeats, or directly.
+They are sent in the responses to heartbeats, or directly.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
                     TaskCommand(verb=CommandVerb.RUN, task=name, attempt=placement.attempt)
                 )
                 if heartbeat:
-                    placement.start_sent_in_answer(heartbeat.incarnation, heartbeat.sequence)
+                    placement.start_sent_in_response(heartbeat.incarnation, heartbeat.sequence)
         for (job_id, task), attempt in machine.orphaned_tasks.items():
             commands.append(
                 TaskCommand(
--- a/ashdock/crash_loop.py
+++ b/ashdock/crash_loop.py
@@ -66,7 +66,7 @@
 
         Args:
             membership_ttl_s: Duration of a member's store lease; the unit of a first probation.
-            agent_lease_s: How long a worker keeps running without an answer; bounds the probation.
+            agent_lease_s: How long a worker keeps running without a response; bounds the probation.
         """
         self.first_probation_s = FIRST_PROBATION_TTLS * membership_ttl_s
         self.forget_after_s = FORGET_AFTER_LEASES * agent_lease_s
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -36,7 +36,7 @@
 log = logging.getLogger("ashdock.front")
 
 JOB_PATH = re.compile(r"^/v2/runs/([0-9A-Za-z_.-]{1,120})(/withdraw)?$")
-ANSWER_TIMEOUT_S = 1.5  # for the store; a user waits 2 s for the answer to a status request
+STORE_TIMEOUT_S = 1.5  # for the store; a user waits 2 s for the response to a status request
 RECORD_GROWTH_BYTES = 300  # reserved in a job's record for a reason and the time of its end
 MAX_CONCURRENT_LOOKUPS = 8  # reads of the jobs that a job depends on
 MAX_NAMED_DEPENDENCIES = 10  # in the reason given for a job that waits for other jobs
@@ -60,8 +60,8 @@
     done_at: float | None
 
 
-def error_answer(status: int, message: str, retry_after: int | None = None) -> Response:
-    """Return an answer that reports an error.
+def error_response(status: int, message: str, retry_after: int | None = None) -> Response:
+    """Return a response that reports an error.
 
     Args:
         status: HTTP status.
@@ -71,9 +71,9 @@
     return Response(status, messages.encode({"error": message}), retry_after)
 
 
-def refusal_answer(refusal: Refusal) -> Response:
-    """Return the answer to a request that admission control refuses."""
-    return error_answer(refusal.status, refusal.reason, refusal.retry_after)
+def refusal_response(refusal: Refusal) -> Response:
+    """Return the response to a request that admission control refuses."""
+    return error_response(refusal.status, refusal.reason, refusal.retry_after)
 
 
 def socket_use_of(target: str) -> SocketUse:
@@ -90,7 +90,7 @@
     async def on_heartbeat(
         self, heartbeat: messages.Heartbeat
     ) -> messages.HeartbeatResponse | None:
-        """Return the answer to a worker; None if it may not be answered from here, or not yet."""
+        """Return the response to a worker; None if it may not be answered from here, or not yet."""
         ...
 
 
@@ -178,7 +178,7 @@
         ...
 
     def metrics(self) -> Response:
-        """The answer to a request for the metrics."""
+        """The response to a request for the metrics."""
         ...
 
     def broadcast_cancellation(self, job_id: str, team: str, revision: int, at: float) -> None:
@@ -217,7 +217,7 @@
         self.lookups: set[str] = set()
         self.status_reader = StatusReader(
             context.store,
-            ANSWER_TIMEOUT_S,
+            STORE_TIMEOUT_S,
             self.observe_job,
             context.admission.memory.cached_jobs,
         )
@@ -227,38 +227,42 @@
         self.orphans_renewed: set[str] = set()
 
     async def handle(self, request: Request) -> Response:
-        """Return the answer to a request."""
+        """Return the response to a request."""
         path = request.target.partition("?")[0]
         if path == "/checkin":
             return (
                 await self.checkin(request.body)
                 if request.method == "POST"
-                else error_answer(405, "POST only")
+                else error_response(405, "POST only")
             )
         if path == "/ready":
             return (
-                Response(200, b"{}") if self.context.ready() else error_answer(503, "not ready", 1)
+                Response(200, b"{}")
+                if self.context.ready()
+                else error_response(503, "not ready", 1)
             )
         if path == "/v2/runs":
             return (
                 await self.submit(request.body)
                 if request.method == "POST"
-                else error_answer(405, "POST only")
+                else error_response(405, "POST only")
             )
         if path == "/metrics":
             return self.context.metrics()
         match = JOB_PATH.match(path)
         if match is None:
-            return error_answer(404, "no such page")
+            return error_response(404, "no such page")
         job_id, withdraw = match.groups()
         if withdraw:
             return (
                 await self.withdraw(job_id)
                 if request.method == "POST"
-                else error_answer(405, "POST only")
+                else error_response(405, "POST only")
             )
         return (
-            await self.status(job_id) if request.method == "GET" else error_answer(405, "GET only")
+            await self.status(job_id)
+            if request.method == "GET"
+            else error_response(405, "GET only")
         )
 
     # -- submissions ---------------------------------------------------------------
@@ -268,15 +272,15 @@
         try:
             spec = messages.job_spec_of(messages.decode_submission(body))
         except MalformedMessageError as malformed:
-            return error_answer(400, str(malformed))
+            return error_response(400, str(malformed))
         context = self.context
         final = self.final_states.get(spec.id)
         if final:
-            return Response(200, self._final_answer(spec.id, final))
+            return Response(200, self._final_body(spec.id, final))
         if not context.catalog:
-            return error_answer(503, "the machine types are not known yet", 1)
+            return error_response(503, "the machine types are not known yet", 1)
         if not self._store_usable():
-            return error_answer(503, "the state service does not answer", self._retry_after())
+            return error_response(503, "the state service does not answer", self._retry_after())
         # What exceeds the capacity for writes or processing is refused at once: its user would wait
         # here in vain.
         write_limiter = context.store.write_limiter
@@ -287,24 +291,24 @@
             write_limiter.service_time_s(2, RequestPriority.USER, spec.team),
         )
         if overload_refusal:
-            return refusal_answer(overload_refusal)
+            return refusal_response(overload_refusal)
         now = context.now()
         record = job_record(spec, round(now, 3))
         refusal: Response | None = None
         never_runs = self.unschedulable_reason(spec)
         if never_runs:
-            refusal = error_answer(422, never_runs)
+            refusal = error_response(422, never_runs)
         elif (
             len(messages.encode(record)) + RECORD_GROWTH_BYTES
             > context.write_limits.configured_value_bytes
         ):
-            refusal = error_answer(
+            refusal = error_response(
                 422, "the job names more machine types, or jobs that it needs, than can be stored"
             )
         elif spec.dependencies and not context.write_limits.announced_apply:
             # A controller of the previous version may own the shard, now or soon. It ignores
             # dependencies and would start the job at once.
-            refusal = error_answer(
+            refusal = error_response(
                 503, "jobs that need others are taken once every controller has the new version", 1
             )
         try:
@@ -314,9 +318,9 @@
                 # A job that was accepted is never refused when it is submitted again, whatever the
                 # later submission says.
                 entry = await self._with_timeout(self._read(spec.id))
-                return Response(200, self._state_answer(spec.id, entry)) if entry else refusal
+                return Response(200, self._state_body(spec.id, entry)) if entry else refusal
         except StoreUnavailableError:
-            return error_answer(503, "the state service does not answer", self._retry_after())
+            return error_response(503, "the state service does not answer", self._retry_after())
         path = f"job/{spec.id}"
         accepted = {path: record, f"work/{spec.team}/{spec.id}/job": record}
         try:
@@ -329,12 +333,12 @@
             try:
                 entry = await self._read(spec.id)
             except StoreUnavailableError:
-                return error_answer(503, "the state service does not answer", self._retry_after())
+                return error_response(503, "the state service does not answer", self._retry_after())
             if entry is None:
-                return error_answer(503, "try again", 1)
-            return Response(200, self._state_answer(spec.id, entry))
+                return error_response(503, "try again", 1)
+            return Response(200, self._state_body(spec.id, entry))
         except StoreUnavailableError:
-            return error_answer(503, "the state service does not answer", self._retry_after())
+            return error_response(503, "the state service does not answer", self._retry_after())
         log.info(
             "job accepted: job=%s team=%s kind=%s tasks=%d priority=%d",
             spec.id,
@@ -378,7 +382,7 @@
             *(unmet_reason(dependency) for dependency in spec.dependencies or ())
         ):
             if reason is not None:
-                return error_answer(422, reason)
+                return error_response(422, reason)
         return None
 
     def unschedulable_reason(self, spec: JobSpec) -> str | None:
@@ -405,31 +409,31 @@
     # -- status --------------------------------------------------------------------
 
     async def status(self, job_id: str) -> Response:
-        """Return the answer to a user who asks for a job's status."""
+        """Return the response to a user who asks for a job's status."""
         final = self.final_states.get(job_id)
         if final:
-            return Response(200, self._final_answer(job_id, final))
+            return Response(200, self._final_body(job_id, final))
         if not self._store_usable():
-            return error_answer(503, "the state service does not answer", self._retry_after())
+            return error_response(503, "the state service does not answer", self._retry_after())
         cached = self.status_reader.known.get(job_id)
         overload_refusal = self.context.admission.admit_status_request(
             time.monotonic(), cached.team if cached else ""
         )
         if overload_refusal:
-            return refusal_answer(overload_refusal)
+            return refusal_response(overload_refusal)
         try:
             known = await self._with_timeout(self.status_reader.ask(job_id))
         except StatusReaderBusyError:
-            return error_answer(429, "too many questions at once", self._retry_after())
+            return error_response(429, "too many questions at once", self._retry_after())
         except StoreUnavailableError:
-            return error_answer(503, "the state service does not answer", self._retry_after())
+            return error_response(503, "the state service does not answer", self._retry_after())
         # The job may have ended meanwhile, and another controller may have told its user so.
         final = self.final_states.get(job_id)
         if final:
-            return Response(200, self._final_answer(job_id, final))
+            return Response(200, self._final_body(job_id, final))
         if known is None:
-            return error_answer(404, "no such job")
-        return Response(200, self._unfinished_answer(job_id, known))
+            return error_response(404, "no such job")
+        return Response(200, self._unfinished_body(job_id, known))
 
     async def withdraw(self, job_id: str) -> Response:
         """Cancel a job, and answer with its final status once that is durable."""
@@ -443,7 +447,7 @@
             try:
                 entry = await self._with_timeout(self._read(job_id))
                 if entry is None:
-                    return error_answer(404, "no such job")
+                    return error_response(404, "no such job")
                 if entry.value["status"] != JobStatus.QUEUED:
                     self.observe_job(job_id, entry.value, entry.revision)
                     continue
@@ -472,7 +476,7 @@
                 continue
             except StoreUnavailableError:
                 break
-        return error_answer(503, "try again", self._retry_after())
+        return error_response(503, "try again", self._retry_after())
 
     def _store_usable(self) -> bool:
         """Whether requests are tried on the store; in an outage users are told at once."""
@@ -488,7 +492,7 @@
     async def _with_timeout(self, call: Any) -> Any:
         """Await a store request, up to a timeout that lets the user hear of it in time."""
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(STORE_TIMEOUT_S):
                 return await call
         except TimeoutError:
             raise StoreUnavailableError("no answer in time", outcome_unknown=True) from None
@@ -504,8 +508,8 @@
         return await asyncio.shield(future)
 
     async def _read_now(self, job_id: str) -> Entry | None:
-        # Only those who ask before the request is sent share it: an answer that is on its way may
-        # be older than the question.
+        # Only those who ask before the request is sent share it: a response that is on its way may
+        # be older than the request for it.
         await asyncio.sleep(0)
         self.unsent_reads.pop(job_id, None)
         return await self.context.store.get(f"job/{job_id}", priority=RequestPriority.USER)
@@ -570,8 +574,8 @@
             final = self.final_states.get(job_id)
         return (final.status, final.done_at) if final else None
 
-    def _final_answer(self, job_id: str, final: FinalState) -> bytes:
-        return messages.status_answer(
+    def _final_body(self, job_id: str, final: FinalState) -> bytes:
+        return messages.status_response_body(
             job_id,
             final.status,
             final.tasks if final.status == JobStatus.DONE else 0,
@@ -579,21 +583,21 @@
             final.reason,
         )
 
-    def _state_answer(self, job_id: str, entry: Entry) -> bytes:
+    def _state_body(self, job_id: str, entry: Entry) -> bytes:
         self.observe_job(job_id, entry.value, entry.revision)
         final = self.final_states.get(job_id)
         return (
-            self._final_answer(job_id, final)
+            self._final_body(job_id, final)
             if final
-            else self._unfinished_answer(job_id, known_job_of(entry.value, entry.revision))
+            else self._unfinished_body(job_id, known_job_of(entry.value, entry.revision))
         )
 
-    def _unfinished_answer(self, job_id: str, known: KnownJob) -> bytes:
+    def _unfinished_body(self, job_id: str, known: KnownJob) -> bytes:
         done, running = self.context.task_counts(known.team, job_id)
         reason = known.reason or (
             self._dependency_reason(known.dependencies) if not done and not running else None
         )
-        return messages.status_answer(
+        return messages.status_response_body(
             job_id, JobStatus.RUNNING if running else JobStatus.QUEUED, done, running, reason
         )
 
@@ -634,11 +638,11 @@
     # -- workers -------------------------------------------------------------------
 
     async def checkin(self, body: bytes, forwarded: bool = False) -> Response:
-        """Return the answer to a worker's heartbeat; `forwarded`: a peer has forwarded it."""
+        """Return the response to a worker's heartbeat; `forwarded`: a peer has forwarded it."""
         try:
             heartbeat = messages.decode_heartbeat(body)
         except MalformedMessageError as malformed:
-            return error_answer(400, str(malformed))
+            return error_response(400, str(malformed))
         context = self.context
         if not forwarded:
             context.heartbeat_received()
@@ -664,7 +668,7 @@
             # An owner here that must not renew the lease must not have it renewed as an orphan's.
             return (
                 self._renew_orphan_lease(heartbeat) if owner is None and not forwarded else None
-            ) or error_answer(503, "not the owner")
+            ) or error_response(503, "not the owner")
         return await self._redirect_or_forward(heartbeat, body, label, team)
 
     def _answer_unassigned(self, heartbeat: messages.Heartbeat, known: bool) -> Response:
@@ -673,7 +677,7 @@
         The leader renews its lease, as long as the store answers and the machine runs no task. When
         every controller redirected such workers they sent heartbeats five times as often, their
         leases expired nevertheless, and a task started there a moment before was killed with that.
-        The answer repeats the worker's own fencing token, so that any next owner can still take
+        The response repeats the worker's own fencing token, so that any next owner can still take
         over. `known`: the machine has a record.
         """
         leader = self.context.leader
@@ -687,7 +691,7 @@
         label = self.context.leader_label()
         if leader is None and label and label != self.context.label:
             return Response(421, messages.encode({"harbour": label}))
-        return error_answer(503, "lent to nobody yet")
+        return error_response(503, "lent to nobody yet")
 
     def _renew_orphan_lease(self, heartbeat: messages.Heartbeat) -> Response | None:
         """Answer a worker whose shard nobody can own while the store does not answer.
@@ -737,11 +741,11 @@
         )
         if forwarding is not None and forwarding.token != token:
             forwarding = None
-        # A worker that knows the present owner's token has been answered by that owner, and would
-        # not be here if it still were. Redirected, it would wait in vain for one more answer there,
-        # and its lease would have expired by then. This does not hold of a worker that was answered
-        # here within the last one and a half reporting periods: its machine has just been assigned
-        # to another shard, whose commands told it the token.
+        # A worker that knows the current owner's token has been answered by that owner, and comes
+        # here only if it no longer is. If redirected, it would wait there in vain for another
+        # response while its lease expires. An exception is a worker that was answered here within
+        # the last one and a half heartbeat periods: its machine has just been assigned to another
+        # shard, and it learned the token from that shard's commands.
         answered_lately = (
             now - self.answered_at.get(heartbeat.machine, -1e9) < 1.5 * context.workers.report_s
         )
--- a/ashdock/heartbeat_forwarder.py
+++ b/ashdock/heartbeat_forwarder.py
@@ -105,5 +105,5 @@
             self.context.spawn(self._answer(label, frame))
 
     async def _answer(self, label: str, frame: ForwardedHeartbeat) -> None:
-        answer = await self.context.front.checkin(frame.body, forwarded=True)
-        self.context.mesh.send(label, ForwardReply(frame.number, answer.status, answer.body))
+        response = await self.context.front.checkin(frame.body, forwarded=True)
+        self.context.mesh.send(label, ForwardReply(frame.number, response.status, response.body))
--- a/ashdock/leader/inventory.py
+++ b/ashdock/leader/inventory.py
@@ -189,7 +189,7 @@
     async def _decommission_missing(self, hosts: list[Host], now: float) -> None:
         """Decommission machines that the cloud took back without notice.
 
-        The cloud's answer to their release proves that their tasks have stopped. Otherwise those
+        The cloud's response to their release proves that their tasks have stopped. Otherwise those
         tasks would wait until heartbeats have been missing for long enough.
         """
         listed_names = [host.id for host in hosts]
--- a/ashdock/leader/provisioner.py
+++ b/ashdock/leader/provisioner.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger("ashdock.leader")
 
-CLOUD_ATTEMPTS = 5  # requests for one scale-out before its intent is dropped unanswered
+CLOUD_ATTEMPTS = 5  # requests for one scale-out before its intent is dropped without a response
 CLOUD_RETRIES_PER_LEASE = 10  # the pause between requests is an agent lease divided by this
 # Writes of rented machines' records. Machines left over are adopted from the cloud's list.
 RECORD_ATTEMPTS = 3
@@ -49,15 +49,15 @@
     intent_count: int
 
 
-class ScaleOutAnswer(NamedTuple):
+class ScaleOutResponse(NamedTuple):
     """The outcome of the requests for a scale-out."""
 
-    names: list[str] | None  # of the machines rented; None: no answer, or no capacity
+    names: list[str] | None  # of the machines rented; None: no response, or no capacity
     no_capacity: bool
 
     def __str__(self) -> str:
-        """Format the answer for the log."""
-        return ",".join(self.names or ()) or ("no capacity" if self.no_capacity else "no answer")
+        """Format the response for the log."""
+        return ",".join(self.names or ()) or ("no capacity" if self.no_capacity else "no response")
 
 
 class ScaleOutTracker(Protocol):
@@ -167,15 +167,15 @@
         """
         no_capacity = False
         try:
-            answer = await self._request_machines(intent)
-            no_capacity = answer.no_capacity
-            self._log_answer(intent, answer)
+            response = await self._request_machines(intent)
+            no_capacity = response.no_capacity
+            self._log_response(intent, response)
             now = self.now()
-            if tracked is not None and answer.names is not None:
-                self.scale_out_tracker.scaled_out(tracked, answer.names, now)
+            if tracked is not None and response.names is not None:
+                self.scale_out_tracker.scaled_out(tracked, response.names, now)
                 tracked = None
-            if answer.names:
-                await self._record_machines(intent.scale_out, answer.names, now)
+            if response.names:
+                await self._record_machines(intent.scale_out, response.names, now)
             self.finished_intents[intent.name] = intent.revision
             await self._delete_finished_intents()
         except NotLeaderError:
@@ -188,7 +188,7 @@
                 self.scale_out_tracker.scale_out_failed(tracked, self.now(), no_capacity)
             self.open_intents.discard(intent.name)
 
-    async def _request_machines(self, intent: ProvisioningIntent) -> ScaleOutAnswer:
+    async def _request_machines(self, intent: ProvisioningIntent) -> ScaleOutResponse:
         """Request machines until the cloud answers, at most CLOUD_ATTEMPTS times.
 
         The intent's name is the idempotency key: a repeated request rents nothing twice.
@@ -205,26 +205,26 @@
                     self.leadership.check,
                 )
             except NoCapacityError:
-                return ScaleOutAnswer(None, no_capacity=True)
+                return ScaleOutResponse(None, no_capacity=True)
             except CloudError as error:
                 log.debug("scale-out request failed: intent=%s error=%s", intent.name, error)
                 await asyncio.sleep(self.lease_s / CLOUD_RETRIES_PER_LEASE)
             else:
-                return ScaleOutAnswer(names, no_capacity=False)
-        return ScaleOutAnswer(None, no_capacity=False)
+                return ScaleOutResponse(names, no_capacity=False)
+        return ScaleOutResponse(None, no_capacity=False)
 
     @staticmethod
-    def _log_answer(intent: ProvisioningIntent, answer: ScaleOutAnswer) -> None:
+    def _log_response(intent: ProvisioningIntent, response: ScaleOutResponse) -> None:
         scale_out = intent.scale_out
         log.info(
-            "scale-out requested: intent=%s number=%d type=%s zone=%s spot=%s teams=%s answer=%s",
+            "scale-out requested: intent=%s number=%d type=%s zone=%s spot=%s teams=%s response=%s",
             intent.name,
             scale_out.number,
             scale_out.type,
             scale_out.zone,
             scale_out.spot,
             ",".join(team for team, _ in scale_out.teams),
-            answer,
+            response,
         )
 
     async def _record_machines(self, scale_out: ScaleOut, names: list[str], now: float) -> None:
@@ -335,7 +335,7 @@
     async def scale_in(self) -> None:
         """Release decommissioned machines, and then delete their records.
 
-        The cloud's answer proves that the machines and the tasks on them are gone.
+        The cloud's response proves that the machines and the tasks on them are gone.
 
         Raises:
             CloudError: The cloud did not answer. The machines stay decommissioned, so that their
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -29,7 +29,7 @@
 MAX_IDLE_CONNECTIONS = 4
 REQUESTS_PER_LEASE = 2  # request timeouts that fit into one agent lease
 PAGE_MACHINES = 500  # machines requested per page of the list
-ANSWER_EXCERPT_BYTES = 200  # part of an unexpected response that error texts include
+MAX_EXCERPT_BYTES = 200  # of an unexpected response body, in an error's text
 
 OK = 200
 SERVICE_UNAVAILABLE = 503
@@ -63,9 +63,9 @@
         self.status = status
 
     @classmethod
-    def from_status(cls, status: int, answer: bytes | None = None) -> Self:
-        """Return the error for an unexpected HTTP status, with the start of `answer` if given."""
-        excerpt = "" if answer is None else f": {answer[:ANSWER_EXCERPT_BYTES]!r}"
+    def from_status(cls, status: int, body: bytes | None = None) -> Self:
+        """Return the error for an unexpected HTTP status, with the start of the body if given."""
+        excerpt = "" if body is None else f": {body[:MAX_EXCERPT_BYTES]!r}"
         return cls(f"status {status}{excerpt}", outcome_unknown=False, status=status)
 
 
@@ -109,19 +109,21 @@
         if guard is not None:
             guard()
         try:
-            status, answer = await self.client.request(method, target, body, self.timeout_s)
+            status, response_body = await self.client.request(method, target, body, self.timeout_s)
         except NoResponseError as error:
             raise CloudUnavailableError(str(error), outcome_unknown=error.sent) from None
-        if status in RETRYABLE or (status == SERVICE_UNAVAILABLE and NO_CAPACITY not in answer):
+        if status in RETRYABLE or (
+            status == SERVICE_UNAVAILABLE and NO_CAPACITY not in response_body
+        ):
             raise CloudUnavailableError.from_status(status)
-        return status, answer
+        return status, response_body
 
     @staticmethod
     def _decode(
-        decoder: msgspec.json.Decoder[Body], answer: bytes, outcome_unknown: bool = False
+        decoder: msgspec.json.Decoder[Body], response_body: bytes, outcome_unknown: bool = False
     ) -> Body:
         try:
-            return decoder.decode(answer)
+            return decoder.decode(response_body)
         except msgspec.DecodeError as error:
             raise CloudUnavailableError(str(error), outcome_unknown) from None
 
@@ -131,10 +133,10 @@
         Raises:
             CloudUnavailableError: The cloud failed to respond properly.
         """
-        status, answer = await self._call("GET", "/catalog")
+        status, response_body = await self._call("GET", "/catalog")
         if status != OK:
             raise CloudUnavailableError.from_status(status)
-        machine_types = self._decode(_catalog_decoder, answer).machine_types
+        machine_types = self._decode(_catalog_decoder, response_body).machine_types
         return {machine_type.label: machine_type for machine_type in machine_types}
 
     async def rent(
@@ -167,12 +169,12 @@
                 rented if `outcome_unknown` is set.
         """
         body = msgspec.json.encode(RentalRequest(intent, machine_type, zone, spot, count))
-        status, answer = await self._call("POST", "/hosts", body, guard=guard)
+        status, response_body = await self._call("POST", "/hosts", body, guard=guard)
         if status == SERVICE_UNAVAILABLE:
             raise NoCapacityError
         if status != OK:
-            raise CloudUnavailableError.from_status(status, answer)
-        return self._decode(_rental_decoder, answer, outcome_unknown=True).machines
+            raise CloudUnavailableError.from_status(status, response_body)
+        return self._decode(_rental_decoder, response_body, outcome_unknown=True).machines
 
     async def release(self, names: list[str], guard: RequestGuard | None = None) -> None:
         """Return machines to the cloud.
@@ -186,9 +188,9 @@
                 released if `outcome_unknown` is set.
         """
         body = msgspec.json.encode(ReleaseRequest(names))
-        status, answer = await self._call("POST", "/hosts/release", body, guard=guard)
+        status, response_body = await self._call("POST", "/hosts/release", body, guard=guard)
         if status != OK:
-            raise CloudUnavailableError.from_status(status, answer)
+            raise CloudUnavailableError.from_status(status, response_body)
 
     async def list_machines(self) -> list[Host]:
         """Return all rented machines, read page by page from the list of the cloud.
@@ -200,10 +202,12 @@
         last_name = ""
         while True:
             target = f"/hosts?from={quote(last_name)}&most={PAGE_MACHINES}"
-            status, answer = await self._call("GET", target, priority=RequestPriority.BACKGROUND)
+            status, response_body = await self._call(
+                "GET", target, priority=RequestPriority.BACKGROUND
+            )
             if status != OK:
                 raise CloudUnavailableError.from_status(status)
-            page = self._decode(_host_page_decoder, answer)
+            page = self._decode(_host_page_decoder, response_body)
             machines += page.machines
             if not page.truncated or not page.machines:
                 return machines
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -218,10 +218,10 @@
             self._note_failure(str(failure))
             raise failure
         if not watch:  # a watch may be answered long after its start
-            self._note_answer(started_at)
+            self._note_response(started_at)
         return status, body_received
 
-    def _note_answer(self, started_at: float) -> None:
+    def _note_response(self, started_at: float) -> None:
         self.answered_at = max(self.answered_at, started_at)
         if self.unavailable_since is not None:
             outage_s = time.monotonic() - self.unavailable_since
--- a/ashdock/net/user.py
+++ b/ashdock/net/user.py
@@ -13,7 +13,7 @@
 
 
 def run(command: str, to: str, timeout_s: float, job: str | None, file: str | None) -> int:
-    """Send a request, and print the answer; return the exit code.
+    """Send a request, and print the response; return the exit code.
 
     0: success; 1: the request was refused for good; 2: the file cannot be read; 3: no success
     within the timeout.
@@ -49,11 +49,11 @@
     """Retry a request every second until it succeeds, is refused for good, or times out."""
     client = Client(host, port, max_idle=1)
     deadline = time.monotonic() + timeout_s
-    last_failure = "no answer"
+    last_failure = "no response"
     while True:
         try:
-            status, answer = await client.request(method, target, body, timeout=5.0)
-            text = answer.decode("utf-8", "replace").strip()
+            status, response_body = await client.request(method, target, body, timeout=5.0)
+            text = response_body.decode("utf-8", "replace").strip()
             if status in (200, 201):
                 print(text)
                 return 0
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -80,16 +80,17 @@
             The response of the worker.
 
         Raises:
-            NoResponseError: There was no response; `sent` tells whether the commands may still arrive.
+            NoResponseError: There was no response; `sent` tells whether the commands may still
+                arrive.
         """
         client = self._client(worker_address)
         request = DirectCommands(
             fencing_token=fencing_token, incarnation=incarnation, commands=commands
         )
         body = msgspec.json.encode(request)
-        status, answer = await client.request("POST", "/orders", body, self.timeout_s)
+        status, response_body = await client.request("POST", "/orders", body, self.timeout_s)
         try:
-            return CommandReply(status, decode_heartbeat(answer))
+            return CommandReply(status, decode_heartbeat(response_body))
         except MalformedMessageError:
             return CommandReply(status, None)
 
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -470,7 +470,7 @@
     async def _write_changes(self, shard: Shard) -> None:
         """Write what is not durable yet, unless that keeps a scheduling cycle waiting.
 
-        A transaction without an answer is built again in the next iteration. Its conditions on
+        A transaction without a response is built again in the next iteration. Its conditions on
         revisions then show whether the first one was applied.
         """
         write_limiter = self.context.store.write_limiter
--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -1,10 +1,10 @@
 """Answers users' status requests, with batched revision checks against the store.
 
-An answer that is not final must rest on a check that began after the request came in. With one read
-for each job asked about, every status request cost one store request: users who asked eight times
-as often used up the store's rate limit, and starts and submissions waited behind them. One
-transaction without writes compares many revisions, so status requests cost a few store requests a
-second however many they are. Only records that differ from what is cached are read.
+The response for an unfinished job must rest on a check that began after the request came in. With
+one read for each job asked about, every status request cost one store request: users who asked
+eight times as often used up the store's rate limit, and starts and submissions waited behind them.
+One transaction without writes compares many revisions, so status requests cost a few store requests
+a second however many they are. Only records that differ from what is cached are read.
 """
 
 from __future__ import annotations
--- a/ashdock/wire/messages.py
+++ b/ashdock/wire/messages.py
@@ -334,7 +334,7 @@
     return name, -1
 
 
-def status_answer(
+def status_response_body(
     job: str, status: str, done: int = 0, running: int = 0, reason: str | None = None
 ) -> bytes:
     """Encode the response body of `GET /v2/runs/{id}`."""
--- a/tests/forms/adapter/bodies.py
+++ b/tests/forms/adapter/bodies.py
@@ -170,7 +170,7 @@
 
 def write_status_answer(values: Plain) -> Plain:
     """The answer about a job."""
-    return messages.status_answer(**values).decode()
+    return messages.status_response_body(**values).decode()
 
 
 def split_task_name(name: str) -> Plain:
