--- a/ashdock/admission/connections.py
+++ b/ashdock/admission/connections.py
@@ -103,8 +103,8 @@
         """Add a new connection, or refuse it.
 
         At the limit another is evicted: one that has sent no whole request in a quarter of the
-        timeout, or an idle one of a worker, which can report over a new connection. If there is
-        neither, the new one is refused.
+        timeout, or an idle one of a worker, which can send its next heartbeat over a new
+        connection. If there is neither, the new one is refused.
         """
         evicted = None
         if len(self) >= self.shares.inbound:
--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -115,8 +115,8 @@
         )
         self.refused_submissions: Counter[str] = Counter()
         self.shares = socket_shares(shared.machine_limits.max_connections, peers)
-        # A worker that has been silent for two and a half reporting periods reports over another
-        # connection, or not at all.
+        # A worker that has been silent for two and a half heartbeat periods sends its heartbeats
+        # over another connection, or not at all.
         self.connections = Connections(
             self.shares,
             idle_s=60.0,
@@ -207,7 +207,7 @@
     def reserve_body(self, size: int, use: SocketUse) -> bool:
         """Reserve memory for `size` bytes of a request's body, until `release_body`.
 
-        A quarter of the memory is only for workers' reports, since they renew leases.
+        A quarter of the memory is only for workers' heartbeats, since they renew leases.
 
         Returns:
             False if there is too little memory; nothing is reserved then.
--- a/ashdock/admission/shares.py
+++ b/ashdock/admission/shares.py
@@ -18,14 +18,14 @@
     CLOUD = "cloud"
     COMMANDS = "orders"  # from this controller to workers
 
-    # Members are compared by identity. Hashing their names, fifteen times for each worker's report,
-    # took a twelfth of the time that answering it takes.
+    # Members are compared by identity. Hashing their names, fifteen times for each worker's
+    # heartbeat, took a twelfth of the time that answering a heartbeat takes.
     __hash__ = object.__hash__
 
 
 # Sockets reserved for each use: a fraction of the limit, and the least that works. What is left of
-# the limit goes to users before workers: a worker can open a new connection for each report, but a
-# user notices when its connection is closed.
+# the limit goes to users before workers: a worker can open a new connection for each heartbeat, but
+# a user notices when its connection is closed.
 RESERVED = {
     SocketUse.NEW: (1 / 16, 2),
     SocketUse.USER: (1 / 4, 2),
--- a/ashdock/clock.py
+++ b/ashdock/clock.py
@@ -8,7 +8,7 @@
 class MonotonicWallClock:
     """A wall clock that is never set back, so its times can be stored and compared.
 
-    It is the time of day at construction, advanced by the monotonic clock. Later adjustments of
+    It is the wall-clock time at construction, advanced by the monotonic clock. Later adjustments of
     the system clock have no effect on it.
     """
 
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -80,9 +80,9 @@
 TASK_COUNT = struct.Struct("!II")
 # number of machines, spot, number of types
 REBALANCE = struct.Struct("!I?H")
-# priority, finish_by as time of day in seconds
+# priority, finish_by in seconds since the epoch
 INHERITED_PRIORITY = struct.Struct("!bd")
-# revision, cancelled_at as time of day in seconds
+# revision, cancelled_at in seconds since the epoch
 CANCELLED_JOB = struct.Struct("!Qd")
 # number, echoed_number
 WATERMARK_ECHO = struct.Struct("!QQ")
--- a/ashdock/wire/peer_messages.py
+++ b/ashdock/wire/peer_messages.py
@@ -115,8 +115,8 @@
 
     Attributes:
         shard: Shard of the dependent jobs.
-        jobs: Id of each dependency, with the priority that it inherits and the time of day in
-            seconds by which it should be done.
+        jobs: Id of each dependency, with the priority that it inherits and the time by which it
+            should be done, in seconds since the epoch.
     """
 
     shard: str
@@ -154,8 +154,8 @@
 class ReclaimsInProgress(NamedTuple):
     """Machines that the owner of a shard is vacating, sent to the leader.
 
-    A new leader needs it because the reclaims may have been ordered by its predecessor. Sent under
-    the same condition as `FencedCommand`.
+    A new leader needs it because its predecessor may have sent the `Reclaim` commands. Sent under the
+    same condition as `FencedCommand`.
 
     Attributes:
         shard: Shard that gives the machines up.
@@ -173,8 +173,8 @@
     Earlier versions cannot decode it, so it is sent only once the cluster version includes it.
 
     Attributes:
-        jobs: Id of each job, with its team, the revision of its record, and the time of day in
-            seconds when it was cancelled.
+        jobs: Id of each job, with its team, the revision of its record, and the time at which it
+            was cancelled, in seconds since the epoch.
     """
 
     jobs: list[tuple[str, str, int, float]]
