--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -106,7 +106,7 @@
     """Where a worker was redirected to, or its heartbeats are forwarded to.
 
     Attributes:
-        at: since when, by the monotonic clock in seconds.
+        at: monotonic time at which that began, in seconds.
         label: of the owner's controller, or of a peer that may reach it.
         token: the fencing token of the machine's owner at that time.
     """
@@ -142,7 +142,7 @@
         ...
 
     def now(self) -> float:
-        """The time of day, in seconds since the epoch."""
+        """The current time, in seconds since the epoch."""
         ...
 
     def ready(self) -> bool:
@@ -201,12 +201,12 @@
         context: the controller.
         final_states: final states of jobs, by id; those cached first are dropped first.
         unsent_reads: reads of job records that have not been sent, by job id.
-        lookups: dependencies that are being looked up, to be named to the next user who asks.
+        lookups: ids of dependencies that are being read, so that later responses can name them.
         status_reader: checks and caches the records of unfinished jobs.
         redirected: where each worker was last redirected to, by machine.
-        forwarded: where heartbeats of a worker are forwarded to, since when, by machine.
-        answered_at: when each machine's worker was last answered here, by the monotonic clock.
-        orphans_renewed: machines for which the log has told that an orphan's lease is renewed.
+        forwarded: where the heartbeats of each worker are forwarded to, by machine.
+        answered_at: monotonic time at which each machine's worker was last answered here.
+        orphans_renewed: machines whose workers' leases are renewed as orphans', as logged.
     """
 
     def __init__(self, context: FrontContext) -> None:
@@ -409,7 +409,7 @@
     # -- status --------------------------------------------------------------------
 
     async def status(self, job_id: str) -> Response:
-        """Return the response to a user who asks for a job's status."""
+        """Return the response to a status request."""
         final = self.final_states.get(job_id)
         if final:
             return Response(200, self._final_body(job_id, final))
@@ -479,7 +479,7 @@
         return error_response(503, "try again", self._retry_after())
 
     def _store_usable(self) -> bool:
-        """Whether requests are tried on the store; in an outage users are told at once."""
+        """Whether to try the store; requests fail at once in outages of `ttl_s / 8` and longer."""
         store = self.context.store
         return (
             store.unavailable_since is None
@@ -490,7 +490,11 @@
         return 1 if self.context.state_fresh() else 2
 
     async def _with_timeout(self, call: Any) -> Any:
-        """Await a store request, up to a timeout that lets the user hear of it in time."""
+        """Await a store request for `STORE_TIMEOUT_S` at most, so that the user is told in time.
+
+        Raises:
+            StoreUnavailableError: the store did not answer in time.
+        """
         try:
             async with asyncio.timeout(STORE_TIMEOUT_S):
                 return await call
@@ -508,8 +512,8 @@
         return await asyncio.shield(future)
 
     async def _read_now(self, job_id: str) -> Entry | None:
-        # Only those who ask before the request is sent share it: a response that is on its way may
-        # be older than the request for it.
+        # Only callers that come before the request is sent share it: a response that is already in
+        # transit may be older than a later caller's request.
         await asyncio.sleep(0)
         self.unsent_reads.pop(job_id, None)
         return await self.context.store.get(f"job/{job_id}", priority=RequestPriority.USER)
@@ -665,7 +669,7 @@
             team = entry.value["p"] if entry else ""
         label = context.owner_label(team)
         if label is None or label == context.label or forwarded:
-            # An owner here that must not renew the lease must not have it renewed as an orphan's.
+            # A lease that an owner here may not renew is not renewed as an orphan's either.
             return (
                 self._renew_orphan_lease(heartbeat) if owner is None and not forwarded else None
             ) or error_response(503, "not the owner")
@@ -677,8 +681,8 @@
         The leader renews its lease, as long as the store answers and the machine runs no task. When
         every controller redirected such workers they sent heartbeats five times as often, their
         leases expired nevertheless, and a task started there a moment before was killed with that.
-        The response repeats the worker's own fencing token, so that any next owner can still take
-        over. `known`: the machine has a record.
+        The response repeats the worker's own fencing token instead of raising it, so that the
+        worker accepts the commands of any next owner. `known`: the machine has a record.
         """
         leader = self.context.leader
         if leader:
@@ -725,10 +729,10 @@
         now = time.monotonic()
         lease_s = context.workers.lease_s
         token = context.token_of(heartbeat.machine)
-        # A route holds only under the token that it was noted with, so for one claim. When an owner
-        # restarted twice within a lease, all its workers were redirected to it twice. Without the
-        # token they were taken for unable to reach it: hundreds had their heartbeats forwarded, and
-        # two controllers had to process each of those.
+        # A route is valid only for the token that it was recorded with, so for one claim. When an
+        # owner restarted twice within a lease, all its workers were redirected to it twice. Without
+        # the token they were taken for unable to reach it: hundreds had their heartbeats forwarded,
+        # and two controllers had to process each of those.
         redirect, forwarding = (
             self.redirected.get(heartbeat.machine),
             self.forwarded.get(heartbeat.machine),
@@ -751,7 +755,7 @@
         )
         left_owner = not answered_lately and heartbeat.fencing_token >= token
         owner_seen = context.mesh.has_seen(label, context.ttl_s)
-        # After a lease's time of forwarding the worker tries its owner again.
+        # After forwarding for the duration of a lease, the worker is redirected to its owner again.
         retry_owner = forwarding is not None and now - forwarding.at >= lease_s
         forward = not retry_owner and (
             (left_owner and owner_seen) or returned_soon or forwarding is not None
