--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -1,8 +1,8 @@
 """Answers users' status requests, with batched revision checks against the store.
 
 The response for an unfinished job must rest on a check that began after the request came in. With
-one read for each job asked about, every status request cost one store request: users who asked
-eight times as often used up the store's rate limit, and starts and submissions waited behind them.
+one read per status request, users who sent eight times as many of them used up the store's rate
+limit, and task starts and submissions waited behind them.
 One transaction without writes compares many revisions, so status requests cost a few store requests
 a second however many they are. Only records that differ from what is cached are read.
 """
@@ -69,8 +69,8 @@
         max_known: most jobs that are cached.
         on_record: called with each record read: job id, record, revision.
         known: unfinished jobs, by id; those cached first are dropped first.
-        pending: results of jobs whose check has not begun, by job id.
-        next_check_at: when the next check may begin, by the monotonic clock.
+        pending: futures for the results of jobs whose check has not begun, by job id.
+        next_check_at: monotonic time at which the next check may begin.
         check_slots: bounds the concurrent checks.
         read_slots: bounds the concurrent reads.
         dispatcher: the task that starts the checks, while any job is pending.
@@ -127,9 +127,9 @@
         return 1 / (CHECK_REQUEST_SHARE * self.store.request_limiter.per_s)
 
     async def ask(self, job_id: str) -> KnownJob | None:
-        """Return the state of a job by a check that begins from now on; None if there is no job.
+        """Return a job's state as of a check that begins after the call; None if there is no job.
 
-        A job that has ended is returned as well; the front hears of its end through `on_record`.
+        A job that has ended is returned as well; the front learns of its end through `on_record`.
 
         Raises:
             StatusReaderBusyError: too many jobs are pending.
@@ -142,7 +142,7 @@
             ):
                 raise StatusReaderBusyError
             future = asyncio.get_running_loop().create_future()
-            # Retrieves the exception, since whoever asked may have given up.
+            # Retrieves the exception, since all callers may have given up.
             future.add_done_callback(lambda done: done.cancelled() or done.exception())
             self.pending[job_id] = future
             if self.dispatcher is None or self.dispatcher.done():
