--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -134,11 +134,11 @@
         ...
 
     def send_claims(self) -> None:
-        """Report the shards owned here to the other controllers."""
+        """Send the claims of the shards owned here to the other controllers."""
         ...
 
     def send_status_if_urgent(self, shard: Shard) -> None:
-        """Send the shard's status to the leader if the shard has begun to lack capacity."""
+        """Send the shard's status to the leader if the shard has begun to request resources."""
         ...
 
 
@@ -150,16 +150,16 @@
     Attributes:
         expected_revision: Revision of the shard's key that the claim replaces; 0: there is no key.
         shard: The shard; None until it has been claimed.
-        wake: Event that starts the next iteration before its time.
+        wake: Event that starts the next iteration before the tick is over.
         ready: Event set once the shard has been loaded.
-        transfer_to: Label of the controller to which the leader wants to transfer the shard.
+        transfer_to: Label of the controller to which the leader wants to transfer the shard, if any.
         read_at: Monotonic time at which loading began. Every cancellation confirmed until then is
             part of what was loaded.
-        renews_agent_leases: Whether agent leases are renewed, as last logged.
+        renews_agent_leases: Whether agent leases are renewed, as of the last check.
         buffered_changes: Changes received before the shard was loaded.
-        last_cycle_at: When the last scheduling cycle began.
-        next_cycle_at: Earliest time of the next scheduling cycle. A cycle that took long is not
-            followed by another one at once.
+        last_cycle_at: When the last scheduling cycle began, in seconds since the epoch.
+        next_cycle_at: Earliest start of the next scheduling cycle, in seconds since the epoch. The
+            longer a cycle takes, the later the next one may start.
     """
 
     def __init__(self, context: ShardOwnerContext, team: Team, revision: int) -> None:
@@ -412,7 +412,7 @@
         self.last_cycle_at = now
         shard.scheduler.schedule(now)
         self.failover_timeline.cycle_ended(shard.tasks_placed > 0, self.context.now())
-        # Limits scheduling cycles to their share of the processor, however large the shard.
+        # Limits scheduling cycles to their share of the processor time, however large the shard.
         ended_at = self.context.now()
         self.next_cycle_at = ended_at + pause_s(
             ended_at - now, shard_cpu_share(self.context.owned_shard_count())
@@ -503,7 +503,7 @@
         self._update_caches(transaction.writes, revision)
         if shard.tasks_placed:
             self.failover_timeline.placement_committed(self.context.now())
-        # Run commands are sent after each transaction instead of after the last one.
+        # Sends run commands after each transaction, not only after the last one.
         self._send_urgent(shard)
 
     def _cycle_waits_for_writes(self, shard: Shard) -> bool:
