--- a/ashdock/gossip.py
+++ b/ashdock/gossip.py
@@ -43,7 +43,7 @@
 
         Args:
             incarnation: Random number that identifies this process.
-            store: Client that tells the store's silence and this controller's demand for requests.
+            store: Client that tells the store's silence and this controller's demand.
             connectivity: Tells when a worker was last heard.
             readiness: Tells whether this controller accepts requests.
             leads: Returns whether this controller leads.
@@ -134,11 +134,11 @@
     def send_claims(self) -> None:
         """Tell the peers which shards are owned here.
 
-        Claims are sent only for shards that have been read. A previous owner whose requests the
+        Claims are sent only for shards that have been loaded. A previous owner whose requests the
         store refuses learns of its replacement from this frame, and stops answering the shard's
-        workers. If it did so earlier, and a store outage then interrupted the reading, no
-        controller could answer them: 109 tasks were lost that way on a day of refusals and
-        outages. The previous owner cannot write to the shard in the meantime.
+        workers. When claims were sent before loading, and a store outage interrupted the loading,
+        no controller could answer these workers: 109 tasks were lost that way on a day of refusals
+        and outages. The previous owner cannot write to the shard while the new one loads it.
         """
         claims = [(shard.name, shard.revision) for shard in self.owners.active_shards()]
         if claims:
@@ -204,7 +204,7 @@
 
 
 class Gossip:
-    """The loop that sends peer heartbeats, and what goes with each of them."""
+    """Sends this controller's heartbeats to its peers, and the frames that go with each of them."""
 
     def __init__(
         self,
