--- a/ashdock/shard_owners.py
+++ b/ashdock/shard_owners.py
@@ -152,9 +152,9 @@
     def claims_received(self, label: str, claims: OwnershipClaims) -> None:
         """Handle the claims that a peer reports, which this controller's watch may have missed.
 
-        A controller that was the only one refused by the store kept answering the workers of a
-        shard that another controller had claimed. The new owner got no heartbeats from them and
-        gave up their machines.
+        Without this, a controller whose requests alone the store refused kept answering the workers
+        of a shard that another controller had claimed. The new owner got no heartbeats from them
+        and gave up their machines.
         """
         for team, revision in claims.shards:
             path = f"part/{team}"
