--- a/ashdock/connectivity.py
+++ b/ashdock/connectivity.py
@@ -78,7 +78,7 @@
         return any(heartbeat.store_age_s < self.ttl_s / 2 for heartbeat in heartbeats)
 
     def cut_off(self) -> bool:
-        """Whether neither a peer nor a worker has been heard for a while.
+        """Whether no peer and no worker was heard in a TTL or two heartbeat periods, if longer.
 
         Such a controller may still reach the store, but another one should own its shards.
         """
