--- a/ashdock/admission/connections.py
+++ b/ashdock/admission/connections.py
@@ -1,6 +1,6 @@
 """The table of inbound connections: which are admitted, kept open after a response, or closed.
 
-Who owns the sockets reports events and closes the connections that it is told to close.
+The owner of the sockets passes in their events, and closes the connections that it is told to.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     """What a connection is doing."""
 
     IDLE = "idle"  # waits for its next request
-    BUSY = "busy"  # a request is awaited after connecting, received, or answered
+    BUSY = "busy"  # its first request is awaited, or a request is being received or answered
     CLOSING = "closing"  # closed once its response is sent
 
 
@@ -148,7 +148,8 @@
         if use is SocketUse.WORKER:
             keep = self.count(use) <= self.shares.max_worker_connections(self.count(SocketUse.USER))
         elif use is SocketUse.USER:
-            # Users' connections are closed after a response before requests have to be refused.
+            # From 7/8 of the limit on, connections of users are closed after a response, so that
+            # fewer requests have to be refused.
             keep = self.count(use) <= self.shares.max_user_connections() * 7 // 8
         if not keep:
             self.ended[use, "after an answer"] += 1
--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -88,13 +88,13 @@
         shares: how the sockets are divided.
         connections: the inbound connections.
         memory: how the memory is divided.
-        held_body_bytes: bodies of the requests that are received or answered.
+        held_body_bytes: size of the bodies of requests that are being received or answered.
         processor: how late this process is.
         shortages: whether each resource is short.
         refused: number of refusals, by kind of request and the resource that was short.
         shortage_end_s: a shortage ends after this many seconds without a refusal.
         ended_connections: connections closed or refused up to the last tick.
-        write_wait_s: how long the last submission would have waited to be written.
+        write_wait_s: expected wait of the last submission until it would be written.
     """
 
     def __init__(
