--- a/ashdock/net/rate_limiter.py
+++ b/ashdock/net/rate_limiter.py
@@ -12,12 +12,12 @@
 
 BURST_S = 1.0  # capacity of a bucket, as the time in which it fills
 BACKGROUND_RESERVE = 0.3  # fraction of the capacity that background requests leave to the others
-# How much is granted to more urgent requests before a waiting one is next nevertheless, in
-# multiples of its amount. So a lower priority still gets a quarter of the rate. When requests were
-# counted instead of amounts, an array's transactions of 20 writes took most of the rate while
-# users' submissions of 2 writes were refused.
+# A waiting request is next once more urgent ones have been granted this multiple of its amount, so
+# a lower priority still gets a quarter of the rate. When requests were counted instead of amounts,
+# an array's transactions of 20 writes took most of the rate while users' submissions of 2 writes
+# were refused.
 MAX_OVERTAKING = 3
-# Until a waiting request is tried again: the rate may change, or a more urgent request arrive.
+# Longest time between two tries: the rate may change, or a more urgent request may arrive.
 MAX_PAUSE_S = 0.1
 MIN_PAUSE_S = 0.001  # avoids a busy loop when a request lacks a tiny part of a token
 ROUNDING_TOLERANCE = 1e-9  # tokens that may be missing through floating-point rounding
