--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -152,7 +152,7 @@
         shard: The shard; None until it has been claimed.
         wake: Event that starts the next iteration before the tick is over.
         ready: Event set once the shard has been loaded.
-        transfer_to: Label of the controller to which the leader wants to transfer the shard, if any.
+        transfer_to: Label of the controller that the leader wants to transfer the shard to, if any.
         read_at: Monotonic time at which loading began. Every cancellation confirmed until then is
             part of what was loaded.
         renews_agent_leases: Whether agent leases are renewed, as of the last check.
