--- a/ashdock/wire/peer_messages.py
+++ b/ashdock/wire/peer_messages.py
@@ -154,8 +154,8 @@
 class ReclaimsInProgress(NamedTuple):
     """Machines that the owner of a shard is vacating, sent to the leader.
 
-    A new leader needs it because its predecessor may have sent the `Reclaim` commands. Sent under the
-    same condition as `FencedCommand`.
+    A new leader needs it because its predecessor may have sent the `Reclaim` commands. Sent under
+    the same condition as `FencedCommand`.
 
     Attributes:
         shard: Shard that gives the machines up.
