--- a/ashdock/cli.py
+++ b/ashdock/cli.py
@@ -128,7 +128,7 @@
     )
     state = settings.settings.state
     print(
-        f"state service: {_format_limits(state)}"
+        f"store: {_format_limits(state)}"
         + (f"; later no more than {_format_limits(state.smaller())}" if state.next else "")
     )
     return 0
