--- a/ashdock/net/http.py
+++ b/ashdock/net/http.py
@@ -349,7 +349,7 @@
     async def _receive_by_events(
         self, read_ahead: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> Received | None:
-        """Receive a request through an h11 parser of its own; responses do not go through it.
+        """Receive a request event by event, through an h11 parser that is used only for it.
 
         Returns:
             None if no whole request was received.
@@ -395,7 +395,8 @@
     """A request got no response.
 
     Attributes:
-        sent: whether sending had begun, so that the request may be carried out, even later.
+        sent: whether sending had begun, so that the request may have been carried out or may still
+            be.
     """
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -425,7 +426,7 @@
         slots: one for each connection that may be in use at once; None: no limit.
         in_flight: number of requests in flight.
         idle_s: how long a kept connection may be idle before it is not used any more.
-        idle: the idle connections, the last used at the right.
+        idle: the idle connections; the most recently used one is at the right.
         last_used: monotonic time of the last request.
     """
 
--- a/ashdock/net/metrics.py
+++ b/ashdock/net/metrics.py
@@ -242,7 +242,8 @@
     def _fairness(self) -> Iterable[Metric]:
         """Return SLO attainment, start waits and refused submissions.
 
-        Attainment and start waits cover the jobs that came since this controller owns their shard.
+        Attainment and start waits cover the jobs that arrived since this controller claimed their
+        shard.
         """
         attainment = GaugeMetricFamily(
             "ashdock_served_share",
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -152,7 +152,7 @@
 
     @property
     def demand(self) -> Demand:
-        """Requests and writes per second that this controller makes or waits for, by priority weight."""
+        """Weighted requests and writes per second that this controller makes or waits for."""
         return Demand(self.request_limiter.demand, self.write_limiter.demand)
 
     def update_fair_share(self, others: list[Demand | None]) -> None:
--- a/ashdock/net/user.py
+++ b/ashdock/net/user.py
@@ -1,4 +1,4 @@
-"""The commands that send users' requests to a controller, retried as users are expected to."""
+"""Commands that send a user's request to a controller, and retry as users are expected to."""
 
 from __future__ import annotations
 
