--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -19,7 +19,7 @@
 )
 
 
-class CommandReply(NamedTuple):
+class CommandResponse(NamedTuple):
     """Response of a worker to commands.
 
     Attributes:
@@ -66,7 +66,7 @@
         fencing_token: int,
         incarnation: int,
         commands: list[TaskCommand],
-    ) -> CommandReply:
+    ) -> CommandResponse:
         """Send commands to a worker.
 
         Args:
@@ -90,9 +90,9 @@
         body = msgspec.json.encode(request)
         status, response_body = await client.request("POST", "/orders", body, self.timeout_s)
         try:
-            return CommandReply(status, decode_heartbeat(response_body))
+            return CommandResponse(status, decode_heartbeat(response_body))
         except MalformedMessageError:
-            return CommandReply(status, None)
+            return CommandResponse(status, None)
 
     def _client(self, worker_address: str) -> Client:
         client = self.clients.get(worker_address)
