--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -90,7 +90,7 @@
     async def on_heartbeat(
         self, heartbeat: messages.Heartbeat
     ) -> messages.HeartbeatResponse | None:
-        """Return the response to a worker; None if it may not be answered from here, or not yet."""
+        """Return the response to a worker; None if it may not be answered here, or not yet."""
         ...
 
 
@@ -150,7 +150,7 @@
         ...
 
     def state_fresh(self) -> bool:
-        """Whether the store has answered lately."""
+        """Whether the store answers: no request failed since a recent response."""
         ...
 
     def leader_label(self) -> str | None:
@@ -680,7 +680,7 @@
 
         The leader renews its lease, as long as the store answers and the machine runs no task. When
         every controller redirected such workers they sent heartbeats five times as often, their
-        leases expired nevertheless, and a task started there a moment before was killed with that.
+        leases expired nevertheless, and a task that had just been started there was killed.
         The response repeats the worker's own fencing token instead of raising it, so that the
         worker accepts the commands of any next owner. `known`: the machine has a record.
         """
