--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -114,7 +114,7 @@
         ...
 
     def state_fresh(self) -> bool:
-        """Whether the store has answered recently."""
+        """Whether the store answers: no request failed since a recent response."""
         ...
 
     def eligible_members(self) -> list[str]:
