--- a/ashdock/net/rate_limiter.py
+++ b/ashdock/net/rate_limiter.py
@@ -220,7 +220,7 @@
 
     @property
     def demand(self) -> float:
-        """Weighted tokens per second granted lately, plus the weighted tokens waited for.
+        """Weighted tokens per second granted recently, plus the weighted tokens waited for.
 
         See `DEMAND_WEIGHT` for the weights.
         """
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -381,7 +381,7 @@
         return self._decode(lease_decoder, body).lease
 
     async def renew_lease(self, lease: int, timeout: float) -> None:
-        """Renew a store lease without waiting for the rate limiter, lest it expire in the queue.
+        """Renew a store lease without waiting for the rate limiter, in which it might expire.
 
         Raises:
             LeaseLostError: the lease has expired.
