--- a/ashdock/status_reader.py
+++ b/ashdock/status_reader.py
@@ -1,10 +1,10 @@
 """Answers users' status requests, with batched revision checks against the store.
 
-The response for an unfinished job must rest on a check that began after the request came in. With
-one read per status request, users who sent eight times as many of them used up the store's rate
-limit, and task starts and submissions waited behind them.
-One transaction without writes compares many revisions, so status requests cost a few store requests
-a second however many they are. Only records that differ from what is cached are read.
+Unless the job is known to have ended, a response must rest on a check that began after the request
+came in. With one read for each job, every status request cost one store request: users who sent
+eight times as many used up the store's rate limit, and task starts and submissions waited behind
+them. One transaction without writes compares many revisions, so status requests cost a few store
+requests a second however many they are. Only records that differ from what is cached are read.
 """
 
 from __future__ import annotations
