--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -150,7 +150,7 @@
     Attributes:
         expected_revision: Revision of the shard's key that the claim replaces; 0: there is no key.
         shard: The shard; None until it has been claimed.
-        wake: Event that starts the next iteration before the tick is over.
+        wake: Event that ends the wait for the next iteration.
         ready: Event set once the shard has been loaded.
         transfer_to: Label of the controller that the leader wants to transfer the shard to, if any.
         read_at: Monotonic time at which loading began. Every cancellation confirmed until then is
