--- a/ashdock/connectivity.py
+++ b/ashdock/connectivity.py
@@ -80,7 +80,8 @@
     def cut_off(self) -> bool:
         """Whether no peer and no worker was heard in a TTL or two heartbeat periods, if longer.
 
-        Such a controller may still reach the store, but another one should own its shards.
+        Such a controller may still reach the store, but another one should own its shards. False if
+        there are no other controllers.
         """
         max_silence_s = max(SILENT_HEARTBEAT_PERIODS * self.heartbeat_s, self.ttl_s)
         if not self.mesh.peers or any(
