--- a/ashdock/net/rate_limiter.py
+++ b/ashdock/net/rate_limiter.py
@@ -17,7 +17,8 @@
 # an array's transactions of 20 writes took most of the rate while users' submissions of 2 writes
 # were refused.
 MAX_OVERTAKING = 3
-# Longest time between two tries: the rate may change, or a more urgent request may arrive.
+# Longest pause before a waiting request is tried again: the rate may change, or a more urgent
+# request may arrive.
 MAX_PAUSE_S = 0.1
 MIN_PAUSE_S = 0.001  # avoids a busy loop when a request lacks a tiny part of a token
 ROUNDING_TOLERANCE = 1e-9  # tokens that may be missing through floating-point rounding
--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -381,7 +381,7 @@
         return self._decode(lease_decoder, body).lease
 
     async def renew_lease(self, lease: int, timeout: float) -> None:
-        """Renew a store lease without waiting for the rate limiter, in which it might expire.
+        """Renew a store lease without waiting in the rate limiter's queue, where it might expire.
 
         Raises:
             LeaseLostError: the lease has expired.
