--- a/ashdock/admission/connections.py
+++ b/ashdock/admission/connections.py
@@ -148,8 +148,8 @@
         if use is SocketUse.WORKER:
             keep = self.count(use) <= self.shares.max_worker_connections(self.count(SocketUse.USER))
         elif use is SocketUse.USER:
-            # Above 7/8 of the limit, connections of users are closed after a response, so that fewer
-            # requests have to be refused.
+            # Above 7/8 of the limit, connections of users are closed after a response, so that
+            # fewer requests have to be refused.
             keep = self.count(use) <= self.shares.max_user_connections() * 7 // 8
         if not keep:
             self.ended[use, "after an answer"] += 1
