--- a/ashdock/net/store.py
+++ b/ashdock/net/store.py
@@ -152,7 +152,7 @@
 
     @property
     def demand(self) -> Demand:
-        """Requests and writes per second that this controller has asked for lately."""
+        """Weighted requests and writes per second that this controller makes or waits for."""
         return Demand(self.request_limiter.demand, self.write_limiter.demand)
 
     def update_fair_share(self, others: list[Demand | None]) -> None:
@@ -218,10 +218,10 @@
             self._note_failure(str(failure))
             raise failure
         if not watch:  # a watch may be answered long after its start
-            self._note_answer(started_at)
+            self._note_response(started_at)
         return status, body_received
 
-    def _note_answer(self, started_at: float) -> None:
+    def _note_response(self, started_at: float) -> None:
         self.answered_at = max(self.answered_at, started_at)
         if self.unavailable_since is not None:
             outage_s = time.monotonic() - self.unavailable_since
@@ -381,7 +381,7 @@
         return self._decode(lease_decoder, body).lease
 
     async def renew_lease(self, lease: int, timeout: float) -> None:
-        """Renew a store lease without waiting for the rate limiter, lest it expire in the queue.
+        """Renew a store lease without waiting in the rate limiter's queue, where it might expire.
 
         Raises:
             LeaseLostError: the lease has expired.
