--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -114,7 +114,7 @@
         self.infeasible = InfeasibleCache()  # requests for which this round has no machines left
         # For this round, by type, CPUs, GPUs and memory: how many such tasks a machine holds.
         self.capacity_cache: dict[tuple[str, float, float, float], int] = {}
-        boot_times_s = [shape.boot_s for shape in catalog.values()]
+        boot_times_s = [machine_type.boot_s for machine_type in catalog.values()]
         self.boot_s = max(boot_times_s, default=shared.workers.lease_s)  # the longest boot time
         # A decision shows in the records and statuses within this time, or is taken to have failed.
         self.settle_s = shared.workers.lease_s / 2
@@ -281,17 +281,17 @@
                 max_machines = self.renting.most_machines
                 if offer is None or (max_machines and machine_count >= max_machines):
                     break
-                shape, zone, spot = offer
+                machine_type, zone, spot = offer
                 tasks_per_machine = max(
-                    1, capacity(shape, request.cpus, request.gpus, request.memory_gb)
+                    1, capacity(machine_type, request.cpus, request.gpus, request.memory_gb)
                 )
-                key = (team, shape.label, zone, spot)
+                key = (team, machine_type.label, zone, spot)
                 rentals[key] = rentals.get(key, 0) + 1
                 machine_count += 1
                 missing -= tasks_per_machine
                 if missing < 0:
                     pending.setdefault(team, PendingCapacity()).add_remainder(
-                        shape,
+                        machine_type,
                         zone,
                         spot,
                         (request.cpus, request.gpus, request.memory_gb),
@@ -337,16 +337,16 @@
     def _scale_outs(rentals: dict[tuple[str, str, str, bool], int]) -> list[ScaleOut]:
         """Combine rentals by team, type, zone and spot into one scale-out for all teams."""
         teams_by_offering: dict[tuple[str, str, bool], list[tuple[str, int]]] = {}
-        for (team, machine_type, zone, spot), number in rentals.items():
+        for (team, type_label, zone, spot), number in rentals.items():
             remaining = MAX_MACHINES_PER_SCALE_OUT - sum(
-                count for _, count in teams_by_offering.get((machine_type, zone, spot), ())
+                count for _, count in teams_by_offering.get((type_label, zone, spot), ())
             )
             if (
                 remaining > 0
-                and len(teams_by_offering.get((machine_type, zone, spot), ()))
+                and len(teams_by_offering.get((type_label, zone, spot), ()))
                 < MAX_TEAMS_PER_SCALE_OUT
             ):
-                teams_by_offering.setdefault((machine_type, zone, spot), []).append(
+                teams_by_offering.setdefault((type_label, zone, spot), []).append(
                     (team, min(number, remaining))
                 )
         return [ScaleOut(tuple(teams), *key) for key, teams in teams_by_offering.items()]
@@ -403,8 +403,8 @@
                 self.rebalance_asked_at[source, team] = now
                 tasks_per_machine = max(
                     (
-                        capacity(shape, request.cpus, request.gpus, request.memory_gb)
-                        for shape in self.catalog.values()
+                        capacity(machine_type, request.cpus, request.gpus, request.memory_gb)
+                        for machine_type in self.catalog.values()
                     ),
                     default=1,
                 )
@@ -465,16 +465,16 @@
     def _use_pending_capacity(self, pending: PendingCapacity, request: ResourceRequest) -> int:
         """Allot pending capacity to a request, and return the number of tasks left without."""
 
-        def suits(machine_type: str, zone: str, spot: bool) -> bool:
-            return self._suits(request, machine_type, zone, spot)
+        def suits(type_label: str, zone: str, spot: bool) -> bool:
+            return self._suits(request, type_label, zone, spot)
 
         return request.tasks - pending.take(
             suits, (request.cpus, request.gpus, request.memory_gb), request.tasks
         )
 
     @staticmethod
-    def _suits(request: ResourceRequest, machine_type: str, zone: str, spot: bool) -> bool:
-        if request.types and machine_type not in request.types:
+    def _suits(request: ResourceRequest, type_label: str, zone: str, spot: bool) -> bool:
+        if request.types and type_label not in request.types:
             return False
         if request.zone and zone != request.zone:
             return False
@@ -523,11 +523,11 @@
                 ),
                 0.99,
             )
-        for shape in self.catalog.values():
-            for zone in shape.zones:
+        for machine_type in self.catalog.values():
+            for zone in machine_type.zones:
                 spot_choices = (True, False) if request.spot else (False,)
                 if any(
-                    self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
+                    self.backoffs.get((machine_type.label, zone, spot), (0.0, 0.0))[0] <= self.now
                     for spot in spot_choices
                 ):
                     scores[zone] = scores.get(zone, 0.0) + 0.9 * max(
@@ -535,12 +535,12 @@
                     )
         return scores
 
-    def _tasks_per_machine(self, machine_type: str, request: ResourceRequest) -> int:
-        key = (machine_type, request.cpus, request.gpus, request.memory_gb)
+    def _tasks_per_machine(self, type_label: str, request: ResourceRequest) -> int:
+        key = (type_label, request.cpus, request.gpus, request.memory_gb)
         tasks_per_machine = self.capacity_cache.get(key)
         if tasks_per_machine is None:
             tasks_per_machine = self.capacity_cache[key] = capacity(
-                self.catalog[machine_type], request.cpus, request.gpus, request.memory_gb
+                self.catalog[type_label], request.cpus, request.gpus, request.memory_gb
             )
         return tasks_per_machine
 
@@ -692,11 +692,15 @@
         this round, others where the fewest are.
         """
         best: tuple[tuple[float, ...], tuple[MachineType, str, bool]] | None = None
-        for shape in self.catalog.values():
-            tasks_per_machine = capacity(shape, request.cpus, request.gpus, request.memory_gb)
-            if tasks_per_machine <= 0 or (request.types and shape.label not in request.types):
+        for machine_type in self.catalog.values():
+            tasks_per_machine = capacity(
+                machine_type, request.cpus, request.gpus, request.memory_gb
+            )
+            if tasks_per_machine <= 0 or (
+                request.types and machine_type.label not in request.types
+            ):
                 continue
-            for zone in shape.zones:
+            for zone in machine_type.zones:
                 if request.zone and zone != request.zone:
                     continue
                 for spot in (True, False):
@@ -704,23 +708,23 @@
                         not spot and request.opportunistic and self._may_use_spot(request)
                     ):
                         continue
-                    if self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
+                    if self.backoffs.get((machine_type.label, zone, spot), (0.0, 0.0))[0] > now:
                         continue
-                    price = (shape.spot_price if spot else shape.price) / min(
+                    price = (machine_type.spot_price if spot else machine_type.price) / min(
                         tasks_per_machine, missing
                     )
                     already_rented = sum(
                         count
                         for key, count in rentals.items()
-                        if key[1:] == (shape.label, zone, spot)
+                        if key[1:] == (machine_type.label, zone, spot)
                     )
                     key = (
                         price,
                         float(-already_rented if request.one_zone else already_rented),
-                        shape.boot_s,
+                        machine_type.boot_s,
                     )
                     if best is None or key < best[0]:
-                        best = key, (shape, zone, spot)
+                        best = key, (machine_type, zone, spot)
         return best[1] if best else None
 
     def balance(
@@ -782,10 +786,12 @@
         decisions: list[Decision] = []
         is_wanted: dict[tuple[str, str, bool], bool] = {}
         for machine, idle_s in idle.values():
-            shape = self.catalog[machine.type]
+            machine_type = self.catalog[machine.type]
             # Kept for about the boot time that it may save the next job; less if idling costs more.
-            boot_factor = 1.5 if machine.spot else 0.5 + shape.spot_price / (2 * shape.price)
-            keep_s = self.renting.idle_boots * shape.boot_s * boot_factor
+            boot_factor = (
+                1.5 if machine.spot else 0.5 + machine_type.spot_price / (2 * machine_type.price)
+            )
+            keep_s = self.renting.idle_boots * machine_type.boot_s * boot_factor
             if idle_s <= keep_s:
                 continue
             offering = (machine.type, machine.zone, machine.spot)
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -72,7 +72,10 @@
     def _estimated_duration_s(self, spec: JobSpec) -> float:
         """Seconds from when it may start until it is done, if it is placed at once."""
         fetch_s = max(
-            (placing.image_fetch_s(spec, shape) for shape in self.shard.catalog.values()),
+            (
+                placing.image_fetch_s(spec, machine_type)
+                for machine_type in self.shard.catalog.values()
+            ),
             default=0.0,
         )
         return fetch_s + self.shard.estimates.run_s(spec) + 2 * self.shard.workers.report_s
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -40,7 +40,7 @@
         rented_at: When it was scaled out, or when it was found if that is not known.
         rented_at_known: Whether `rented_at` is when it was scaled out.
         revision: Revision of its record.
-        shape: Its machine type.
+        machine_type: Its machine type.
         phase: Its phase.
         leaving_reason: Why it is leaving or decommissioned.
         decommission_generation: 1 until its decommissioning is durable, else 0.
@@ -76,7 +76,7 @@
     """
 
     def __init__(
-        self, name: str, value: dict[str, Any], revision: int, shape: MachineType, now: float
+        self, name: str, value: dict[str, Any], revision: int, machine_type: MachineType, now: float
     ) -> None:
         """Create it from its record, which was read at that revision."""
         self.name = name
@@ -87,15 +87,15 @@
         self.rented_at: float = value.get("at", now)
         self.rented_at_known = bool(value.get("r"))
         self.revision = revision
-        self.shape = shape
+        self.machine_type = machine_type
         self.phase = MachinePhase.DECOMMISSIONED if value.get("x") else MachinePhase.EXPECTED
         self.leaving_reason = value.get("x", "")
         self.decommission_generation = 0
         self.live: dict[tuple[str, int], Placement] = {}
         self.version = 0
-        self.cpus = shape.cpus
-        self.gpus = shape.gpus
-        self.memory_gb = shape.memory_gb
+        self.cpus = machine_type.cpus
+        self.gpus = machine_type.gpus
+        self.memory_gb = machine_type.memory_gb
         self.known_since = now
         self.last_heartbeat_at: float | None = None
         self.incarnation = 0
@@ -172,7 +172,7 @@
         known = self.images.pop(image, None)
         self.images[image] = size_gb
         if known is None:
-            excess_gb = sum(self.images.values()) - self.shape.cache_gb
+            excess_gb = sum(self.images.values()) - self.machine_type.cache_gb
             for other in list(self.images)[:-1]:
                 if excess_gb <= 0:
                     break
@@ -216,7 +216,7 @@
 
     def is_booting(self, now: float) -> bool:
         """Whether work may wait for it to boot; not if that takes far longer than usual."""
-        boot_s = self.shape.boot_s
+        boot_s = self.machine_type.boot_s
         started_at = max(self.rented_at, self.known_since - boot_s)
         return self.phase is MachinePhase.EXPECTED and now - started_at < BOOT_PATIENCE * boot_s
 
@@ -276,6 +276,8 @@
     return [free[0] - need[0] * times, free[1] - need[1] * times, free[2] - need[2] * times]
 
 
-def capacity(shape: MachineType, cpus: float, gpus: float, memory_gb: float) -> int:
+def capacity(machine_type: MachineType, cpus: float, gpus: float, memory_gb: float) -> int:
     """Return how many tasks with such a request an empty machine of that type takes."""
-    return fits((shape.cpus, shape.gpus, shape.memory_gb), (cpus, gpus, memory_gb))
+    return fits(
+        (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), (cpus, gpus, memory_gb)
+    )
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -28,12 +28,12 @@
     room: int
 
 
-def permits(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
+def permits(spec: JobSpec, type_label: str, zone: str, spot: bool) -> bool:
     """Whether the job's own constraints allow such a machine.
 
     Constraints between its tasks (`one_zone`, `spread`) are left to `select_machines`.
     """
-    if spec.machine_types is not None and machine_type not in spec.machine_types:
+    if spec.machine_types is not None and type_label not in spec.machine_types:
         return False
     if spec.zone is not None and zone != spec.zone:
         return False
@@ -44,12 +44,12 @@
     """Seconds that the machine takes to fetch the job's image; 0 if its cache holds it."""
     if spec.image in machine.images:
         return 0.0
-    return image_fetch_s(spec, machine.shape)
+    return image_fetch_s(spec, machine.machine_type)
 
 
-def image_fetch_s(spec: JobSpec, shape: MachineType) -> float:
+def image_fetch_s(spec: JobSpec, machine_type: MachineType) -> float:
     """Seconds that a machine of that type takes to fetch the job's image into an empty cache."""
-    return spec.image_gb / max(shape.fetch_gb_per_s, 1e-3)
+    return spec.image_gb / max(machine_type.fetch_gb_per_s, 1e-3)
 
 
 def placement_cost_s(spec: JobSpec, machine: Machine) -> float:
@@ -59,14 +59,18 @@
     filled first, so that empty ones can be returned to the cloud or take gangs.
     """
     free = (
-        machine.gpus / machine.shape.gpus
-        if machine.shape.gpus
-        else machine.cpus / machine.shape.cpus
+        machine.gpus / machine.machine_type.gpus
+        if machine.machine_type.gpus
+        else machine.cpus / machine.machine_type.cpus
     )
     # A job that may run on spot instances leaves on-demand machines to jobs that may not, or to be
     # returned to the cloud.
-    on_demand_penalty_s = machine.shape.boot_s / 4 if spec.spot and not machine.spot else 0.0
-    return remaining_fetch_s(spec, machine) + free * machine.shape.boot_s / 16 + on_demand_penalty_s
+    on_demand_penalty_s = machine.machine_type.boot_s / 4 if spec.spot and not machine.spot else 0.0
+    return (
+        remaining_fetch_s(spec, machine)
+        + free * machine.machine_type.boot_s / 16
+        + on_demand_penalty_s
+    )
 
 
 def find_candidates(job: Job, machines: Iterable[Machine], now: float) -> list[Candidate]:
@@ -188,7 +192,7 @@
 class PendingCapacity:
     """Capacity of machines that are still to come, such as those that boot.
 
-    Machines that nothing is reserved on are counted by type, zone and kind (spot or on-demand).
+    Machines that nothing is reserved on are counted by type, zone, and spot or on-demand.
     Once tasks are reserved on one, its remaining capacity is tracked on its own.
     """
 
@@ -197,21 +201,23 @@
         self.whole_machines: dict[tuple[str, str, bool], tuple[MachineType, int]] = {}
         self.remainders: list[tuple[str, str, bool, list[float]]] = []
 
-    def add(self, shape: MachineType, zone: str, spot: bool, number: int = 1) -> None:
+    def add(self, machine_type: MachineType, zone: str, spot: bool, number: int = 1) -> None:
         """Add machines that nothing is reserved on."""
-        key = (shape.label, zone, spot)
+        key = (machine_type.label, zone, spot)
         self.whole_machines[key] = (
-            shape,
-            self.whole_machines.get(key, (shape, 0))[1] + number,
+            machine_type,
+            self.whole_machines.get(key, (machine_type, 0))[1] + number,
         )
 
     def add_remainder(
-        self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int
+        self, machine_type: MachineType, zone: str, spot: bool, need: Need, tasks: int
     ) -> None:
         """Add what is left of one machine after so many tasks."""
-        free = remaining((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
+        free = remaining(
+            (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), need, tasks
+        )
         if all(amount > 1e-6 for amount in free[::2]):  # every task needs CPUs and memory
-            self.remainders.append((shape.label, zone, spot, free))
+            self.remainders.append((machine_type.label, zone, spot, free))
 
     def tasks_by_zone(self, is_suitable: Any, need: Need) -> dict[str, int]:
         """How many such tasks the machines that nothing is reserved on would take, by zone.
@@ -222,9 +228,9 @@
             need: What one task needs.
         """
         tasks: dict[str, int] = {}
-        for (label, zone, spot), (shape, number) in self.whole_machines.items():
+        for (label, zone, spot), (machine_type, number) in self.whole_machines.items():
             if number and is_suitable(label, zone, spot):
-                tasks[zone] = tasks.get(zone, 0) + number * capacity(shape, *need)
+                tasks[zone] = tasks.get(zone, 0) + number * capacity(machine_type, *need)
         return tasks
 
     def take(self, is_suitable: Any, need: Need, tasks: int) -> int:
@@ -242,15 +248,17 @@
             if is_suitable(label, zone, spot) and (taken := min(left, fits(free, need))):
                 left -= taken
                 free[:] = remaining(free, need, taken)
-        for (label, zone, spot), (shape, number) in list(self.whole_machines.items()):
+        for (label, zone, spot), (machine_type, number) in list(self.whole_machines.items()):
             if left <= 0:
                 break
-            per_machine = capacity(shape, *need) if number and is_suitable(label, zone, spot) else 0
+            per_machine = (
+                capacity(machine_type, *need) if number and is_suitable(label, zone, spot) else 0
+            )
             if per_machine <= 0:
                 continue
             used = min(number, -(-left // per_machine))
-            self.whole_machines[label, zone, spot] = (shape, number - used)
+            self.whole_machines[label, zone, spot] = (machine_type, number - used)
             on_last = min(left - (used - 1) * per_machine, per_machine)
             left -= (used - 1) * per_machine + on_last
-            self.add_remainder(shape, zone, spot, need, on_last)
+            self.add_remainder(machine_type, zone, spot, need, on_last)
         return tasks - left
--- a/ashdock/core/preemption_cost.py
+++ b/ashdock/core/preemption_cost.py
@@ -29,4 +29,4 @@
 def machine_preemption_cost(jobs: Mapping[str, Job], machine: Machine, now: float) -> float:
     """Return the work lost by stopping all tasks of a machine, in seconds of the whole machine."""
     lost = sum(preemption_cost(jobs, placement, now) for placement in machine.live.values())
-    return lost / (machine.shape.gpus or machine.shape.cpus)
+    return lost / (machine.machine_type.gpus or machine.machine_type.cpus)
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -89,7 +89,7 @@
                         zones = self.cached_images.setdefault(image, {})
                         zones[machine.zone] = zones.get(machine.zone, 0) + 1
             elif machine.is_booting(now):
-                self.pending_capacity.add(machine.shape, machine.zone, machine.spot)
+                self.pending_capacity.add(machine.machine_type, machine.zone, machine.spot)
 
     def machines_with_room(self, spec: JobSpec, reserved: set[str]) -> list[Machine]:
         """Machines that are not reserved and have room for a task of the job.
@@ -168,13 +168,15 @@
 
         Lazy, because it is only needed while a job class is behind its objectives.
         """
-        kinds = {
+        offerings = {
             (machine.type, machine.zone, machine.spot)
             for machine in self.shard.machines.values()
             if machine.usable
         }
         yield from (
-            job.id for job in jobs if any(placing.permits(job.spec, *kind) for kind in kinds)
+            job.id
+            for job in jobs
+            if any(placing.permits(job.spec, *offering) for offering in offerings)
         )
 
     def slack(self, job: Job, now: float) -> float:
@@ -195,7 +197,7 @@
         if job.priority <= job.spec.priority:
             return True
         boot_s = max(
-            (shape.boot_s for shape in self.shard.catalog.values()),
+            (machine_type.boot_s for machine_type in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
         return (job.submitted_at - job.deadline_at) / 2 < self.slack(job, now) < boot_s
--- a/ashdock/core/scheduling_policy.py
+++ b/ashdock/core/scheduling_policy.py
@@ -44,7 +44,8 @@
         That is half the time that its class's objective gives it, but at least a few boot times.
         """
         shortest_s = TARGET_DURATION_BOOTS * max(
-            (shape.boot_s for shape in self.catalog.values()), default=self.shared.workers.lease_s
+            (machine_type.boot_s for machine_type in self.catalog.values()),
+            default=self.shared.workers.lease_s,
         )
         objectives_s = [
             o.within_s
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -186,7 +186,7 @@
             revision: Revision of the record.
             now: Time of day, in seconds.
         """
-        shape = self.catalog.get(value["t"])
+        machine_type = self.catalog.get(value["t"])
         self.seen_revision = max(self.seen_revision, revision)
         known = self.machines.get(name)
         if known:
@@ -195,10 +195,10 @@
                 if value.get("x"):
                     known.decommission(value["x"])
             return
-        if shape is None:
+        if machine_type is None:
             log.error("machine type not in the catalog: machine=%s type=%s", name, value["t"])
             return
-        self.machines[name] = Machine(name, value, revision, shape, now)
+        self.machines[name] = Machine(name, value, revision, machine_type, now)
 
     # -- accounting ---------------------------------------------------------------------------
 
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -96,7 +96,7 @@
                 # at the rental: started when the owner learnt of the machine, it began anew with
                 # each failover.
                 if (
-                    now - machine.rented_at > BOOT_TIMEOUT_FACTOR * machine.shape.boot_s
+                    now - machine.rented_at > BOOT_TIMEOUT_FACTOR * machine.machine_type.boot_s
                     and now - machine.known_since > silent_s
                 ):
                     shard.decommission(machine, "never came up")
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -134,8 +134,8 @@
             return
         tasks_per_machine = max(
             (
-                capacity(shape, job.spec.cpus, job.spec.gpus, job.spec.memory_gb)
-                for shape in self.shard.catalog.values()
+                capacity(machine_type, job.spec.cpus, job.spec.gpus, job.spec.memory_gb)
+                for machine_type in self.shard.catalog.values()
             ),
             default=1,
         )
@@ -157,7 +157,7 @@
 
     def _prune_arrivals(self, now: float) -> None:
         boot_s = max(
-            (shape.boot_s for shape in self.shard.catalog.values()),
+            (machine_type.boot_s for machine_type in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
         while self.arrivals and now - self.arrivals[0].at > ARRIVAL_WINDOW_BOOTS * boot_s:
@@ -174,7 +174,7 @@
             return kept
         cpus, gpus = self.shard.usage.cpus, self.shard.usage.gpus
         for machine in sorted(empty, key=lambda machine: (-len(machine.images), machine.name)):
-            cpus, gpus = cpus + machine.shape.cpus, gpus + machine.shape.gpus
+            cpus, gpus = cpus + machine.machine_type.cpus, gpus + machine.machine_type.gpus
             if len(kept) >= headroom or not within_guarantee(self.shard.team, cpus, gpus):
                 break
             if any(
@@ -291,8 +291,8 @@
         machines_over = 0
         for item in sorted(busy, key=lambda item: item.preemption_cost_s):
             machine = self.shard.machines[item.machine]
-            cpus -= machine.shape.cpus - machine.cpus
-            gpus -= machine.shape.gpus - machine.gpus
+            cpus -= machine.machine_type.cpus - machine.cpus
+            gpus -= machine.machine_type.gpus - machine.gpus
             if within_guarantee(
                 self.shard.team,
                 cpus + GUARANTEE_EXCEEDED_TOLERANCE,
