--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -156,7 +156,7 @@
             machines: All machines' records.
             shard_statuses: The last status of each shard that has been heard of, by team. Nothing
                 is decided while one is missing.
-            now: The time of day in seconds.
+            now: Seconds since the epoch.
         """
         machine_views = {
             machine.name: machine for machine in machines if not machine.decommissioned
@@ -742,7 +742,7 @@
             owners: Label of the controller that owns each team's shard; "" if none.
             members: Labels of the controllers that may own shards.
             shard_statuses: The last status of each shard, by team.
-            now: The time of day in seconds.
+            now: Seconds since the epoch.
         """
         load = {
             team: shard_status.waiting_tasks + shard_status.machines + 1
--- a/ashdock/core/dependency_graph.py
+++ b/ashdock/core/dependency_graph.py
@@ -125,7 +125,7 @@
 
         Args:
             dependency: Id of the job that is done.
-            at: When it was done, in seconds; None if that is not known.
+            at: When it was done, in seconds since the epoch; None if that is not known.
 
         Returns:
             The ids of the released jobs, each with the time since when it could have started.
--- a/ashdock/core/dependency_tracker.py
+++ b/ashdock/core/dependency_tracker.py
@@ -99,8 +99,8 @@
         Args:
             dependency: Id of the job, of any shard; unknown ones are ignored.
             status: Its final status. Any other than `JobStatus.DONE` cancels the dependents.
-            at: When it was done, in seconds; None if that is not known.
-            now: Time, in seconds.
+            at: When it was done, in seconds since the epoch; None if that is not known.
+            now: Seconds since the epoch.
         """
         self.unread.pop(dependency, None)
         if dependency not in self.graph.dependents:
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -89,7 +89,7 @@
 
         Args:
             heartbeat: The worker's status.
-            now: The time.
+            now: Seconds since the epoch.
             checkin: Whether the worker sent it as a request of its own. If not, it was the answer
                 to direct commands.
 
@@ -164,7 +164,7 @@
         Args:
             machine: The worker's machine.
             heartbeat: The worker's status.
-            now: The time.
+            now: Seconds since the epoch.
             absence_proves: Whether a missing task can prove the end of its placement: the heartbeat
                 is a request, sent under our token, so that the worker had all commands before.
         """
--- a/ashdock/core/job.py
+++ b/ashdock/core/job.py
@@ -88,7 +88,7 @@
 class Job:
     """A job, the states of its tasks, and the chunks in which they are stored.
 
-    Times are times of day in seconds.
+    Times are in seconds since the epoch.
 
     Attributes:
         spec: The submission.
@@ -509,7 +509,7 @@
 
         Args:
             stored: Suffix of the key, value and revision of each chunk.
-            now: The time.
+            now: Seconds since the epoch.
         """
         rows = sorted(
             (*reversed(self.parse_chunk_suffix(suffix)), suffix, value, revision)
@@ -577,7 +577,7 @@
     cancelled_at: float | None = None,
     done_at: float | None = None,
 ) -> dict[str, Any]:
-    """Return a job's record, the value of `job/<id>`; times are times of day in seconds."""
+    """Return a job's record, the value of `job/<id>`; times are in seconds since the epoch."""
     record: dict[str, Any] = {"spec": spec, "at": submitted_at, "status": status}
     if reason:
         record["reason"] = reason
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -29,7 +29,7 @@
 
 
 class Machine:
-    """A machine that is assigned to this owner's shard. Times are times of day in seconds.
+    """A machine that is assigned to this owner's shard. Times are in seconds since the epoch.
 
     Attributes:
         name: Its name.
--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -28,7 +28,7 @@
         job: The job's id.
         low: The first task.
         high: The last task.
-        retry_at: Time of day of the retry, in seconds.
+        retry_at: When they are retried, in seconds since the epoch.
         failure: Their failures so far.
     """
 
@@ -73,7 +73,7 @@
         retry: The delays and limits.
         previous: The failures before this one, if any.
         reason: Reason of this failure.
-        now: Time of day, in seconds.
+        now: Seconds since the epoch.
         rng: For the jitter: tasks that fail together would otherwise be retried together, and
             compete for the same free capacity and images.
     """
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -144,7 +144,7 @@
         """Jobs with tasks that may be placed now, in the order in which they are tried.
 
         Args:
-            now: Time, in seconds.
+            now: Seconds since the epoch.
             cycle: The current cycle; without one, cached images do not count in the order.
         """
         jobs = [
--- a/ashdock/core/shard.py
+++ b/ashdock/core/shard.py
@@ -184,7 +184,7 @@
             name: Name of the machine.
             value: Its record.
             revision: Revision of the record.
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         machine_type = self.catalog.get(value["t"])
         self.seen_revision = max(self.seen_revision, revision)
@@ -265,7 +265,7 @@
             placement: The placement.
             why: The reason, for the log.
             grace_s: Seconds that the task has to save its state.
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         if placement.never_sent:
             self.release(placement, now)
@@ -352,7 +352,7 @@
         Args:
             machine: The spot instance.
             notice_s: Seconds until it is reclaimed.
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         if machine.reclaim_at is None:
             log.info(
@@ -378,9 +378,9 @@
 
         Args:
             job_id: Id of the job.
-            at: Time of day at which the cancellation was confirmed, in seconds.
+            at: When the cancellation was confirmed, in seconds since the epoch.
             revision: Revision of the job's record that has the cancellation.
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         job = self.jobs.get(job_id)
         if job is None or job.phase in (JobPhase.CANCELLED, JobPhase.FINAL):
@@ -422,7 +422,7 @@
     # -- time -----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Run the periodic work that is due at `now`, the time of day in seconds."""
+        """Run the periodic work that is due at `now`, in seconds since the epoch."""
         self.maintenance.run(now)
 
     def decommission(self, machine: Machine, why: str) -> None:
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -59,7 +59,7 @@
         """Wake the parked tasks that are due, and check machines and cancelled jobs if it is time.
 
         Args:
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         shard = self.shard
         shard.current_time = now
--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -47,7 +47,7 @@
         machines: Records of the machines that are assigned to it, by name.
         work: Records and chunks of its jobs, by path.
         parks: Its stored parks, by path.
-        now: Time of day, in seconds.
+        now: Seconds since the epoch.
     """
     shard.current_time = now
     for name, value, revision in machines:
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -543,7 +543,7 @@
             path: The key.
             value: Its value; None if it was deleted.
             revision: Its revision; 0 if it was deleted.
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         kind, _, rest = path.partition("/")
         if kind == "job":
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -123,7 +123,7 @@
 
         Args:
             job: The job.
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         if job.awaits_dependencies or job.spec.kind == JobKind.SERVICE:
             return
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -42,7 +42,7 @@
 
     Attributes:
         failure_count: Number of failures.
-        first_at: Time of day of the first, in seconds.
+        first_at: When the first was, in seconds since the epoch.
         reason: Reason of the last.
         past_limits: 1 once the episode has exceeded its time or its number of parks, else 0.
     """
@@ -63,7 +63,7 @@
         machine: The machine's name.
         generation: Generation of the task's chunk that has to be durable before the run command is
             sent.
-        placed_at: When it was placed, in seconds.
+        placed_at: When it was placed, in seconds since the epoch.
         phase: Its phase.
         start_answered: Incarnation and sequence number of the heartbeat whose answer carried the
             run command.
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -86,7 +86,7 @@
             job: The job.
             tasks: Its tasks that failed together, ascending: all of a gang, or one.
             failure: This failure; only its reason counts.
-            now: The time.
+            now: Seconds since the epoch.
         """
         decision = decide_retry(
             self.shard.retry, job.failures.get(tasks[0]), failure.reason, now, self.shard.rng
