--- a/ashdock/cancellation/knowledge.py
+++ b/ashdock/cancellation/knowledge.py
@@ -28,7 +28,7 @@
         self.jobs = jobs
 
     def may_renew(self, read_at: float) -> bool:
-        """Return whether the leases of agents that run a shard's tasks may be renewed now.
+        """Return whether the leases of workers that run a shard's tasks may be renewed now.
 
         If so, the tasks of any job whose cancellation is not known here yet still stop in time.
 
--- a/ashdock/cancellation/orphan_leases.py
+++ b/ashdock/cancellation/orphan_leases.py
@@ -1,13 +1,13 @@
-"""Renews the leases of agents whose shard's owner is gone while the store does not answer.
+"""Renews the leases of workers whose shard's owner is gone while the store does not answer.
 
 A controller that crashes during a store outage restarts at once, but neither it nor another
 controller can claim its shards until the outage is over. Without an answer, the leases of all
-agents of these shards would expire. A controller that has been running since before the outage may
-answer instead. It answers with the fencing token that the agent already has, so no owner loses its
+workers of these shards would expire. A controller that has been running since before the outage may
+answer instead. It answers with the fencing token that the worker already has, so no owner loses its
 claim, and without commands: it neither starts nor stops tasks, and its answer proves nothing about
 them. It must not keep tasks alive whose cancellation was confirmed to a user:
 
-- It knows every cancellation recorded up to `synced_at`, and renews no lease of an agent that runs
+- It knows every cancellation recorded up to `synced_at`, and renews no lease of a worker that runs
   tasks of a job that it knows to be cancelled.
 - A cancellation recorded later is also confirmed later. If the lease is renewed before `synced_at`
   + `cancel_s` - `lease_s`, the tasks are gone within `cancel_s` of the confirmation.
@@ -56,7 +56,7 @@
         self.watermark = watermark
 
     def may_renew(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Return whether the lease of an agent may be renewed though its shard is not owned here.
+        """Return whether the lease of a worker may be renewed though its shard is not owned here.
 
         Only the store's watch counts here: the peers' echoes prove nothing about a run command that
         the missing owner had sent.
--- a/ashdock/cancellation/watermark.py
+++ b/ashdock/cancellation/watermark.py
@@ -1,7 +1,7 @@
 """The cancellation watermark: the time up to which all confirmed cancellations are known here.
 
 A task of a cancelled job must be gone within `cancel_s` of the confirmation to the user. Renewing
-an agent's lease keeps its tasks alive for up to `lease_s`. A controller that renews a lease must
+a worker's lease keeps its tasks alive for up to `lease_s`. A controller that renews a lease must
 therefore know every cancellation that was confirmed up to `cancel_s` - `lease_s` ago, so the
 watermark must not be older than that.
 
@@ -150,12 +150,12 @@
         return min((link.known_until(store_watermark) for link in self.links.values()), default=now)
 
     def may_renew(self, store_watermark: float, now: float) -> bool:
-        """Return whether an agent's lease may be renewed now, with arguments as `known_until`."""
+        """Return whether a worker's lease may be renewed now, with arguments as `known_until`."""
         return self.is_recent(self.known_until(store_watermark, now), now)
 
     def is_recent(self, known_until: float, now: float) -> bool:
         """Return whether tasks cancelled after `known_until` stop in time if renewed at `now`.
 
-        Renewing their agent's lease at `now` keeps them alive for `lease_s` at most.
+        Renewing their worker's lease at `now` keeps them alive for `lease_s` at most.
         """
         return now - known_until < self.max_age_s
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -36,7 +36,7 @@
         type: Label of its machine type.
         zone: Its zone.
         spot: Whether it is a spot instance.
-        address: Its agent's address; "" if not known yet.
+        address: Its worker's address; "" if not known yet.
         rented_at: When it was scaled out, or when it was found if that is not known.
         rented_at_known: Whether `rented_at` is when it was scaled out.
         revision: Revision of its record.
@@ -51,9 +51,9 @@
         memory_gb: Free memory.
         known_since: When this owner learnt of it.
         last_heartbeat_at: When its last heartbeat was received.
-        incarnation: Incarnation of its agent.
+        incarnation: Incarnation of its worker.
         sequence: Sequence number of its last heartbeat.
-        fencing_token: The token that its agent last reported.
+        fencing_token: The token that its worker last reported.
         idle_since: Since when it has no placement; None if it has one.
         images: Sizes in GB of the images that its cache holds, as far as known, the most recently
             used last.
@@ -146,7 +146,7 @@
     # -- changes of state --------------------------------------------------------------------
 
     def mark_up(self, address: str) -> None:
-        """Record that its agent, at that address, has sent a heartbeat."""
+        """Record that its worker, at that address, has sent a heartbeat."""
         self.address = address
         if self.phase is MachinePhase.EXPECTED:
             self.phase = MachinePhase.UP
@@ -222,7 +222,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it has no placements, and its agent reports no tasks."""
+        """Whether it has no placements, and its worker reports no tasks."""
         return (
             not self.live
             and not self.orphaned_tasks
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -12,7 +12,7 @@
 from ashdock.settings import Shared, Workers
 
 CHECKS_PER_HEARTBEAT_INTERVAL = 4  # checks of machines and cancelled jobs
-LEASE_MARGIN_FACTOR = 1.1  # covers the drift of agents' clocks and the delay of their heartbeats
+LEASE_MARGIN_FACTOR = 1.1  # covers the drift of workers' clocks and the delay of their heartbeats
 # A rented machine that is not up after this many times its type's boot time is given up.
 BOOT_TIMEOUT_FACTOR = 2.5
 MISSED_HEARTBEATS = 2  # after which a spot instance past its reclaim time counts as gone
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -338,7 +338,7 @@
     def rebalance(self, command: Rebalance, now: float) -> None:
         """Transfer machines as they become free.
 
-        The request expires after the duration of an agent's lease, unless the leader repeats it.
+        The request expires after the duration of a worker's lease, unless the leader repeats it.
         """
         self.rebalances[command.to] = _RebalanceRequest(command, now + self.shard.workers.lease_s)
 
--- a/ashdock/leader/inventory.py
+++ b/ashdock/leader/inventory.py
@@ -22,7 +22,7 @@
 # Multiples of the lag of the cloud's list.
 MISSING_LAGS = 3  # a machine first listed longer ago is gone if a list lacks it
 UNRECORDED_LAGS = 2  # a machine listed without a record for longer than this exists
-LATE_HEARTBEAT_LAGS = 4  # plus an agent lease: how long heartbeats may arrive after a release
+LATE_HEARTBEAT_LAGS = 4  # plus a worker lease: how long heartbeats may arrive after a release
 FORGET_RELEASED_LAGS = 20  # plus FORGET_RELEASED_S: how long a release is remembered
 FORGET_RELEASED_S = 60.0
 
@@ -85,7 +85,7 @@
     scaling_out: Callable[[], bool]  # whether new machines may be listed before their records exist
     now: Callable[[], float]  # returns the time in seconds since the epoch
     min_lag_s: float  # lag of the cloud's list according to the settings
-    lease_s: float  # agent lease
+    lease_s: float  # worker lease
     adopt_after_s: float  # an unrecorded machine that stays unassigned for longer is recorded
 
     # By machine name, in seconds since the epoch: when it was first listed, since when it has been
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -44,7 +44,7 @@
 RETRY_TICKS = 2  # pause of a loop after an expected error of the store, the cloud or the term
 RETRY_AFTER_FAULT_S = 1.0  # pause of a loop after an unexpected exception
 MAY_DECIDE_POLL_TICKS = 1 / 4  # pause of the allocation loop while new decisions are not allowed
-RESUME_INTENTS_LEASES = 2  # agent leases between two searches for unfinished intents
+RESUME_INTENTS_LEASES = 2  # worker leases between two searches for unfinished intents
 MAX_LIST_RATE_SHARE = 1 / 8  # share of the cloud's rate limit for requests of its machine list
 
 
@@ -293,7 +293,7 @@
         """Write as many assignments as may be pending; the allocator decides on the rest again.
 
         The allocator is told which machines are left out. If it counted them as on their way to a
-        shard, they would stay idle for half an agent lease.
+        shard, they would stay idle for half a worker lease.
         """
         max_count = self.assignments.max_new_assignments()
         self.allocator.cancel_assignments(list(assignments)[max_count:])
--- a/ashdock/leader/machine_records.py
+++ b/ashdock/leader/machine_records.py
@@ -41,7 +41,7 @@
     shard: str  # "": unassigned
     timestamp: float  # when it was rented or discovered, in seconds since the epoch
     is_scale_out_time: bool = False  # whether the timestamp is when it was rented
-    incarnation: int | None = None  # of its agent; None: not recorded
+    incarnation: int | None = None  # of its worker; None: not recorded
 
     @classmethod
     def from_source(cls, source: Heartbeat | Host, shard: str, now: float) -> MachineRecord:
--- a/ashdock/leader/provisioner.py
+++ b/ashdock/leader/provisioner.py
@@ -31,7 +31,7 @@
 log = logging.getLogger("ashdock.leader")
 
 CLOUD_ATTEMPTS = 5  # requests for one scale-out before its intent is dropped unanswered
-CLOUD_RETRIES_PER_LEASE = 10  # the pause between requests is an agent lease divided by this
+CLOUD_RETRIES_PER_LEASE = 10  # the pause between requests is a worker lease divided by this
 # Writes of rented machines' records. Machines left over are adopted from the cloud's list.
 RECORD_ATTEMPTS = 3
 MAX_RELEASED_PER_REQUEST = 100  # machines
@@ -92,7 +92,7 @@
     on_released: Callable[[list[str]], None]  # called with the names of released machines
     spawn: Callable[[Coroutine[Any, Any, None]], None]  # runs a coroutine in the background
     now: Callable[[], float]  # returns the time in seconds since the epoch
-    lease_s: float  # agent lease
+    lease_s: float  # worker lease
     tick_s: float  # pause before a failed write of records is repeated
 
     open_intents: set[str] = field(default_factory=set)  # names of those in progress
