--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -109,7 +109,7 @@
         self.pending_reclaims: dict[str, tuple[str, float]] = {}
         self.unassigned_since: dict[str, float] = {}
         self.returned_idle: set[str] = set()  # unassigned because no shard had use for them
-        # By the shard that passes machines on and the team that gets them: when it was last asked.
+        # By the shard that transfers machines and the team that gets them: when it was last asked.
         self.rebalance_asked_at: dict[tuple[str, str], float] = {}
         self.infeasible = InfeasibleCache()  # requests for which this round has no machines left
         # For this round, by type, CPUs, GPUs and memory: how many such tasks a machine holds.
@@ -360,7 +360,7 @@
     ) -> list[Decision]:
         """Serve requests of one priority in order of their slack when no more can be rented.
 
-        A shard whose own requests can wait longer passes machines on as they come free. Without
+        A shard whose own requests can wait longer transfers machines as they come free. Without
         this, machines stayed where they were when the cloud ran out of them, and one team's gangs
         waited a minute while another's waited seconds.
         """
@@ -379,8 +379,8 @@
                     or now - self.rebalance_asked_at.get((shard, team), -1e9) < self.settle_s
                 ):
                     continue
-                # Work of higher priority does not give way to lower: gangs passed machines on to
-                # overdue arrays, and had to reclaim them.
+                # Work of higher priority does not give way to lower: machines of gangs went
+                # to overdue arrays, and had to be reclaimed.
                 comparable = [
                     other
                     for other in shard_status.resource_requests
@@ -490,8 +490,9 @@
     ) -> dict[str, float]:
         """Return by zone how many more tasks of a gang it could hold.
 
-        Machines that are empty, can be reclaimed or can be rented are counted.
-        The weights 1, 0.99 and 0.9 make empty machines count most, and rented ones least.
+        Machines that are empty or can be reclaimed are counted. A zone where any machine type is
+        not in backoff counts as if the whole request could be rented there. The weights 1, 0.99
+        and 0.9 make empty machines count most, and rented ones least.
         """
         scores: dict[str, float] = {}
 
@@ -555,7 +556,8 @@
 
         For a request within its team's guarantee, machines are reclaimed at any cost from shards
         beyond theirs, as far as they are beyond it. Otherwise work of higher priority preempts
-        lower if that loses less than waiting for a boot would cost. But a request beyond its team's
+        lower if it cannot wait for a boot, and if that loses less than a boot time for each step
+        of priority between them. But a request beyond its team's
         guarantee never preempts work within another's: urgent work of a hot team stopped all work
         of lower priority of the other teams, however much of it was guaranteed.
         """
@@ -767,6 +769,7 @@
             return []
         # Choose the shard whose move leaves the smallest difference in load.
         team = min(sorted(movable), key=lambda team: abs(gap - 2 * load[team]))
+        # Not worth a move unless the difference becomes at least 30 % smaller.
         if abs(gap - 2 * load[team]) > 0.7 * gap:
             return []
         self.last_change_at = now
