--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -103,7 +103,7 @@
 ) -> list[Machine]:
     """Machines for up to `wanted` more tasks of the job, one entry per task.
 
-    A gang gets all of them or none.
+    A gang gets a machine for each of them, or none at all.
 
     Args:
         job: The job, whose live placements count towards its zone constraints.
@@ -144,7 +144,11 @@
 def _fill(
     candidates: list[Candidate], tasks_by_zone: dict[str, int], wanted: int, zone_limit: int
 ) -> tuple[list[Machine], float]:
-    """Fill the candidates in order; the machines, one entry per task, and the highest cost."""
+    """Fill the candidates in order.
+
+    Returns:
+        The machines, one entry per task, and the highest cost of placing a task on one of them.
+    """
     tasks_by_zone = dict(tasks_by_zone)
     selected: list[Machine] = []
     highest_cost_s = 0.0
@@ -164,14 +168,15 @@
 
 
 class InfeasibleCache:
-    """Needs for which no room was found in the current cycle.
+    """Needs for which no room was found in a scheduling cycle, or in a round of the allocator.
 
-    Room only shrinks within a cycle, so a request for at least as much under the same conditions
-    need not be tried. Without the cache, each cycle looked at every machine for every waiting job.
+    Room only shrinks within either, so a request for at least as much under the same conditions
+    need not be tried. Without the cache, each scheduling cycle looked at every machine for every
+    waiting job.
     """
 
     def __init__(self) -> None:
-        """Create an empty cache, for one pass."""
+        """Create an empty cache, for one scheduling cycle or one round of the allocator."""
         self.infeasible: dict[Any, list[tuple[Need, int]]] = {}
 
     def note(self, conditions: Any, need: Need, tasks: int) -> None:
@@ -220,7 +225,7 @@
             self.remainders.append((machine_type.label, zone, spot, free))
 
     def tasks_by_zone(self, is_suitable: Any, need: Need) -> dict[str, int]:
-        """How many such tasks the machines that nothing is reserved on would take, by zone.
+        """Return by zone how many such tasks the machines that nothing is reserved on would take.
 
         Args:
             is_suitable: Called with the label of the machine type, the zone and whether it is a
@@ -234,7 +239,7 @@
         return tasks
 
     def take(self, is_suitable: Any, need: Need, tasks: int) -> int:
-        """Reserve capacity for up to so many tasks; the number of tasks that got some.
+        """Reserve capacity for up to so many tasks; return the number of tasks that got some.
 
         Args:
             is_suitable: As in `tasks_by_zone`.
