--- a/ashdock/core/shard_recovery.py
+++ b/ashdock/core/shard_recovery.py
@@ -70,11 +70,11 @@
 def _group_by_job(work: Iterable[StoredEntry]) -> _StoredWork:
     stored = _StoredWork({}, {})
     for path, value, revision in work:
-        _, _, job_id, tail = path.split("/", 3)
-        if tail == "job":
+        _, _, job_id, suffix = path.split("/", 3)
+        if suffix == "job":
             stored.records[job_id] = (value, revision)
         else:
-            stored.chunks.setdefault(job_id, []).append((tail, value, revision))
+            stored.chunks.setdefault(job_id, []).append((suffix, value, revision))
     return stored
 
 
@@ -88,8 +88,8 @@
     # A job with chunks but no record has ended, and its last chunks have not been deleted yet.
     for job_id, entries in stored.chunks.items():
         shard.writer.obsolete_keys += [
-            StoredKey(f"work/{shard.name}/{job_id}/{tail}", revision)
-            for tail, _, revision in entries
+            StoredKey(f"work/{shard.name}/{job_id}/{suffix}", revision)
+            for suffix, _, revision in entries
         ]
 
 
--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -1,5 +1,6 @@
 """Tracks what of a shard is not durable yet, and builds the transactions that write it.
 
+The store serves the shard as its write-ahead log: what a run command rests on is written first.
 Every transaction is a compare-and-swap on the revision of the shard's claim and of each key that it
 writes. Callbacks apply its effects in memory once the store has answered. Whether a transaction
 without an answer was applied shows in the revisions of its keys.
@@ -333,7 +334,7 @@
         Returns:
             Whether all such deletions fit into the transaction.
         """
-        for tail, wide in list(job.replaced_chunks.items()):
+        for suffix, wide in list(job.replaced_chunks.items()):
             if not all(
                 chunk.generation <= chunk.durable_generation
                 or job.chunk_path(chunk.index) in transaction.writes
@@ -342,9 +343,9 @@
                 continue
             if not transaction.has_room(1, KEY_BYTES):
                 return False
-            transaction.put(job.work_path(tail), None, wide.revision)
+            transaction.put(job.work_path(suffix), None, wide.revision)
             transaction.size_bytes += KEY_BYTES
-            transaction.on_commit.append(partial(self._replaced_chunk_deleted, job, tail))
+            transaction.on_commit.append(partial(self._replaced_chunk_deleted, job, suffix))
         return True
 
     def _write_reason(self, job: Job, transaction: Transaction) -> bool:
@@ -410,8 +411,8 @@
             if chunk.revision
         ]
         stored += [
-            StoredKey(job.work_path(tail), wide.revision)
-            for tail, wide in job.replaced_chunks.items()
+            StoredKey(job.work_path(suffix), wide.revision)
+            for suffix, wide in job.replaced_chunks.items()
         ]
         max_deletions = transaction.max_ops - OUTCOME_RESERVED_OPS
         deleted_now, deleted_later = stored[:max_deletions], stored[max_deletions:]
@@ -496,8 +497,8 @@
                 self.shard.urgent_machines[placement.machine] = None
 
     @staticmethod
-    def _replaced_chunk_deleted(job: Job, tail: str, _revision: int) -> None:
-        job.set_chunk_revision(tail, 0)
+    def _replaced_chunk_deleted(job: Job, suffix: str, _revision: int) -> None:
+        job.set_chunk_revision(suffix, 0)
 
     @staticmethod
     def _reason_durable(job: Job, generation: int, revision: int) -> None:
@@ -549,8 +550,8 @@
         if kind == "job":
             self._apply_stored_job(rest, value, revision, now)
         elif kind == "work":
-            _, job_id, tail = rest.split("/", 2)
-            self._apply_stored_work(job_id, tail, value, revision)
+            _, job_id, suffix = rest.split("/", 2)
+            self._apply_stored_work(job_id, suffix, value, revision)
         elif kind == "park":
             self.shard.parks.set_written(int(rest.rsplit("/", 1)[1]), value, revision)
             self.shard.parks.dirty = True
@@ -569,12 +570,12 @@
         if record["status"] == JobStatus.DONE and job.phase is JobPhase.OVER:
             self._outcome_durable(job, [])
 
-    def _apply_stored_work(self, job_id: str, tail: str, value: Any, revision: int) -> None:
+    def _apply_stored_work(self, job_id: str, suffix: str, value: Any, revision: int) -> None:
         job = self.shard.jobs.get(job_id)
         if job is None:
             return
-        if tail != "job":
-            job.set_chunk_revision(tail, revision)
+        if suffix != "job":
+            job.set_chunk_revision(suffix, revision)
         elif value is None and job.phase is JobPhase.CANCELLED:
             self._outcome_durable(job, [])
 
