--- a/ashdock/core/park.py
+++ b/ashdock/core/park.py
@@ -44,7 +44,7 @@
 
     IN_PLACE = "in_place"  # at once
     PARK = "park"  # after the backoff delay
-    PAST_LIMITS = "past"  # the episode exceeded its limits: always after the longest delay
+    PAST_LIMITS = "past"  # the episode exceeded its limits before: after the longest delay
 
 
 class RetryDecision(NamedTuple):
@@ -77,7 +77,8 @@
         rng: For the jitter: tasks that fail together would otherwise be retried together, and
             compete for the same free capacity and images.
     """
-    # The first failure is retried in place, so this one would lead to park number `parks`.
+    # The first failure is retried in place if the first delay is short. Then `parks` is also the
+    # number of the park that this failure would lead to.
     parks, first_at, _, past_limits = previous or Failure(0, now, "")
     failure = Failure(parks + 1, first_at, reason[:MAX_REASON_CHARS], past_limits)
     doublings = min(max(parks - 1, 0), MAX_DOUBLINGS)
@@ -86,6 +87,7 @@
     if past_limits:
         return RetryDecision(RetryStep.PAST_LIMITS, retry.cap_s * (1 + rng.random()), failure)
     if now - first_at >= retry.horizon_s or parks > retry.most_parks:
+        # Once more at once; from the next failure on, after the longest delay.
         return RetryDecision(RetryStep.IN_PLACE, 0.0, failure._replace(past_limits=1))
     if parks == 0 and retry.first_delay_s < retry.park_at_once_s:
         return RetryDecision(RetryStep.IN_PLACE, 0.0, failure)
