--- a/ashdock/core/dependency_graph.py
+++ b/ashdock/core/dependency_graph.py
@@ -28,7 +28,7 @@
     finish_by: float = math.inf
 
     def merged_with(self, other: Urgency) -> Urgency:
-        """The higher priority and the earlier due time of the two."""
+        """The higher priority and the earlier deadline of the two."""
         return Urgency(max(self.priority, other.priority), min(self.finish_by, other.finish_by))
 
 
@@ -180,8 +180,8 @@
         """Replace what jobs inherit from dependents in another shard.
 
         Args:
-            shard: The other shard, whose owner sends all its rows with every heartbeat.
-            rows: Id of a job, the priority and the due time that it inherits.
+            shard: The other shard, whose owner sends all its rows with every peer heartbeat.
+            rows: Id of a job, the priority and the deadline that it inherits.
         """
         reported = {job: Urgency(priority, finish_by) for job, priority, finish_by in rows}
         changed = [
@@ -207,7 +207,7 @@
             own_jobs: Ids of all jobs of this shard, which are left out.
 
         Returns:
-            Rows of a job's id, the priority and the due time that it inherits.
+            Rows of a job's id, the priority and the deadline that it inherits.
         """
         own_ids = set(own_jobs)
         return [
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -64,7 +64,7 @@
         ...
 
     def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
-        """Evict tasks from a spot instance that the cloud takes back in `notice_s` seconds."""
+        """Handle the notice that the cloud reclaims a spot instance in `notice_s` seconds."""
         ...
 
 
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -24,7 +24,7 @@
 
     EXPECTED = "expected"  # scaled out, but this owner has received no heartbeat
     UP = "up"
-    LEAVING = "leaving"  # cordoned: reclaimed, suspect, or to pass to another shard
+    LEAVING = "leaving"  # cordoned: reclaimed, suspect, or to be transferred
     DECOMMISSIONED = "doomed"  # to be released by the leader, once this is durable
 
 
@@ -46,9 +46,9 @@
         decommission_generation: 1 until its decommissioning is durable, else 0.
         live: The placements that count here.
         version: Rises with every change of `live`.
-        cpus: Free cores.
-        gpus: Free accelerators.
-        memory_gb: Free memory.
+        cpus: Free CPUs.
+        gpus: Free GPUs.
+        memory_gb: Free memory in GB.
         known_since: When this owner learnt of it.
         last_heartbeat_at: When its last heartbeat was received.
         incarnation: Incarnation of its worker.
@@ -60,7 +60,7 @@
         ended_attempts: Attempts that the last heartbeat reported as ended.
         orphaned_tasks: Tasks that run here without a placement, with their attempt.
         reported_count: Number of tasks in the last heartbeat.
-        reclaim_at: When the cloud takes the spot instance back.
+        reclaim_at: When the cloud reclaims the spot instance; None without a notice.
         no_room_until: Until when nothing is placed here, because it had less room than expected.
         failed_jobs: Jobs that failed here, with the time of the last failure.
         sending_commands: Whether direct commands are in flight.
@@ -71,7 +71,7 @@
             answered.
         inherited: Whether it was up under the previous owner, and this one has received no
             heartbeat.
-        target_shard: The shard to which it passes once it is empty; "" leaves it unassigned, None
+        target_shard: The shard to which it is transferred once empty; "" leaves it unassigned, None
             keeps it here.
     """
 
--- a/ashdock/core/quota.py
+++ b/ashdock/core/quota.py
@@ -11,7 +11,7 @@
 class Usage:
     """CPUs and GPUs that a team's tasks use.
 
-    A placement counts from before its start command is sent until its stop is confirmed.
+    A placement counts from before its run command is sent until its end is proved.
     """
 
     def __init__(self, team: Team) -> None:
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -77,8 +77,8 @@
         running_at: When a heartbeat first showed it as running.
         grace_s: Seconds that it has to save its state when it is stopped.
         stop_reason: Why it is being stopped.
-        reclaim_handled: Whether it was already decided how it ends on a spot instance that the
-            cloud takes back.
+        reclaim_handled: Whether it was already decided if it is preempted because the cloud
+            reclaims its spot instance.
     """
 
     __slots__ = (
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -41,7 +41,7 @@
         ...
 
     def drain(self, machine: Machine, now: float) -> None:
-        """Evict all tasks of a machine gracefully."""
+        """Preempt all tasks of a machine, with time to save their state."""
         ...
 
     def mark_machine_changed(self, name: str) -> None:
