--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -51,21 +51,21 @@
     """Attainment of each job class of one shard, and the classes that are boosted.
 
     Attributes:
-        start_targets_s: the longest start target of each class that has any.
-        half_life_s: after which a job that is done counts half.
-        refresh_interval_s: least time between two computations of the attainment.
-        attainment: counts of the jobs.
-        recent_counts: number and summed attainment of due jobs that are done, by class; decaying.
-        class_attainment: attainment of the classes of which enough jobs are due.
-        boosted: classes of which a job may be boosted.
+        start_targets_s: The longest start target of each class that has any.
+        half_life_s: Seconds after which a job that is done counts half.
+        refresh_interval_s: Minimum seconds between two computations of the attainment.
+        attainment: Counts of the jobs.
+        recent_counts: Number and summed attainment of due jobs that are done, by class; decaying.
+        class_attainment: Attainment of the classes of which enough jobs are due.
+        boosted: Names of the classes that are boosted: a job of theirs may go first.
     """
 
     def __init__(self, objectives: Iterable[Objective], refresh_interval_s: float) -> None:
         """Start without jobs.
 
         Args:
-            objectives: of all kinds; only start targets of a class are used.
-            refresh_interval_s: least time between two computations of the attainment.
+            objectives: All objectives; only those with a start target for a class are used.
+            refresh_interval_s: Minimum seconds between two computations of the attainment.
         """
         self.start_targets_s: dict[str, float] = {}
         for objective in objectives:
@@ -152,11 +152,11 @@
         """Return the jobs that go first of their priority in this cycle: at most one of each class.
 
         Args:
-            waiting: all jobs that wait for machines.
-            runnable_ids: the jobs that fit a machine at all, free or not. One that fits none, or is
-                likely faulty, is not kept waiting by other jobs and takes nothing from them. Read only
-                while a class is boosted.
-            now: current time in seconds.
+            waiting: All jobs that wait for machines.
+            runnable_ids: Ids of the jobs that may run on one of the machines, even if it is full. A job
+                that may not, or is likely faulty, does not wait because of other jobs, so a boost
+                would not help it. Read only while a class is boosted.
+            now: Seconds since the epoch.
         """
         class_attainment = self.refresh(now)
         if not self.boosted:
--- a/ashdock/fairness/fair_queue.py
+++ b/ashdock/fairness/fair_queue.py
@@ -21,10 +21,10 @@
     """A request that waits.
 
     Attributes:
-        start_tag: virtual time at which its service would begin.
-        amount: how much it asks for.
-        team: whose request it is.
-        item: what the caller queued.
+        start_tag: Virtual time at which its service would begin.
+        amount: Service that it needs, in the unit of the virtual time at weight 1.
+        team: The team that made it.
+        item: What the caller queued.
     """
 
     start_tag: float
@@ -37,10 +37,10 @@
     """Requests of several teams, in order of start tags; those of one team keep their order.
 
     Attributes:
-        weights: of the teams; 1 where none is given.
-        virtual_time: the highest start tag removed so far.
-        queues: the requests that wait, by team; teams without any are left out.
-        finish_tags: virtual time at which the last request of a team would be served, by team.
+        weights: Weight by team; 1 where none is given.
+        virtual_time: The highest start tag removed so far.
+        queues: The requests that wait, by team; teams without any are left out.
+        finish_tags: Virtual time at which the last request of a team would be served, by team.
     """
 
     def __init__(self, weights: Mapping[str, float] | None = None) -> None:
@@ -75,7 +75,7 @@
         """Return the request that is served next, without removing it.
 
         Raises:
-            ValueError: no request waits.
+            ValueError: No request waits.
         """
         return min(
             (queue[0] for queue in self.queues.values()), key=lambda request: request.start_tag
--- a/ashdock/fairness/hot_tenants.py
+++ b/ashdock/fairness/hot_tenants.py
@@ -12,13 +12,13 @@
     """Recent submissions of each team, decaying, and the retry times given to refused ones.
 
     Attributes:
-        teams: the known teams. Anybody may send any name, so others get no entry in any table.
-        weights: of the teams; 1 where none is given.
-        half_life_s: after which a submission counts half.
-        max_retry_after_s: the longest time that a refused submission is told to wait.
-        recent_submissions: decayed number of submissions, by team.
-        decayed_at: when that number was last decayed.
-        next_retry_at: the latest retry time given out, by team; "" stands for all unknown names.
+        teams: The known teams. Anybody may send any name, so others get no entry in any table.
+        weights: Weight by team; 1 where none is given.
+        half_life_s: Seconds after which a submission counts half.
+        max_retry_after_s: The most seconds that a refused submission is told to wait.
+        recent_submissions: Decayed number of submissions, by team.
+        decayed_at: When that number was last decayed.
+        next_retry_at: The latest retry time given out, by team; "" stands for all unknown names.
     """
 
     def __init__(
@@ -31,10 +31,10 @@
         """Start without submissions.
 
         Args:
-            teams: names of the known teams.
-            half_life_s: after which a submission counts half.
-            max_retry_after_s: the longest time that a refused submission is told to wait.
-            weights: of the teams; 1 where none is given.
+            teams: Names of the known teams.
+            half_life_s: Seconds after which a submission counts half.
+            max_retry_after_s: The most seconds that a refused submission is told to wait.
+            weights: Weight by team; 1 where none is given.
         """
         self.teams = frozenset(teams)
         self.weights = weights or {}
@@ -78,10 +78,10 @@
         again.
 
         Args:
-            team: whose submission it is.
-            wait_s: seconds until the submission could be served.
-            service_time_s: seconds that one submission of the team takes at its share.
-            now: current time in seconds.
+            team: The team that submits.
+            wait_s: Seconds until the submission could be served.
+            service_time_s: Seconds that one submission of the team takes at its share.
+            now: Current time in seconds.
         """
         team = team if team in self.teams else ""
         retry_at = max(self.next_retry_at.get(team, 0.0), now + wait_s) + service_time_s
--- a/ashdock/fairness/load_shedder.py
+++ b/ashdock/fairness/load_shedder.py
@@ -11,9 +11,8 @@
 from typing import NamedTuple
 
 NEWEST_GAP_WEIGHT = 1 / 8  # in the moving average of the gaps between heartbeats
-BEHIND_FACTOR = (
-    2.0  # a controller is behind when its gaps are this many times the heartbeat interval
-)
+# A controller is behind when its gaps are at least this many times the heartbeat interval.
+BEHIND_FACTOR = 2.0
 MIN_GAP_RATIO = 1.5  # the gaps of the new owner have to be shorter by this factor
 
 
@@ -21,8 +20,8 @@
     """Moving average of the gap between the heartbeats of one controller.
 
     Attributes:
-        gap_s: the average, in seconds.
-        last_heartbeat_at: when the newest heartbeat came; None before the first.
+        gap_s: The average, in seconds.
+        last_heartbeat_at: When the newest heartbeat came; None before the first.
     """
 
     def __init__(self, heartbeat_interval_s: float) -> None:
@@ -31,7 +30,7 @@
         self.last_heartbeat_at: float | None = None
 
     def record_heartbeat(self, now: float) -> None:
-        """Take in a heartbeat that came or was sent at `now`."""
+        """Record a heartbeat that came or was sent at `now`, on the monotonic clock."""
         if self.last_heartbeat_at is not None:
             self.gap_s += (now - self.last_heartbeat_at - self.gap_s) * NEWEST_GAP_WEIGHT
         self.last_heartbeat_at = now
@@ -41,9 +40,9 @@
     """Load of another controller that may own shards.
 
     Attributes:
-        gap_s: average gap between its heartbeats, in seconds.
-        shards: number of shards that it owns.
-        leads: whether it is the leader.
+        gap_s: Average gap between its heartbeats, in seconds.
+        shards: Number of shards that it owns.
+        leads: Whether it is the leader.
     """
 
     gap_s: float
@@ -55,18 +54,18 @@
     """Chooses a shard to hand over and its new owner once a controller has been behind for long.
 
     Attributes:
-        heartbeat_interval_s: the configured interval.
-        patience_s: how long the controller has to be behind.
-        behind_since: when it fell behind, or last handed a shard over; None while it is not behind.
+        heartbeat_interval_s: The configured interval.
+        patience_s: Seconds for which the controller has to be behind.
+        behind_since: When it fell behind, or last handed a shard over; None while it is not behind.
     """
 
     def __init__(self, heartbeat_interval_s: float, patience_s: float) -> None:
         """Start as not behind.
 
         Args:
-            heartbeat_interval_s: the configured interval.
-            patience_s: how long the controller has to be behind, and the least time between two
-                handovers.
+            heartbeat_interval_s: The configured interval.
+            patience_s: Seconds for which the controller has to be behind, and the minimum between
+                two handovers.
         """
         self.heartbeat_interval_s = heartbeat_interval_s
         self.patience_s = patience_s
@@ -87,11 +86,11 @@
         since all of its workers have to find their new owner.
 
         Args:
-            gap_s: average gap between the heartbeats of this controller, in seconds.
-            work_by_shard: amount of work of each shard that this controller owns.
-            leads: whether this controller is the leader.
-            peers: the controllers that may take a shard, by label.
-            now: current time in seconds.
+            gap_s: Average gap between the heartbeats of this controller, in seconds.
+            work_by_shard: Amount of work of each shard that this controller owns.
+            leads: Whether this controller is the leader.
+            peers: The controllers that may take a shard, by label.
+            now: Monotonic time, in seconds.
         """
         if gap_s < BEHIND_FACTOR * self.heartbeat_interval_s:
             self.behind_since = None
--- a/ashdock/fairness/slo_attainment.py
+++ b/ashdock/fairness/slo_attainment.py
@@ -37,12 +37,12 @@
     """Numbers of jobs by how far they have come, and the sum of their attainment.
 
     Attributes:
-        submitted: jobs that were submitted.
-        accepted: jobs whose submission was accepted.
-        started: jobs of which all tasks have started.
-        done: jobs that are done.
-        due: jobs that are due.
-        attained: sum of the attainment of the due jobs, each from 0 to 1.
+        submitted: Jobs that were submitted.
+        accepted: Jobs whose submission was accepted.
+        started: Jobs of which all tasks have started.
+        done: Jobs that are done.
+        due: Jobs that are due.
+        attained: Sum of the attainment of the due jobs, each from 0 to 1.
     """
 
     submitted: int = 0
@@ -109,10 +109,10 @@
     """Counts of all jobs that were recorded. All times are seconds of one clock.
 
     Attributes:
-        open_jobs: jobs that are neither done nor cancelled, by id.
-        closed: counts of the other jobs, by class and team.
-        closed_by_size: the same counts, by class and size bucket.
-        start_waits: how long tasks waited for their start, by class.
+        open_jobs: Jobs that are neither done nor cancelled, by id.
+        closed: Counts of the other jobs, by class and team.
+        closed_by_size: The same counts, by class and size bucket.
+        start_waits: How long tasks waited for their start, by class.
     """
 
     open_jobs: dict[str, _OpenJob] = field(default_factory=dict)
@@ -133,13 +133,13 @@
         """Record a submission; a job that is open already is left as it is.
 
         Args:
-            job_id: id of the job.
-            job_class: its job class.
-            team: its team.
-            tasks: number of its tasks; less than 1 counts as 1.
-            at: when it was submitted.
-            start_target_s: seconds within which its tasks should start.
-            deadline_at: when it should be done.
+            job_id: Id of the job.
+            job_class: Its job class.
+            team: Its team.
+            tasks: Number of its tasks; less than 1 counts as 1.
+            at: When it was submitted.
+            start_target_s: Seconds within which its tasks should start.
+            deadline_at: When it should be done.
         """
         self.open_jobs.setdefault(
             job_id, _OpenJob(job_class, team, max(tasks, 1), at, start_target_s, deadline_at)
