--- a/ashdock/core/shard_writer.py
+++ b/ashdock/core/shard_writer.py
@@ -328,7 +328,7 @@
     def _delete_replaced_chunks(self, job: Job, transaction: Transaction) -> bool:
         """Delete the wider chunks that narrower ones have replaced.
 
-        A wider chunk is deleted once all chunks that took over its tasks are durable or become so
+        A wider chunk is deleted once all chunks that now hold its tasks are durable or become so
         with this transaction.
 
         Returns:
--- a/ashdock/core/status_reporter.py
+++ b/ashdock/core/status_reporter.py
@@ -329,7 +329,7 @@
         for name in command.machines:
             machine = self.shard.machines.get(name)
             if machine and machine.usable and name not in self.shard.reserved:
-                log.info("machine reclaimed: machine=%s for=%s", name, command.to)
+                log.info("machine cordoned for reclaim: machine=%s for=%s", name, command.to)
                 machine.cordon(f"reclaimed for {command.to}")
                 machine.target_shard = command.to
                 self.shard.mark_machine_changed(name)
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -110,7 +110,7 @@
             log.info("retry episode exceeded its limits: job=%s reason=%s", job.id, job.reason)
             return
         log.info(
-            "parked after failures: job=%s tasks=%s delay_s=%.1f failures=%d",
+            "tasks parked after failures: job=%s tasks=%s delay_s=%.1f failures=%d",
             job.id,
             "all" if job.spec.kind == JobKind.GANG else tasks[0],
             decision.delay_s,
--- a/ashdock/leader/leader.py
+++ b/ashdock/leader/leader.py
@@ -199,7 +199,7 @@
         try:
             await work
         except NotLeaderError:
-            log.debug("background work ended: this controller may not act as leader")
+            log.debug("background work ended: reason=not_leader")
 
     def on_heartbeat(self, heartbeat: Heartbeat, recorded: bool) -> None:
         """Take in a heartbeat of an unassigned machine.
