--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -154,7 +154,7 @@
 
         Args:
             machines: All machines' records.
-            shard_statuses: The last status of each shard that has been heard of, by team. Nothing
+            shard_statuses: The last status of each shard that has reported one, by team. Nothing
                 is decided while one is missing.
             now: Seconds since the epoch.
         """
--- a/ashdock/fairness/classes.py
+++ b/ashdock/fairness/classes.py
@@ -153,9 +153,9 @@
 
         Args:
             waiting: All jobs that wait for machines.
-            runnable_ids: Ids of the jobs that may run on one of the machines, even if it is full. A job
-                that may not, or is likely faulty, does not wait because of other jobs, so a boost
-                would not help it. Read only while a class is boosted.
+            runnable_ids: Ids of the jobs that may run on one of the machines, even if it is full. A
+                job that may not, or is likely faulty, does not wait because of other jobs, so a
+                boost would not help it. Read only while a class is boosted.
             now: Seconds since the epoch.
         """
         class_attainment = self.refresh(now)
