--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -426,6 +426,11 @@
         shard_statuses: dict[str, ShardStatus],
         now: float,
     ) -> None:
+        """Forget reclaims and assignments that have taken effect, or have not in time.
+
+        A reclaimed machine whose record names the new shard counts as assigned from then on, until
+        that shard's status shows it.
+        """
         reclaim_timeout_s = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
         for name, (team, since) in list(self.pending_reclaims.items()):
             if name in machine_views and machine_views[name].shard == team:
@@ -556,10 +561,10 @@
 
         For a request within its team's guarantee, machines are reclaimed at any cost from shards
         beyond theirs, as far as they are beyond it. Otherwise work of higher priority preempts
-        lower if it cannot wait for a boot, and if that loses less than a boot time for each step
-        of priority between them. But a request beyond its team's
-        guarantee never preempts work within another's: urgent work of a hot team stopped all work
-        of lower priority of the other teams, however much of it was guaranteed.
+        lower if it cannot wait for a boot, and if that loses no more than a boot time for each step
+        of priority between them. But a request beyond its team's guarantee never preempts work
+        within another's: urgent work of a hot team stopped all work of lower priority of the other
+        teams, however much of it was guaranteed.
         """
         if machine_class.shard == team:
             return -1.0
