--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -64,7 +64,7 @@
         ...
 
     def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
-        """Evict tasks from a spot instance that the cloud takes back in `notice_s` seconds."""
+        """Handle the notice that the cloud reclaims a spot instance in `notice_s` seconds."""
         ...
 
 
@@ -89,7 +89,7 @@
 
         Args:
             heartbeat: The worker's status.
-            now: The time.
+            now: Seconds since the epoch.
             checkin: Whether the worker sent it as a request of its own. If not, it was the response
                 to direct commands.
 
@@ -164,7 +164,7 @@
         Args:
             machine: The worker's machine.
             heartbeat: The worker's status.
-            now: The time.
+            now: Seconds since the epoch.
             absence_proves: Whether a missing task can prove the end of its placement: the heartbeat
                 is a request, sent under our token, so that the worker had all commands before.
         """
--- a/ashdock/core/machine.py
+++ b/ashdock/core/machine.py
@@ -24,43 +24,43 @@
 
     EXPECTED = "expected"  # scaled out, but this owner has received no heartbeat
     UP = "up"
-    LEAVING = "leaving"  # cordoned: reclaimed, suspect, or to pass to another shard
+    LEAVING = "leaving"  # cordoned: reclaimed, suspect, or to be transferred
     DECOMMISSIONED = "doomed"  # to be released by the leader, once this is durable
 
 
 class Machine:
-    """A machine that is assigned to this owner's shard. Times are times of day in seconds.
+    """A machine that is assigned to this owner's shard. Times are in seconds since the epoch.
 
     Attributes:
         name: Its name.
         type: Label of its machine type.
         zone: Its zone.
         spot: Whether it is a spot instance.
-        address: Its agent's address; "" if not known yet.
+        address: Its worker's address; "" if not known yet.
         rented_at: When it was scaled out, or when it was found if that is not known.
         rented_at_known: Whether `rented_at` is when it was scaled out.
         revision: Revision of its record.
-        shape: Its machine type.
+        machine_type: Its machine type.
         phase: Its phase.
         leaving_reason: Why it is leaving or decommissioned.
         decommission_generation: 1 until its decommissioning is durable, else 0.
         live: The placements that count here.
         version: Rises with every change of `live`.
-        cpus: Free cores.
-        gpus: Free accelerators.
-        memory_gb: Free memory.
+        cpus: Free CPUs.
+        gpus: Free GPUs.
+        memory_gb: Free memory in GB.
         known_since: When this owner learnt of it.
         last_heartbeat_at: When its last heartbeat was received.
-        incarnation: Incarnation of its agent.
+        incarnation: Incarnation of its worker.
         sequence: Sequence number of its last heartbeat.
-        fencing_token: The token that its agent last reported.
+        fencing_token: The token that its worker last reported.
         idle_since: Since when it has no placement; None if it has one.
         images: Sizes in GB of the images that its cache holds, as far as known, the most recently
             used last.
         ended_attempts: Attempts that the last heartbeat reported as ended.
         orphaned_tasks: Tasks that run here without a placement, with their attempt.
         reported_count: Number of tasks in the last heartbeat.
-        reclaim_at: When the cloud takes the spot instance back.
+        reclaim_at: When the cloud reclaims the spot instance; None without a notice.
         no_room_until: Until when nothing is placed here, because it had less room than expected.
         failed_jobs: Jobs that failed here, with the time of the last failure.
         sending_commands: Whether direct commands are in flight.
@@ -71,12 +71,12 @@
             answered.
         inherited: Whether it was up under the previous owner, and this one has received no
             heartbeat.
-        target_shard: The shard to which it passes once it is empty; "" leaves it unassigned, None
+        target_shard: The shard to which it is transferred once empty; "" leaves it unassigned, None
             keeps it here.
     """
 
     def __init__(
-        self, name: str, value: dict[str, Any], revision: int, shape: MachineType, now: float
+        self, name: str, value: dict[str, Any], revision: int, machine_type: MachineType, now: float
     ) -> None:
         """Create it from its record, which was read at that revision."""
         self.name = name
@@ -87,15 +87,15 @@
         self.rented_at: float = value.get("at", now)
         self.rented_at_known = bool(value.get("r"))
         self.revision = revision
-        self.shape = shape
+        self.machine_type = machine_type
         self.phase = MachinePhase.DECOMMISSIONED if value.get("x") else MachinePhase.EXPECTED
         self.leaving_reason = value.get("x", "")
         self.decommission_generation = 0
         self.live: dict[tuple[str, int], Placement] = {}
         self.version = 0
-        self.cpus = shape.cpus
-        self.gpus = shape.gpus
-        self.memory_gb = shape.memory_gb
+        self.cpus = machine_type.cpus
+        self.gpus = machine_type.gpus
+        self.memory_gb = machine_type.memory_gb
         self.known_since = now
         self.last_heartbeat_at: float | None = None
         self.incarnation = 0
@@ -146,7 +146,7 @@
     # -- changes of state --------------------------------------------------------------------
 
     def mark_up(self, address: str) -> None:
-        """Record that its agent, at that address, has sent a heartbeat."""
+        """Record that its worker, at that address, has sent a heartbeat."""
         self.address = address
         if self.phase is MachinePhase.EXPECTED:
             self.phase = MachinePhase.UP
@@ -172,7 +172,7 @@
         known = self.images.pop(image, None)
         self.images[image] = size_gb
         if known is None:
-            excess_gb = sum(self.images.values()) - self.shape.cache_gb
+            excess_gb = sum(self.images.values()) - self.machine_type.cache_gb
             for other in list(self.images)[:-1]:
                 if excess_gb <= 0:
                     break
@@ -216,13 +216,13 @@
 
     def is_booting(self, now: float) -> bool:
         """Whether work may wait for it to boot; not if that takes far longer than usual."""
-        boot_s = self.shape.boot_s
+        boot_s = self.machine_type.boot_s
         started_at = max(self.rented_at, self.known_since - boot_s)
         return self.phase is MachinePhase.EXPECTED and now - started_at < BOOT_PATIENCE * boot_s
 
     @property
     def empty(self) -> bool:
-        """Whether it has no placements, and its agent reports no tasks."""
+        """Whether it has no placements, and its worker reports no tasks."""
         return (
             not self.live
             and not self.orphaned_tasks
@@ -276,6 +276,8 @@
     return [free[0] - need[0] * times, free[1] - need[1] * times, free[2] - need[2] * times]
 
 
-def capacity(shape: MachineType, cpus: float, gpus: float, memory_gb: float) -> int:
+def capacity(machine_type: MachineType, cpus: float, gpus: float, memory_gb: float) -> int:
     """Return how many tasks with such a request an empty machine of that type takes."""
-    return fits((shape.cpus, shape.gpus, shape.memory_gb), (cpus, gpus, memory_gb))
+    return fits(
+        (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), (cpus, gpus, memory_gb)
+    )
--- a/ashdock/core/placement.py
+++ b/ashdock/core/placement.py
@@ -28,12 +28,12 @@
     room: int
 
 
-def permits(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
+def permits(spec: JobSpec, type_label: str, zone: str, spot: bool) -> bool:
     """Whether the job's own constraints allow such a machine.
 
     Constraints between its tasks (`one_zone`, `spread`) are left to `select_machines`.
     """
-    if spec.machine_types is not None and machine_type not in spec.machine_types:
+    if spec.machine_types is not None and type_label not in spec.machine_types:
         return False
     if spec.zone is not None and zone != spec.zone:
         return False
@@ -44,12 +44,12 @@
     """Seconds that the machine takes to fetch the job's image; 0 if its cache holds it."""
     if spec.image in machine.images:
         return 0.0
-    return image_fetch_s(spec, machine.shape)
+    return image_fetch_s(spec, machine.machine_type)
 
 
-def image_fetch_s(spec: JobSpec, shape: MachineType) -> float:
+def image_fetch_s(spec: JobSpec, machine_type: MachineType) -> float:
     """Seconds that a machine of that type takes to fetch the job's image into an empty cache."""
-    return spec.image_gb / max(shape.fetch_gb_per_s, 1e-3)
+    return spec.image_gb / max(machine_type.fetch_gb_per_s, 1e-3)
 
 
 def placement_cost_s(spec: JobSpec, machine: Machine) -> float:
@@ -59,14 +59,18 @@
     filled first, so that empty ones can be returned to the cloud or take gangs.
     """
     free = (
-        machine.gpus / machine.shape.gpus
-        if machine.shape.gpus
-        else machine.cpus / machine.shape.cpus
+        machine.gpus / machine.machine_type.gpus
+        if machine.machine_type.gpus
+        else machine.cpus / machine.machine_type.cpus
     )
     # A job that may run on spot instances leaves on-demand machines to jobs that may not, or to be
     # returned to the cloud.
-    on_demand_penalty_s = machine.shape.boot_s / 4 if spec.spot and not machine.spot else 0.0
-    return remaining_fetch_s(spec, machine) + free * machine.shape.boot_s / 16 + on_demand_penalty_s
+    on_demand_penalty_s = machine.machine_type.boot_s / 4 if spec.spot and not machine.spot else 0.0
+    return (
+        remaining_fetch_s(spec, machine)
+        + free * machine.machine_type.boot_s / 16
+        + on_demand_penalty_s
+    )
 
 
 def find_candidates(job: Job, machines: Iterable[Machine], now: float) -> list[Candidate]:
@@ -99,7 +103,7 @@
 ) -> list[Machine]:
     """Machines for up to `wanted` more tasks of the job, one entry per task.
 
-    A gang gets all of them or none.
+    A gang gets a machine for each of them, or none at all.
 
     Args:
         job: The job, whose live placements count towards its zone constraints.
@@ -140,7 +144,11 @@
 def _fill(
     candidates: list[Candidate], tasks_by_zone: dict[str, int], wanted: int, zone_limit: int
 ) -> tuple[list[Machine], float]:
-    """Fill the candidates in order; the machines, one entry per task, and the highest cost."""
+    """Fill the candidates in order.
+
+    Returns:
+        The machines, one entry per task, and the highest cost of placing a task on one of them.
+    """
     tasks_by_zone = dict(tasks_by_zone)
     selected: list[Machine] = []
     highest_cost_s = 0.0
@@ -160,14 +168,15 @@
 
 
 class InfeasibleCache:
-    """Needs for which no room was found in the current cycle.
+    """Needs for which no room was found in a scheduling cycle, or in a round of the allocator.
 
-    Room only shrinks within a cycle, so a request for at least as much under the same conditions
-    need not be tried. Without the cache, each cycle looked at every machine for every waiting job.
+    Room only shrinks within either, so a request for at least as much under the same conditions
+    need not be tried. Without the cache, each scheduling cycle looked at every machine for every
+    waiting job.
     """
 
     def __init__(self) -> None:
-        """Create an empty cache, for one pass."""
+        """Create an empty cache, for one scheduling cycle or one round of the allocator."""
         self.infeasible: dict[Any, list[tuple[Need, int]]] = {}
 
     def note(self, conditions: Any, need: Need, tasks: int) -> None:
@@ -188,7 +197,7 @@
 class PendingCapacity:
     """Capacity of machines that are still to come, such as those that boot.
 
-    Machines that nothing is reserved on are counted by type, zone and kind (spot or on-demand).
+    Machines that nothing is reserved on are counted by type, zone, and spot or on-demand.
     Once tasks are reserved on one, its remaining capacity is tracked on its own.
     """
 
@@ -197,24 +206,26 @@
         self.whole_machines: dict[tuple[str, str, bool], tuple[MachineType, int]] = {}
         self.remainders: list[tuple[str, str, bool, list[float]]] = []
 
-    def add(self, shape: MachineType, zone: str, spot: bool, number: int = 1) -> None:
+    def add(self, machine_type: MachineType, zone: str, spot: bool, number: int = 1) -> None:
         """Add machines that nothing is reserved on."""
-        key = (shape.label, zone, spot)
+        key = (machine_type.label, zone, spot)
         self.whole_machines[key] = (
-            shape,
-            self.whole_machines.get(key, (shape, 0))[1] + number,
+            machine_type,
+            self.whole_machines.get(key, (machine_type, 0))[1] + number,
         )
 
     def add_remainder(
-        self, shape: MachineType, zone: str, spot: bool, need: Need, tasks: int
+        self, machine_type: MachineType, zone: str, spot: bool, need: Need, tasks: int
     ) -> None:
         """Add what is left of one machine after so many tasks."""
-        free = remaining((shape.cpus, shape.gpus, shape.memory_gb), need, tasks)
+        free = remaining(
+            (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), need, tasks
+        )
         if all(amount > 1e-6 for amount in free[::2]):  # every task needs CPUs and memory
-            self.remainders.append((shape.label, zone, spot, free))
+            self.remainders.append((machine_type.label, zone, spot, free))
 
     def tasks_by_zone(self, is_suitable: Any, need: Need) -> dict[str, int]:
-        """How many such tasks the machines that nothing is reserved on would take, by zone.
+        """Return by zone how many such tasks the machines that nothing is reserved on would take.
 
         Args:
             is_suitable: Called with the label of the machine type, the zone and whether it is a
@@ -222,13 +233,13 @@
             need: What one task needs.
         """
         tasks: dict[str, int] = {}
-        for (label, zone, spot), (shape, number) in self.whole_machines.items():
+        for (label, zone, spot), (machine_type, number) in self.whole_machines.items():
             if number and is_suitable(label, zone, spot):
-                tasks[zone] = tasks.get(zone, 0) + number * capacity(shape, *need)
+                tasks[zone] = tasks.get(zone, 0) + number * capacity(machine_type, *need)
         return tasks
 
     def take(self, is_suitable: Any, need: Need, tasks: int) -> int:
-        """Reserve capacity for up to so many tasks; the number of tasks that got some.
+        """Reserve capacity for up to so many tasks; return the number of tasks that got some.
 
         Args:
             is_suitable: As in `tasks_by_zone`.
@@ -242,15 +253,17 @@
             if is_suitable(label, zone, spot) and (taken := min(left, fits(free, need))):
                 left -= taken
                 free[:] = remaining(free, need, taken)
-        for (label, zone, spot), (shape, number) in list(self.whole_machines.items()):
+        for (label, zone, spot), (machine_type, number) in list(self.whole_machines.items()):
             if left <= 0:
                 break
-            per_machine = capacity(shape, *need) if number and is_suitable(label, zone, spot) else 0
+            per_machine = (
+                capacity(machine_type, *need) if number and is_suitable(label, zone, spot) else 0
+            )
             if per_machine <= 0:
                 continue
             used = min(number, -(-left // per_machine))
-            self.whole_machines[label, zone, spot] = (shape, number - used)
+            self.whole_machines[label, zone, spot] = (machine_type, number - used)
             on_last = min(left - (used - 1) * per_machine, per_machine)
             left -= (used - 1) * per_machine + on_last
-            self.add_remainder(shape, zone, spot, need, on_last)
+            self.add_remainder(machine_type, zone, spot, need, on_last)
         return tasks - left
--- a/ashdock/core/scheduler.py
+++ b/ashdock/core/scheduler.py
@@ -89,7 +89,7 @@
                         zones = self.cached_images.setdefault(image, {})
                         zones[machine.zone] = zones.get(machine.zone, 0) + 1
             elif machine.is_booting(now):
-                self.pending_capacity.add(machine.shape, machine.zone, machine.spot)
+                self.pending_capacity.add(machine.machine_type, machine.zone, machine.spot)
 
     def machines_with_room(self, spec: JobSpec, reserved: set[str]) -> list[Machine]:
         """Machines that are not reserved and have room for a task of the job.
@@ -126,7 +126,7 @@
     Attributes:
         shard: The shard.
         estimates: Estimates of run times.
-        status_reporter: Holds the requests to pass machines on to other shards.
+        status_reporter: Holds the requests to transfer free machines to other shards.
         wait_targets_s: By job class, the targets of its objectives for the wait before a start, in
             seconds, ascending.
     """
@@ -144,7 +144,7 @@
         """Jobs with tasks that may be placed now, in the order in which they are tried.
 
         Args:
-            now: Time, in seconds.
+            now: Seconds since the epoch.
             cycle: The current cycle; without one, cached images do not count in the order.
         """
         jobs = [
@@ -168,13 +168,15 @@
 
         Lazy, because it is only needed while a job class is behind its objectives.
         """
-        kinds = {
+        offerings = {
             (machine.type, machine.zone, machine.spot)
             for machine in self.shard.machines.values()
             if machine.usable
         }
         yield from (
-            job.id for job in jobs if any(placing.permits(job.spec, *kind) for kind in kinds)
+            job.id
+            for job in jobs
+            if any(placing.permits(job.spec, *offering) for offering in offerings)
         )
 
     def slack(self, job: Job, now: float) -> float:
@@ -188,14 +190,15 @@
         """Whether work of lower priority may be stopped for the job.
 
         A job that only inherits its priority may not preempt as long as it can wait for a machine
-        to boot, or once it is so late that its dependents are not helped. Without this, steps of
+        to boot, or once it is late by half the time from its submission to its deadline: that is
+        too late to help its dependents. Without this, steps of
         pipelines stopped whole gangs, and each other's tasks without checkpoints, although room
         came free a few seconds later: 3425 tasks were lost in one simulated day.
         """
         if job.priority <= job.spec.priority:
             return True
         boot_s = max(
-            (shape.boot_s for shape in self.shard.catalog.values()),
+            (machine_type.boot_s for machine_type in self.shard.catalog.values()),
             default=self.shard.workers.lease_s,
         )
         return (job.submitted_at - job.deadline_at) / 2 < self.slack(job, now) < boot_s
@@ -224,8 +227,8 @@
 
         Priority decides first. Jobs with a deadline are ordered by how many deadline objectives of
         their class they are expected to miss, then the least work goes first: if not all deadlines
-        can be met, most are met that way. Jobs that are long overdue go first again, so that none
-        starves.
+        can be met, most are met that way. Jobs expected to take more than four times as long as
+        their deadline allows go first again, so that none starves.
 
         A gang or service without a deadline whose image is cached on machines with free capacity is
         ranked as if it had waited some fetches longer: where machines are short, fetching wastes
@@ -346,7 +349,7 @@
         return (next(iter(job.live.values())) for job in self.shard.jobs.values() if job.live)
 
     def _try_place(self, job: Job, cycle: SchedulingCycle, now: float) -> int:
-        """Place tasks where there is room; the number of permitted tasks that found none.
+        """Place tasks where there is room; return the number of permitted tasks that found none.
 
         Permitted are ready tasks within the team's limits. A gang that is not permitted as a whole
         counts as none.
--- a/ashdock/core/shard_maintenance.py
+++ b/ashdock/core/shard_maintenance.py
@@ -12,7 +12,7 @@
 from ashdock.settings import Shared, Workers
 
 CHECKS_PER_HEARTBEAT_INTERVAL = 4  # checks of machines and cancelled jobs
-LEASE_MARGIN_FACTOR = 1.1  # covers the drift of agents' clocks and the delay of their heartbeats
+LEASE_MARGIN_FACTOR = 1.1  # covers the drift of workers' clocks and the delay of their heartbeats
 # A rented machine that is not up after this many times its type's boot time is given up.
 BOOT_TIMEOUT_FACTOR = 2.5
 MISSED_HEARTBEATS = 2  # after which a spot instance past its reclaim time counts as gone
@@ -59,7 +59,7 @@
         """Wake the parked tasks that are due, and check machines and cancelled jobs if it is time.
 
         Args:
-            now: Time of day, in seconds.
+            now: Seconds since the epoch.
         """
         shard = self.shard
         shard.current_time = now
@@ -96,7 +96,7 @@
                 # at the rental: started when the owner learnt of the machine, it began anew with
                 # each failover.
                 if (
-                    now - machine.rented_at > BOOT_TIMEOUT_FACTOR * machine.shape.boot_s
+                    now - machine.rented_at > BOOT_TIMEOUT_FACTOR * machine.machine_type.boot_s
                     and now - machine.known_since > silent_s
                 ):
                     shard.decommission(machine, "never came up")
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -42,7 +42,7 @@
 
     Attributes:
         failure_count: Number of failures.
-        first_at: Time of day of the first, in seconds.
+        first_at: When the first was, in seconds since the epoch.
         reason: Reason of the last.
         past_limits: 1 once the episode has exceeded its time or its number of parks, else 0.
     """
@@ -63,7 +63,7 @@
         machine: The machine's name.
         generation: Generation of the task's chunk that has to be durable before the run command is
             sent.
-        placed_at: When it was placed, in seconds.
+        placed_at: When it was placed, in seconds since the epoch.
         phase: Its phase.
         start_answered: Incarnation and sequence number of the heartbeat whose response carried the
             run command.
@@ -77,8 +77,8 @@
         running_at: When a heartbeat first showed it as running.
         grace_s: Seconds that it has to save its state when it is stopped.
         stop_reason: Why it is being stopped.
-        reclaim_handled: Whether it was already decided how it ends on a spot instance that the
-            cloud takes back.
+        reclaim_handled: Whether it was already decided if it is preempted because the cloud
+            reclaims its spot instance.
     """
 
     __slots__ = (
--- a/ashdock/core/task_failures.py
+++ b/ashdock/core/task_failures.py
@@ -41,7 +41,7 @@
         ...
 
     def drain(self, machine: Machine, now: float) -> None:
-        """Evict all tasks of a machine gracefully."""
+        """Preempt all tasks of a machine, with time to save their state."""
         ...
 
     def mark_machine_changed(self, name: str) -> None:
@@ -86,7 +86,7 @@
             job: The job.
             tasks: Its tasks that failed together, ascending: all of a gang, or one.
             failure: This failure; only its reason counts.
-            now: The time.
+            now: Seconds since the epoch.
         """
         decision = decide_retry(
             self.shard.retry, job.failures.get(tasks[0]), failure.reason, now, self.shard.rng
@@ -110,7 +110,7 @@
             log.info("retry episode exceeded its limits: job=%s reason=%s", job.id, job.reason)
             return
         log.info(
-            "parked after failures: job=%s tasks=%s delay_s=%.1f failures=%d",
+            "tasks parked after failures: job=%s tasks=%s delay_s=%.1f failures=%d",
             job.id,
             "all" if job.spec.kind == JobKind.GANG else tasks[0],
             decision.delay_s,
