--- a/ashdock/cluster_state.py
+++ b/ashdock/cluster_state.py
@@ -10,7 +10,7 @@
 from ashdock.settings import Team, Workers
 
 UNKNOWN_TOKEN = 1 << 64  # higher than any fencing token that a worker can report
-# Job watch requests that fit into the part of `cancel_s` that remains after an agent lease.
+# Job watch requests that fit into the part of `cancel_s` that remains after a worker lease.
 JOB_WATCHES_PER_CANCELLATION = 8
 
 
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -69,19 +69,19 @@
 # The TTL is the lifetime of the membership's store lease. A tick is the usual pause of a loop
 # before it checks again what is due.
 MIN_TTL_S = 1.0
-TTLS_PER_AGENT_LEASE = 6  # a failed controller is replaced well before its agents' leases expire
+TTLS_PER_WORKER_LEASE = 6  # a failed controller is replaced well before its workers' leases expire
 PEER_HEARTBEATS_PER_TTL = 5
 ELECTION_CHECKS_PER_TTL = 8
 MIN_TICKS_PER_TTL = 8
 MIN_TICKS_PER_WORKER_HEARTBEAT = 4
 LATENESS_TIMERS_PER_TICK = 2
 WRITE_DELAYS_PER_TICK = 16  # a shard owner waits one such delay for more changes to write together
-COMMAND_TIMEOUTS_PER_AGENT_LEASE = 5
+COMMAND_TIMEOUTS_PER_WORKER_LEASE = 5
 # Worker heartbeat periods after which an unused connection to a worker is closed.
 IDLE_CONNECTION_HEARTBEATS = 10
 # Minimum time before leadership or, to shed load, a shard is transferred voluntarily, and between
 # two such transfers.
-TRANSFER_INTERVAL_AGENT_LEASES = 2
+TRANSFER_INTERVAL_WORKER_LEASES = 2
 INCARNATION_BITS = 48
 
 
@@ -110,7 +110,7 @@
         self.rng = rng or random.Random()
         self.clock = MonotonicWallClock()
         self.now = self.clock.now
-        self.ttl_s = max(self.workers.lease_s / TTLS_PER_AGENT_LEASE, MIN_TTL_S)
+        self.ttl_s = max(self.workers.lease_s / TTLS_PER_WORKER_LEASE, MIN_TTL_S)
         self.tick_s = min(
             self.workers.report_s / MIN_TICKS_PER_WORKER_HEARTBEAT, self.ttl_s / MIN_TICKS_PER_TTL
         )
@@ -228,7 +228,7 @@
             reserved_sockets[SocketUse.CLOUD],
         )
         self.worker_client = WorkerClient(
-            self.workers.lease_s / COMMAND_TIMEOUTS_PER_AGENT_LEASE,
+            self.workers.lease_s / COMMAND_TIMEOUTS_PER_WORKER_LEASE,
             IDLE_CONNECTION_HEARTBEATS * self.workers.report_s,
             reserved_sockets[SocketUse.COMMANDS],
         )
@@ -284,7 +284,7 @@
             self.leaders,
             lambda election: Leader(self, election),
             self.operators.duties.machines,
-            TRANSFER_INTERVAL_AGENT_LEASES * self.workers.lease_s,
+            TRANSFER_INTERVAL_WORKER_LEASES * self.workers.lease_s,
         )
         self.renewal_failed = self.elector.check_lease
         self.term_fence = TermFence()
@@ -360,7 +360,7 @@
             commands=self.shard_commands,
             leads=self.leads,
             ttl_s=self.ttl_s,
-            patience_s=TRANSFER_INTERVAL_AGENT_LEASES * self.workers.lease_s,
+            patience_s=TRANSFER_INTERVAL_WORKER_LEASES * self.workers.lease_s,
         )
 
     def _build_gossip(self) -> None:
--- a/ashdock/crash_loop.py
+++ b/ashdock/crash_loop.py
@@ -26,8 +26,8 @@
 
 # Restarts in quick succession: a rolling restart, or a crash and another one that it caused.
 TOLERATED_RESTARTS = 2
-FORGET_AFTER_LEASES = 2  # run time, in agent leases, after which one restart is forgotten
-MAX_PROBATION_LEASES = 2  # in agent leases
+FORGET_AFTER_LEASES = 2  # run time, in worker leases, after which one restart is forgotten
+MAX_PROBATION_LEASES = 2  # in worker leases
 FIRST_PROBATION_TTLS = 2  # in durations of a membership lease
 PROBATION_GROWTH = 2.0  # factor for each further restart
 MAX_GROWTH_EXPONENT = 32  # keeps the power finite; the longest probation is reached before
@@ -61,16 +61,16 @@
 class CrashLoopDetector:
     """Counts restarts in quick succession and determines the duration of a probation."""
 
-    def __init__(self, membership_ttl_s: float, agent_lease_s: float) -> None:
+    def __init__(self, membership_ttl_s: float, worker_lease_s: float) -> None:
         """Start in UNKNOWN.
 
         Args:
             membership_ttl_s: Duration of a member's store lease; the unit of a first probation.
-            agent_lease_s: How long a worker keeps running without a response; bounds the probation.
+            worker_lease_s: How long a worker runs on without a response; bounds the probation.
         """
         self.first_probation_s = FIRST_PROBATION_TTLS * membership_ttl_s
-        self.forget_after_s = FORGET_AFTER_LEASES * agent_lease_s
-        self.max_probation_s = MAX_PROBATION_LEASES * agent_lease_s
+        self.forget_after_s = FORGET_AFTER_LEASES * worker_lease_s
+        self.max_probation_s = MAX_PROBATION_LEASES * worker_lease_s
         self.state = StabilityState.UNKNOWN
         self.record = RestartRecord()
         self.probation_ends_at = 0.0  # seconds since the epoch
--- a/ashdock/garbage_collection.py
+++ b/ashdock/garbage_collection.py
@@ -14,7 +14,7 @@
 
 GENERATION_0_THRESHOLD = 10_000  # net allocations before a collection: about a megabyte
 OLDER_GENERATION_THRESHOLD = 20  # collections of a generation before the next older one is included
-STARTUP_POLLS = 10  # maximum number of checks whether the controller is ready, in one agent lease
+STARTUP_POLLS = 10  # maximum number of checks whether the controller is ready, in one worker lease
 
 
 def disable() -> None:
@@ -28,14 +28,14 @@
 
 
 async def enable_after_startup(ready: Callable[[], bool], lease_s: float) -> None:
-    """Enable collection one agent lease after the controller is ready.
+    """Enable collection one worker lease after the controller is ready.
 
     By then its workers have reconnected, its shards are read and the burst of allocations is over.
-    A controller that is not ready within one agent lease of the call counts as ready from then on.
+    A controller that is not ready within one worker lease of the call counts as ready from then on.
 
     Args:
         ready: Returns whether the controller is ready.
-        lease_s: Duration of the agent lease, in seconds.
+        lease_s: Duration of the worker lease, in seconds.
     """
     for _ in range(STARTUP_POLLS):
         if ready():
--- a/ashdock/membership.py
+++ b/ashdock/membership.py
@@ -79,19 +79,19 @@
         published_eligible: Eligibility according to this controller's entry in the store.
     """
 
-    def __init__(self, context: MembershipContext, agent_lease_s: float) -> None:
+    def __init__(self, context: MembershipContext, worker_lease_s: float) -> None:
         """Start without a lease.
 
         Args:
             context: The controller.
-            agent_lease_s: Duration of an agent's lease; bounds a probation.
+            worker_lease_s: Duration of a worker's lease; bounds a probation.
         """
         self.context = context
         self.store_lease: int | None = None
         self.lease_renewed_at = 0.0
         self.lease_expires_at = 0.0
         self.published_eligible = True
-        self.crash_loop = CrashLoopDetector(context.ttl_s, agent_lease_s)
+        self.crash_loop = CrashLoopDetector(context.ttl_s, worker_lease_s)
 
     async def maintain(self) -> float:
         """Join, or renew the lease and publish a change of eligibility.
--- a/ashdock/net/cloud.py
+++ b/ashdock/net/cloud.py
@@ -27,7 +27,7 @@
 # has lost the leadership.
 USABLE_RATE = 0.8
 MAX_IDLE_CONNECTIONS = 4
-REQUESTS_PER_LEASE = 2  # request timeouts that fit into one agent lease
+REQUESTS_PER_LEASE = 2  # request timeouts that fit into one worker lease
 PAGE_MACHINES = 500  # machines requested per page of the list
 MAX_EXCERPT_BYTES = 200  # of an unexpected response body, in an error's text
 
--- a/ashdock/settings.py
+++ b/ashdock/settings.py
@@ -134,7 +134,7 @@
 
 # What a controller needs to start: docs/cost.md.
 STARTUP_MB = 32.0  # the interpreter, the imported modules, and the records of a small fleet
-STARTUP_CORE_S = 0.5  # seconds of a whole core until ready, which has to be within an agent lease
+STARTUP_CORE_S = 0.5  # seconds of a whole core until ready, which has to be within a worker lease
 
 
 class MachineLimits(Struct):
--- a/ashdock/shard_owner.py
+++ b/ashdock/shard_owner.py
@@ -106,7 +106,7 @@
         ...
 
     def may_renew(self, read_at: float) -> bool:
-        """Whether agent leases may be renewed for a shard.
+        """Whether worker leases may be renewed for a shard.
 
         Args:
             read_at: Monotonic time at which the shard was loaded, in seconds.
@@ -155,7 +155,7 @@
         transfer_to: Label of the controller that the leader wants to transfer the shard to, if any.
         read_at: Monotonic time at which loading began. Every cancellation confirmed until then is
             part of what was loaded.
-        renews_agent_leases: Whether agent leases are renewed, as of the last check.
+        renews_worker_leases: Whether worker leases are renewed, as of the last check.
         buffered_changes: Changes received before the shard was loaded.
         last_cycle_at: When the last scheduling cycle began, in seconds since the epoch.
         next_cycle_at: Earliest start of the next scheduling cycle, in seconds since the epoch. The
@@ -179,7 +179,7 @@
         self.ready = asyncio.Event()
         self.transfer_to: str | None = None
         self.read_at = -math.inf
-        self.renews_agent_leases = True
+        self.renews_worker_leases = True
         self.buffered_changes: list[ShardChange] = []
         self.command_sender = CommandSender(context, self._is_active, self.wake)
         self.dependency_reader: asyncio.Task[None] | None = None
@@ -257,13 +257,13 @@
 
     def _may_renew(self) -> bool:
         may_renew = self.context.may_renew(self.read_at)
-        if may_renew is not self.renews_agent_leases:
-            self.renews_agent_leases = may_renew
+        if may_renew is not self.renews_worker_leases:
+            self.renews_worker_leases = may_renew
             if may_renew:
-                log.info("agent leases are renewed again: shard=%s", self.team.name)
+                log.info("worker leases are renewed again: shard=%s", self.team.name)
             else:
                 log.info(
-                    "agent leases are not renewed since cancellations may be unknown: shard=%s",
+                    "worker leases are not renewed since cancellations may be unknown: shard=%s",
                     self.team.name,
                 )
         return may_renew
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -24,7 +24,7 @@
 from tests.virtual_time import spawn
 
 DOWNTIMES_S = [0.05, 0.3, 1.0]  # between the end of a process and the start of the next
-AGENT_LEASE_S = 6.0
+WORKER_LEASE_S = 6.0
 MEMBERSHIP_TTL_S = 1.0
 
 
@@ -89,12 +89,12 @@
 
 
 @pytest.mark.parametrize("downtime_s", DOWNTIMES_S)
-def test_an_owner_that_restarts_in_a_store_outage_costs_no_agent_lease(
+def test_an_owner_that_restarts_in_a_store_outage_costs_no_worker_lease(
     downtime_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No shard can be claimed in an outage, so the heartbeats of its agents are not answered.
+    """No shard can be claimed in an outage, so the heartbeats of its workers are not answered.
 
-    Without the renewal of orphan leases 117 tasks were killed as their agents' leases expired.
+    Without the renewal of orphan leases 117 tasks were killed as their workers' leases expired.
     """
 
     async def day(service: Service) -> None:
@@ -103,7 +103,7 @@
         service.store.down = True
         await asyncio.sleep(1)
         service.crash(await wait_for_owner(service), downtime_s)
-        await asyncio.sleep(1.5 * AGENT_LEASE_S)
+        await asyncio.sleep(1.5 * WORKER_LEASE_S)
         service.store.down = False
         assert await service.until_final(["req-000001"], 60) == []
         assert {worker.incarnation for worker in service.cloud.workers.values()} == {1}
@@ -117,7 +117,7 @@
 ) -> None:
     """Its owner and the store fail as the cancellation is written, so no kill command is sent.
 
-    Only the expiry of the agents' leases ends the tasks within the deadline of the cancellation.
+    Only the expiry of the workers' leases ends the tasks within the deadline of the cancellation.
     """
 
     async def day(service: Service) -> None:
@@ -252,7 +252,7 @@
         )[1].decode()
         assert "ashdock_ends_of_late 5.0" in page and "ashdock_fit 0.0" in page
         assert await service.until_final(["req-000001"], 60) == []
-        await asyncio.sleep(2 * AGENT_LEASE_S)
+        await asyncio.sleep(2 * WORKER_LEASE_S)
         assert service.controllers[owner].membership.published_eligible
         assert (
             await Client(f"10.0.0.{owner}", 8080, max_idle=0).request("GET", "/ready", b"", 2.0)
--- a/tests/test_store_refusals.py
+++ b/tests/test_store_refusals.py
@@ -21,7 +21,7 @@
 from tests.virtual_time import spawn
 
 CANCEL_S, LEASE_S, TTL_S = 20.0, 6.0, 1.0
-# Watermark age up to which agent leases may be renewed, before the allowance for clock drift.
+# Watermark age up to which worker leases may be renewed, before the allowance for clock drift.
 MAX_WATERMARK_AGE_S = CANCEL_S - LEASE_S
 
 
@@ -307,7 +307,7 @@
 
 
 def incarnations(service: Service) -> dict[str, int]:
-    """Return the incarnation of each worker's agent, by the worker's name."""
+    """Return the incarnation of each worker, by the worker's name."""
     return {name: worker.incarnation for name, worker in service.cloud.workers.items()}
 
 
