--- a/ashdock/wire/frame_errors.py
+++ b/ashdock/wire/frame_errors.py
@@ -1,17 +1,18 @@
-"""Errors in frames between controllers.
+"""Errors that are raised when frames between controllers are packed or unpacked.
 
-A link that delivers an invalid frame is closed.
+The receiver closes the link that delivers an invalid frame. A frame that cannot be packed is not
+sent, and the link stays open.
 """
 
 from __future__ import annotations
 
 
 class FrameError(Exception):
-    """A message that cannot be packed, or bytes that are not a frame of this version."""
+    """A message that cannot be packed, or bytes that are not a valid frame of this version."""
 
 
 class UnknownMessageError(FrameError):
-    """The object to be packed is not a message between controllers."""
+    """The type of the object to be packed is not a message between controllers."""
 
     def __init__(self, message: object) -> None:
         """Include the representation of `message` in the error text."""
@@ -19,7 +20,7 @@
 
 
 class FrameTooLongError(FrameError):
-    """The body exceeds the maximum size.
+    """The body to be sent, or the one that a received header announces, exceeds the maximum size.
 
     Attributes:
         body_bytes: Size of the body.
@@ -49,7 +50,7 @@
 
 
 class FrameVersionError(FrameError):
-    """The frame has another version of the format."""
+    """The header states a version of the frame format other than the one of this program."""
 
     def __init__(self, found: int, expected: int) -> None:
         """Include both versions in the error text."""
@@ -57,7 +58,7 @@
 
 
 class UnknownKindError(FrameError):
-    """No message has the kind that the frame states."""
+    """No message has the kind that is stated in the header."""
 
     def __init__(self, kind: int) -> None:
         """Include the kind in the error text."""
@@ -65,23 +66,23 @@
 
 
 class NotACommandError(FrameError):
-    """A fenced command contains a message that is not a command of the leader."""
+    """A fenced command states a kind that is not the kind of a command of the leader."""
 
     def __init__(self, kind: int) -> None:
-        """Include the kind of the contained message in the error text."""
+        """Include the stated kind in the error text."""
         super().__init__(f"kind {kind} under a term")
 
 
 class TruncatedFrameError(FrameError):
-    """The body ends within a field.
+    """The body ends before the end of a field, or of fields that are read together.
 
     Attributes:
-        needed_bytes: Size of the field.
-        remaining_bytes: Bytes that remain in the body.
+        needed_bytes: Size of the field or fields.
+        remaining_bytes: Bytes of the body that were not read yet.
     """
 
     def __init__(self, needed_bytes: int, remaining_bytes: int) -> None:
-        """Store the size of the field and the rest of the body."""
+        """Store the needed and the remaining number of bytes."""
         super().__init__("cut short")
         self.needed_bytes = needed_bytes
         self.remaining_bytes = remaining_bytes
@@ -90,13 +91,15 @@
 class RowCountError(FrameError):
     """A list states more rows than the body has bytes left.
 
+    Such a list is incomplete, since each row takes at least one byte.
+
     Attributes:
         count: Number of rows that the list states.
-        remaining_bytes: Bytes that remain in the body.
+        remaining_bytes: Bytes of the body that follow the number of rows.
     """
 
     def __init__(self, count: int, remaining_bytes: int) -> None:
-        """Store the number of rows and the rest of the body."""
+        """Store the number of rows and of remaining bytes."""
         super().__init__("count beyond the frame")
         self.count = count
         self.remaining_bytes = remaining_bytes
--- a/ashdock/wire/frames.py
+++ b/ashdock/wire/frames.py
@@ -526,6 +526,7 @@
     Raises:
         UnknownMessageError: The object is not a message between controllers.
         FrameTooLongError: The body would exceed `MAX_BODY_BYTES`.
+        struct.error: A number, or the size of a string, is out of the range of its field.
     """
     codec = CODEC_OF_MESSAGE.get(type(message))
     if codec is None:
