--- a/ashdock/command_sender.py
+++ b/ashdock/command_sender.py
@@ -10,7 +10,7 @@
 
 from ashdock.core.machine import Machine
 from ashdock.core.shard import Shard
-from ashdock.net.http import NoAnswer
+from ashdock.net.http import NoResponseError
 from ashdock.net.worker import WorkerClient
 from ashdock.wire.messages import Heartbeat, TaskCommand
 
@@ -99,7 +99,7 @@
             self._reconcile_response(shard, machine, heartbeat)
             if status != HTTPStatus.OK:
                 log.debug("direct commands refused: machine=%s status=%d", machine.name, status)
-        except NoAnswer as error:
+        except NoResponseError as error:
             if error.sent:
                 shard.commands.on_direct_unanswered(machine, commands)
             else:
--- a/ashdock/controller.py
+++ b/ashdock/controller.py
@@ -38,7 +38,7 @@
 from ashdock.machine_type_catalog import MachineTypeCatalog
 from ashdock.membership import Membership
 from ashdock.net.cloud import CloudClient
-from ashdock.net.http import Answer, Server
+from ashdock.net.http import Response, Server
 from ashdock.net.mesh import Mesh, PeerAddress
 from ashdock.net.store import StoreClient
 from ashdock.net.worker import WorkerClient
@@ -164,12 +164,12 @@
         """Stop leading, since leadership depends on the membership's store lease."""
         self.elector.stop_leading("the membership was lost")
 
-    def metrics(self) -> Answer:
+    def metrics(self) -> Response:
         """Return the metrics page."""
         # Imported at the first request, since the import costs startup time and memory.
         from ashdock.net import metrics
 
-        return Answer(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
+        return Response(200, metrics.page(self), content_type=metrics.CONTENT_TYPE)
 
     async def run(self) -> None:
         """Run all components and serve requests until cancelled."""
--- a/ashdock/front.py
+++ b/ashdock/front.py
@@ -17,7 +17,7 @@
 from ashdock.core.machine import capacity
 from ashdock.core.quota import limit_permits_job
 from ashdock.core.write_limits import WriteLimits
-from ashdock.net.http import Answer, Request
+from ashdock.net.http import Request, Response
 from ashdock.net.mesh import Mesh
 from ashdock.net.rate_limiter import RequestPriority
 from ashdock.net.store import (
@@ -60,7 +60,7 @@
     done_at: float | None
 
 
-def error_answer(status: int, message: str, retry_after: int | None = None) -> Answer:
+def error_answer(status: int, message: str, retry_after: int | None = None) -> Response:
     """Return an answer that reports an error.
 
     Args:
@@ -68,10 +68,10 @@
         message: text for the client.
         retry_after: seconds after which the client may retry; None: not stated.
     """
-    return Answer(status, messages.encode({"error": message}), retry_after)
+    return Response(status, messages.encode({"error": message}), retry_after)
 
 
-def refusal_answer(refusal: Refusal) -> Answer:
+def refusal_answer(refusal: Refusal) -> Response:
     """Return the answer to a request that admission control refuses."""
     return error_answer(refusal.status, refusal.reason, refusal.retry_after)
 
@@ -177,7 +177,7 @@
         """How many tasks of a job are done and running, as far as is known here."""
         ...
 
-    def metrics(self) -> Answer:
+    def metrics(self) -> Response:
         """The answer to a request for the metrics."""
         ...
 
@@ -226,7 +226,7 @@
         self.answered_at: dict[str, float] = {}
         self.orphans_renewed: set[str] = set()
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         """Return the answer to a request."""
         path = request.target.partition("?")[0]
         if path == "/checkin":
@@ -236,7 +236,9 @@
                 else error_answer(405, "POST only")
             )
         if path == "/ready":
-            return Answer(200, b"{}") if self.context.ready() else error_answer(503, "not ready", 1)
+            return (
+                Response(200, b"{}") if self.context.ready() else error_answer(503, "not ready", 1)
+            )
         if path == "/v2/runs":
             return (
                 await self.submit(request.body)
@@ -261,7 +263,7 @@
 
     # -- submissions ---------------------------------------------------------------
 
-    async def submit(self, body: bytes) -> Answer:
+    async def submit(self, body: bytes) -> Response:
         """Accept a job, or answer why not; one accepted before is answered with its state."""
         try:
             spec = messages.job_spec_of(messages.decode_submission(body))
@@ -270,7 +272,7 @@
         context = self.context
         final = self.final_states.get(spec.id)
         if final:
-            return Answer(200, self._final_answer(spec.id, final))
+            return Response(200, self._final_answer(spec.id, final))
         if not context.catalog:
             return error_answer(503, "the machine types are not known yet", 1)
         if not self._store_usable():
@@ -288,7 +290,7 @@
             return refusal_answer(overload_refusal)
         now = context.now()
         record = job_record(spec, round(now, 3))
-        refusal: Answer | None = None
+        refusal: Response | None = None
         never_runs = self.unschedulable_reason(spec)
         if never_runs:
             refusal = error_answer(422, never_runs)
@@ -312,7 +314,7 @@
                 # A job that was accepted is never refused when it is submitted again, whatever the
                 # later submission says.
                 entry = await self._with_timeout(self._read(spec.id))
-                return Answer(200, self._state_answer(spec.id, entry)) if entry else refusal
+                return Response(200, self._state_answer(spec.id, entry)) if entry else refusal
         except StoreUnavailableError:
             return error_answer(503, "the state service does not answer", self._retry_after())
         path = f"job/{spec.id}"
@@ -330,7 +332,7 @@
                 return error_answer(503, "the state service does not answer", self._retry_after())
             if entry is None:
                 return error_answer(503, "try again", 1)
-            return Answer(200, self._state_answer(spec.id, entry))
+            return Response(200, self._state_answer(spec.id, entry))
         except StoreUnavailableError:
             return error_answer(503, "the state service does not answer", self._retry_after())
         log.info(
@@ -342,9 +344,9 @@
             spec.priority,
         )
         context.job_changed(path, record, revision)
-        return Answer(201, messages.encode({"id": spec.id, "status": JobStatus.QUEUED}))
+        return Response(201, messages.encode({"id": spec.id, "status": JobStatus.QUEUED}))
 
-    async def _refuse_unmet_dependencies(self, spec: JobSpec) -> Answer | None:
+    async def _refuse_unmet_dependencies(self, spec: JobSpec) -> Response | None:
         """Return the refusal of a job with a dependency that can't be met, if it has one.
 
         That a job exists may be taken from the cache; that it does not has to be read.
@@ -402,11 +404,11 @@
 
     # -- status --------------------------------------------------------------------
 
-    async def status(self, job_id: str) -> Answer:
+    async def status(self, job_id: str) -> Response:
         """Return the answer to a user who asks for a job's status."""
         final = self.final_states.get(job_id)
         if final:
-            return Answer(200, self._final_answer(job_id, final))
+            return Response(200, self._final_answer(job_id, final))
         if not self._store_usable():
             return error_answer(503, "the state service does not answer", self._retry_after())
         cached = self.status_reader.known.get(job_id)
@@ -424,18 +426,18 @@
         # The job may have ended meanwhile, and another controller may have told its user so.
         final = self.final_states.get(job_id)
         if final:
-            return Answer(200, self._final_answer(job_id, final))
+            return Response(200, self._final_answer(job_id, final))
         if known is None:
             return error_answer(404, "no such job")
-        return Answer(200, self._unfinished_answer(job_id, known))
+        return Response(200, self._unfinished_answer(job_id, known))
 
-    async def withdraw(self, job_id: str) -> Answer:
+    async def withdraw(self, job_id: str) -> Response:
         """Cancel a job, and answer with its final status once that is durable."""
         context = self.context
         for _ in range(CANCEL_ATTEMPTS):
             final = self.final_states.get(job_id)
             if final:
-                return Answer(200, messages.encode({"id": job_id, "status": final[0]}))
+                return Response(200, messages.encode({"id": job_id, "status": final[0]}))
             if not self._store_usable():
                 break
             try:
@@ -631,7 +633,7 @@
 
     # -- workers -------------------------------------------------------------------
 
-    async def checkin(self, body: bytes, forwarded: bool = False) -> Answer:
+    async def checkin(self, body: bytes, forwarded: bool = False) -> Response:
         """Return the answer to a worker's heartbeat; `forwarded`: a peer has forwarded it."""
         try:
             heartbeat = messages.decode_heartbeat(body)
@@ -652,7 +654,7 @@
                 if len(self.answered_at) > MAX_TRACKED_WORKERS:
                     self.answered_at.clear()
                 self.answered_at[heartbeat.machine] = time.monotonic()
-                return Answer(200, messages.encode(response))
+                return Response(200, messages.encode(response))
             # It may have waited for a shard that was being loaded: the machine may have been
             # assigned to another team meanwhile.
             entry = context.machines.entries.get(f"machine/{heartbeat.machine}")
@@ -665,7 +667,7 @@
             ) or error_answer(503, "not the owner")
         return await self._redirect_or_forward(heartbeat, body, label, team)
 
-    def _answer_unassigned(self, heartbeat: messages.Heartbeat, known: bool) -> Answer:
+    def _answer_unassigned(self, heartbeat: messages.Heartbeat, known: bool) -> Response:
         """Answer the worker of a machine that is assigned to no shard.
 
         The leader renews its lease, as long as the store answers and the machine runs no task. When
@@ -679,15 +681,15 @@
             leader.on_heartbeat(heartbeat, known)
             if self.context.state_fresh() and not heartbeat.tasks:
                 self.answered_at[heartbeat.machine] = time.monotonic()
-                return Answer(
+                return Response(
                     200, messages.encode(messages.HeartbeatResponse(heartbeat.fencing_token, []))
                 )
         label = self.context.leader_label()
         if leader is None and label and label != self.context.label:
-            return Answer(421, messages.encode({"harbour": label}))
+            return Response(421, messages.encode({"harbour": label}))
         return error_answer(503, "lent to nobody yet")
 
-    def _renew_orphan_lease(self, heartbeat: messages.Heartbeat) -> Answer | None:
+    def _renew_orphan_lease(self, heartbeat: messages.Heartbeat) -> Response | None:
         """Answer a worker whose shard nobody can own while the store does not answer.
 
         None if its lease may not be renewed.
@@ -704,11 +706,13 @@
                 self.orphans_renewed.clear()
             self.orphans_renewed.add(heartbeat.machine)
         self.answered_at[heartbeat.machine] = now
-        return Answer(200, messages.encode(messages.HeartbeatResponse(heartbeat.fencing_token, [])))
+        return Response(
+            200, messages.encode(messages.HeartbeatResponse(heartbeat.fencing_token, []))
+        )
 
     async def _redirect_or_forward(
         self, heartbeat: messages.Heartbeat, body: bytes, label: str, team: str
-    ) -> Answer:
+    ) -> Response:
         """Redirect a worker to its owner, or forward its heartbeat if it can't reach the owner.
 
         A worker that is back here soon after it was redirected can't reach its owner.
@@ -756,7 +760,7 @@
                     if len(self.forwarded) > MAX_TRACKED_WORKERS:
                         self.forwarded.clear()
                     self.forwarded[heartbeat.machine] = OwnerRoute(now, label, token)
-                return Answer(200, reply.body)
+                return Response(200, reply.body)
             # Up to two seconds have passed: an owner that did not answer may have been replaced.
             label = context.owner_label(team) or label
         if forward or not owner_seen:
@@ -770,4 +774,4 @@
         self.redirected[heartbeat.machine] = OwnerRoute(now, label, token)
         if len(self.redirected) > MAX_TRACKED_WORKERS:
             self.redirected.clear()
-        return Answer(421, messages.encode({"harbour": label}))
+        return Response(421, messages.encode({"harbour": label}))
--- a/ashdock/net/worker.py
+++ b/ashdock/net/worker.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import SettingsError, parse_address
 from ashdock.wire.messages import (
     DirectCommands,
@@ -80,7 +80,7 @@
             The response of the worker.
 
         Raises:
-            NoAnswer: There was no response; `sent` tells whether the commands may still arrive.
+            NoResponseError: There was no response; `sent` tells whether the commands may still arrive.
         """
         client = self._client(worker_address)
         request = DirectCommands(
@@ -106,8 +106,8 @@
         try:
             host, port = parse_address(worker_address, "worker")
         except SettingsError as error:  # the address in the heartbeat is malformed
-            raise NoAnswer(str(error), sent=False) from None
-        return Client(host, port, keep=1, idle_s=self.idle_s)
+            raise NoResponseError(str(error), sent=False) from None
+        return Client(host, port, max_idle=1, idle_s=self.idle_s)
 
     def _close_least_recently_used(self) -> None:
         """Close the least recently used connection that has no request in progress.
@@ -117,26 +117,26 @@
         workers wait for the response to their next heartbeat.
 
         Raises:
-            NoAnswer: All clients have a request in progress.
+            NoResponseError: All clients have a request in progress.
         """
         idle_address = next(
             (
                 worker_address
                 for worker_address, client in self.clients.items()
-                if not client.under_way
+                if not client.in_flight
             ),
             None,
         )
         if idle_address is None:
             self.deferred += 1
             reason = "no connection to spare"
-            raise NoAnswer(reason, sent=False)
+            raise NoResponseError(reason, sent=False)
         self.clients.pop(idle_address).close()
 
     def close_idle(self) -> None:
         """Close connections that have been unused for `idle_s` seconds."""
         now = time.monotonic()
         for worker_address, client in list(self.clients.items()):
-            if now - client.last_used > self.idle_s and not client.under_way:
+            if now - client.last_used > self.idle_s and not client.in_flight:
                 client.close()
                 del self.clients[worker_address]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,15 +10,22 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote
 
-from ashdock.net.http import Answer, Client, NoAnswer, Request, Server, plain_connections
+from ashdock.net.http import (
+    Client,
+    NoResponseError,
+    Request,
+    Response,
+    Server,
+    undivided_connections,
+)
 from tests.rules import On, Room, Rules
 from tests.simtime import CALLER, Net, spawn
 
 STATE, CLOUD = "10.2.0.1", "10.2.0.2"
 
 
-def reply(status: int, body: Any) -> Answer:
-    return Answer(status, json.dumps(body).encode())
+def reply(status: int, body: Any) -> Response:
+    return Response(status, json.dumps(body).encode())
 
 
 class State:
@@ -59,7 +66,7 @@
         )
 
     async def start(self) -> None:
-        self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
+        self.server = Server(self.handle, undivided_connections(1000, 600.0, 600.0))
         await self.server.start(STATE, 2379)
         asyncio.create_task(self._expire())
 
@@ -95,7 +102,7 @@
             self.wake.notify_all()
         return self.ledger
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         path, _, query = request.target.partition("?")
         words = {key: value[0] for key, value in parse_qs(query).items()}
         if path == "/changes":
@@ -128,7 +135,7 @@
         value, revision, permit = self.keys[key]
         return reply(200, {"path": key, "value": value, "stamp": revision, "permit": permit})
 
-    async def _txn(self, body: dict[str, Any]) -> Answer:
+    async def _txn(self, body: dict[str, Any]) -> Response:
         writes = body.get("writes", [])
         lost = self.lost(writes) if self.lost and writes else ""
         if lost == "late" or self.rng.random() < self.apply_late:
@@ -162,7 +169,7 @@
         await asyncio.sleep(2 + 10 * self.rng.random())  # also after newer ones
         await self._decide(body)
 
-    async def _decide(self, body: dict[str, Any]) -> Answer:
+    async def _decide(self, body: dict[str, Any]) -> Response:
         writes = body.get("writes", [])
         if any("permit" in write and write["permit"] not in self.holds for write in writes):
             return reply(400, {"error": "no such lease"})
@@ -184,7 +191,7 @@
             self.fenced({c["path"] for c in body.get("when", [])}, writes)
         return reply(200, {"ledger": await self._apply(writes) if writes else self.ledger})
 
-    def _hold(self, request: Request, path: str) -> Answer:
+    def _hold(self, request: Request, path: str) -> Response:
         now = asyncio.get_running_loop().time()
         if path == "/holds":
             ttl = json.loads(request.body)["ttl_ms"] / 1000
@@ -199,7 +206,7 @@
         self.holds[hold] = (now + ttl, ttl)
         return reply(200, {"permit": hold})
 
-    async def _watch(self, words: dict[str, str]) -> Answer:
+    async def _watch(self, words: dict[str, str]) -> Response:
         loop = asyncio.get_running_loop()
         until = loop.time() + int(words.get("hold_ms", 0)) / 1000
         after = int(words["from"])
@@ -260,7 +267,7 @@
     async def run(self) -> None:
         self.renewed = self.now()
         self.up = True
-        await Server(self.handle, plain_connections(50, 600.0, 600.0)).start(self.host, 9000)
+        await Server(self.handle, undivided_connections(50, 600.0, 600.0)).start(self.host, 9000)
         spawn(self.world.net, self.host, self._lease())
         nodes = list(self.world.nodes)
         at = self.world.rng.randrange(len(nodes))
@@ -320,7 +327,7 @@
         """0 to stay, a pause before the next node, or the node to go to."""
         sent, tenure = self.now(), self.tenure
         client = self.clients.setdefault(
-            node, Client(self.world.nodes[node], 8080, keep=self.world.keep)
+            node, Client(self.world.nodes[node], 8080, max_idle=self.world.keep)
         )
         for other in [name for name in self.clients if name != node]:
             self.clients.pop(other).close()
@@ -341,7 +348,7 @@
                 await self.awake.wait()
                 if self.now() - sent > 4.0:
                     return 1.0  # dropped, as any answer that comes so late
-        except NoAnswer:
+        except NoResponseError:
             return 1.0
         if status == 421:
             harbour = json.loads(body).get("harbour")
@@ -389,13 +396,13 @@
             2 + 1.5 * self.world.lease_s * self.world.rng.random() if after_s is None else after_s
         )
         try:
-            await Client(self.world.nodes[node], 8080, keep=0).request(
+            await Client(self.world.nodes[node], 8080, max_idle=0).request(
                 "POST", "/checkin", told, 4.0
             )
-        except NoAnswer:
+        except NoResponseError:
             pass
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         held = self.world.held_orders
         if held and request.target == "/orders" and self.world.rng.random() < held[0]:
             await asyncio.sleep(
@@ -573,7 +580,7 @@
         self.born: dict[str, float] = {}
 
     async def start(self) -> None:
-        self.server = Server(self.handle, plain_connections(1000, 600.0, 600.0))
+        self.server = Server(self.handle, undivided_connections(1000, 600.0, 600.0))
         await self.server.start(CLOUD, 8443)
 
     def changed_hands(self, path: str, value: Any) -> None:
@@ -633,7 +640,7 @@
         self.waiting[key] -= 1
         return False
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         path = request.target.partition("?")[0]
         if self.down:
             return reply(503, {"error": "trouble"})
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,7 +13,7 @@
 from ashdock.controller import Controller
 from ashdock.leader.assignments import MAX_ASSIGN_S
 from ashdock.leader.heartbeats import UnrecordedMachine
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.wire.messages import Heartbeat
 from tests import simtime
 from tests.simtime import spawn
@@ -66,7 +66,7 @@
         await asyncio.sleep(3)
         if peers_linked:  # it knows that its peers reach the store, and refuses requests at once
             asked_at = service.now()
-            client = Client(f"10.0.0.{owner}", 8080, keep=0)
+            client = Client(f"10.0.0.{owner}", 8080, max_idle=0)
             assert (await client.request("GET", "/ready", b"", 2.0))[0] == 503
             assert (await client.request("GET", "/v2/runs/req-000001", b"", 2.0))[0] == 503
             assert service.now() - asked_at < 0.1
@@ -112,7 +112,7 @@
             # One in ten asks about a job that nobody submitted.
             job_id = f"req-{n % 60 + 1:06d}" if n % 10 else f"req-9{n:05d}"
             for _ in range(5):
-                status, _ = await Client(f"10.0.0.{n % 3}", 8080, keep=0).request(
+                status, _ = await Client(f"10.0.0.{n % 3}", 8080, max_idle=0).request(
                     "GET", f"/v2/runs/{job_id}", b"", 2.0
                 )
                 answers[status] += 1
@@ -127,7 +127,7 @@
         # Every controller answers with a change at once.
         assert await service.withdraw("req-000007") == "withdrawn"
         for n in range(3):
-            _, body = await Client(f"10.0.0.{n}", 8080, keep=0).request(
+            _, body = await Client(f"10.0.0.{n}", 8080, max_idle=0).request(
                 "GET", "/v2/runs/req-000007", b"", 2.0
             )
             assert b'"withdrawn"' in body
@@ -318,11 +318,11 @@
         while service.now() < 25:
             for n in range(3):
                 try:
-                    status, body = await Client(f"10.0.0.{n}", 8080, keep=0).request(
+                    status, body = await Client(f"10.0.0.{n}", 8080, max_idle=0).request(
                         "GET", "/v2/runs/req-000001", b"", 2.0
                     )
                     answers.add(json.loads(body).get("status") if status == 200 else str(status))
-                except NoAnswer:
+                except NoResponseError:
                     pass
             await asyncio.sleep(0.1)
         assert "queued" in answers and "done" not in answers
@@ -365,7 +365,7 @@
         for down, status in [(False, 200), (True, 503)]:
             service.state.down = down
             await asyncio.sleep(3.0)
-            client = Client(service.world.nodes[leader.label], 8080, keep=0)
+            client = Client(service.world.nodes[leader.label], 8080, max_idle=0)
             body = json.dumps(idle_worker.message() | {"berth": "vm-009999"}).encode()
             assert (await client.request("POST", "/checkin", body, 4.0))[0] == status
         service.state.down = False
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ashdock.controller import Controller
-from ashdock.net.http import Client, NoAnswer
+from ashdock.net.http import Client, NoResponseError
 from ashdock.settings import (
     CloudLimits,
     ExternalServices,
@@ -152,11 +152,11 @@
         self, method: str, target: str, body: bytes, timeout: float, door: int | None = None
     ) -> tuple[int, dict[str, Any]] | None:
         client = Client(
-            f"10.0.0.{self.rng.choice(self.doors) if door is None else door}", 8080, keep=0
+            f"10.0.0.{self.rng.choice(self.doors) if door is None else door}", 8080, max_idle=0
         )
         try:
             status, answer = await client.request(method, target, body, timeout)
-        except NoAnswer:
+        except NoResponseError:
             return None
         return status, json.loads(answer or b"{}")
 
