--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,10 +29,10 @@
 from ashdock.net.http import Client, NoResponseError, Request, Response, Server
 from ashdock.net.worker import WorkerClient
 from ashdock.status_reader import KnownJob
-from tests import simtime
-from tests.simtime import spawn
-from tests.test_whole import play
-from tests.whole import Service, job, shared
+from tests import virtual_time
+from tests.cluster import Service, job, shared
+from tests.test_cluster import run_scenario
+from tests.virtual_time import spawn
 
 
 @pytest.mark.parametrize("limit", [16, 64, 400, 1200, 1937, 20_000])
@@ -275,7 +275,7 @@
     goes out with the answer to the next report.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         async def handle(request: Request) -> Response:
             return Response(200, b"{}")
 
@@ -299,13 +299,13 @@
         await asyncio.gather(*hanging, return_exceptions=True)
         await client.send_commands("10.1.0.0:9000", 1, 1, [])
 
-    simtime.run(main, 1, monkeypatch)
+    virtual_time.run(main, 1, monkeypatch)
 
 
 def test_lease_renewal_does_not_wait_for_a_free_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         async def handle(request: Request) -> Response:
             await asyncio.sleep(0.0 if request.target == "/renew" else 3.0)
             return Response(200, b"{}")
@@ -325,7 +325,7 @@
             and not any(error.sent for error in failed if str(error) == "TimeoutError")
         ) or failed
 
-    simtime.run(main, 1, monkeypatch)
+    virtual_time.run(main, 1, monkeypatch)
 
 
 def test_with_few_sockets_no_lease_ends_and_users_are_served(
@@ -338,12 +338,12 @@
     them and the users.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net, machines=40, capacity=40)
         for n in range(3):
-            net.limits[f"10.0.0.{n}"] = 64
-        service.limit = 64
-        service.world.keep = 1  # workers keep their connections
+            net.socket_limits[f"10.0.0.{n}"] = 64
+        service.max_connections = 64
+        service.cloud.kept_connections = 1  # workers keep their connections
         await service.start()
         await service.submit(job(1, shares=24, expect_s=60.0))
         await service.submit(job(2, owner="blue", shares=16, expect_s=60.0))
@@ -363,8 +363,8 @@
             )[0] == 200
             await asyncio.sleep(0.5)
         assert late_or_failed == 0 and ready >= 55
-        assert all(worker.tenure == 1 for worker in service.world.workers.values())
-        assert net.most["10.0.0.0"] <= 64 and net.refused == 0
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
+        assert net.max_sockets["10.0.0.0"] <= 64 and net.refused_connections == 0
         page = (await Client("10.0.0.0", 8080, max_idle=0).request("GET", "/metrics", b"", 2.0))[
             1
         ].decode()
@@ -372,9 +372,9 @@
             'ashdock_sockets{use="workers"}' in page and "ashdock_connections_ended_total" in page
         )
         assert not await service.until_final(["req-000001", "req-000002"], 120)
-        assert not service.rules.broken
+        assert not service.invariants.violations
 
-    simtime.run(main, 41, monkeypatch)
+    virtual_time.run(main, 41, monkeypatch)
 
 
 def test_flood_of_silent_connections_does_not_starve_requests(
@@ -382,9 +382,9 @@
 ) -> None:
     """Connections without a request are closed in time, and requests over others are answered."""
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net)
-        service.limit = 64
+        service.max_connections = 64
         await service.start()
         await asyncio.sleep(5)
         silent = [await net.open_connection("10.0.0.0", 8080) for _ in range(200)]
@@ -407,7 +407,7 @@
             0
         ] == 400
 
-    simtime.run(main, 42, monkeypatch)
+    virtual_time.run(main, 42, monkeypatch)
 
 
 # -- memory -------------------------------------------------------------------------------------
@@ -483,10 +483,10 @@
         assert await service.until_final(["req-000001"], 30) == []
         await asyncio.gather(*calls, return_exceptions=True)  # closed as too slow
         assert controller.admission.held_body_bytes == 0
-        assert not any(worker.tenure > 1 for worker in service.world.workers.values())
+        assert not any(worker.incarnation > 1 for worker in service.cloud.workers.values())
         assert await service.poll("req-000001", 0) == "done"
 
-    play(monkeypatch, 91, day)
+    run_scenario(monkeypatch, 91, day)
 
 
 @pytest.mark.parametrize(
@@ -501,20 +501,20 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shape="daemon", shares=2))
         await service.submit(job(2, shape="daemon", shares=1))
-        while not service.rules.on.get(("req-000001", 0)):
+        while not service.invariants.placements.get(("req-000001", 0)):
             await asyncio.sleep(0.2)
         processor = service.controllers[0].admission.processor
         monkeypatch.setattr(processor, "late_s", lambda now: late_s)
         response = await service.call("GET", "/v2/runs/req-000001", b"", 2.0, 0)
         assert response is not None and response[0] == status_request
-        service.rules.submitted(job(3))
+        service.invariants.submitted(job(3))
         response = await service.call("POST", "/v2/runs", service.body_of(job(3)), 5.0, 0)
         assert response is not None and response[0] == submission
-        assert await service.withdraw("req-000001", 0) == "withdrawn"
+        assert await service.cancel("req-000001", 0) == "withdrawn"
         await asyncio.sleep(15)  # longer than two leases, shorter than `cancel_s`
-        assert not service.rules.on.get(("req-000001", 0)) and service.rules.on.get(
-            ("req-000002", 0)
-        )
-        assert all(worker.tenure == 1 for worker in service.world.workers.values())
+        assert not service.invariants.placements.get(
+            ("req-000001", 0)
+        ) and service.invariants.placements.get(("req-000002", 0))
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
 
-    play(monkeypatch, 92, day)
+    run_scenario(monkeypatch, 92, day)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -18,8 +18,8 @@
 from ashdock.net.watch_cache import WatchCache
 from ashdock.shard_owner import OwnershipPhase
 from ashdock.wire.messages import Heartbeat
-from tests import simtime
-from tests.whole import Service, job
+from tests import virtual_time
+from tests.cluster import Service, job
 
 SEED = 31
 SETTLE_S = 5.0  # from the start of the cluster to the start of the test
@@ -43,17 +43,17 @@
 ) -> None:
     """Run a scenario on a simulated cluster.
 
-    Unlike with `tests.test_whole.play`, it may end before any task has run.
+    Unlike with `tests.test_cluster.run_scenario`, it may end before any task has run.
     """
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         service = Service(net)
         await service.start()
         await asyncio.sleep(SETTLE_S)
         await scenario(service)
-        assert not service.rules.broken
+        assert not service.invariants.violations
 
-    simtime.run(main, SEED, monkeypatch)
+    virtual_time.run(main, SEED, monkeypatch)
 
 
 def test_an_unrecorded_machine_is_assigned_while_others_are_adopted(
@@ -94,7 +94,7 @@
 
     async def scenario(service: Service) -> None:
         await service.submit(job(1))
-        service.state.slow = 0.2
+        service.store.extra_delay_s = 0.2
         n = next(n for n, c in service.controllers.items() if "red" in c.owners)
         controller = service.controllers[n]
         controller.owners["red"].release("released by the test")
@@ -125,7 +125,7 @@
             f"{label}.{revision}.0",
             f"n9.{revision}.7",
         ):
-            service.state.keys[f"charter/{name}"] = (value, 1, None)
+            service.store.keys[f"charter/{name}"] = (value, 1, None)
         carried_out: list[str] = []
 
         async def carry_out(intent: ProvisioningIntent, *_: Any, **__: Any) -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,10 +15,10 @@
 from ashdock.leader.heartbeats import UnrecordedMachine
 from ashdock.net.http import Client, NoResponseError
 from ashdock.wire.messages import Heartbeat
-from tests import simtime
-from tests.simtime import spawn
-from tests.test_whole import play
-from tests.whole import Service, job
+from tests import virtual_time
+from tests.cluster import Service, job
+from tests.test_cluster import run_scenario
+from tests.virtual_time import spawn
 
 
 def cut_off_store(controller: Controller) -> None:
@@ -53,16 +53,20 @@
         runs = [job(1, shares=8, expect_s=60.0), job(2, shares=8, expect_s=60.0)]
         for run in runs:
             await service.submit(run)
-        while sum(len(places) for places in service.rules.on.values()) < 16:
+        while sum(len(places) for places in service.invariants.placements.values()) < 16:
             await asyncio.sleep(0.5)
             assert service.now() < 40
         await asyncio.sleep(2)
-        used_machines = {place.machine for places in service.rules.on.values() for place in places}
+        used_machines = {
+            place.machine for places in service.invariants.placements.values() for place in places
+        }
         owner = next(n for n, c in service.controllers.items() if "red" in c.owners)
         cut_off_store(service.controllers[owner])
         if not peers_linked:
-            service.net.cut(f"10.0.0.{owner}", *(f"10.0.0.{n}" for n in range(3) if n != owner))
-        starts = service.rules.starts
+            service.net.partition(
+                f"10.0.0.{owner}", *(f"10.0.0.{n}" for n in range(3) if n != owner)
+            )
+        starts = service.invariants.start_count
         await asyncio.sleep(3)
         if peers_linked:  # it knows that its peers reach the store, and refuses requests at once
             asked_at = service.now()
@@ -71,15 +75,18 @@
             assert (await client.request("GET", "/v2/runs/req-000001", b"", 2.0))[0] == 503
             assert service.now() - asked_at < 0.1
         await asyncio.sleep(22)
-        assert used_machines <= set(service.world.workers)
+        assert used_machines <= set(service.cloud.workers)
         if peers_linked:
-            assert service.rules.starts == starts and "red" not in service.controllers[owner].owners
+            assert (
+                service.invariants.start_count == starts
+                and "red" not in service.controllers[owner].owners
+            )
         del service.controllers[owner]
         service.crash(owner)
         service.net.heal()
         assert await service.until_final([run["id"] for run in runs], 150) == []
 
-    play(monkeypatch, 21, scenario)
+    run_scenario(monkeypatch, 21, scenario)
 
 
 def test_many_status_requests_cost_few_store_requests(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -95,14 +102,14 @@
         await asyncio.gather(*(service.submit(run) for run in runs))
         await asyncio.sleep(2)
         calls: Counter[str] = Counter()
-        handle = service.state.handle
+        handle = service.store.handle
 
         async def count(request: Any) -> Any:
             calls["reads" if "/store/job/" in request.target else "other"] += 1
             calls["compares"] += request.target == "/txn" and b'"writes"' not in request.body
             return await handle(request)
 
-        service.state.server.handler = count
+        service.store.server.handler = count
         for controller in service.controllers.values():
             # Transactions that only compare must not wait for the rate of writes.
             controller.store.write_limiter.tokens = -20 * controller.store.write_limiter.per_s
@@ -125,14 +132,14 @@
         for controller in service.controllers.values():
             controller.store.write_limiter.tokens = 1.0
         # Every controller answers with a change at once.
-        assert await service.withdraw("req-000007") == "withdrawn"
+        assert await service.cancel("req-000007") == "withdrawn"
         for n in range(3):
             _, body = await Client(f"10.0.0.{n}", 8080, max_idle=0).request(
                 "GET", "/v2/runs/req-000007", b"", 2.0
             )
             assert b'"withdrawn"' in body
 
-    play(monkeypatch, 22, scenario)
+    run_scenario(monkeypatch, 22, scenario)
 
 
 def test_rules_hold_under_many_status_requests_while_a_controller_is_cut_off(
@@ -148,9 +155,9 @@
             "10.2.0.2",
             "10.0.0.0",
             "10.0.0.2",
-            *(w.host for w in service.world.workers.values()),
+            *(w.host for w in service.cloud.workers.values()),
         ]
-        service.net.cut("10.0.0.1", *all_but_users)
+        service.net.partition("10.0.0.1", *all_but_users)
 
         async def poll(n: int) -> None:
             for _ in range(60):
@@ -163,7 +170,7 @@
         assert await service.until_final([run["id"] for run in runs], 120) == []
         await asyncio.gather(*tasks)
 
-    play(monkeypatch, 23, scenario)
+    run_scenario(monkeypatch, 23, scenario)
 
 
 def test_machines_are_decommissioned_once_while_the_store_is_slow(
@@ -175,11 +182,11 @@
     served, and machines that no job needed were never returned.
     """
 
-    async def main(net: simtime.Net) -> Service:
+    async def main(net: virtual_time.Network) -> Service:
         service = Service(net, machines=40, capacity=40)
         await service.start()
         await asyncio.sleep(1)
-        handle = service.state.handle
+        handle = service.store.handle
         decommissions: list[int] = []  # in each transaction
 
         async def count(request: Any) -> Any:
@@ -194,15 +201,15 @@
                 )
             return await handle(request)
 
-        service.state.server.handler = count
-        service.state.slow = 0.3
-        while service.world.workers:
+        service.store.server.handler = count
+        service.store.extra_delay_s = 0.3
+        while service.cloud.workers:
             await asyncio.sleep(1.0)
             assert service.now() < 90
         assert sum(decommissions) <= 2 * 40
         return service
 
-    simtime.run(main, 24, monkeypatch)
+    virtual_time.run(main, 24, monkeypatch)
 
 
 def test_a_large_array_of_short_tasks_costs_few_writes_through_a_crash(
@@ -224,7 +231,7 @@
                 for write in writes
             )
 
-        service.state.hook = count
+        service.store.on_transaction = count
         run = job(
             1,
             shares=1500,
@@ -236,16 +243,16 @@
             urgency="best_effort",
         )
         await service.submit(run)
-        while len(service.rules.done) < 500:
+        while len(service.invariants.done_tasks) < 500:
             await asyncio.sleep(0.2)
             assert service.now() < 60
         service.crash(next(n for n, c in service.controllers.items() if "red" in c.owners), 2.0)
         assert await service.until_final(["req-000001"], 90) == []
         assert write_count[0] < 1500 / 4
         # Only tasks whose end the crash kept from being written may have been started again.
-        assert service.rules.starts < 1500 * 1.2
+        assert service.invariants.start_count < 1500 * 1.2
 
-    play(monkeypatch, 25, scenario)
+    run_scenario(monkeypatch, 25, scenario)
 
 
 def test_a_faulty_job_shows_its_reason_early_and_is_cancelled_in_time(
@@ -262,31 +269,32 @@
         for run in runs:
             await service.submit(run)
         while not all(
-            "error on vm-" in service.answers.get(run["id"], {}).get("reason", "") for run in runs
+            "error on vm-" in service.last_answers.get(run["id"], {}).get("reason", "")
+            for run in runs
         ):
             await asyncio.sleep(0.5)
             for run in runs:
                 await service.poll(run["id"])
             assert service.now() < 30
         await asyncio.sleep(10)
-        machines = set(service.world.workers)
+        machines = set(service.cloud.workers)
         good_job = job(9, shares=4)
         await service.submit(good_job)
         assert await service.until_final([good_job["id"]], 40) == []
         for run in runs:
-            assert await service.withdraw(run["id"]) == "withdrawn"
-        await asyncio.sleep(service.rules.cancel_s / 2)
-        assert not any(service.rules.on.values())
+            assert await service.cancel(run["id"]) == "withdrawn"
+        await asyncio.sleep(service.invariants.cancel_s / 2)
+        assert not any(service.invariants.placements.values())
         assert not any(
             path.startswith(("work/", "park/")) and value
-            for path, (value, _, _) in service.state.keys.items()
+            for path, (value, _, _) in service.store.keys.items()
         )
         assert (
-            not any("suspect" in str(value) for value, _, _ in service.state.keys.values())
+            not any("suspect" in str(value) for value, _, _ in service.store.keys.values())
             and machines
         )
 
-    play(monkeypatch, 26, scenario)
+    run_scenario(monkeypatch, 26, scenario)
 
 
 def test_a_job_is_reported_done_only_once_that_is_durable(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -300,20 +308,23 @@
     async def scenario(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=500.0))
         path = "work/red/req-000001/0"
-        while not service.state.keys.get(path, ({}, 0, 0))[0].get("p") or not service.rules.starts:
+        while (
+            not service.store.keys.get(path, ({}, 0, 0))[0].get("p")
+            or not service.invariants.start_count
+        ):
             await asyncio.sleep(0.2)
-        handle = service.state.handle
+        handle = service.store.handle
 
         async def hold_back_outcome(request: Any) -> Any:
             if request.target == "/txn" and b'"status":"done"' in request.body:
                 await asyncio.sleep(1e6)
             return await handle(request)
 
-        service.state.server.handler = hold_back_outcome
+        service.store.server.handler = hold_back_outcome
         for n in range(3):
             service.crash(n, 1.0)
-        _, revision, permit = service.state.keys[path]
-        service.state.keys[path] = ({"a": 1, "d": [[0, 0]]}, revision, permit)
+        _, revision, permit = service.store.keys[path]
+        service.store.keys[path] = ({"a": 1, "d": [[0, 0]]}, revision, permit)
         answers = set()
         while service.now() < 25:
             for n in range(3):
@@ -327,7 +338,7 @@
             await asyncio.sleep(0.1)
         assert "queued" in answers and "done" not in answers
 
-    play(monkeypatch, 27, scenario)
+    run_scenario(monkeypatch, 27, scenario)
 
 
 def test_an_unassigned_machine_keeps_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -339,38 +350,39 @@
     """
 
     async def scenario(service: Service) -> None:
-        lease_s = service.world.lease_s
+        lease_s = service.cloud.lease_s
         heartbeats_at: list[float] = []
-        report = service.world.workers["vm-000000"]._report
+        report = service.cloud.workers["vm-000000"]._send_heartbeat
 
         async def counted_report(node: str) -> Any:
             heartbeats_at.append(service.now())
             return await report(node)
 
-        monkeypatch.setattr(service.world.workers["vm-000000"], "_report", counted_report)
+        monkeypatch.setattr(service.cloud.workers["vm-000000"], "_send_heartbeat", counted_report)
         await asyncio.sleep(3 * lease_s)
         assert all(
-            worker.tenure == 1 and worker.token == 0 for worker in service.world.workers.values()
+            worker.incarnation == 1 and worker.fencing_token == 0
+            for worker in service.cloud.workers.values()
         )
         later = [at for at in heartbeats_at if at > lease_s]
-        assert len(later) < 2.5 * lease_s / service.world.report_s
+        assert len(later) < 2.5 * lease_s / service.cloud.report_s
         # Assigned long after an unrenewed lease would have expired, the machines run their tasks to
         # the end.
         await service.submit(job(1, shares=8, expect_s=2 * lease_s))
         assert not await service.until_final(["req-000001"], 60)
-        assert all(worker.tenure == 1 for worker in service.world.workers.values())
-        assert service.rules.starts == 8
+        assert all(worker.incarnation == 1 for worker in service.cloud.workers.values())
+        assert service.invariants.start_count == 8
         leader = next(c for c in service.controllers.values() if c.leader)
-        idle_worker = next(w for w in service.world.workers.values() if not w.shares)
+        idle_worker = next(w for w in service.cloud.workers.values() if not w.tasks)
         for down, status in [(False, 200), (True, 503)]:
-            service.state.down = down
+            service.store.down = down
             await asyncio.sleep(3.0)
-            client = Client(service.world.nodes[leader.label], 8080, max_idle=0)
+            client = Client(service.cloud.nodes[leader.label], 8080, max_idle=0)
             body = json.dumps(idle_worker.message() | {"berth": "vm-009999"}).encode()
             assert (await client.request("POST", "/checkin", body, 4.0))[0] == status
-        service.state.down = False
+        service.store.down = False
 
-    play(monkeypatch, 33, scenario)
+    run_scenario(monkeypatch, 33, scenario)
 
 
 def test_an_assignment_in_progress_is_not_decided_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -418,4 +430,4 @@
         monkeypatch.setattr(leader.assignments, "_write_assignments", write_assignments)
         assert not await service.until_final(["req-000001"], 90)
 
-    play(monkeypatch, 34, scenario)
+    run_scenario(monkeypatch, 34, scenario)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -32,11 +32,11 @@
     TransferMachine,
     TransferShard,
 )
-from tests import simtime, test_whole
-from tests.simtime import spawn
+from tests import test_cluster, virtual_time
+from tests.cluster import Service, job, shared
+from tests.test_cluster import crash_all, no_fault, rolling_restart, store_down
 from tests.test_core import G4, commit, heartbeat, queued_record, shard_with, spec
-from tests.test_whole import crash_all, quiet, roll, state_down
-from tests.whole import Service, job, shared
+from tests.virtual_time import spawn
 
 SMALLER_LIMITS = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=6)
 
@@ -710,7 +710,7 @@
     **more: Any,
 ) -> Service:
     # The settling time is enough for the new cluster version to come into force.
-    return test_whole.play(monkeypatch, seed, day, settle=4.0, **more)
+    return test_cluster.run_scenario(monkeypatch, seed, day, settle=4.0, **more)
 
 
 def pipeline(first: int, **more: Any) -> list[dict[str, Any]]:
@@ -726,29 +726,29 @@
 
 
 async def transactions_late_or_unanswered(service: Service) -> None:
-    service.state.apply_late = service.state.lose_answers = 0.06
+    service.store.late_write_share = service.store.lost_answer_share = 0.06
     await asyncio.sleep(30)
-    service.state.apply_late = service.state.lose_answers = 0.0
+    service.store.late_write_share = service.store.lost_answer_share = 0.0
 
 
 async def watch_falls_behind(service: Service) -> None:
-    service.state.blind = True
+    service.store.job_watches_lag = True
     await asyncio.sleep(6)
-    service.state.blind = False
+    service.store.job_watches_lag = False
 
 
 async def limits_fall(service: Service) -> None:
     await asyncio.sleep(2)
-    service.state.limits, service.state.write_rps = (2048, 6), 100.0
+    service.store.txn_limits, service.store.write_rps = (2048, 6), 100.0
 
 
 @pytest.mark.parametrize(
     "fault",
     [
-        quiet,
-        state_down,
+        no_fault,
+        store_down,
         crash_all,
-        roll,
+        rolling_restart,
         transactions_late_or_unanswered,
         watch_falls_behind,
         limits_fall,
@@ -763,18 +763,20 @@
         runs = [*pipeline(1), *pipeline(11, owner="blue")]
         for run in runs[:4] + runs[5:]:
             assert await service.submit(run) in (200, 201)
-        if fault is quiet:
+        if fault is no_fault:
             assert await service.poll("req-000004") == "queued"
-            assert service.answers["req-000004"]["reason"] == "waits for req-000002, req-000003"
+            assert (
+                service.last_answers["req-000004"]["reason"] == "waits for req-000002, req-000003"
+            )
             # The last job is then submitted when all that it needs is done.
             assert await service.until_final(["req-000004"], 120) == []
         assert await service.submit(runs[4]) in (200, 201)
         assert await service.until_final([run["id"] for run in runs], 200) == []
-        assert {service.rules.told[run["id"]] for run in runs} == {"done"}
+        assert {service.invariants.final_states[run["id"]] for run in runs} == {"done"}
 
     service = play(monkeypatch, 31, day, later=SMALLER_LIMITS)
     # Every transaction kept to the smaller limits before the store applied them.
-    assert service.state.refused.get(400, 0) == 0
+    assert service.store.refused_by_status.get(400, 0) == 0
 
 
 @pytest.mark.parametrize(
@@ -795,26 +797,28 @@
 
         def hook(writes: list[dict[str, Any]]) -> None:
             if any(w.get("set") == step and w["value"]["status"] == "withdrawn" for w in writes):
-                service.state.hook = None
+                service.store.on_transaction = None
                 team = "blue" if step.endswith("4") else "red"
                 for n, controller in list(service.controllers.items()):
                     if team in controller.owners:
                         service.crash(n, 3.0)
 
-        service.state.hook = hook
+        service.store.on_transaction = hook
         await asyncio.sleep(1)
-        assert await service.withdraw("req-000001") == "withdrawn"
+        assert await service.cancel("req-000001") == "withdrawn"
         if step == "state":
-            service.state.down = True
+            service.store.down = True
             await asyncio.sleep(6)
-            service.state.down = False
+            service.store.down = False
         ids = [run["id"] for run in runs]
         await asyncio.sleep(1)
         # Submitted only now, it needs a job that was cancelled with its dependency.
         assert await service.submit(job(9, owner="blue", awaits=["req-000004"])) in (200, 201)
         assert await service.until_final([*ids, "req-000009"], 15) == []
-        assert {service.rules.told[name] for name in [*ids, "req-000009"]} == {"withdrawn"}
-        assert "req-000001" in service.answers["req-000005"]["reason"]
+        assert {service.invariants.final_states[name] for name in [*ids, "req-000009"]} == {
+            "withdrawn"
+        }
+        assert "req-000001" in service.last_answers["req-000005"]["reason"]
         assert await service.submit(job(10, shares=1)) == 201  # so that something runs
         assert await service.until_final(["req-000010"], 60) == []
 
@@ -829,14 +833,16 @@
         numbers = range(1, 9)
         await asyncio.gather(*(service.submit(job(n, expect_s=20.0, shares=1)) for n in numbers))
         await asyncio.sleep(3 * seed)
-        calls: list[Any] = [service.withdraw(f"req-{n:06d}") for n in numbers]
+        calls: list[Any] = [service.cancel(f"req-{n:06d}") for n in numbers]
         calls += [
             service.submit(job(20 + n, awaits=[f"req-{n:06d}"], owner="blue" if n % 2 else "red"))
             for n in numbers
         ]
         await asyncio.gather(*calls)
         assert await service.until_final([f"req-{20 + n:06d}" for n in numbers], 15) == []
-        assert {service.rules.told[f"req-{20 + n:06d}"] for n in numbers} == {"withdrawn"}
+        assert {service.invariants.final_states[f"req-{20 + n:06d}"] for n in numbers} == {
+            "withdrawn"
+        }
         assert await service.submit(job(99, shares=1)) == 201
         assert await service.until_final(["req-000099"], 60) == []
 
@@ -847,11 +853,11 @@
     async def day(service: Service) -> None:
         await service.submit(job(1, shares=1, expect_s=1.0))
         assert await service.until_final(["req-000001"], 60) == []
-        assert await service.withdraw("req-000001") == "done"
+        assert await service.cancel("req-000001") == "done"
         await service.submit(job(2, shares=1, awaits=["req-000001"], owner="blue"))
         assert (
             await service.until_final(["req-000002"], 60) == []
-            and service.rules.told["req-000002"] == "done"
+            and service.invariants.final_states["req-000002"] == "done"
         )
 
     play(monkeypatch, 35, day)
@@ -881,13 +887,13 @@
         await service.submit(job(1, shares=1, expect_s=2.0))
         await service.submit(job(2, shape="daemon", shares=1))
         await service.submit(job(3, shape="daemon", shares=1))
-        await service.withdraw("req-000003")
+        await service.cancel("req-000003")
         client = Client("10.0.0.1", 8080, max_idle=0)
         for n, (awaits, expected) in enumerate(AWAITS, 50):
             run = job(n if n < 59 else n + 1, shares=1, expect_s=1.0) | {"awaits": awaits}
             if awaits == ["req-000050"]:
                 run["id"] = "req-000050"  # its own id
-            service.rules.submitted(run)
+            service.invariants.submitted(run)
             status, answer = await client.request("POST", "/v2/runs", json.dumps(run).encode(), 5.0)
             assert status == expected, (awaits, answer)
         # A repeated submission of an accepted job is answered with 200, whatever it needs.
@@ -896,13 +902,13 @@
                 "POST", "/v2/runs", json.dumps(job(1) | {"awaits": awaits}).encode(), 5.0
             )
             assert status == 200
-        service.state.down = True
+        service.store.down = True
         await asyncio.sleep(2)
         status, _ = await client.request(
             "POST", "/v2/runs", json.dumps(job(90) | {"awaits": ["req-777777"]}).encode(), 5.0
         )
         assert status == 503
-        service.state.down = False
+        service.store.down = False
         await service.until_final(["req-000001"], 60)
 
     play(monkeypatch, 36, day)
@@ -911,7 +917,7 @@
 def test_the_cluster_version_waits_for_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two controllers announced the new version, and one of them restarts; the third did not."""
 
-    async def main(net: simtime.Net) -> Service:
+    async def main(net: virtual_time.Network) -> Service:
         service = Service(net, later=SMALLER_LIMITS)
         boot = service.boot
         service.boot = lambda n: boot(n) if n != 2 else None  # type: ignore[method-assign]
@@ -923,7 +929,7 @@
         )
         client = Client("10.0.0.1", 8080, max_idle=0)
         body = json.dumps(job(2, awaits=["req-000001"])).encode()
-        service.rules.submitted(job(2, awaits=["req-000001"]))
+        service.invariants.submitted(job(2, awaits=["req-000001"]))
         for crash in (None, 0):
             if crash is not None:
                 service.crash(crash, 2.0)
@@ -931,26 +937,26 @@
             status, answer = await client.request("POST", "/v2/runs", body, 5.0)
             assert status == 503 and b"new version" in answer
             assert (
-                "upgrade/mark" not in service.state.keys
-                and "upgrade/node/n2" not in service.state.keys
+                "upgrade/mark" not in service.store.keys
+                and "upgrade/node/n2" not in service.store.keys
             )
-            written = [path for path in service.state.keys if path.startswith("work/")]
+            written = [path for path in service.store.keys if path.startswith("work/")]
             assert written and not any("w" in path.rsplit("/", 1)[1] for path in written)
-            assert not any("done_at" in str(value) for value, _, _ in service.state.keys.values())
+            assert not any("done_at" in str(value) for value, _, _ in service.store.keys.values())
         boot(2)
         await asyncio.sleep(4)
-        assert service.state.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION
+        assert service.store.keys["upgrade/mark"][0]["forms"] == SUPPORTED_VERSION
         service.crash(1, 0.5)  # a controller that has announced it still counts while it is down
         service.crash(2, 0.5)
         await asyncio.sleep(3)
         status, _ = await client.request("POST", "/v2/runs", body, 5.0)
         assert status == 201
-        service.state.limits = (2048, 6)
+        service.store.txn_limits = (2048, 6)
         assert await service.until_final(["req-000001", "req-000002"], 200) == []
-        service.rules.end()
+        service.invariants.end()
         return service
 
-    assert simtime.run(main, 37, monkeypatch).rules.broken == []
+    assert virtual_time.run(main, 37, monkeypatch).invariants.violations == []
 
 
 @pytest.mark.parametrize("announced", [True, False], ids=["announced", "unannounced"])
@@ -971,13 +977,13 @@
         large = job(1, shares=400, cpus=0.1, accelerators=0.03125, ram_gb=0.1, expect_s=3.0)
         assert await service.submit(large) == 201 and await service.submit(wide) == 201
         await asyncio.sleep(4)
-        service.state.limits, service.state.write_rps = (700, 5), 60.0
+        service.store.txn_limits, service.store.write_rps = (700, 5), 60.0
         await asyncio.sleep(4)
         service.crash(0, 2.0)
         assert await service.submit(job(3, shares=1)) in (200, 201)
         assert await service.until_final(["req-000001", "req-000002", "req-000003"], 240) == []
         await asyncio.sleep(5)
-        assert not any(path.startswith("work/") for path in service.state.keys)
+        assert not any(path.startswith("work/") for path in service.store.keys)
 
     service = play(
         monkeypatch,
@@ -986,9 +992,9 @@
         later=NextLimits(write_rps=60.0, value_kb=0.7, txn_ops=5) if announced else None,
     )
     if announced:
-        assert service.state.refused.get(400, 0) == 0
+        assert service.store.refused_by_status.get(400, 0) == 0
     else:
-        assert 0 < service.state.refused.get(400, 0) < 60
+        assert 0 < service.store.refused_by_status.get(400, 0) < 60
 
 
 def test_a_pipeline_costs_few_requests_and_writes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -998,7 +1004,7 @@
 
         async def day(service: Service, waiting: bool = waiting) -> None:
             await service.submit(job(1, shares=1, expect_s=30.0))
-            before = service.state.requests, service.state.counted
+            before = service.store.request_count, service.store.write_count
             for n in range(2, 12):
                 await service.submit(
                     job(
@@ -1011,7 +1017,9 @@
                     )
                 )
             await asyncio.sleep(75)
-            cost.append((service.state.requests - before[0], service.state.counted - before[1]))
+            cost.append(
+                (service.store.request_count - before[0], service.store.write_count - before[1])
+            )
             assert await service.until_final([f"req-{n:06d}" for n in range(1, 12)], 60) == []
 
         play(monkeypatch, 39, day)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -38,8 +38,8 @@
     TransferMachine,
     WatermarkEcho,
 )
-from tests import simtime
-from tests.whole import job
+from tests import virtual_time
+from tests.cluster import job
 
 VALID_SETTINGS = """
 label = "n0"
@@ -319,7 +319,7 @@
             raise ValueError("failure")
         return Response(200, b"{}")
 
-    async def main(net: simtime.Net) -> bytes:
+    async def main(net: virtual_time.Network) -> bytes:
         server = Server(handle, undivided_connections(10, idle_s=20.0, request_timeout_s=5.0))
         await server.start("10.0.0.1", 80)
         reader, writer = await net.open_connection("10.0.0.1", 80)
@@ -330,7 +330,7 @@
         assert not server.open_connections
         return received
 
-    assert simtime.run(main, 1, monkeypatch).startswith(expected)
+    assert virtual_time.run(main, 1, monkeypatch).startswith(expected)
 
 
 def test_full_server_rejects_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -339,7 +339,7 @@
     async def handle(request: Request) -> Response:
         return Response(200, b"{}")
 
-    async def main(net: simtime.Net) -> None:
+    async def main(net: virtual_time.Network) -> None:
         server = Server(handle, undivided_connections(3, idle_s=20.0, request_timeout_s=5.0))
         await server.start("10.0.0.1", 80)
         silent = [await net.open_connection("10.0.0.1", 80) for _ in range(3)]
@@ -355,4 +355,4 @@
         status, _ = await Client("10.0.0.1", 80).request("GET", "/", b"", 1.0)
         assert status == 200 and silent
 
-    simtime.run(main, 1, monkeypatch)
+    virtual_time.run(main, 1, monkeypatch)
