--- a/ashdock/admission/control.py
+++ b/ashdock/admission/control.py
@@ -20,8 +20,8 @@
 # second as late, and a refused one is retried after a second at the earliest. With a lower limit,
 # submissions that would have been in time were late.
 MAX_WRITE_WAIT_S = 0.8
-STATUS_TIMEOUT_S = 2.0  # users wait this long for the answer to a status request
-SUBMISSION_TIMEOUT_S = 5.0  # users wait this long for the answer to a submission
+STATUS_TIMEOUT_S = 2.0  # users wait this long for the response to a status request
+SUBMISSION_TIMEOUT_S = 5.0  # users wait this long for the response to a submission
 
 
 class Resource(Enum):
@@ -34,7 +34,7 @@
 
 
 class Refusal(NamedTuple):
-    """The answer to a refused request.
+    """The response to a refused request.
 
     Attributes:
         status: HTTP status.
@@ -88,13 +88,13 @@
         shares: how the sockets are divided.
         connections: the inbound connections.
         memory: how the memory is divided.
-        held_body_bytes: bodies of the requests that are received or answered.
+        held_body_bytes: size of the bodies of requests that are being received or answered.
         processor: how late this process is.
         shortages: whether each resource is short.
         refused: number of refusals, by kind of request and the resource that was short.
         shortage_end_s: a shortage ends after this many seconds without a refusal.
         ended_connections: connections closed or refused up to the last tick.
-        write_wait_s: how long the last submission would have waited to be written.
+        write_wait_s: expected wait of the last submission until it would be written.
     """
 
     def __init__(
@@ -115,8 +115,8 @@
         )
         self.refused_submissions: Counter[str] = Counter()
         self.shares = socket_shares(shared.machine_limits.max_connections, peers)
-        # A worker that has been silent for two and a half reporting periods reports over another
-        # connection, or not at all.
+        # A worker that has been silent for two and a half heartbeat periods sends its heartbeats
+        # over another connection, or not at all.
         self.connections = Connections(
             self.shares,
             idle_s=60.0,
@@ -207,7 +207,7 @@
     def reserve_body(self, size: int, use: SocketUse) -> bool:
         """Reserve memory for `size` bytes of a request's body, until `release_body`.
 
-        A quarter of the memory is only for workers' reports, since they renew leases.
+        A quarter of the memory is only for workers' heartbeats, since they renew leases.
 
         Returns:
             False if there is too little memory; nothing is reserved then.
--- a/ashdock/connectivity.py
+++ b/ashdock/connectivity.py
@@ -53,8 +53,8 @@
     def state_fresh(self) -> bool:
         """Whether what is known of the store's contents is fresh.
 
-        That is so while no request has failed since the last answer, and the last request that was
-        answered began less than `ttl_s` ago.
+        That is so while no request has failed since the last response, and the last request that
+        was answered began less than `ttl_s` ago.
         """
         return self.store.unavailable_since is None and self.store.silent_for < self.ttl_s
 
@@ -78,9 +78,10 @@
         return any(heartbeat.store_age_s < self.ttl_s / 2 for heartbeat in heartbeats)
 
     def cut_off(self) -> bool:
-        """Whether neither a peer nor a worker has been heard for a while.
+        """Whether no peer and no worker was heard in a TTL or two heartbeat periods, if longer.
 
-        Such a controller may still reach the store, but another one should own its shards.
+        Such a controller may still reach the store, but another one should own its shards. False if
+        there are no other controllers.
         """
         max_silence_s = max(SILENT_HEARTBEAT_PERIODS * self.heartbeat_s, self.ttl_s)
         if not self.mesh.peers or any(
--- a/ashdock/core/allocator.py
+++ b/ashdock/core/allocator.py
@@ -109,12 +109,12 @@
         self.pending_reclaims: dict[str, tuple[str, float]] = {}
         self.unassigned_since: dict[str, float] = {}
         self.returned_idle: set[str] = set()  # unassigned because no shard had use for them
-        # By the shard that passes machines on and the team that gets them: when it was last asked.
+        # By the shard that transfers machines and the team that gets them: when it was last asked.
         self.rebalance_asked_at: dict[tuple[str, str], float] = {}
         self.infeasible = InfeasibleCache()  # requests for which this round has no machines left
         # For this round, by type, CPUs, GPUs and memory: how many such tasks a machine holds.
         self.capacity_cache: dict[tuple[str, float, float, float], int] = {}
-        boot_times_s = [shape.boot_s for shape in catalog.values()]
+        boot_times_s = [machine_type.boot_s for machine_type in catalog.values()]
         self.boot_s = max(boot_times_s, default=shared.workers.lease_s)  # the longest boot time
         # A decision shows in the records and statuses within this time, or is taken to have failed.
         self.settle_s = shared.workers.lease_s / 2
@@ -134,7 +134,7 @@
             self.backoffs.pop((scale_out.type, scale_out.zone, scale_out.spot), None)
 
     def scale_out_failed(self, scale_out: ScaleOut, now: float, no_capacity: bool) -> None:
-        """Note that a scale-out rented nothing, either for lack of capacity or with no answer."""
+        """Note that a scale-out rented nothing, either for lack of capacity or with no response."""
         self.scale_outs.remove(scale_out)
         if no_capacity:
             self._back_off(scale_out, now)
@@ -154,9 +154,9 @@
 
         Args:
             machines: All machines' records.
-            shard_statuses: The last status of each shard that has been heard of, by team. Nothing
+            shard_statuses: The last status of each shard that has reported one, by team. Nothing
                 is decided while one is missing.
-            now: The time of day in seconds.
+            now: Seconds since the epoch.
         """
         machine_views = {
             machine.name: machine for machine in machines if not machine.decommissioned
@@ -281,17 +281,17 @@
                 max_machines = self.renting.most_machines
                 if offer is None or (max_machines and machine_count >= max_machines):
                     break
-                shape, zone, spot = offer
+                machine_type, zone, spot = offer
                 tasks_per_machine = max(
-                    1, capacity(shape, request.cpus, request.gpus, request.memory_gb)
+                    1, capacity(machine_type, request.cpus, request.gpus, request.memory_gb)
                 )
-                key = (team, shape.label, zone, spot)
+                key = (team, machine_type.label, zone, spot)
                 rentals[key] = rentals.get(key, 0) + 1
                 machine_count += 1
                 missing -= tasks_per_machine
                 if missing < 0:
                     pending.setdefault(team, PendingCapacity()).add_remainder(
-                        shape,
+                        machine_type,
                         zone,
                         spot,
                         (request.cpus, request.gpus, request.memory_gb),
@@ -337,16 +337,16 @@
     def _scale_outs(rentals: dict[tuple[str, str, str, bool], int]) -> list[ScaleOut]:
         """Combine rentals by team, type, zone and spot into one scale-out for all teams."""
         teams_by_offering: dict[tuple[str, str, bool], list[tuple[str, int]]] = {}
-        for (team, machine_type, zone, spot), number in rentals.items():
+        for (team, type_label, zone, spot), number in rentals.items():
             remaining = MAX_MACHINES_PER_SCALE_OUT - sum(
-                count for _, count in teams_by_offering.get((machine_type, zone, spot), ())
+                count for _, count in teams_by_offering.get((type_label, zone, spot), ())
             )
             if (
                 remaining > 0
-                and len(teams_by_offering.get((machine_type, zone, spot), ()))
+                and len(teams_by_offering.get((type_label, zone, spot), ()))
                 < MAX_TEAMS_PER_SCALE_OUT
             ):
-                teams_by_offering.setdefault((machine_type, zone, spot), []).append(
+                teams_by_offering.setdefault((type_label, zone, spot), []).append(
                     (team, min(number, remaining))
                 )
         return [ScaleOut(tuple(teams), *key) for key, teams in teams_by_offering.items()]
@@ -360,7 +360,7 @@
     ) -> list[Decision]:
         """Serve requests of one priority in order of their slack when no more can be rented.
 
-        A shard whose own requests can wait longer passes machines on as they come free. Without
+        A shard whose own requests can wait longer transfers machines as they come free. Without
         this, machines stayed where they were when the cloud ran out of them, and one team's gangs
         waited a minute while another's waited seconds.
         """
@@ -379,8 +379,8 @@
                     or now - self.rebalance_asked_at.get((shard, team), -1e9) < self.settle_s
                 ):
                     continue
-                # Work of higher priority does not give way to lower: gangs passed machines on to
-                # overdue arrays, and had to reclaim them.
+                # Work of higher priority does not give way to lower: machines of gangs went
+                # to overdue arrays, and had to be reclaimed.
                 comparable = [
                     other
                     for other in shard_status.resource_requests
@@ -403,8 +403,8 @@
                 self.rebalance_asked_at[source, team] = now
                 tasks_per_machine = max(
                     (
-                        capacity(shape, request.cpus, request.gpus, request.memory_gb)
-                        for shape in self.catalog.values()
+                        capacity(machine_type, request.cpus, request.gpus, request.memory_gb)
+                        for machine_type in self.catalog.values()
                     ),
                     default=1,
                 )
@@ -426,6 +426,11 @@
         shard_statuses: dict[str, ShardStatus],
         now: float,
     ) -> None:
+        """Forget reclaims and assignments that have taken effect, or have not in time.
+
+        A reclaimed machine whose record names the new shard counts as assigned from then on, until
+        that shard's status shows it.
+        """
         reclaim_timeout_s = self.shared.workers.gang_peer_s + 4 * self.shared.workers.report_s
         for name, (team, since) in list(self.pending_reclaims.items()):
             if name in machine_views and machine_views[name].shard == team:
@@ -465,16 +470,16 @@
     def _use_pending_capacity(self, pending: PendingCapacity, request: ResourceRequest) -> int:
         """Allot pending capacity to a request, and return the number of tasks left without."""
 
-        def suits(machine_type: str, zone: str, spot: bool) -> bool:
-            return self._suits(request, machine_type, zone, spot)
+        def suits(type_label: str, zone: str, spot: bool) -> bool:
+            return self._suits(request, type_label, zone, spot)
 
         return request.tasks - pending.take(
             suits, (request.cpus, request.gpus, request.memory_gb), request.tasks
         )
 
     @staticmethod
-    def _suits(request: ResourceRequest, machine_type: str, zone: str, spot: bool) -> bool:
-        if request.types and machine_type not in request.types:
+    def _suits(request: ResourceRequest, type_label: str, zone: str, spot: bool) -> bool:
+        if request.types and type_label not in request.types:
             return False
         if request.zone and zone != request.zone:
             return False
@@ -490,8 +495,9 @@
     ) -> dict[str, float]:
         """Return by zone how many more tasks of a gang it could hold.
 
-        Machines that are empty, can be reclaimed or can be rented are counted.
-        The weights 1, 0.99 and 0.9 make empty machines count most, and rented ones least.
+        Machines that are empty or can be reclaimed are counted. A zone where any machine type is
+        not in backoff counts as if the whole request could be rented there. The weights 1, 0.99
+        and 0.9 make empty machines count most, and rented ones least.
         """
         scores: dict[str, float] = {}
 
@@ -523,11 +529,11 @@
                 ),
                 0.99,
             )
-        for shape in self.catalog.values():
-            for zone in shape.zones:
+        for machine_type in self.catalog.values():
+            for zone in machine_type.zones:
                 spot_choices = (True, False) if request.spot else (False,)
                 if any(
-                    self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] <= self.now
+                    self.backoffs.get((machine_type.label, zone, spot), (0.0, 0.0))[0] <= self.now
                     for spot in spot_choices
                 ):
                     scores[zone] = scores.get(zone, 0.0) + 0.9 * max(
@@ -535,12 +541,12 @@
                     )
         return scores
 
-    def _tasks_per_machine(self, machine_type: str, request: ResourceRequest) -> int:
-        key = (machine_type, request.cpus, request.gpus, request.memory_gb)
+    def _tasks_per_machine(self, type_label: str, request: ResourceRequest) -> int:
+        key = (type_label, request.cpus, request.gpus, request.memory_gb)
         tasks_per_machine = self.capacity_cache.get(key)
         if tasks_per_machine is None:
             tasks_per_machine = self.capacity_cache[key] = capacity(
-                self.catalog[machine_type], request.cpus, request.gpus, request.memory_gb
+                self.catalog[type_label], request.cpus, request.gpus, request.memory_gb
             )
         return tasks_per_machine
 
@@ -555,9 +561,10 @@
 
         For a request within its team's guarantee, machines are reclaimed at any cost from shards
         beyond theirs, as far as they are beyond it. Otherwise work of higher priority preempts
-        lower if that loses less than waiting for a boot would cost. But a request beyond its team's
-        guarantee never preempts work within another's: urgent work of a hot team stopped all work
-        of lower priority of the other teams, however much of it was guaranteed.
+        lower if it cannot wait for a boot, and if that loses no more than a boot time for each step
+        of priority between them. But a request beyond its team's guarantee never preempts work
+        within another's: urgent work of a hot team stopped all work of lower priority of the other
+        teams, however much of it was guaranteed.
         """
         if machine_class.shard == team:
             return -1.0
@@ -692,11 +699,15 @@
         this round, others where the fewest are.
         """
         best: tuple[tuple[float, ...], tuple[MachineType, str, bool]] | None = None
-        for shape in self.catalog.values():
-            tasks_per_machine = capacity(shape, request.cpus, request.gpus, request.memory_gb)
-            if tasks_per_machine <= 0 or (request.types and shape.label not in request.types):
+        for machine_type in self.catalog.values():
+            tasks_per_machine = capacity(
+                machine_type, request.cpus, request.gpus, request.memory_gb
+            )
+            if tasks_per_machine <= 0 or (
+                request.types and machine_type.label not in request.types
+            ):
                 continue
-            for zone in shape.zones:
+            for zone in machine_type.zones:
                 if request.zone and zone != request.zone:
                     continue
                 for spot in (True, False):
@@ -704,23 +715,23 @@
                         not spot and request.opportunistic and self._may_use_spot(request)
                     ):
                         continue
-                    if self.backoffs.get((shape.label, zone, spot), (0.0, 0.0))[0] > now:
+                    if self.backoffs.get((machine_type.label, zone, spot), (0.0, 0.0))[0] > now:
                         continue
-                    price = (shape.spot_price if spot else shape.price) / min(
+                    price = (machine_type.spot_price if spot else machine_type.price) / min(
                         tasks_per_machine, missing
                     )
                     already_rented = sum(
                         count
                         for key, count in rentals.items()
-                        if key[1:] == (shape.label, zone, spot)
+                        if key[1:] == (machine_type.label, zone, spot)
                     )
                     key = (
                         price,
                         float(-already_rented if request.one_zone else already_rented),
-                        shape.boot_s,
+                        machine_type.boot_s,
                     )
                     if best is None or key < best[0]:
-                        best = key, (shape, zone, spot)
+                        best = key, (machine_type, zone, spot)
         return best[1] if best else None
 
     def balance(
@@ -738,7 +749,7 @@
             owners: Label of the controller that owns each team's shard; "" if none.
             members: Labels of the controllers that may own shards.
             shard_statuses: The last status of each shard, by team.
-            now: The time of day in seconds.
+            now: Seconds since the epoch.
         """
         load = {
             team: shard_status.waiting_tasks + shard_status.machines + 1
@@ -763,6 +774,7 @@
             return []
         # Choose the shard whose move leaves the smallest difference in load.
         team = min(sorted(movable), key=lambda team: abs(gap - 2 * load[team]))
+        # Not worth a move unless the difference becomes at least 30 % smaller.
         if abs(gap - 2 * load[team]) > 0.7 * gap:
             return []
         self.last_change_at = now
@@ -782,10 +794,12 @@
         decisions: list[Decision] = []
         is_wanted: dict[tuple[str, str, bool], bool] = {}
         for machine, idle_s in idle.values():
-            shape = self.catalog[machine.type]
+            machine_type = self.catalog[machine.type]
             # Kept for about the boot time that it may save the next job; less if idling costs more.
-            boot_factor = 1.5 if machine.spot else 0.5 + shape.spot_price / (2 * shape.price)
-            keep_s = self.renting.idle_boots * shape.boot_s * boot_factor
+            boot_factor = (
+                1.5 if machine.spot else 0.5 + machine_type.spot_price / (2 * machine_type.price)
+            )
+            keep_s = self.renting.idle_boots * machine_type.boot_s * boot_factor
             if idle_s <= keep_s:
                 continue
             offering = (machine.type, machine.zone, machine.spot)
--- a/ashdock/core/heartbeat_reconciler.py
+++ b/ashdock/core/heartbeat_reconciler.py
@@ -64,7 +64,7 @@
         ...
 
     def on_spot_reclaim(self, machine: Machine, notice_s: float, now: float) -> None:
-        """Evict tasks from a spot instance that the cloud takes back in `notice_s` seconds."""
+        """Handle the notice that the cloud reclaims a spot instance in `notice_s` seconds."""
         ...
 
 
@@ -89,8 +89,8 @@
 
         Args:
             heartbeat: The worker's status.
-            now: The time.
-            checkin: Whether the worker sent it as a request of its own. If not, it was the answer
+            now: Seconds since the epoch.
+            checkin: Whether the worker sent it as a request of its own. If not, it was the response
                 to direct commands.
 
         Returns:
@@ -164,7 +164,7 @@
         Args:
             machine: The worker's machine.
             heartbeat: The worker's status.
-            now: The time.
+            now: Seconds since the epoch.
             absence_proves: Whether a missing task can prove the end of its placement: the heartbeat
                 is a request, sent under our token, so that the worker had all commands before.
         """
@@ -257,7 +257,7 @@
 
         The worker refuses commands of earlier owners from then on, and reports the tasks that they
         started before. That leaves our own run commands, of which none may be in flight. Direct
-        ones are in `outstanding_runs`, which the caller checks. One that was sent in an answer can
+        ones are in `outstanding_runs`, which the caller checks. One that was sent in a response can
         arrive until the worker has sent a later heartbeat than the one answered. A run command that
         was sent, while the task was neither reported nor stopped since, is simply repeated.
         """
--- a/ashdock/core/task.py
+++ b/ashdock/core/task.py
@@ -42,7 +42,7 @@
 
     Attributes:
         failure_count: Number of failures.
-        first_at: Time of day of the first, in seconds.
+        first_at: When the first was, in seconds since the epoch.
         reason: Reason of the last.
         past_limits: 1 once the episode has exceeded its time or its number of parks, else 0.
     """
@@ -63,9 +63,9 @@
         machine: The machine's name.
         generation: Generation of the task's chunk that has to be durable before the run command is
             sent.
-        placed_at: When it was placed, in seconds.
+        placed_at: When it was placed, in seconds since the epoch.
         phase: Its phase.
-        start_answered: Incarnation and sequence number of the heartbeat whose answer carried the
+        start_answered: Incarnation and sequence number of the heartbeat whose response carried the
             run command.
         worker_reported: Whether its worker has reported it.
         from_earlier_owner: Whether it was read from the store: an earlier owner placed it, and may
@@ -77,8 +77,8 @@
         running_at: When a heartbeat first showed it as running.
         grace_s: Seconds that it has to save its state when it is stopped.
         stop_reason: Why it is being stopped.
-        reclaim_handled: Whether it was already decided how it ends on a spot instance that the
-            cloud takes back.
+        reclaim_handled: Whether it was already decided if it is preempted because the cloud
+            reclaims its spot instance.
     """
 
     __slots__ = (
@@ -138,15 +138,15 @@
         self.phase = PlacementPhase.START_SENT
         self.from_earlier_owner = True
 
-    def start_sent_in_answer(self, incarnation: int, sequence: int) -> None:
-        """Record that the answer to that heartbeat carries its run command."""
+    def start_sent_in_response(self, incarnation: int, sequence: int) -> None:
+        """Record that the response to that heartbeat carries its run command."""
         if self.phase is PlacementPhase.COMMITTED:
             self.phase = PlacementPhase.START_SENT
         self.start_answered = (incarnation, sequence)
         self.incarnation = incarnation
 
     def start_sent_directly(self, incarnation: int) -> None:
-        """Record that its run command is sent to its worker directly, not in an answer."""
+        """Record that its run command is sent to its worker directly, not in a response."""
         self.incarnation = incarnation
         if self.phase is PlacementPhase.COMMITTED:
             self.phase = PlacementPhase.START_SENT
