--- a/ashdock/settings.py
+++ b/ashdock/settings.py
@@ -209,7 +209,7 @@
 class Duties(Struct, forbid_unknown_fields=True):
     """Labels of the controllers that may lead each duty; empty: all may."""
 
-    # Renting, returning, assigning and recalling machines, and reconciling the list of the cloud.
+    # Renting, returning, assigning and reclaiming machines, and reconciling the list of the cloud.
     machines: list[Name] = []
 
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The tests of ashdock, their stand-ins, and the tools that measure it in simulated time."""
+"""The tests of ashdock, their fakes, and the tools that measure it in simulated time."""
--- a/tests/cost.py
+++ b/tests/cost.py
@@ -1,4 +1,4 @@
-"""A controller's processor time and memory by activity, for two deployment shapes on stand-ins.
+"""A controller's processor time and memory by activity, for two deployment shapes on fakes.
 
     python -m tests.scale cost [--shape small --course steady] [--times 1.5] [--seconds 30]
                                [--save cost.json]
@@ -273,7 +273,7 @@
 
     @property
     def attributed_share(self) -> float:
-        """Share of the time, without that of the stand-ins, that has an activity."""
+        """Share of the time, without that of the fakes, that has an activity."""
         controller_s = sum(self.seconds.values()) - self.seconds[STAND_INS]
         return 1.0 - self.seconds["other"] / controller_s if controller_s else 1.0
 
@@ -336,7 +336,7 @@
 
 @dataclass
 class CourseRun:
-    """A deployment on the stand-ins and its users; each method is a course of that name."""
+    """A deployment on the fakes and its users; each method is a course of that name."""
 
     net: Network
     fleet: Fleet
--- a/tests/scale.py
+++ b/tests/scale.py
@@ -1,4 +1,4 @@
-"""How a controller's cost grows with its fleet: whole controllers in simulated time on stand-ins.
+"""How a controller's cost grows with its fleet: whole controllers in simulated time on fakes.
 
     pip install -r requirements-scale.txt
     python -m tests.scale grow [--times 1 2 4 8] [--plot docs/scale.svg] [--save figures.json]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -97,9 +97,8 @@
     """Commit the shard's next transaction at a revision, and return its writes."""
     txn = shard.writer.next_transaction()
     assert txn is not None and txn.conditions[f"part/{shard.name}"] == shard.revision
-    assert (
-        txn.writes.keys() <= txn.conditions.keys()
-    )  # a delayed transaction overwrites no newer value
+    # A delayed transaction overwrites no newer value.
+    assert txn.writes.keys() <= txn.conditions.keys()
     for callback in txn.on_commit:
         callback(revision)
     return txn.writes
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -106,12 +106,13 @@
         True,
         True,
     ),
+    # No transfer before reconciliation.
     (
         [("acquire", 7, 9.0, 3.0, 9.1), ("begin_transfer",)],
         ElectionState.RECONCILING,
         True,
         False,
-    ),  # no transfer before reconciliation
+    ),
     ([("acquire", 7, 9.0, 3.0, 9.1), ("lose",)], ElectionState.FOLLOWER, False, False),
     (
         [
@@ -390,9 +391,8 @@
         await asyncio.sleep(14)
         assert await wait_for_leader(service) == (leader + 1) % 3
         named = [i for i in range(1, len(key_writes)) if key_writes[i][1] == key_writes[i - 1][1]]
-        assert named and all(
-            key_writes[i][0] - key_writes[i - 1][0] < 0.25 for i in named
-        )  # a named successor acquires leadership at once
+        # A named successor acquires leadership at once.
+        assert named and all(key_writes[i][0] - key_writes[i - 1][0] < 0.25 for i in named)
         assert await service.until_final(["req-000001", "req-000002"], 120) == []
         page = service.controllers[(leader + 1) % 3].metrics().body.decode()
         assert (
@@ -493,9 +493,8 @@
         owner.frame_dispatcher.dispatch(
             "n9", FencedCommand(term - 1, Reclaim("red", "blue", [name]))
         )
-        owner.frame_dispatcher.dispatch(
-            "n9", Reclaim("red", "blue", [name])
-        )  # without a term: sent by a process of an earlier version that has ended
+        # Without a term: sent by a process of an earlier version that has ended.
+        owner.frame_dispatcher.dispatch("n9", Reclaim("red", "blue", [name]))
         assert shard.machines[name].usable and owner.term_fence.refused_commands == 1
         owner.frame_dispatcher.dispatch("n9", FencedCommand(term, Reclaim("red", "blue", [name])))
         assert not shard.machines[name].usable
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -26,7 +26,7 @@
 
 
 class SentFrames:
-    """A stand-in for the mesh that records each receiver ("*" for all peers) and frame."""
+    """A fake mesh that records each receiver ("*" for all peers) and frame."""
 
     def __init__(self) -> None:
         """Start without frames."""
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -161,9 +161,10 @@
         {0, 7, raw.find(b"\r\n\r\n") + 2, raw.find(b"\r\n\r\n") + 4, len(raw) - 3}
         & set(range(len(raw)))
     )
+    # The second time from the cache.
     with_cache = [
         asyncio.run(serve(split_packets(raw, at))) for at in split_points for _ in range(2)
-    ]  # the second time from the cache
+    ]
     with monkeypatch.context() as patch:
         patch.setattr(heads, "parse_request_head", lambda data: None)
         without_cache = [
--- a/tests/test_load_handover.py
+++ b/tests/test_load_handover.py
@@ -15,7 +15,7 @@
 
 
 def peer(*, ready: bool = True, reachable: bool = True, leader: bool = False) -> Any:
-    """Create a stand-in for a peer whose heartbeats are on time."""
+    """Create a fake peer whose heartbeats are on time."""
     return SimpleNamespace(
         heartbeat_lag=SimpleNamespace(gap_s=HEARTBEAT_INTERVAL_S),
         heartbeat=SimpleNamespace(ready=ready, leader=leader),
